--- /dev/null
+++ b/brain/golden_test.go
@@ -0,0 +1,28 @@
+package brain
+
+import (
+	"encoding/json"
+	"testing"
+
+	"shelfproxy/internal/golden"
+)
+
+// TestGoldenExplanation: operators' scripts read the explanation of a key's place as JSON.
+func TestGoldenExplanation(t *testing.T) {
+	var lines golden.Lines
+	for _, test := range []struct {
+		name string
+		why  Why
+	}{
+		{"full", Why{Key: "anna", Heat: 0.5, Servers: []WhyServer{{Server: "s-1", Zone: "a", Warmth: 1, Keeps: 0.5, Slow: 0.25, Out: 3},
+			{Server: "s-2", Not: []string{"silent"}}}, Origin: &WhyOrigin{Slow: 0.1, Target: 20, Out: 1, Most: 2, Waiting: 3}}},
+		{"without origin", Why{Key: "", Servers: []WhyServer{}}},
+	} {
+		text, err := json.Marshal(test.why)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines.Text(test.name, string(text))
+	}
+	golden.Check(t, "explanation.golden", lines.Bytes())
+}
--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,40 @@
+package discovery
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"shelfproxy/internal/golden"
+)
+
+// TestGoldenLists: the JSON that discovery sends, and what is made of it; and the call that asks for it.
+func TestGoldenLists(t *testing.T) {
+	var lines golden.Lines
+	lines.Text("path", Path(42))
+	for _, text := range []string{
+		`{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","machineType":"cache","cell":3,"weight":1.5,"startedAtMs":1700000000000,"lifecycle":"up"},` +
+			`{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"draining"},{"instanceId":"s-3","lifecycle":"removed"}]}`,
+		`{"generation":8,"instances":[]}`,
+		"{\n  \"generation\": 9,\n  \"later\": {\"x\": \"}\"},\n  \"instances\": [\n    {\"instanceId\": \"s-1\", \"hostPort\": \"127.0.0.1:1\", \"lifecycle\": \"up\"}\n  ]\n}",
+		`{"generation":8}`, `{"instances":[]}`, `[]`,
+		`{"generation":8,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"sleeping"}]}`,
+		`{"generation":8,"instances":[{"instanceId":"s-1","hostPort":"nowhere","lifecycle":"up"}]}`,
+	} {
+		now := time.Unix(1000, 0)
+		f := NewFollower(now, time.Second)
+		if err := f.Answered(now, 200); err != nil {
+			t.Fatal(err)
+		}
+		lists, err := f.Received(now, []byte(text+"\n\n"))
+		lines.Text("sent", fmt.Sprintf("%q", text))
+		for _, l := range lists {
+			lines.Text("list", fmt.Sprintf("version %d, whole %v", l.Version, l.Whole))
+			for _, s := range l.Servers {
+				lines.Text("server", fmt.Sprintf("%s at %s, zone %q, kind %q, cell %d, state %d, weight %v, started %d", s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMs))
+			}
+		}
+		lines.Text("refused", fmt.Sprint(err != nil))
+	}
+	golden.Check(t, "lists.golden", lines.Bytes())
+}
--- /dev/null
+++ b/internal/listener/golden_test.go
@@ -0,0 +1,50 @@
+package listener
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+	"time"
+
+	"shelfproxy/internal/counters"
+	"shelfproxy/internal/flow"
+	"shelfproxy/internal/golden"
+)
+
+// TestGoldenCommands: what clients send, the request that is made of it, and the bytes of every answer, INFO's among them.
+func TestGoldenCommands(t *testing.T) {
+	now := time.Unix(1000, 0)
+	limits := Limits{Conns: 4, Pipelined: 64, Value: 10, Write: time.Second, Owed: 100 << 10, Silent: 2 * time.Second, Crowd: 50 * time.Millisecond, Idle: 5 * time.Second}
+	count := counters.New([]string{"read", "sign"}, flow.Kinds(), []string{"end_a", "end_b"})
+	count.More("part_event").Add(3)
+	core := NewCore(now, []string{"read", "sign"}, []string{"school"}, limits, count)
+	answers := []flow.Response{{Kind: flow.Served, Value: []byte("val\r\nue")}, {Kind: flow.Refused}, {Kind: flow.Refused, RetryAfter: 250 * time.Millisecond},
+		{Kind: flow.Failed}, {Kind: flow.Invalid, Text: "duplicate id"}}
+	core.Reply = func(*Conn, *Slot, flow.Response) {}
+	var lines golden.Lines
+	given := 0
+	for _, command := range []string{
+		"PING\r\n", "*2\r\n$4\r\nPING\r\n$2\r\nhi\r\n", "CLIENT SETNAME x\r\n", "SELECT 0\r\n", "NOPE\r\n",
+		"CACHE.GET anna id-1 c=read,d=3000,t=school\r\n", "CACHE.GET anna id-2 c=read,d=3000,t=other\r\n", "cache.get anna id-3 d=1,c=sign,k=7\r\n",
+		"CACHE.GET anna id-4 c=read,d=20\r\n", "CACHE.GET anna id-5 c=read,d=20\r\n", "CACHE.SET anna id-6 c=sign,d=2000,k=77 signed\r\n",
+		"CACHE.GET anna id-7\r\n", "CACHE.GET anna id-8 c=read\r\n", "CACHE.GET anna id-9 c=none,d=1\r\n", "CACHE.GET anna id-10 c=read,d=0\r\n",
+		"CACHE.GET anna id-11 nonsense\r\n", "CACHE.SET anna id-12 c=sign,d=2000 longer-than-ten\r\n",
+		"*1\r\n$x\r\n", "INFO\r\n", "QUIT\r\n"} {
+		var fx Effects
+		conn := core.Accepted(now)
+		core.Received(now, conn, copy(conn.Space(), command), &fx)
+		for i := 0; i < len(fx); i++ {
+			if fx[i].Kind != Take {
+				continue
+			}
+			f := fx[i].Flow
+			lines.Text("request", fmt.Sprintf("key %q, id %q, class %s, tenant %q, extras %q, write %v, value %q, wait %v", f.Key, f.ID, f.Class, f.Tenant, f.Extras, f.Write, f.Value, f.Wait))
+			core.Answer(now, conn, conn.slots[0], answers[given%len(answers)], &fx)
+			given++
+		}
+		out, _ := core.Pull(conn, nil)
+		lines.Text(fmt.Sprintf("%q", command), fmt.Sprintf("%q", bytes.Join(out, nil)))
+		core.Ended(now, conn, &fx)
+	}
+	golden.Check(t, "commands.golden", lines.Bytes())
+}
--- /dev/null
+++ b/internal/supervise/golden_test.go
@@ -0,0 +1,18 @@
+package supervise
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"shelfproxy/internal/golden"
+)
+
+// TestGoldenStatus: operators' scripts read the status of instances as JSON.
+func TestGoldenStatus(t *testing.T) {
+	text, err := json.Marshal(Status{Instance: 1, Process: 2, State: "serves", For: time.Second, Wanted: true, Failures: 3, Ending: 4})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "status.golden", append(text, '\n'))
+}
