--- a/cmd/shelfproxy/fleet.go
+++ b/cmd/shelfproxy/fleet.go
@@ -15,8 +15,8 @@
 	"shelfproxy/internal/control"
 	"shelfproxy/internal/exit"
 	"shelfproxy/internal/logs"
-	"shelfproxy/internal/supervise"
-	"shelfproxy/internal/supervise/agent"
+	"shelfproxy/internal/supervisor"
+	"shelfproxy/internal/supervisor/agent"
 	"shelfproxy/internal/tomlfile"
 )
 
@@ -47,9 +47,9 @@
 }
 
 // core is what the supervisor's core is told.
-func (f *fleetFile) core(seed uint64) supervise.Config {
+func (f *fleetFile) core(seed uint64) supervisor.Config {
 	c := f.Fleet
-	return supervise.Config{Instances: c.Instances, AtOnce: c.AtOnce, ReadyWithin: c.ReadyWithin.D(), Watch: c.Watch.D(), EndWithin: c.EndWithin.D(), Silent: c.Silent.D(),
+	return supervisor.Config{Instances: c.Instances, AtOnce: c.AtOnce, ReadyWithin: c.ReadyWithin.D(), Watch: c.Watch.D(), EndWithin: c.EndWithin.D(), Silent: c.Silent.D(),
 		BackoffLeast: c.BackoffLeast.D(), BackoffMost: c.BackoffMost.D(), MaxFailed: c.MaxFailed, LeastJudged: c.LeastJudged, Seed: seed}
 }
 
@@ -146,7 +146,7 @@
 			case <-hup:
 				a.Signal(syscall.SIGHUP)
 			case <-term:
-				a.Post(supervise.Stop{})
+				a.Post(supervisor.Stop{})
 			case <-stop:
 				return
 			}
--- a/cmd/shelfproxy/run.go
+++ b/cmd/shelfproxy/run.go
@@ -21,27 +21,27 @@
 	"syscall"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/admission"
 	"shelfproxy/internal/config"
 	"shelfproxy/internal/control"
 	"shelfproxy/internal/counters"
 	"shelfproxy/internal/discovery"
-	memberAgent "shelfproxy/internal/fleet/agent"
+	"shelfproxy/internal/fleet/lease"
+	dutyAgent "shelfproxy/internal/fleet/lease/agent"
 	"shelfproxy/internal/fleet/membership"
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
-	"shelfproxy/internal/handover"
-	"shelfproxy/internal/lease"
-	dutyAgent "shelfproxy/internal/lease/agent"
+	memberAgent "shelfproxy/internal/fleet/membership/agent"
+	"shelfproxy/internal/fleet/peers"
+	"shelfproxy/internal/fleet/rollout"
+	"shelfproxy/internal/fleet/rollout/agent"
 	"shelfproxy/internal/listener"
 	"shelfproxy/internal/logs"
 	"shelfproxy/internal/node"
-	"shelfproxy/internal/origin"
-	"shelfproxy/internal/peers"
-	"shelfproxy/internal/rollout"
-	"shelfproxy/internal/rollout/agent"
-	"shelfproxy/internal/target"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/supervisor/handover"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/origin"
+	"shelfproxy/internal/upstream/resp"
 )
 
 // unsent is how long before the last moment connections are closed with what they could not take.
@@ -70,7 +70,7 @@
 	memory           admission.Memory
 	pressure         float64 // as the node was told
 	split            *admission.Split
-	targets, origins *forward.Budget
+	targets, origins *upstream.Budget
 }
 
 func run(cfg *config.Config, file string) error {
@@ -175,11 +175,11 @@
 	for i, t := range cfg.Module.Tenants {
 		tenants[i] = t.Name
 	}
-	ends := make([]string, forward.Ends())
+	ends := make([]string, upstream.Ends())
 	for i := range ends {
-		ends[i] = forward.End(i).String()
+		ends[i] = upstream.End(i).String()
 	}
-	count := counters.New(classes, flow.Kinds(), ends)
+	count := counters.New(classes, request.Kinds(), ends)
 
 	// Descriptors: a part is for discovery, the log and the runtime, the rest is divided, and divided anew by need.
 	sockets := float64(cfg.Sockets - 32)
@@ -189,8 +189,8 @@
 	for i, n := range start {
 		split.Floor[i] = max(1, n*2/5)
 	}
-	targets, origins := forward.NewBudget(start[admission.Targets]), forward.NewBudget(start[admission.Origin])
-	limits := forward.Limits{Connect: cfg.Node.ConnectTimeout, Idle: cfg.Node.ConnIdle * 8 / 10,
+	targets, origins := upstream.NewBudget(start[admission.Targets]), upstream.NewBudget(start[admission.Origin])
+	limits := upstream.Limits{Connect: cfg.Node.ConnectTimeout, Idle: cfg.Node.ConnIdle * 8 / 10,
 		Streams: cfg.Node.Streams, Conns: op.Pools.Connections, Waiting: op.Pools.Waiting}
 	if cfg.Module.HandshakePrice > 0 {
 		limits.Share = sharedFor
@@ -212,20 +212,20 @@
 		tell = socket.Tell
 	}
 	var duties *dutyAgent.Agent
-	spread := func(duty brain.Duty) {
+	spread := func(duty policy.Duty) {
 		if duties != nil {
-			duties.Say(brain.DutyNames[duty])
+			duties.Say(policy.DutyNames[duty])
 		}
 	}
-	long := forward.NewRoom(cfg.MemoryMB<<20/longShare, max(leastValue, cfg.MemoryMB<<20/valueShare))
+	long := upstream.NewRoom(cfg.MemoryMB<<20/longShare, max(leastValue, cfg.MemoryMB<<20/valueShare))
 	n, err := node.New(node.Options{Tell: tell, Spread: spread, Module: module, Seed: cfg.Seed, MaxOpen: cfg.Node.MaxOpen, MaxHeld: cfg.MemoryMB << 20 / heldShare, MaxWait: cfg.Node.LongestWait,
 		Known: cfg.Known, Source: source(cfg), Count: count, Log: logs.Component(log, "node"),
-		Upstream: func(s discovery.Server, isOrigin bool, report func(*forward.Forward, forward.Answer)) node.Upstream {
+		Upstream: func(s discovery.Server, isOrigin bool, report func(*upstream.Forward, upstream.Answer)) node.Upstream {
 			if isOrigin {
-				return forward.NewPool(s.Addr, origin.Codec{Host: s.Addr, Room: long}, originLimits,
+				return upstream.NewPool(s.Addr, origin.Codec{Host: s.Addr, Room: long}, originLimits,
 					origins, report, func() { count.OriginOpened.Add(1) })
 			}
-			return forward.NewPool(s.Addr, target.Codec{Room: long}, limits, targets, report, func() { count.Opened.Add(1) })
+			return upstream.NewPool(s.Addr, resp.Codec{Room: long}, limits, targets, report, func() { count.Opened.Add(1) })
 		}})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -348,7 +348,7 @@
 	return agent.New(agent.Options{Core: core, Send: socket.TellTo, Log: log,
 		Go: func() { leave <- struct{}{} },
 		Served: func() rollout.Served {
-			answers, failed := count.Total(int(flow.Failed))
+			answers, failed := count.Total(int(request.Failed))
 			return rollout.Served{Answers: answers, Failed: failed, Slow: int(count.Slow.Load())}
 		},
 		Note: func(kind rollout.NoteKind) { counts[kind].Add(1) }})
@@ -360,20 +360,20 @@
 	for kind := range lease.Notes {
 		counts[kind] = count.More("duty_" + kind.String())
 	}
-	number := func(name string) brain.Duty { return brain.Duty(slices.Index(brain.DutyNames[:], name)) }
+	number := func(name string) policy.Duty { return policy.Duty(slices.Index(policy.DutyNames[:], name)) }
 	core := cfg.Operator.Duties.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), uint64(time.Now().UnixMilli()), cfg.Seed)
 	return dutyAgent.New(dutyAgent.Options{Core: core, Send: socket.TellTo, Log: log,
 		Holder: func(duty string, node int) {
-			who := brain.Another
+			who := policy.Another
 			switch node {
 			case lease.None:
-				who = brain.Nobody
+				who = policy.Nobody
 			case lease.Mine:
-				who = brain.Self
+				who = policy.Self
 			}
-			n.Duty(brain.Holder{Duty: number(duty), Who: who})
+			n.Duty(policy.Holder{Duty: number(duty), Who: who})
 		},
-		Said: func(duty string) { n.Duty(brain.Word{Duty: number(duty)}) },
+		Said: func(duty string) { n.Duty(policy.Word{Duty: number(duty)}) },
 		Note: func(kind lease.NoteKind) { counts[kind].Add(1) }})
 }
 
@@ -418,7 +418,7 @@
 	if !d.parent.Watched() {
 		return true
 	}
-	answers, failed := d.count.Total(int(flow.Failed))
+	answers, failed := d.count.Total(int(request.Failed))
 	err := d.parent.Served(answers-d.told.Answers, failed-d.told.Failed)
 	d.told = rollout.Served{Answers: answers, Failed: failed}
 	return err == nil
--- a/cmd/shelflab/load.go
+++ b/cmd/testbed/load.go
@@ -14,9 +14,9 @@
 	"github.com/spf13/cobra"
 
 	"shelfproxy/internal/exit"
-	"shelfproxy/internal/lab/clients"
-	"shelfproxy/internal/lab/load"
-	"shelfproxy/internal/lab/trace"
+	"shelfproxy/internal/testbed/clients"
+	"shelfproxy/internal/testbed/trace"
+	"shelfproxy/internal/testbed/workload"
 )
 
 func loadCommand() *cobra.Command {
@@ -29,8 +29,8 @@
 		Long: "load sends the load of a scenario to nodes that run already, on a schedule drawn ahead, whether or not answers\n" +
 			"come back. Latency counts from when each request was due. A run in which the generator fell behind is not\n" +
 			"valid: it says why and exits with 5.",
-		Example: "  shelflab load calm --to 127.0.0.1:7000,127.0.0.1:7001 --rate 500 --length 30s\n" +
-			"  shelflab load calm --to 127.0.0.1:7000 --closed 16     # a closed loop, to see what it hides",
+		Example: "  testbed load calm --to 127.0.0.1:7000,127.0.0.1:7001 --rate 500 --length 30s\n" +
+			"  testbed load calm --to 127.0.0.1:7000 --closed 16     # a closed loop, to see what it hides",
 		Args: cobra.ExactArgs(1), ValidArgsFunction: names,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			plan, _, err := s.plan(args[0])
@@ -66,11 +66,11 @@
 			}
 			var failed error
 			if recordTo != "" {
-				w, err := trace.Create(recordTo, trace.Meta{Classes: classes, Nodes: len(nodes), From: "shelflab load " + args[0], Began: time.Now().UTC()})
+				w, err := trace.Create(recordTo, trace.Meta{Classes: classes, Nodes: len(nodes), From: "testbed load " + args[0], Began: time.Now().UTC()})
 				if err != nil {
 					return exit.With(exitFailed, err)
 				}
-				opt.Record = func(a load.Arrival) { failed = errors.Join(failed, w.Add(a)) }
+				opt.Record = func(a workload.Arrival) { failed = errors.Join(failed, w.Add(a)) }
 				defer w.Close()
 			}
 			l := clients.New(plan, opt)
@@ -103,7 +103,7 @@
 }
 
 // source gives out the requests of a trace for the classes of a scenario.
-func source(r *trace.Reader, classes []string, nodes int, speed float64) (func() (load.Arrival, bool), error) {
+func source(r *trace.Reader, classes []string, nodes int, speed float64) (func() (workload.Arrival, bool), error) {
 	number := make([]int, len(r.Meta.Classes))
 	for i, name := range r.Meta.Classes {
 		if number[i] = slices.Index(classes, name); number[i] < 0 {
@@ -114,11 +114,11 @@
 		return nil, errors.New("--speed must be above 0")
 	}
 	faster := trace.Scale(speed)
-	return func() (load.Arrival, bool) {
+	return func() (workload.Arrival, bool) {
 		a, err := r.Next()
 		if err != nil {
 			if err != io.EOF {
-				fmt.Fprintln(os.Stderr, "shelflab:", err)
+				fmt.Fprintln(os.Stderr, "testbed:", err)
 			}
 			return a, false
 		}
--- a/cmd/shelflab/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command shelflab plays the portal that nodes serve: cache boxes, the origin, discovery, the network between them
+// Command testbed plays the portal that nodes serve: cache boxes, the origin, discovery, the network between them
 // and what goes wrong, all on loopback. See docs/lab.md.
 package main
 
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 
 	"shelfproxy/internal/exit"
-	"shelfproxy/internal/lab/emulate"
-	"shelfproxy/internal/lab/scenario"
-	"shelfproxy/lab/scenarios"
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/scenario"
+	"shelfproxy/scenarios"
 )
 
 // Exit codes, for scripts.
@@ -39,7 +39,7 @@
 		return
 	}
 	code := exit.Code(err, exitUsage)
-	var port *emulate.PortTakenError
+	var port *emulator.PortTakenError
 	switch {
 	case errors.As(err, &port):
 		code = exitPort
@@ -47,22 +47,22 @@
 		code = exitInterrupted
 	}
 	if code != exitInterrupted {
-		fmt.Fprintln(os.Stderr, "shelflab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 	}
 	os.Exit(code)
 }
 
 func command() *cobra.Command {
 	root := &cobra.Command{
-		Use:   "shelflab",
+		Use:   "testbed",
 		Short: "An emulated portal for shelfproxy, on loopback",
-		Long: "shelflab plays the portal that shelfproxy nodes serve: cache boxes, the origin, discovery, the network\n" +
+		Long: "testbed plays the portal that shelfproxy nodes serve: cache boxes, the origin, discovery, the network\n" +
 			"between them and what goes wrong, all on loopback and checked against the rules of the service.\n" +
 			"Scenarios are files, or names of those that are shipped: " + strings.Join(scenarios.Names(), ", ") + ".\n\n" +
 			"Exit codes: 0 all well, 1 the run failed, 2 the scenario is no good, 3 a rule was broken,\n" +
 			"4 a port is taken, 5 the generator fell behind, 64 the command line is no good, 130 interrupted.",
-		Example: "  shelflab demo\n  shelflab demo rush --seed 7\n  shelflab check my.toml\n" +
-			"  shelflab emulate deploy --dir run --base-port 7000",
+		Example: "  testbed demo\n  testbed demo rush --seed 7\n  testbed check my.toml\n" +
+			"  testbed emulate deploy --dir run --base-port 7000",
 		Version: version(), SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(overheadCommands()...)
@@ -108,7 +108,7 @@
 func checkCommand() *cobra.Command {
 	var seed uint64
 	cmd := &cobra.Command{Use: "check SCENARIO...", Short: "Read scenarios and say what a seed draws of them",
-		Example: "  shelflab check my.toml\n  shelflab check rush --seed 7", Args: cobra.MinimumNArgs(1), ValidArgsFunction: names,
+		Example: "  testbed check my.toml\n  testbed check rush --seed 7", Args: cobra.MinimumNArgs(1), ValidArgsFunction: names,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, a := range args {
 				s, err := readScenario(a)
--- a/cmd/shelflab/overhead.go
+++ b/cmd/testbed/overhead.go
@@ -10,9 +10,9 @@
 	"github.com/spf13/cobra"
 
 	"shelfproxy/internal/exit"
-	"shelfproxy/internal/lab/demo"
-	"shelfproxy/internal/lab/nodes"
-	"shelfproxy/internal/lab/overhead"
+	"shelfproxy/internal/testbed/demo"
+	"shelfproxy/internal/testbed/nodes"
+	"shelfproxy/internal/testbed/overhead"
 )
 
 func overheadCommands() []*cobra.Command {
@@ -20,7 +20,7 @@
 	cmd := &cobra.Command{Use: "overhead", Short: "Measure what a node costs beside a program that only copies bytes",
 		Long: "overhead asks a box that answers at once straight, through a program that only copies bytes, and through a node,\n" +
 			"in turns within one run. The ratios to the copying program are the project's figure of performance.",
-		Example: "  shelflab overhead\n  shelflab overhead --clients 128 --rounds 5 --node bin/shelfproxy", Args: cobra.NoArgs,
+		Example: "  testbed overhead\n  testbed overhead --clients 128 --rounds 5 --node bin/shelfproxy", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			dir, err := demo.TempDir()
 			if err != nil {
--- a/cmd/shelflab/run.go
+++ b/cmd/testbed/run.go
@@ -13,10 +13,10 @@
 	"golang.org/x/term"
 
 	"shelfproxy/internal/exit"
-	"shelfproxy/internal/lab/demo"
-	"shelfproxy/internal/lab/emulate"
-	"shelfproxy/internal/lab/scenario"
 	"shelfproxy/internal/logs"
+	"shelfproxy/internal/testbed/demo"
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/scenario"
 )
 
 // shared are the flags of the verbs that play a scenario.
@@ -61,8 +61,8 @@
 	var restarts int
 	var roll demo.Roll
 	cmd := &cobra.Command{Use: "demo [SCENARIO]", Short: "Play a scenario whole: emulated portal, real nodes, a light load and a summary",
-		Example: "  shelflab demo\n  shelflab demo rush --seed 7\n  shelflab demo calm --restarts 1 --node bin/shelfproxy\n" +
-			"  shelflab demo roll --roll 4 --roll-lost 0.1",
+		Example: "  testbed demo\n  testbed demo rush --seed 7\n  testbed demo calm --restarts 1 --node bin/shelfproxy\n" +
+			"  testbed demo roll --roll 4 --roll-lost 0.1",
 		Args: cobra.MaximumNArgs(1), ValidArgsFunction: names,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := "demo"
@@ -132,7 +132,7 @@
 	cmd := &cobra.Command{Use: "emulate SCENARIO", Short: "Play the portal of a scenario until Ctrl-C, for nodes started by hand",
 		Long: "emulate plays the portal of a scenario until Ctrl-C or the end of its length, for nodes that are started by\n" +
 			"hand. It writes a configuration for each node into --dir; start one with LB_CONFIG=DIR/n0.json shelfproxy.",
-		Example: "  shelflab emulate deploy --dir run --base-port 7000\n  LB_CONFIG=run/n0.json shelfproxy",
+		Example: "  testbed emulate deploy --dir run --base-port 7000\n  LB_CONFIG=run/n0.json shelfproxy",
 		Args:    cobra.ExactArgs(1), ValidArgsFunction: names,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			plan, logging, err := s.plan(args[0])
@@ -142,7 +142,7 @@
 			if err := os.MkdirAll(dir, 0o755); err != nil {
 				return exit.With(exitFailed, err)
 			}
-			opt := emulate.Options{Log: logs.New(os.Stderr, logging), BasePort: basePort}
+			opt := emulator.Options{Log: logs.New(os.Stderr, logging), BasePort: basePort}
 			if trace != "" {
 				f, err := os.Create(trace)
 				if err != nil {
@@ -151,7 +151,7 @@
 				defer f.Close()
 				opt.Trace = func(line []byte) { f.Write(line) }
 			}
-			em, err := emulate.New(plan, opt)
+			em, err := emulator.New(plan, opt)
 			if err != nil {
 				return exit.With(exitFailed, err)
 			}
--- a/cmd/shelflab/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -15,23 +15,23 @@
 	"github.com/spf13/cobra"
 
 	"shelfproxy/internal/exit"
-	"shelfproxy/internal/lab/sim"
+	"shelfproxy/internal/testbed/simulation"
 )
 
 // runs is what a seed means: one of the two things that can be simulated.
 type runs struct {
-	run    func(seed uint64, skip map[int]bool, opt sim.Options) *sim.Report
-	shrink func(seed uint64, rule string) (map[int]bool, *sim.Report)
+	run    func(seed uint64, skip map[int]bool, opt simulation.Options) *simulation.Report
+	shrink func(seed uint64, rule string) (map[int]bool, *simulation.Report)
 }
 
 var (
-	requests = runs{func(seed uint64, skip map[int]bool, opt sim.Options) *sim.Report {
-		return sim.Run(sim.Draw(seed, skip), opt)
-	}, sim.Shrink}
+	requests = runs{func(seed uint64, skip map[int]bool, opt simulation.Options) *simulation.Report {
+		return simulation.Run(simulation.Draw(seed, skip), opt)
+	}, simulation.Shrink}
 	// agreements have many nodes and no requests.
-	agreements = runs{func(seed uint64, skip map[int]bool, opt sim.Options) *sim.Report {
-		return sim.RunFleet(sim.DrawFleet(seed, skip), opt)
-	}, sim.ShrinkFleet}
+	agreements = runs{func(seed uint64, skip map[int]bool, opt simulation.Options) *simulation.Report {
+		return simulation.RunFleet(simulation.DrawFleet(seed, skip), opt)
+	}, simulation.ShrinkFleet}
 )
 
 func simulateCommand() *cobra.Command {
@@ -42,7 +42,7 @@
 	cmd := &cobra.Command{Use: "simulate", Short: "Play fleets on a virtual clock, with faults drawn by seeds, and check every rule after every step",
 		Long: "simulate plays whole fleets on a virtual clock: the real cores of nodes against the lab's model, over a simulated\n" +
 			"network, one run for each seed. A run is the same each time, byte for byte. Exit code 3 says that a rule was broken.",
-		Example: "  shelflab simulate --seeds 10000\n  shelflab simulate --fleet --seeds 10000\n  shelflab simulate --replay 4711 --trace run.txt\n  shelflab simulate --seeds 500 --shrink",
+		Example: "  testbed simulate --seeds 10000\n  testbed simulate --fleet --seeds 10000\n  testbed simulate --replay 4711 --trace run.txt\n  testbed simulate --seeds 500 --shrink",
 		Args:    cobra.NoArgs,
 		PreRunE: func(cmd *cobra.Command, _ []string) error {
 			replaying = cmd.Flags().Changed("replay")
@@ -59,7 +59,7 @@
 			}
 			began := time.Now()
 			var mu sync.Mutex
-			var bad []*sim.Report
+			var bad []*simulation.Report
 			rules := map[string]int{}
 			done, due := uint64(0), 0
 			next := make(chan uint64)
@@ -67,7 +67,7 @@
 			for range max(1, jobs) {
 				workers.Go(func() {
 					for seed := range next {
-						r := of.run(seed, nil, sim.Options{})
+						r := of.run(seed, nil, simulation.Options{})
 						mu.Lock()
 						done++
 						due += r.Due
@@ -118,7 +118,7 @@
 			if shrink {
 				for _, r := range bad[:min(len(bad), 5)] {
 					left, small := of.shrink(r.Seed, r.Broken[0].Rule)
-					fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", r.Seed, sim.SkipWords(left), small)
+					fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", r.Seed, simulation.SkipWords(left), small)
 				}
 			}
 			switch {
@@ -154,7 +154,7 @@
 		}
 		left[n] = true
 	}
-	var opt sim.Options
+	var opt simulation.Options
 	switch trace {
 	case "":
 	case "-":
@@ -177,7 +177,7 @@
 	}
 	if shrink {
 		left, small := of.shrink(seed, r.Broken[0].Rule)
-		fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", seed, sim.SkipWords(left), small)
+		fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", seed, simulation.SkipWords(left), small)
 	}
 	return exit.With(exitRules, errors.New("a rule was broken"))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,9 +13,9 @@
 
 	"github.com/valyala/fastjson"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/discovery"
-	"shelfproxy/internal/peers"
+	"shelfproxy/internal/fleet/peers"
+	"shelfproxy/internal/policy"
 )
 
 // Config is a node's configuration.
@@ -223,7 +223,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.from["settings"] = path
-	if _, err = brain.New(c.Module, c.Seed); err != nil { // a reload must not accept what a start would not
+	if _, err = policy.New(c.Module, c.Seed); err != nil { // a reload must not accept what a start would not
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"shelfproxy/brain"
+	"shelfproxy/internal/fleet/lease"
 	"shelfproxy/internal/fleet/membership"
-	"shelfproxy/internal/lease"
+	"shelfproxy/internal/fleet/rollout"
 	"shelfproxy/internal/logs"
-	"shelfproxy/internal/rollout"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/policy/locality"
 	"shelfproxy/internal/tomlfile"
-	"shelfproxy/internal/zones"
 )
 
 // Operator is the operator's own file, in TOML. Whatever LB_CONFIG and the LB_ variables say goes before it; what
@@ -180,7 +180,7 @@
 		Shutdown: Shutdown{Grace: tomlfile.Duration(2200 * time.Millisecond),
 			Last: tomlfile.Duration(3400 * time.Millisecond)},
 	}
-	o.Zones.Leave = zones.DefaultLeave
+	o.Zones.Leave = locality.DefaultLeave
 	o.Rollout = Rollout{Beacon: tomlfile.Duration(500 * time.Millisecond), Silent: tomlfile.Duration(3 * time.Second),
 		Lease: tomlfile.Duration(5 * time.Second), Return: tomlfile.Duration(time.Minute), Lost: tomlfile.Duration(10 * time.Minute),
 		Watch: tomlfile.Duration(10 * time.Second), MaxFailed: 0.2, MaxSlow: 0.5, LeastJudged: 20, Drift: 0.01}
@@ -267,8 +267,8 @@
 		}
 	}
 	for _, name := range o.Duties.Hold {
-		if !slices.Contains(brain.DutyNames[:], name) {
-			return o.file.Errorf("duties.hold", "%q is none of %s", name, strings.Join(brain.DutyNames[:], ", "))
+		if !slices.Contains(policy.DutyNames[:], name) {
+			return o.file.Errorf("duties.hold", "%q is none of %s", name, strings.Join(policy.DutyNames[:], ", "))
 		}
 	}
 	if len(o.Duties.Hold) > 0 {
@@ -290,7 +290,7 @@
 	in := o.Service
 	at := func(field string) string { return "service." + field }
 	set := Settings{
-		Module: brain.Settings{Routers: in.Nodes, Zone: in.Zone, MustAsk: in.Subscribe, Probes: in.Probes,
+		Module: policy.Settings{Routers: in.Nodes, Zone: in.Zone, MustAsk: in.Subscribe, Probes: in.Probes,
 			Cancels: in.Cancel, MaxAttempts: in.MaxAttempts, MaxRetryAfter: in.RetryAfter.D(), Tick: in.Tick.D(),
 			OriginKind: in.OriginKind, SizedUnits: in.SizedWeights, ColdFrom: in.Cold.From,
 			WarmAfter: in.Cold.WarmAfter.D(), FallFactor: in.Cold.Overload},
@@ -334,11 +334,11 @@
 		case !(c.Worth >= 0):
 			return set, o.file.Errorf(field("worth"), "must not be negative")
 		}
-		set.Module.Classes = append(set.Module.Classes, brain.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D(),
+		set.Module.Classes = append(set.Module.Classes, policy.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D(),
 			Late: c.Late, Effect: effect, Group: group, Window: c.Window.D()})
 		set.Node.LongestWait = max(set.Node.LongestWait, c.Deadline.D())
 	}
-	if _, err := brain.New(set.Module, 0); err != nil {
+	if _, err := policy.New(set.Module, 0); err != nil {
 		return set, o.file.Errorf("service", "%v", err)
 	}
 	return set, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"time"
 
-	"shelfproxy/brain"
-	"shelfproxy/internal/zones"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/policy/locality"
 )
 
 // Settings are what the deployment tells every node, in the simulator and on sockets.
 type Settings struct {
-	Module brain.Settings
+	Module policy.Settings
 	Node   Node
 }
 
@@ -78,11 +78,11 @@
 	Tick int64 `json:"tick"`
 }
 
-var effects = map[string]brain.Effect{"": brain.Safe, "idempotent": brain.Safe, "deduplicated": brain.Keyed,
-	"at_most_once": brain.Unsafe}
+var effects = map[string]policy.Effect{"": policy.Safe, "idempotent": policy.Safe, "deduplicated": policy.Keyed,
+	"at_most_once": policy.Unsafe}
 
-var groups = map[string]brain.Group{"": brain.AllServers, "all": brain.AllServers, "zone": brain.SameZone,
-	"cell": brain.SameCell}
+var groups = map[string]policy.Group{"": policy.AllServers, "all": policy.AllServers, "zone": policy.SameZone,
+	"cell": policy.SameCell}
 
 // ParseSettings reads the settings: those of a node's configuration and those of the simulator's first message
 // are the same object.
@@ -99,8 +99,8 @@
 	return Settings{Module: module, Node: node}, err
 }
 
-func (in *setup) module() (brain.Settings, error) {
-	set := brain.Settings{
+func (in *setup) module() (policy.Settings, error) {
+	set := policy.Settings{
 		Routers: in.Replicas, Zone: in.Zone, OverShare: in.OverShare,
 		SizedUnits: in.Weights == "nominal" || in.Weights == "rough",
 		MustAsk:    in.Registry == "subscribe",
@@ -109,7 +109,7 @@
 		ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
 		FallFactor: in.Rules.Overload,
 		MustAskIn:  micros(in.Rules.MustAskIn), DrainGrace: micros(in.Rules.Drain),
-		ConnectionPrice: in.Prices.Connection, HandshakePrice: in.Prices.Handshake, CrossPrice: in.Prices.Cross, LeaveOwner: zones.DefaultLeave,
+		ConnectionPrice: in.Prices.Connection, HandshakePrice: in.Prices.Handshake, CrossPrice: in.Prices.Cross, LeaveOwner: locality.DefaultLeave,
 	}
 	if in.Limits.RetryAfter {
 		set.MaxRetryAfter = micros(in.Limits.MaxRetryAfter)
@@ -130,11 +130,11 @@
 		if err != nil {
 			return set, err
 		}
-		set.Classes = append(set.Classes, brain.Class{Name: l.Name, Worth: l.Worth, Aim: micros(l.GoalTime),
+		set.Classes = append(set.Classes, policy.Class{Name: l.Name, Worth: l.Worth, Aim: micros(l.GoalTime),
 			Late: l.LateWorth, Effect: effect, Group: group, Window: micros(l.Window)})
 	}
 	for _, a := range in.Accounts {
-		set.Tenants = append(set.Tenants, brain.Tenant{Name: a.Name, Quota: a.Quota})
+		set.Tenants = append(set.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
 	}
 	return set, nil
 }
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -5,14 +5,14 @@
 	"strconv"
 	"strings"
 
-	"shelfproxy/brain"
+	"shelfproxy/internal/policy"
 )
 
 // Setting is one value in force and where it came from: a file (with its line for the operator's), a variable, or
 // "default".
 type Setting struct{ Field, Value, From string }
 
-var effectWords = map[brain.Effect]string{brain.Safe: "idempotent", brain.Keyed: "deduplicated", brain.Unsafe: "at_most_once"}
+var effectWords = map[policy.Effect]string{policy.Safe: "idempotent", policy.Keyed: "deduplicated", policy.Unsafe: "at_most_once"}
 
 // Show lists every value in force, in a fixed order.
 func (c *Config) Show() []Setting {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"shelfproxy/internal/asking"
+	"shelfproxy/internal/discovery/polling"
 )
 
 // Source is where lists come from. A watch in the manner of another service can take its place.
@@ -41,7 +41,7 @@
 func (c *Client) Watch(after int64, report func(List, error)) (stop func()) {
 	c.once.Do(func() {
 		if c.Within == 0 {
-			c.Within = asking.CallWithin
+			c.Within = polling.CallWithin
 		}
 		c.http = &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: c.Within}).DialContext,
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -7,7 +7,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"shelfproxy/internal/asking"
+	"shelfproxy/internal/discovery/polling"
 )
 
 const maxList = 4 << 20 // bytes
@@ -52,7 +52,7 @@
 	if status != 200 {
 		return f.end(fmt.Errorf("discovery: status %d", status))
 	}
-	f.opened, f.until = true, now.Add(asking.Silence)
+	f.opened, f.until = true, now.Add(polling.Silence)
 	return nil
 }
 
@@ -65,7 +65,7 @@
 	begun := 0 // where in b the part of the list in hand begins
 	for i, c := range b {
 		if c == '\n' {
-			f.until = now.Add(asking.Silence)
+			f.until = now.Add(polling.Silence)
 			if f.depth > 0 && (f.text || !f.said) {
 				return lists, f.end(errCut)
 			}
@@ -96,7 +96,7 @@
 				break
 			}
 			f.list = append(f.list, b[begun:i+1]...)
-			begun, f.until = i+1, now.Add(asking.Silence)
+			begun, f.until = i+1, now.Add(polling.Silence)
 			l, err := f.parse()
 			if err != nil {
 				return lists, f.end(fmt.Errorf("%w: %w", ErrGarbage, err))
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"shelfproxy/internal/asking"
+	"shelfproxy/internal/discovery/polling"
 )
 
 const entry = `{"instanceId":"s-1","hostPort":"10.1.0.18:6379","zone":"a}{\"","machineType":"m2","cell":3,"lifecycle":"draining","weight":1.0,"startedAtMs":0}`
@@ -64,7 +64,7 @@
 	f = NewFollower(now, time.Second)
 	f.Answered(now, 200)
 	for _, line := range []string{"\n", "{\"generation\":\n", "43,\"instances\":[]}", "\n"} {
-		now = now.Add(asking.Silence - time.Millisecond)
+		now = now.Add(polling.Silence - time.Millisecond)
 		if err := f.Due(now); err != nil {
 			t.Fatalf("before %q: %v", line, err)
 		}
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.Due(now.Add(asking.Silence)); !errors.Is(err, errSilent) {
+	if err := f.Due(now.Add(polling.Silence)); !errors.Is(err, errSilent) {
 		t.Errorf("after a silence: %v", err)
 	}
 }
--- a/internal/asking/asking.go
+++ b/internal/discovery/polling/asking.go
@@ -1,6 +1,6 @@
 // Package asking decides when a node calls discovery for the list of servers, so that many nodes together leave it room to
 // answer. It has no clock and no I/O; that a call is due is the module's affair to carry out.
-package asking
+package polling
 
 import "time"
 
--- a/internal/asking/asking_test.go
+++ b/internal/discovery/polling/asking_test.go
@@ -1,4 +1,4 @@
-package asking
+package polling
 
 import (
 	"testing"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
 // Package loop runs a core in a goroutine of its own: one owner, reached by a bounded queue, with a clock that counts from its
 // start. It decides nothing.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/lease/agent/agent.go
+++ b/internal/fleet/lease/agent/agent.go
@@ -8,9 +8,9 @@
 	"net/url"
 
 	"shelfproxy/internal/control"
-	"shelfproxy/internal/lease"
+	"shelfproxy/internal/eventloop"
+	"shelfproxy/internal/fleet/lease"
 	"shelfproxy/internal/logs"
-	"shelfproxy/internal/loop"
 )
 
 // Options are what an agent is made of. Its functions are called from the agent's goroutine and must not wait.
@@ -25,7 +25,7 @@
 
 // Agent is one node's part in the agreement.
 type Agent struct {
-	*loop.Loop[lease.Event, lease.Effect]
+	*eventloop.Loop[lease.Event, lease.Effect]
 	opt   Options
 	core  *lease.Core
 	self  int
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	a := &Agent{opt: opt, core: core, self: opt.Core.Self, nodes: opt.Core.Nodes}
-	a.Loop = loop.New(core, a.do)
+	a.Loop = eventloop.New(core, a.do)
 	return a, nil
 }
 
--- a/internal/lease/core_test.go
+++ b/internal/fleet/lease/core_test.go
@@ -398,10 +398,10 @@
 		want  Reason        // reasons: any
 	}
 	for name, words := range map[string][]word{
-		// shelflab simulate --fleet, seed 1385: two had the duty.
+		// testbed simulate --fleet, seed 1385: two had the duty.
 		"a renewal under an earlier token, and the word that gave that back, leave a grant": {{0, kindAsk, 2000, 0, 0, Granted},
 			{0, kindAsk, 1000, flagHeld, 0, reasons}, {0, kindRelease, 1000, 0, 0, reasons}, {2, kindAsk, 2500, 0, 0, Contested}},
-		// shelflab simulate --fleet, seed 1759: the holder had the vote of this node no more.
+		// testbed simulate --fleet, seed 1759: the holder had the vote of this node no more.
 		"an ask under a greater token that came to nothing leaves the holder its vote": {{0, kindAsk, 1000, 0, 0, Granted}, {0, kindAsk, 1000, flagHeld, 0, Granted},
 			{2, kindAsk, 2000, 0, 2 * testLease, Granted}, {2, kindRelease, 2000, 0, 0, reasons}, {0, kindAsk, 1000, flagHeld, 0, Granted}},
 		"what was given back is not renewed": {{0, kindAsk, 1000, 0, 0, Granted}, {0, kindRelease, 1000, 0, 0, reasons}, {0, kindAsk, 1000, flagHeld, 0, Old}},
--- a/internal/lease/message.go
+++ b/internal/fleet/lease/message.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"errors"
 
-	"shelfproxy/internal/datagram"
+	"shelfproxy/internal/fleet/datagram"
 )
 
 // Every datagram holds the list of peers and the duty by their numbers, the token, and what the kind adds. None is longer than 48
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/membership/agent/agent.go
@@ -7,9 +7,9 @@
 	"net/url"
 
 	"shelfproxy/internal/control"
+	"shelfproxy/internal/eventloop"
 	"shelfproxy/internal/fleet/membership"
 	"shelfproxy/internal/logs"
-	"shelfproxy/internal/loop"
 )
 
 // Options are what an agent is made of. Its functions are called from the agent's goroutine and must not wait.
@@ -42,7 +42,7 @@
 
 // Agent is one node's part.
 type Agent struct {
-	*loop.Loop[membership.Event, membership.Effect]
+	*eventloop.Loop[membership.Event, membership.Effect]
 	opt  Options
 	core *membership.Core
 }
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	a := &Agent{opt: opt, core: core}
-	a.Loop = loop.New(core, a.do)
+	a.Loop = eventloop.New(core, a.do)
 	return a, nil
 }
 
--- a/internal/fleet/membership/core_test.go
+++ b/internal/fleet/membership/core_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"shelfproxy/internal/datagram"
+	"shelfproxy/internal/fleet/datagram"
 )
 
 const period = 500 * time.Millisecond
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"errors"
 
-	"shelfproxy/internal/datagram"
+	"shelfproxy/internal/fleet/datagram"
 )
 
 // Every datagram holds the name of the list of nodes, a number that an answer repeats, the node that is asked about, and news of 9
--- a/internal/rollout/agent/agent.go
+++ b/internal/fleet/rollout/agent/agent.go
@@ -9,9 +9,9 @@
 	"net/url"
 
 	"shelfproxy/internal/control"
+	"shelfproxy/internal/eventloop"
+	"shelfproxy/internal/fleet/rollout"
 	"shelfproxy/internal/logs"
-	"shelfproxy/internal/loop"
-	"shelfproxy/internal/rollout"
 )
 
 // Options are what an agent is made of.
@@ -26,7 +26,7 @@
 
 // Agent is one node's part in the agreement.
 type Agent struct {
-	*loop.Loop[rollout.Event, rollout.Effect]
+	*eventloop.Loop[rollout.Event, rollout.Effect]
 	opt  Options
 	core *rollout.Core
 	gone bool
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	a := &Agent{opt: opt, core: core}
-	a.Loop = loop.New(core, a.do)
+	a.Loop = eventloop.New(core, a.do)
 	return a, nil
 }
 
--- a/internal/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"shelfproxy/internal/datagram"
+	"shelfproxy/internal/fleet/datagram"
 )
 
 func config(self, nodes, budget int) Config {
--- a/internal/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"errors"
 
-	"shelfproxy/internal/datagram"
+	"shelfproxy/internal/fleet/datagram"
 )
 
 // The datagrams of this package; a garbled one must not pass for a grant, which their sums see to.
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -12,7 +12,7 @@
 
 	"shelfproxy/internal/admission"
 	"shelfproxy/internal/counters"
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // Limits bound what clients may make the node hold.
@@ -66,20 +66,20 @@
 type Effect struct {
 	Kind EffectKind
 	Conn *Conn
-	Flow *flow.Flow
+	Flow *request.Flow
 }
 
 // Effects collects what one call wants done. The core keeps none of it.
 type Effects []Effect
 
-func (fx *Effects) add(kind EffectKind, c *Conn, f *flow.Flow) {
+func (fx *Effects) add(kind EffectKind, c *Conn, f *request.Flow) {
 	*fx = append(*fx, Effect{kind, c, f})
 }
 
 // slot is the place of one command's answer.
 type slot struct {
-	flow  *flow.Flow // until it is answered; nil where the listener answers by itself
-	taken bool       // it was a flow
+	flow  *request.Flow // until it is answered; nil where the listener answers by itself
+	taken bool          // it was a flow
 	ready bool
 	out   []byte // a RESP prefix, or all of it
 	value []byte // between out and CRLF, not copied
@@ -121,7 +121,7 @@
 // It is not safe for concurrent use.
 type Core struct {
 	// Reply is called with the final answer of a flow, by whoever gives it; the shell passes it to Answer.
-	Reply func(c *Conn, s *Slot, r flow.Response)
+	Reply func(c *Conn, s *Slot, r request.Response)
 
 	classes map[string]bool
 	tenants map[string]string // each under its own name: no flow holds on to the command for it
@@ -337,7 +337,7 @@
 		}
 		f.Conn = c.id
 		s := &slot{flow: f, taken: true}
-		f.Reply = func(r flow.Response) { l.Reply(c, s, r) }
+		f.Reply = func(r request.Response) { l.Reply(c, s, r) }
 		l.table.Asked(l.at(now), c.id, admission.Request)
 		c.slots = append(c.slots, s)
 		fx.add(Take, c, f)
@@ -360,8 +360,8 @@
 func is(name []byte, word string) bool { return bytes.EqualFold(name, []byte(word)) }
 
 // parse makes a flow of a command, or says what is wrong with it.
-func (l *Core) parse(now time.Time, cmd redcon.Command) (*flow.Flow, error) {
-	f := &flow.Flow{Taken: now, Write: is(cmd.Args[0], "CACHE.SET")}
+func (l *Core) parse(now time.Time, cmd redcon.Command) (*request.Flow, error) {
+	f := &request.Flow{Taken: now, Write: is(cmd.Args[0], "CACHE.SET")}
 	want := 4
 	if f.Write {
 		want = 5
@@ -422,22 +422,22 @@
 func unprintable(r rune) bool { return r <= ' ' || r >= 0x7f }
 
 // Answer fills the place of a flow's answer; it goes out in its turn.
-func (l *Core) Answer(now time.Time, c *Conn, s *Slot, r flow.Response, fx *Effects) {
+func (l *Core) Answer(now time.Time, c *Conn, s *Slot, r request.Response, fx *Effects) {
 	if c.closed || s.ready {
 		return
 	}
 	switch r.Kind {
-	case flow.Served:
+	case request.Served:
 		s.out = append(strconv.AppendInt([]byte{'$'}, int64(len(r.Value)), 10), "\r\n"...)
 		s.value = r.Value
-	case flow.Refused:
+	case request.Refused:
 		s.out = []byte("-BUSY\r\n")
 		if ms := r.RetryAfter.Milliseconds(); ms > 0 {
 			s.out = redcon.AppendError(nil, "BUSY "+strconv.FormatInt(ms, 10))
 		}
-	case flow.Failed:
+	case request.Failed:
 		s.out = []byte("-ERR failed\r\n")
-	case flow.Invalid:
+	case request.Invalid:
 		s.out = redcon.AppendError(nil, "ERR "+r.Text)
 	}
 	l.table.Owes(l.at(now), c.id, len(s.out)+len(s.value))
--- a/internal/listener/core_test.go
+++ b/internal/listener/core_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"shelfproxy/internal/counters"
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // TestCoreInAnyOrder calls the clients' side in any order that a shell could: each command is answered once, in its turn and with what
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		limits := Limits{Conns: 4, Pipelined: 3, Value: 100, Write: time.Second, Owed: 100 << 10, Silent: 2 * time.Second, Crowd: 50 * time.Millisecond, Idle: 5 * time.Second}
-		l := NewCore(now, []string{"read"}, nil, limits, counters.New([]string{"read"}, flow.Kinds(), nil))
+		l := NewCore(now, []string{"read"}, nil, limits, counters.New([]string{"read"}, request.Kinds(), nil))
 		type client struct {
 			c       *Conn
 			sent    []string // ids of commands, or "?" for one that makes no sense, whose answers have not come
@@ -32,7 +32,7 @@
 		type open struct {
 			of   *client
 			slot *Slot
-			flow *flow.Flow
+			flow *request.Flow
 			gone bool
 		}
 		var clients []*client
@@ -73,7 +73,7 @@
 				}
 			}
 		}
-		l.Reply = func(c *Conn, s *Slot, r flow.Response) {
+		l.Reply = func(c *Conn, s *Slot, r request.Response) {
 			var fx Effects
 			l.Answer(now, c, s, r, &fx)
 			carry(fx)
@@ -184,8 +184,8 @@
 						continue
 					}
 					replied[id] = true
-					r := flow.Response{Kind: flow.Kind(rapid.IntRange(0, 2).Draw(t, "kind"))}
-					if r.Kind == flow.Served {
+					r := request.Response{Kind: request.Kind(rapid.IntRange(0, 2).Draw(t, "kind"))}
+					if r.Kind == request.Served {
 						r.Value = []byte("for-" + id)
 					}
 					o.flow.Reply(r)
@@ -216,7 +216,7 @@
 			for id, o := range flows {
 				if !replied[id] {
 					replied[id] = true
-					o.flow.Reply(flow.Response{Kind: flow.Failed})
+					o.flow.Reply(request.Response{Kind: request.Failed})
 				}
 			}
 			for _, k := range clients {
@@ -250,8 +250,8 @@
 		for _, cut := range []int{0, 1, 30, len(command) - 1} {
 			now := time.Unix(1000, 0)
 			l := NewCore(now, []string{"read"}, nil, Limits{Conns: 64, Pipelined: 3, Value: 100, Silent: time.Minute, Crowd: time.Minute, Idle: time.Minute},
-				counters.New([]string{"read"}, flow.Kinds(), nil))
-			l.Reply = func(c *Conn, s *Slot, r flow.Response) {
+				counters.New([]string{"read"}, request.Kinds(), nil))
+			l.Reply = func(c *Conn, s *Slot, r request.Response) {
 				var fx Effects
 				l.Answer(now, c, s, r, &fx)
 			}
@@ -280,7 +280,7 @@
 			if !taken {
 				continue
 			}
-			fx[0].Flow.Reply(flow.Response{Kind: flow.Failed})
+			fx[0].Flow.Reply(request.Response{Kind: request.Failed})
 			l.Pull(c, nil)
 			if l.Wrote(now, c, true, &fx); !c.Closed() || !c.Lingers() {
 				t.Errorf("cut at %d: it goes on behind its answer", cut)
--- a/internal/listener/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -7,20 +7,20 @@
 	"time"
 
 	"shelfproxy/internal/counters"
-	"shelfproxy/internal/flow"
 	"shelfproxy/internal/golden"
+	"shelfproxy/internal/request"
 )
 
 // TestGoldenCommands: what clients send, the request that is made of it, and the bytes of every answer, INFO's among them.
 func TestGoldenCommands(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limits := Limits{Conns: 4, Pipelined: 64, Value: 10, Write: time.Second, Owed: 100 << 10, Silent: 2 * time.Second, Crowd: 50 * time.Millisecond, Idle: 5 * time.Second}
-	count := counters.New([]string{"read", "sign"}, flow.Kinds(), []string{"end_a", "end_b"})
+	count := counters.New([]string{"read", "sign"}, request.Kinds(), []string{"end_a", "end_b"})
 	count.More("part_event").Add(3)
 	core := NewCore(now, []string{"read", "sign"}, []string{"school"}, limits, count)
-	answers := []flow.Response{{Kind: flow.Served, Value: []byte("val\r\nue")}, {Kind: flow.Refused}, {Kind: flow.Refused, RetryAfter: 250 * time.Millisecond},
-		{Kind: flow.Failed}, {Kind: flow.Invalid, Text: "duplicate id"}}
-	core.Reply = func(*Conn, *Slot, flow.Response) {}
+	answers := []request.Response{{Kind: request.Served, Value: []byte("val\r\nue")}, {Kind: request.Refused}, {Kind: request.Refused, RetryAfter: 250 * time.Millisecond},
+		{Kind: request.Failed}, {Kind: request.Invalid, Text: "duplicate id"}}
+	core.Reply = func(*Conn, *Slot, request.Response) {}
 	var lines golden.Lines
 	given := 0
 	for _, command := range []string{
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"shelfproxy/internal/counters"
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // small is how many bytes are copied into one buffer to be written.
@@ -22,7 +22,7 @@
 // Listener accepts clients and serves them until it is closed.
 type Listener struct {
 	ln    net.Listener
-	sink  flow.Sink
+	sink  request.Sink
 	count *counters.Counters
 	write time.Duration
 
@@ -80,7 +80,7 @@
 }
 
 // New starts nothing yet; Serve does. See NewCore for classes and tenants.
-func New(ln net.Listener, sink flow.Sink, classes, tenants []string, limits Limits, count *counters.Counters) *Listener {
+func New(ln net.Listener, sink request.Sink, classes, tenants []string, limits Limits, count *counters.Counters) *Listener {
 	l := &Listener{ln: ln, sink: sink, count: count, write: limits.Write, core: NewCore(time.Now(), classes, tenants, limits, count)}
 	l.core.Reply = l.reply
 	l.room.L = &l.mu
@@ -261,7 +261,7 @@
 }
 
 // reply passes a final answer to the core.
-func (l *Listener) reply(c *Conn, slot *Slot, r flow.Response) {
+func (l *Listener) reply(c *Conn, slot *Slot, r request.Response) {
 	var some [2]Effect
 	fx := Effects(some[:0])
 	l.mu.Lock()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"shelfproxy/internal/counters"
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // echo serves each request with its id.
 type echo struct{}
 
-func (echo) Take(f *flow.Flow) { f.Reply(flow.Response{Kind: flow.Served, Value: f.ID}) }
-func (echo) Gone(*flow.Flow)   {}
+func (echo) Take(f *request.Flow) { f.Reply(request.Response{Kind: request.Served, Value: f.ID}) }
+func (echo) Gone(*request.Flow)   {}
 
 // TestQueueIsAcceptedAtTheEnd: connections that the system has taken, and the listener not yet, as it closes are accepted, and what
 // was sent on them is answered; then they end in order.
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	l := New(ln, echo{}, []string{"read"}, nil, Limits{Conns: 64, Pipelined: 3, Value: 100, Write: time.Second, Silent: time.Second, Crowd: time.Second, Idle: time.Second},
-		counters.New([]string{"read"}, flow.Kinds(), nil))
+		counters.New([]string{"read"}, request.Kinds(), nil))
 	var all []net.Conn
 	for i := range 20 {
 		c, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/admission"
 	"shelfproxy/internal/discovery"
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
 	"shelfproxy/internal/logs"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
 )
 
 const (
@@ -25,7 +25,7 @@
 type Owner struct {
 	Now func() time.Time // the clock; it must not go back
 	// Report takes the end of a forward from a pool, and has Landed called with it, not before the pool's call is over.
-	Report func(*forward.Forward, forward.Answer)
+	Report func(*upstream.Forward, upstream.Answer)
 	// List has f called soon, before anything else that waits: a send decided on after a change must know of it.
 	List func(f func())
 }
@@ -35,15 +35,15 @@
 type Core struct {
 	opt     Options
 	own     Owner
-	router  *brain.Router
+	router  *policy.Router
 	start   time.Time // the module's clock is Unix time at the start, monotonic from there on
 	timers  timers
 	booked  uint64
-	backlog []brain.Event // outcomes of actions that ended at once
+	backlog []policy.Event // outcomes of actions that ended at once
 
 	classes map[string]int
 	flows   map[uint64]*state
-	byFlow  map[*flow.Flow]*state
+	byFlow  map[*request.Flow]*state
 	ids     map[string]bool // of flows that are owed an answer
 	nextID  uint64
 	servers map[string]*server
@@ -62,10 +62,10 @@
 
 // state is a flow as the node keeps it until nothing of it is out.
 type state struct {
-	*flow.Flow
+	*request.Flow
 	id       uint64
 	class    int
-	forwards []*forward.Forward // nil once it has ended
+	forwards []*upstream.Forward // nil once it has ended
 	out      int
 	answered bool
 	deadline time.Time
@@ -77,17 +77,17 @@
 	discovery.Server
 	up     Upstream
 	out    int // forwards
-	probes []*forward.Forward
+	probes []*upstream.Forward
 }
 
 // NewCore makes a core. Begin is its first call.
 func NewCore(opt Options, own Owner) (*Core, error) {
-	router, err := brain.New(opt.Module, opt.Seed)
+	router, err := policy.New(opt.Module, opt.Seed)
 	if err != nil {
 		return nil, err
 	}
 	n := &Core{opt: opt, own: own, router: router, idle: make(chan struct{}), start: own.Now(), classes: map[string]int{},
-		flows: map[uint64]*state{}, byFlow: map[*flow.Flow]*state{}, ids: map[string]bool{}, servers: map[string]*server{}}
+		flows: map[uint64]*state{}, byFlow: map[*request.Flow]*state{}, ids: map[string]bool{}, servers: map[string]*server{}}
 	n.taken.Limit = opt.MaxHeld
 	for i, c := range opt.Module.Classes {
 		n.classes[c.Name] = i
@@ -98,7 +98,7 @@
 // Begin takes the list that is known and, where lists are pushed, begins to follow them.
 func (n *Core) Begin() {
 	n.held.Held(n.opt.Known.Version)
-	n.list(n.opt.Known, brain.Cached)
+	n.list(n.opt.Known, policy.Cached)
 	if n.pushed() {
 		n.subscribe()
 	}
@@ -113,13 +113,15 @@
 }
 
 // Tell gives the module an event that comes from outside.
-func (n *Core) Tell(ev brain.Event) {
+func (n *Core) Tell(ev policy.Event) {
 	n.tell(ev)
 	n.settle()
 }
 
 // Explain tells what the module makes of a key. It changes nothing.
-func (n *Core) Explain(key string) brain.Why { return n.router.Explain(n.moduleTime(n.own.Now()), key) }
+func (n *Core) Explain(key string) policy.Why {
+	return n.router.Explain(n.moduleTime(n.own.Now()), key)
+}
 
 // Idle is closed when a core that drains owes nothing any more.
 func (n *Core) Idle() <-chan struct{} { return n.idle }
@@ -162,21 +164,21 @@
 func (n *Core) Strain(level float64) {
 	if d := level - n.level; d >= strainStep || d <= -strainStep || d != 0 && level == 0 {
 		n.level = level
-		n.Tell(brain.Strain{Level: level})
+		n.Tell(policy.Strain{Level: level})
 	}
 }
 
 // moduleTime converts a time of the system's clock to the module's.
-func (n *Core) moduleTime(t time.Time) brain.Time {
+func (n *Core) moduleTime(t time.Time) policy.Time {
 	return time.Duration(n.start.UnixNano()) + t.Sub(n.start)
 }
 
-func (n *Core) systemTime(t brain.Time) time.Time {
+func (n *Core) systemTime(t policy.Time) time.Time {
 	return n.start.Add(t - time.Duration(n.start.UnixNano()))
 }
 
 // tell gives the module an event and carries out its actions.
-func (n *Core) tell(ev brain.Event) {
+func (n *Core) tell(ev policy.Event) {
 	for _, a := range n.router.Handle(n.moduleTime(n.own.Now()), ev) {
 		n.do(a)
 	}
@@ -187,7 +189,7 @@
 	for len(n.backlog) > 0 {
 		ev := n.backlog[0]
 		n.backlog = n.backlog[1:]
-		if out, ok := ev.(brain.Outcome); ok {
+		if out, ok := ev.(policy.Outcome); ok {
 			s := n.flows[out.ID]
 			out.Ended = s == nil || s.answered
 			ev = out
@@ -199,29 +201,29 @@
 	}
 }
 
-func (n *Core) do(a brain.Action) {
+func (n *Core) do(a policy.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case policy.Send:
 		n.send(a)
-	case brain.Refuse:
-		n.answer(n.flows[a.ID], flow.Response{Kind: flow.Refused, RetryAfter: a.RetryAfter})
-	case brain.Fail:
-		n.answer(n.flows[a.ID], flow.Response{Kind: flow.Failed})
-	case brain.Cancel:
+	case policy.Refuse:
+		n.answer(n.flows[a.ID], request.Response{Kind: request.Refused, RetryAfter: a.RetryAfter})
+	case policy.Fail:
+		n.answer(n.flows[a.ID], request.Response{Kind: request.Failed})
+	case policy.Cancel:
 		if s := n.flows[a.ID]; s != nil && a.Attempt < len(s.forwards) && s.forwards[a.Attempt] != nil {
-			n.giveUp(s, s.forwards[a.Attempt], forward.Cancelled)
+			n.giveUp(s, s.forwards[a.Attempt], upstream.Cancelled)
 		}
-	case brain.Probe:
+	case policy.Probe:
 		n.probe(a.Server)
-	case brain.Close:
+	case policy.Close:
 		if s := n.servers[a.Server]; s != nil {
 			s.up.CloseIdle()
 		}
-	case brain.SetTimer:
-		n.at(n.systemTime(a.At), func() { n.tell(brain.Timer{Token: a.Token}) })
-	case brain.Subscribe:
+	case policy.SetTimer:
+		n.at(n.systemTime(a.At), func() { n.tell(policy.Timer{Token: a.Token}) })
+	case policy.Subscribe:
 		n.subscribe()
-	case brain.Tell:
+	case policy.Tell:
 		if n.opt.Tell == nil {
 			return
 		}
@@ -230,11 +232,11 @@
 		} else {
 			n.opt.Count.PeersTold.Add(1)
 		}
-	case brain.Spread:
+	case policy.Spread:
 		if n.opt.Spread != nil {
 			n.opt.Spread(a.Duty)
 		}
-	case brain.Log:
+	case policy.Log:
 		n.opt.Log.Info(a.Text, logs.Event, "module")
 	default:
 		n.opt.Log.Error("the module asked for what this node does not know", logs.Event, "action_unknown", "action", reflect.TypeOf(a).String())
@@ -242,7 +244,7 @@
 }
 
 // Take takes a request. One whose client has left already is none.
-func (n *Core) Take(f *flow.Flow) {
+func (n *Core) Take(f *request.Flow) {
 	if f.Cancelled() { // while it waited
 		return
 	}
@@ -250,11 +252,11 @@
 	n.settle()
 }
 
-func (n *Core) take(f *flow.Flow) {
+func (n *Core) take(f *request.Flow) {
 	class := n.classes[f.Class]
 	if n.ids[string(f.ID)] {
 		n.opt.Count.Duplicate.Add(1)
-		f.Reply(flow.Response{Kind: flow.Invalid, Text: "request id is in use"})
+		f.Reply(request.Response{Kind: request.Invalid, Text: "request id is in use"})
 		return
 	}
 	n.opt.Count.In(class)
@@ -271,30 +273,30 @@
 		n.opt.Count.NoMemory.Add(1)
 	}
 	if n.open > n.opt.MaxOpen || !s.counted { // nothing of it has run
-		n.answer(s, flow.Response{Kind: flow.Refused})
+		n.answer(s, request.Response{Kind: request.Refused})
 		return
 	}
 	if n.closing && s.deadline.After(n.lastAt) {
 		s.deadline = n.lastAt
 	}
 	s.expiry = n.at(s.deadline, func() { n.expire(s) })
-	n.tell(brain.Request{ID: s.id, Key: string(f.Key), Class: f.Class, Tenant: f.Tenant,
+	n.tell(policy.Request{ID: s.id, Key: string(f.Key), Class: f.Class, Tenant: f.Tenant,
 		Deadline: n.moduleTime(s.deadline), Write: f.Write})
 }
 
 // Gone says that the client of a flow that is owed an answer has left.
-func (n *Core) Gone(f *flow.Flow) {
+func (n *Core) Gone(f *request.Flow) {
 	n.gone(f)
 	n.settle()
 }
 
-func (n *Core) gone(f *flow.Flow) {
+func (n *Core) gone(f *request.Flow) {
 	f.Cancel()
 	if s := n.byFlow[f]; s != nil && !s.answered {
 		n.opt.Count.Gone.Add(1)
 		n.over(s)
 		n.withdraw(s)
-		n.tell(brain.Gone{ID: s.id})
+		n.tell(policy.Gone{ID: s.id})
 		n.forget(s)
 	}
 }
@@ -307,7 +309,7 @@
 			continue
 		}
 		if srv := n.servers[f.Server]; srv != nil && srv.up.Withdraw(f) {
-			n.ended(s, f, forward.NotSent)
+			n.ended(s, f, upstream.NotSent)
 		}
 	}
 }
@@ -334,12 +336,12 @@
 }
 
 // answer gives the one final answer of a flow.
-func (n *Core) answer(s *state, r flow.Response) {
+func (n *Core) answer(s *state, r request.Response) {
 	if s == nil || s.answered {
 		return
 	}
 	n.opt.Count.Answered(s.class, int(r.Kind))
-	if r.Kind == flow.Served && n.own.Now().Sub(s.Taken) > n.opt.Module.Classes[s.class].Aim {
+	if r.Kind == request.Served && n.own.Now().Sub(s.Taken) > n.opt.Module.Classes[s.class].Aim {
 		n.opt.Count.Slow.Add(1)
 	}
 	s.Reply(r)
@@ -360,7 +362,7 @@
 func (n *Core) expire(s *state) {
 	for _, f := range s.forwards {
 		if f != nil {
-			n.giveUp(s, f, forward.TimedOut)
+			n.giveUp(s, f, upstream.TimedOut)
 		}
 	}
 	n.settle()
@@ -369,27 +371,27 @@
 		// may have run must not be refused, and a failure promises nothing.
 		n.at(n.own.Now().Add(overdue), func() {
 			if !s.answered {
-				n.answer(s, flow.Response{Kind: flow.Failed})
-				n.tell(brain.Gone{ID: s.id})
+				n.answer(s, request.Response{Kind: request.Failed})
+				n.tell(policy.Gone{ID: s.id})
 			}
 		})
 	}
 }
 
-func (n *Core) send(a brain.Send) {
+func (n *Core) send(a policy.Send) {
 	s, srv := n.flows[a.ID], n.servers[a.Server]
 	if s == nil {
 		return
 	}
-	f := &forward.Forward{Flow: s.Flow, Attempt: len(s.forwards), Server: a.Server, Sent: n.own.Now(),
-		Deadline: s.deadline, Fresh: n.opt.Module.Classes[s.class].Effect == brain.Unsafe}
+	f := &upstream.Forward{Flow: s.Flow, Attempt: len(s.forwards), Server: a.Server, Sent: n.own.Now(),
+		Deadline: s.deadline, Fresh: n.opt.Module.Classes[s.class].Effect == policy.Unsafe}
 	if a.By > 0 {
 		f.By = n.systemTime(a.By)
 	}
 	s.forwards = append(s.forwards, f)
 	s.out++
 	n.opt.Count.Sent(s.class)
-	end, ok := forward.NotSent, false
+	end, ok := upstream.NotSent, false
 	if srv != nil && !s.answered && !s.Cancelled() && n.own.Now().Before(s.deadline) {
 		end, ok = srv.up.Send(f)
 	}
@@ -402,34 +404,34 @@
 }
 
 // giveUp ends a forward from the node's side.
-func (n *Core) giveUp(s *state, f *forward.Forward, end forward.End) {
-	if srv := n.servers[f.Server]; srv != nil && !srv.up.Abandon(f) && end == forward.TimedOut {
-		end = forward.NotSent // it waited for a connection all the time
+func (n *Core) giveUp(s *state, f *upstream.Forward, end upstream.End) {
+	if srv := n.servers[f.Server]; srv != nil && !srv.up.Abandon(f) && end == upstream.TimedOut {
+		end = upstream.NotSent // it waited for a connection all the time
 	}
 	n.ended(s, f, end)
 }
 
 // ended queues the outcome of a forward; settle tells it.
-func (n *Core) ended(s *state, f *forward.Forward, end forward.End) {
+func (n *Core) ended(s *state, f *upstream.Forward, end upstream.End) {
 	s.forwards[f.Attempt] = nil
 	s.out--
 	if srv := n.servers[f.Server]; srv != nil {
 		srv.out--
 	}
 	n.opt.Count.Ended(s.class, int(end))
-	n.backlog = append(n.backlog, brain.Outcome{ID: s.id, Attempt: f.Attempt, Server: f.Server,
+	n.backlog = append(n.backlog, policy.Outcome{ID: s.id, Attempt: f.Attempt, Server: f.Server,
 		Reason: end.Reason(), Took: n.own.Now().Sub(f.Sent)})
 }
 
 // reported takes the answer of a pool.
-func (n *Core) reported(f *forward.Forward, a forward.Answer) {
+func (n *Core) reported(f *upstream.Forward, a upstream.Answer) {
 	s := n.byFlow[f.Flow]
 	if s == nil || f.Attempt >= len(s.forwards) || s.forwards[f.Attempt] != f {
 		n.opt.Count.Late.Add(1) // given up before
 		return
 	}
-	if a.End == forward.Served {
-		n.answer(s, flow.Response{Kind: flow.Served, Value: a.Value})
+	if a.End == upstream.Served {
+		n.answer(s, request.Response{Kind: request.Served, Value: a.Value})
 	}
 	n.ended(s, f, a.End)
 }
@@ -441,14 +443,14 @@
 	}
 	n.opt.Count.Probes.Add(1)
 	now := n.own.Now()
-	f := &forward.Forward{Server: id, Sent: now, Deadline: now.Add(probeTimeout)}
+	f := &upstream.Forward{Server: id, Sent: now, Deadline: now.Add(probeTimeout)}
 	srv.probes = append(srv.probes, f)
 	if end, ok := srv.up.Send(f); !ok {
 		n.probed(srv, f, end)
 		return
 	}
 	n.at(f.Deadline, func() {
-		if n.probed(srv, f, forward.TimedOut) {
+		if n.probed(srv, f, upstream.TimedOut) {
 			srv.up.Abandon(f)
 			srv.up.CloseIdle() // to a machine that is cut off they would stay open and silent
 		}
@@ -456,11 +458,11 @@
 }
 
 // probed queues the result of a probe, unless it is known already.
-func (n *Core) probed(srv *server, f *forward.Forward, end forward.End) bool {
+func (n *Core) probed(srv *server, f *upstream.Forward, end upstream.End) bool {
 	for i, p := range srv.probes {
 		if p == f {
 			srv.probes = append(srv.probes[:i], srv.probes[i+1:]...)
-			n.backlog = append(n.backlog, brain.Probed{Server: f.Server, Reason: end.Reason()})
+			n.backlog = append(n.backlog, policy.Probed{Server: f.Server, Reason: end.Reason()})
 			return true
 		}
 	}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -5,26 +5,26 @@
 	"testing"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/counters"
 	"shelfproxy/internal/discovery"
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
 )
 
 // held stands in for the pool to one server: it keeps what it is given, of which nothing is written until take.
 type held struct {
 	core    *Core
-	waiting []*forward.Forward
-	out     []*forward.Forward
+	waiting []*upstream.Forward
+	out     []*upstream.Forward
 }
 
-func (h *held) Send(f *forward.Forward) (forward.End, bool) {
+func (h *held) Send(f *upstream.Forward) (upstream.End, bool) {
 	h.waiting = append(h.waiting, f)
 	return 0, true
 }
-func (h *held) Abandon(f *forward.Forward) bool { return !h.Withdraw(f) }
-func (h *held) Withdraw(f *forward.Forward) bool {
+func (h *held) Abandon(f *upstream.Forward) bool { return !h.Withdraw(f) }
+func (h *held) Withdraw(f *upstream.Forward) bool {
 	for i, w := range h.waiting {
 		if w == f {
 			h.waiting = append(h.waiting[:i], h.waiting[i+1:]...)
@@ -33,8 +33,8 @@
 	}
 	return false
 }
-func (h *held) CloseIdle()                             {}
-func (h *held) Update(string, bool) []*forward.Forward { return nil }
+func (h *held) CloseIdle()                              {}
+func (h *held) Update(string, bool) []*upstream.Forward { return nil }
 
 // take writes what waits.
 func (h *held) take() (n int) {
@@ -44,10 +44,10 @@
 }
 
 // end ends the oldest forward that is out.
-func (h *held) end(e forward.End) {
+func (h *held) end(e upstream.End) {
 	f := h.out[0]
 	h.out = h.out[1:]
-	h.core.Landed(f, forward.Answer{End: e, Value: []byte("v")})
+	h.core.Landed(f, upstream.Answer{End: e, Value: []byte("v")})
 }
 
 // bench is a core with one cache server and an origin, on a clock of its own.
@@ -60,16 +60,16 @@
 
 func newBench(t *testing.T) *bench {
 	b := &bench{now: time.Unix(1000, 0), box: &held{}, origin: &held{}}
-	class := brain.Class{Name: "read", Worth: 1, Aim: time.Second, Late: 0.5}
-	put := brain.Class{Name: "put", Worth: 5, Aim: time.Second, Late: 0.5, Effect: brain.Unsafe}
-	ends := make([]string, forward.Ends())
-	opt := Options{Module: brain.Settings{Routers: 1, Classes: []brain.Class{class, put}, OriginKind: "origin", MaxAttempts: 6,
+	class := policy.Class{Name: "read", Worth: 1, Aim: time.Second, Late: 0.5}
+	put := policy.Class{Name: "put", Worth: 5, Aim: time.Second, Late: 0.5, Effect: policy.Unsafe}
+	ends := make([]string, upstream.Ends())
+	opt := Options{Module: policy.Settings{Routers: 1, Classes: []policy.Class{class, put}, OriginKind: "origin", MaxAttempts: 6,
 		FallFactor: 3, ColdFrom: 0.2, WarmAfter: time.Second, Probes: true, MustAsk: true, Tick: time.Millisecond}, MaxOpen: 1000,
-		Count: counters.New([]string{"read", "put"}, flow.Kinds(), ends), Log: slog.New(slog.DiscardHandler),
+		Count: counters.New([]string{"read", "put"}, request.Kinds(), ends), Log: slog.New(slog.DiscardHandler),
 		Known: discovery.List{Version: 1, Whole: true, Servers: []discovery.Server{{ID: "s", Addr: "h:1", Kind: "box", Weight: 1},
 			{ID: "o", Addr: "h:2", Kind: "origin", Weight: 1}}},
 		Source: silentSource{},
-		Upstream: func(s discovery.Server, origin bool, _ func(*forward.Forward, forward.Answer)) Upstream {
+		Upstream: func(s discovery.Server, origin bool, _ func(*upstream.Forward, upstream.Answer)) Upstream {
 			if origin {
 				return b.origin
 			}
@@ -89,9 +89,9 @@
 
 func (silentSource) Watch(int64, func(discovery.List, error)) func() { return func() {} }
 
-func (b *bench) ask(id, class string, write bool) *flow.Flow {
-	f := &flow.Flow{Key: []byte("k"), ID: []byte(id), Class: class, Write: write, Taken: b.now, Wait: 3 * time.Second,
-		Reply: func(flow.Response) { b.replies++ }}
+func (b *bench) ask(id, class string, write bool) *request.Flow {
+	f := &request.Flow{Key: []byte("k"), ID: []byte(id), Class: class, Write: write, Taken: b.now, Wait: 3 * time.Second,
+		Reply: func(request.Response) { b.replies++ }}
 	b.core.Take(f)
 	return f
 }
@@ -121,57 +121,57 @@
 		b.origin.take()
 	}
 	for name, test := range map[string]struct {
-		prepare func(b *bench) *flow.Flow
+		prepare func(b *bench) *request.Flow
 		after   func(b *bench)
 	}{
-		"for the loop": {func(b *bench) *flow.Flow {
-			f := &flow.Flow{Key: []byte("k"), ID: []byte("id"), Class: "read", Wait: time.Second, Taken: b.now}
+		"for the loop": {func(b *bench) *request.Flow {
+			f := &request.Flow{Key: []byte("k"), ID: []byte("id"), Class: "read", Wait: time.Second, Taken: b.now}
 			f.Cancel()
 			b.core.Take(f)
 			return f
 		}, nil},
-		"for a connection to the cache server": {func(b *bench) *flow.Flow { return b.ask("id", "read", false) }, nil},
-		"for a connection to the origin": {func(b *bench) *flow.Flow {
+		"for a connection to the cache server": {func(b *bench) *request.Flow { return b.ask("id", "read", false) }, nil},
+		"for a connection to the origin": {func(b *bench) *request.Flow {
 			f := b.ask("id", "read", false)
 			b.box.take()
-			b.box.end(forward.Missed)
+			b.box.end(upstream.Missed)
 			return f
 		}, nil},
-		"between a miss and its fetch": {func(b *bench) *flow.Flow {
+		"between a miss and its fetch": {func(b *bench) *request.Flow {
 			f := b.ask("id", "read", false)
 			b.box.take()
 			return f
-		}, func(b *bench) { b.box.end(forward.Missed) }},
-		"between a miss and its fetch, seen by the listener alone": {func(b *bench) *flow.Flow {
+		}, func(b *bench) { b.box.end(upstream.Missed) }},
+		"between a miss and its fetch, seen by the listener alone": {func(b *bench) *request.Flow {
 			f := b.ask("id", "read", false)
 			b.box.take()
 			f.Cancel()
-			if b.box.end(forward.Missed); len(b.origin.waiting) > 0 {
+			if b.box.end(upstream.Missed); len(b.origin.waiting) > 0 {
 				t.Error("it is sent on though its client has left")
 			}
 			return f
 		}, nil},
-		"in the origin's line": {func(b *bench) *flow.Flow {
+		"in the origin's line": {func(b *bench) *request.Flow {
 			busy(b)
 			return b.ask("id", "put", true)
 		}, func(b *bench) {
 			for len(b.origin.out) > 0 {
-				b.origin.end(forward.Served)
+				b.origin.end(upstream.Served)
 			}
 		}},
-		"for another's fetch": {func(b *bench) *flow.Flow {
+		"for another's fetch": {func(b *bench) *request.Flow {
 			b.ask("first", "read", false)
 			b.box.take()
-			b.box.end(forward.Missed)
+			b.box.end(upstream.Missed)
 			b.origin.take()
 			return b.ask("id", "read", false)
-		}, func(b *bench) { b.origin.end(forward.Served) }},
-		"in a back-off": {func(b *bench) *flow.Flow {
+		}, func(b *bench) { b.origin.end(upstream.Served) }},
+		"in a back-off": {func(b *bench) *request.Flow {
 			f := b.ask("id", "read", false)
 			b.box.take()
-			b.box.end(forward.Missed)
+			b.box.end(upstream.Missed)
 			b.origin.take()
-			b.origin.end(forward.Busy)
+			b.origin.end(upstream.Busy)
 			return f
 		}, nil},
 	} {
@@ -197,20 +197,20 @@
 	b := newBench(t)
 	first := b.ask("first", "read", false)
 	b.box.take()
-	b.box.end(forward.Missed)
+	b.box.end(upstream.Missed)
 	b.ask("second", "read", false)
 	b.core.Gone(first)
 	if n := b.box.take(); n != 1 {
 		t.Fatalf("%d ask the cache server", n)
 	}
-	b.box.end(forward.Missed)
+	b.box.end(upstream.Missed)
 	if n := b.origin.take(); n != 1 {
 		t.Fatalf("%d fetches", n)
 	}
 	if id := string(b.origin.out[0].Flow.ID); id != "second" {
 		t.Errorf("it is fetched for %s", id)
 	}
-	b.origin.end(forward.Served)
+	b.origin.end(upstream.Served)
 	if b.replies != 1 {
 		t.Errorf("%d answers", b.replies)
 	}
@@ -235,9 +235,9 @@
 	} {
 		b := newBench(t)
 		for _, l := range test.lists {
-			scope := brain.Changes
+			scope := policy.Changes
 			if l.Whole {
-				scope = brain.Full
+				scope = policy.Full
 			}
 			b.core.list(l, scope)
 		}
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"shelfproxy/internal/admission"
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // How requests wait for the loop.
@@ -33,7 +33,7 @@
 }
 
 type arrival struct {
-	*flow.Flow
+	*request.Flow
 	at time.Time
 }
 
@@ -50,7 +50,7 @@
 }
 
 // Take is called by listeners with a request that was read whole. It waits while the connection has many in line.
-func (n *Node) Take(f *flow.Flow) {
+func (n *Node) Take(f *request.Flow) {
 	in := &n.in
 	in.mu.Lock()
 	for !in.closed && !in.queue.Add(f.Conn, 1+len(f.Value)/costUnit, arrival{f, time.Now()}) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,34 +7,34 @@
 	"log/slog"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/counters"
 	"shelfproxy/internal/discovery"
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
 )
 
 // Upstream carries forwards to one server; forward.Pool is one.
 type Upstream interface {
-	Send(*forward.Forward) (forward.End, bool)
-	Abandon(*forward.Forward) (written bool)
-	Withdraw(*forward.Forward) bool
+	Send(*upstream.Forward) (upstream.End, bool)
+	Abandon(*upstream.Forward) (written bool)
+	Withdraw(*upstream.Forward) bool
 	CloseIdle()
-	Update(addr string, left bool) (drained []*forward.Forward)
+	Update(addr string, left bool) (drained []*upstream.Forward)
 }
 
 // Options are what a node is made of.
 type Options struct {
-	Module   brain.Settings
+	Module   policy.Settings
 	Seed     uint64
 	MaxOpen  int
 	MaxHeld  int           // bytes of requests that were taken and not yet answered; 0 is no bound
 	MaxWait  time.Duration // no class waits for longer; a client that says so is not believed
 	Known    discovery.List
 	Source   discovery.Source
-	Upstream func(s discovery.Server, origin bool, report func(*forward.Forward, forward.Answer)) Upstream
+	Upstream func(s discovery.Server, origin bool, report func(*upstream.Forward, upstream.Answer)) Upstream
 	Tell     func([]byte) error // sends a datagram to all other nodes; nil where they may not be told
-	Spread   func(brain.Duty)   // tells all other nodes what the holder of a duty has to say; nil without duties
+	Spread   func(policy.Duty)  // tells all other nodes what the holder of a duty has to say; nil without duties
 	Count    *counters.Counters
 	Log      *slog.Logger
 }
@@ -57,7 +57,7 @@
 	n.in.room.L = &n.in.mu
 	var err error
 	n.core, err = NewCore(opt, Owner{Now: time.Now,
-		Report: func(f *forward.Forward, a forward.Answer) { n.post(n.queue, func() { n.core.Landed(f, a) }) },
+		Report: func(f *upstream.Forward, a upstream.Answer) { n.post(n.queue, func() { n.core.Landed(f, a) }) },
 		List:   func(f func()) { n.post(n.lists, f) }})
 	return n, err
 }
@@ -71,7 +71,7 @@
 }
 
 // Gone is called by listeners when the client of a flow that is owed an answer has left.
-func (n *Node) Gone(f *flow.Flow) { n.post(n.queue, func() { n.core.Gone(f) }) }
+func (n *Node) Gone(f *request.Flow) { n.post(n.queue, func() { n.core.Gone(f) }) }
 
 // offer hands work to the loop, or counts it as lost while the loop is behind: requests go first.
 func (n *Node) offer(f func()) {
@@ -85,15 +85,15 @@
 // Heard hands over a datagram of another node.
 func (n *Node) Heard(from int, data []byte) {
 	n.count.PeersHeard.Add(1)
-	n.offer(func() { n.core.Tell(brain.Heard{From: from, Data: data}) })
+	n.offer(func() { n.core.Tell(policy.Heard{From: from, Data: data}) })
 }
 
 // Fleet tells the module how many nodes share the traffic from now on, this one among them; 0: as many as are configured.
-func (n *Node) Fleet(nodes int) { n.offer(func() { n.core.Tell(brain.Fleet{Routers: nodes}) }) }
+func (n *Node) Fleet(nodes int) { n.offer(func() { n.core.Tell(policy.Fleet{Routers: nodes}) }) }
 
 // Explain tells what the module makes of a key; false while the loop is behind or has ended.
-func (n *Node) Explain(key string) (why brain.Why, ok bool) {
-	got := make(chan brain.Why, 1)
+func (n *Node) Explain(key string) (why policy.Why, ok bool) {
+	got := make(chan policy.Why, 1)
 	select {
 	case n.queue <- func() { got <- n.core.Explain(key) }:
 	default:
@@ -108,7 +108,7 @@
 }
 
 // Duty tells the module of a duty: who has it, or what its holder told all. What is lost comes again with the next news.
-func (n *Node) Duty(ev brain.Event) { n.offer(func() { n.core.Tell(ev) }) }
+func (n *Node) Duty(ev policy.Event) { n.offer(func() { n.core.Tell(ev) }) }
 
 // Follow moves the watch to another source; see Core.Follow.
 func (n *Node) Follow(source discovery.Source) {
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -6,24 +6,24 @@
 	"slices"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/discovery"
-	"shelfproxy/internal/forward"
 	"shelfproxy/internal/logs"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/upstream"
 )
 
-var serverStates = map[discovery.State]brain.ServerState{discovery.Up: brain.Live,
-	discovery.Draining: brain.Draining, discovery.Removed: brain.Dead}
+var serverStates = map[discovery.State]policy.ServerState{discovery.Up: policy.Live,
+	discovery.Draining: policy.Draining, discovery.Removed: policy.Dead}
 
 // list takes news of the list: the pools learn of it first, so that nothing queued before goes to a server that
 // has left, then the module.
-func (n *Core) list(l discovery.List, scope brain.ListScope) {
-	event := brain.List{Scope: scope}
+func (n *Core) list(l discovery.List, scope policy.ListScope) {
+	event := policy.List{Scope: scope}
 	named := map[string]bool{}
 	l.Servers = n.succeeded(l)
 	for _, d := range l.Servers {
 		named[d.ID] = true
-		event.Servers = append(event.Servers, brain.Server{ID: d.ID, Zone: d.Zone, Kind: d.Kind, Cell: d.Cell,
+		event.Servers = append(event.Servers, policy.Server{ID: d.ID, Zone: d.Zone, Kind: d.Kind, Cell: d.Cell,
 			State: serverStates[d.State], Units: d.Weight, Started: time.Duration(d.StartedMs) * time.Millisecond})
 		s := n.servers[d.ID]
 		if s == nil {
@@ -39,7 +39,7 @@
 		s.Server, s.Addr = d, addr
 		n.leave(s, addr, d.State != discovery.Up)
 	}
-	if scope != brain.Changes {
+	if scope != policy.Changes {
 		for _, id := range slices.Sorted(maps.Keys(n.servers)) {
 			if s := n.servers[id]; !named[id] {
 				s.State = discovery.Removed
@@ -89,17 +89,17 @@
 // leave updates a server's pool.
 func (n *Core) leave(s *server, addr string, left bool) {
 	for _, f := range s.up.Update(addr, left) {
-		n.landed(f, forward.Answer{End: forward.Drained})
+		n.landed(f, upstream.Answer{End: upstream.Drained})
 	}
 }
 
 // Landed takes the end of a forward from its pool.
-func (n *Core) Landed(f *forward.Forward, a forward.Answer) {
+func (n *Core) Landed(f *upstream.Forward, a upstream.Answer) {
 	n.landed(f, a)
 	n.settle()
 }
 
-func (n *Core) landed(f *forward.Forward, a forward.Answer) {
+func (n *Core) landed(f *upstream.Forward, a upstream.Answer) {
 	if f.Flow == nil {
 		if srv := n.servers[f.Server]; srv != nil {
 			n.probed(srv, f, a.End)
@@ -171,14 +171,14 @@
 		if n.pushed() {
 			n.at(n.own.Now().Add(agentRetry), n.subscribe)
 		} else {
-			n.tell(brain.List{Scope: brain.Failed})
+			n.tell(policy.List{Scope: policy.Failed})
 		}
 	default:
 		n.opt.Count.Lists.Add(1)
 		n.healthy = true
-		scope := brain.Changes
+		scope := policy.Changes
 		if l.Whole {
-			scope = brain.Full
+			scope = policy.Full
 		}
 		n.list(l, scope)
 	}
--- a/brain/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"fmt"
--- a/brain/api.go
+++ b/internal/policy/api.go
@@ -4,12 +4,12 @@
 // A program feeds a Router the events it sees and carries out the actions it returns. The package has
 // no clock, I/O, goroutines or random source of its own, so identical events give identical actions.
 // A Router is not safe for concurrent use.
-package brain
+package policy
 
 import (
 	"time"
 
-	"shelfproxy/internal/asking"
+	"shelfproxy/internal/discovery/polling"
 )
 
 // Time is a point on the caller's clock, counted from any fixed origin. It only moves forward.
@@ -209,13 +209,13 @@
 var DutyNames = [dutyCount]string{"prober", "caller"}
 
 // Who has a duty.
-type Who = asking.Who
+type Who = polling.Who
 
 // The answers to that. Where nobody has it, each router does as if there were no duty.
 const (
-	Nobody  = asking.Nobody
-	Self    = asking.Self
-	Another = asking.Another
+	Nobody  = polling.Nobody
+	Self    = polling.Self
+	Another = polling.Another
 )
 
 // Holder says who has a duty from now on, as far as is known.
--- a/brain/brain.go
+++ b/internal/policy/brain.go
@@ -1,10 +1,10 @@
-// The decisions of a router; brain/api.go is the interface: the settings, events and actions used here.
+// The decisions of a router; api.go is the interface: the settings, events and actions used here.
 //
 // The ordinary path of a read: its key hashes to a slot and the slot to a cache server (pick). A hit ends
 // it. On a miss the router fetches from the origin, timing the fetch (fetch, outcome). Timings become latency
 // utilisation (gauge), and past a bucket's threshold a rising share of that bucket's misses is refused,
 // lowest worth first (shed). Everything else here is for when something fails.
-package brain
+package policy
 
 import (
 	"math"
@@ -13,9 +13,9 @@
 	"time"
 
 	"shelfproxy/internal/admission"
-	"shelfproxy/internal/gossip"
-	"shelfproxy/internal/tally"
-	"shelfproxy/internal/zones"
+	"shelfproxy/internal/fleet/gossip"
+	"shelfproxy/internal/policy/decay"
+	"shelfproxy/internal/policy/locality"
 )
 
 const (
@@ -187,7 +187,7 @@
 
 // count counts a request, and its key for all routers. Counts fade by making later ones weigh more.
 func (r *Router) count(key string) {
-	r.one = tally.Weight(r.all, r.one, r.now-r.allAt, window, countEnough*float64(len(r.servers)), countAge)
+	r.one = decay.Weight(r.all, r.one, r.now-r.allAt, window, countEnough*float64(len(r.servers)), countAge)
 	r.all, r.allAt = r.all+r.one, r.now
 	r.keys.Count(r.now, gossip.MarkOf(hash(key)), float64(len(r.servers)))
 	r.talk.Asked(gossip.MarkOf(hash(key)), r.heat(key)/max(1, r.takers), r.rng.Float64())
@@ -638,7 +638,7 @@
 		}
 	}
 	if r.set.CrossPrice > 0 && r.origin != nil {
-		r.reach.Step(zones.Load{Home: r.homePart, Origin: r.origin.gauge.slowPart(r.now),
+		r.reach.Step(locality.Load{Home: r.homePart, Origin: r.origin.gauge.slowPart(r.now),
 			Near: r.home.slowPart(r.now), All: r.pool.slowPart(r.now), Waiting: r.line.Len()})
 	}
 	r.tell()
--- a/internal/health/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -1,6 +1,6 @@
 // Package health judges whether a server is there from nothing but the attempts that are made at it, for deployments where
 // it may not be asked. It has no clock and no I/O; what follows from its word is the module's affair.
-package health
+package circuitbreaker
 
 import "time"
 
--- a/internal/health/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -1,4 +1,4 @@
-package health
+package circuitbreaker
 
 import (
 	"testing"
--- a/internal/tally/tally.go
+++ b/internal/policy/decay/tally.go
@@ -1,12 +1,12 @@
 // Package tally keeps counts that fade: how popular each key is, from the requests of this node and from samples that
 // other nodes tell of theirs. It has no clock and no I/O, and what follows from a count is the module's affair.
-package tally
+package decay
 
 import (
 	"math"
 	"time"
 
-	"shelfproxy/internal/gossip"
+	"shelfproxy/internal/fleet/gossip"
 )
 
 // Time is a point on the caller's clock.
--- a/internal/tally/tally_test.go
+++ b/internal/policy/decay/tally_test.go
@@ -1,11 +1,11 @@
-package tally
+package decay
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"shelfproxy/internal/gossip"
+	"shelfproxy/internal/fleet/gossip"
 )
 
 // TestHeatFollowsShares: 700 requests a second in front of 200 servers; a key that draws a tenth of them is 20 servers'
--- a/brain/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"shelfproxy/internal/asking"
-	"shelfproxy/internal/gossip"
+	"shelfproxy/internal/discovery/polling"
+	"shelfproxy/internal/fleet/gossip"
 )
 
 // fleet is many routers that see the same servers, each a small part of the requests. Messages arrive at the next
@@ -282,7 +282,7 @@
 			b := newBench(t, set)
 			first, again := b.r.spread(), b.r.calls.First()
 			most := listTold + grace
-			if worst := asking.Silence + upkeepEvery + first + listCall; worst > most {
+			if worst := polling.Silence + upkeepEvery + first + listCall; worst > most {
 				t.Errorf("%d routers: the call after a silent watch is answered up to %v after a change", routers, worst)
 			}
 			for range 10 { // the waits grow
@@ -294,7 +294,7 @@
 			for len(find[Subscribe](b.do(Timer{housekeep}))) == 0 {
 				b.now += upkeepEvery
 			}
-			if worst := asking.CallWithin + b.now - failed + listCall; worst > most {
+			if worst := polling.CallWithin + b.now - failed + listCall; worst > most {
 				t.Errorf("%d routers: the call after one that failed is answered up to %v after the list is back", routers, worst)
 			}
 			if worst := first + listCall + again + upkeepEvery; worst > most+upkeepEvery {
--- a/brain/list_test.go
+++ b/internal/policy/list_test.go
@@ -1,11 +1,11 @@
-package brain
+package policy
 
 import (
 	"strconv"
 	"testing"
 	"time"
 
-	"shelfproxy/internal/asking"
+	"shelfproxy/internal/discovery/polling"
 )
 
 // service is one that answers calls for the list in turn: each takes a while, and one that waits for too long fails.
@@ -66,7 +66,7 @@
 			for i, b := range f.benches {
 				b.now += 10 * ms
 				var acts []Action
-				if test.silent && b.now-began == asking.Silence {
+				if test.silent && b.now-began == polling.Silence {
 					acts = append(acts, b.do(List{Scope: Failed})...)
 				}
 				if (n+i)%25 == 0 {
--- a/internal/zones/reach.go
+++ b/internal/policy/locality/reach.go
@@ -1,6 +1,6 @@
 // Package zones decides how far a node reaches: what the servers of other zones weigh against those of its own when keys
 // are spread over them. It has no clock and no I/O; the module applies the weight.
-package zones
+package locality
 
 // Reach is the weight of a server in another zone, 1 at most. A request that crosses zones has its price, so a key is
 // better held in each zone that asks for it; but each copy of its own takes memory, which makes misses, and a zone may have
--- a/internal/zones/reach_test.go
+++ b/internal/policy/locality/reach_test.go
@@ -1,4 +1,4 @@
-package zones
+package locality
 
 import (
 	"testing"
--- a/internal/ejection/ejection.go
+++ b/internal/policy/outlier/ejection.go
@@ -1,7 +1,7 @@
 // Package ejection bounds how much of a fleet of servers its nodes take out of service by their own judgment. A server that
 // does worse than the others gives up a part of its keys; but where much is out already, because it drains, is cold or does
 // not answer, one more slow server is worth more than none. It has no clock and no I/O.
-package ejection
+package outlier
 
 import (
 	"cmp"
--- a/internal/ejection/ejection_test.go
+++ b/internal/policy/outlier/ejection_test.go
@@ -1,4 +1,4 @@
-package ejection
+package outlier
 
 import (
 	"math"
--- a/internal/shares/shares.go
+++ b/internal/policy/quota/shares.go
@@ -1,6 +1,6 @@
 // Package shares judges whether a request is within its tenant's share, at one node of a fleet that sees a part of the
 // traffic. It has no clock and no I/O.
-package shares
+package quota
 
 import "time"
 
--- a/internal/shares/shares_test.go
+++ b/internal/policy/quota/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"testing"
--- a/brain/router.go
+++ b/internal/policy/router.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"cmp"
@@ -9,13 +9,13 @@
 	"time"
 
 	"shelfproxy/internal/admission"
-	"shelfproxy/internal/asking"
-	"shelfproxy/internal/ejection"
-	"shelfproxy/internal/gossip"
-	"shelfproxy/internal/health"
-	"shelfproxy/internal/shares"
-	"shelfproxy/internal/tally"
-	"shelfproxy/internal/zones"
+	"shelfproxy/internal/discovery/polling"
+	"shelfproxy/internal/fleet/gossip"
+	"shelfproxy/internal/policy/circuitbreaker"
+	"shelfproxy/internal/policy/decay"
+	"shelfproxy/internal/policy/locality"
+	"shelfproxy/internal/policy/outlier"
+	"shelfproxy/internal/policy/quota"
 )
 
 // bucket ranks work by worth; the highest value is refused first.
@@ -65,7 +65,7 @@
 	doubt   int     // hits still wanted to show that it was only cut off; 0 without a doubt
 	asked   float64 // requests, or parts of those of hot keys, that it was a choice for; counted like keys
 	opinion gossip.Opinion
-	breaker health.Breaker // where a server may not be asked whether it is there
+	breaker circuitbreaker.Breaker // where a server may not be asked whether it is there
 	gauge   gauge
 }
 
@@ -109,7 +109,7 @@
 	acts       []Action
 	classes    map[string]*Class
 	topWorth   float64
-	shares     *shares.Shares
+	shares     *quota.Shares
 	servers    []*server // sorted by id
 	byID       map[string]*server
 	unreached  map[string]int // failed connects in a row, by zone
@@ -122,7 +122,7 @@
 	owed       [bulk + 1]float64            // refusals due by bucket, spread evenly
 	takers     float64                      // cache servers that are listed for work, silent ones too
 	units      float64                      // their mean size
-	keys       tally.Keys                   // requests by key, of this router and samples of the others'
+	keys       decay.Keys                   // requests by key, of this router and samples of the others'
 	all, one   float64                      // requests of this router, and what one counts now; see count
 	served     float64                      // answers of a cache server, counted like all: each is one of all that took keys then
 	allAt      Time
@@ -131,17 +131,17 @@
 	talk       gossip.Talk   // with the other routers
 	pace       time.Duration // between two routers' probes of a server believed silent
 	sweepAt    Time          // when counts are scaled back next
-	calls      asking.Calls  // for the list
+	calls      polling.Calls // for the list
 	who        [dutyCount]Who
 	ticking    bool
 	home       gauge   // of the cache servers of the own zone
 	homePart   float64 // their share of all servers' weights
-	reach      zones.Reach
+	reach      locality.Reach
 	gate       admission.Concurrency    // how much may be out at the origin
 	line       admission.Line[*request] // what waits for it
 	configured int                      // how many routers the settings say share the traffic
-	eject      ejection.Budget          // of cache servers that are left out, or lose keys, by this router's judgment
-	wants      []ejection.Server        // reused
+	eject      outlier.Budget           // of cache servers that are left out, or lose keys, by this router's judgment
+	wants      []outlier.Server         // reused
 	granted    []float64                // reused
 	short      bool                     // it was not enough of late
 }
@@ -165,10 +165,10 @@
 // New makes a Router. The seed feeds its only random numbers: waits, lots and the phase of refusals.
 func New(set Settings, seed uint64) (*Router, error) {
 	r := &Router{set: set, configured: set.Routers, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*Class{},
-		shares: shares.New(max(1, set.Routers)), byID: map[string]*server{}, unreached: map[string]int{},
+		shares: quota.New(max(1, set.Routers)), byID: map[string]*server{}, unreached: map[string]int{},
 		requests: map[uint64]*request{}, flights: map[string]*flight{},
 		byMark: map[gossip.Mark]*server{}, talk: gossip.Talk{Mute: !set.Peers, Nodes: set.Routers},
-		one: 1, reach: zones.Reach{Leave: set.LeaveOwner}, gate: admission.Concurrency{Most: gateMost}, budgets: map[*Class]*admission.Budget{}}
+		one: 1, reach: locality.Reach{Leave: set.LeaveOwner}, gate: admission.Concurrency{Most: gateMost}, budgets: map[*Class]*admission.Budget{}}
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 	r.pool.floor = time.Duration(float64(r.pool.limit) * poolFloor)
 	r.home.objectives, r.home.pool = r.pool.objectives, &r.pool
 	r.eject.Share = set.ServersOut
-	r.calls = asking.Calls{Spread: r.spread(), Most: r.patience(), Within: set.MustAskIn, Jitter: r.jitter}
+	r.calls = polling.Calls{Spread: r.spread(), Most: r.patience(), Within: set.MustAskIn, Jitter: r.jitter}
 	if r.pace = pace; set.Peers {
 		r.pace = paceTold
 	}
@@ -315,12 +315,12 @@
 // spread is the time over which routers spread their first calls for the list: a watch that falls silent as a change is made is
 // found out a while later.
 func (r *Router) spread() time.Duration {
-	return min(listPace*time.Duration(r.set.Routers), r.slack(asking.Silence))
+	return min(listPace*time.Duration(r.set.Routers), r.slack(polling.Silence))
 }
 
 // patience is the longest that a router waits after a call that failed: the list may be there again the moment after the call was
 // made, and it is given up late.
-func (r *Router) patience() time.Duration { return r.slack(asking.CallWithin) }
+func (r *Router) patience() time.Duration { return r.slack(polling.CallWithin) }
 
 // fleet takes it how many routers share the traffic: what is divided by them, or spread over them, is so anew.
 func (r *Router) fleet(n int) {
@@ -360,13 +360,13 @@
 }
 
 // standing is what the cache servers are to the budget of ejections.
-func (r *Router) standing() []ejection.Server {
+func (r *Router) standing() []outlier.Server {
 	r.wants = r.wants[:0]
 	for _, s := range r.servers {
 		if s == r.origin || !s.listed || r.set.OriginKind != "" && s.Kind == r.set.OriginKind {
 			continue
 		}
-		e := ejection.Server{Size: r.size(s), Out: 1 - r.warmth(s), Wants: s.opinion.Wants(), Order: s.hash}
+		e := outlier.Server{Size: r.size(s), Out: 1 - r.warmth(s), Wants: s.opinion.Wants(), Order: s.hash}
 		if s.silent || s.State != Live {
 			e.Out = 1
 		}
@@ -426,7 +426,7 @@
 // hundreds has a fetch every few seconds, and judges by the last few.
 func (g *gauge) age(now Time) {
 	if g.n > 0 && now > g.at {
-		n := tally.Fade(g.n, now-g.at, window, enough, maxAge)
+		n := decay.Fade(g.n, now-g.at, window, enough, maxAge)
 		g.n, g.slow, g.over = n, g.slow*n/g.n, g.over*n/g.n
 	}
 	g.at = now
--- a/internal/flow/flow.go
+++ b/internal/request/flow.go
@@ -1,6 +1,6 @@
 // Package flow holds what a listener and the node say to each other of a request, whatever protocol the
 // listener speaks.
-package flow
+package request
 
 import (
 	"bytes"
--- a/internal/wire/host.go
+++ b/internal/simwire/host.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -7,15 +7,15 @@
 	"fmt"
 	"io"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/config"
+	"shelfproxy/internal/policy"
 )
 
 // Host runs routers over the wire until in ends, one reply line for each batch. Routers share only the
 // server lists that the wire itself sends once for all of them.
 func Host(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
-	routers, banks := map[string]*brain.Router{}, map[int][]brain.Server{}
+	routers, banks := map[string]*policy.Router{}, map[int][]policy.Server{}
 	for line := 1; ; line++ {
 		text, err := r.ReadBytes('\n')
 		if len(text) > 0 {
@@ -38,7 +38,7 @@
 	}
 }
 
-func handle(text []byte, routers map[string]*brain.Router, banks map[int][]brain.Server) ([]byte, error) {
+func handle(text []byte, routers map[string]*policy.Router, banks map[int][]policy.Server) ([]byte, error) {
 	var batch Batch
 	if err := json.Unmarshal(text, &batch); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
@@ -60,8 +60,8 @@
 	return json.Marshal(reply)
 }
 
-func dispatch(m *Message, name string, now brain.Time, routers map[string]*brain.Router,
-	banks map[int][]brain.Server) ([]Output, error) {
+func dispatch(m *Message, name string, now policy.Time, routers map[string]*policy.Router,
+	banks map[int][]policy.Server) ([]Output, error) {
 	switch m.Type {
 	case "":
 		return nil, errors.New("message: field type: missing")
@@ -70,7 +70,7 @@
 		if err != nil {
 			err = fmt.Errorf("CONFIGURE: field setup: %w", err)
 		} else {
-			routers[name], err = brain.New(set.Module, m.Nonce)
+			routers[name], err = policy.New(set.Module, m.Nonce)
 		}
 		if err != nil {
 			return []Output{{Type: "BAIL_OUT", ReasonText: err.Error()}}, nil
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package wire translates between birch-d007, the simulator's lines of JSON, and the types of package brain.
-package wire
+package simwire
 
 import (
 	"encoding/hex"
@@ -8,8 +8,8 @@
 	"fmt"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/config"
+	"shelfproxy/internal/policy"
 )
 
 // Batch is one line of input: what happened at one time.
@@ -61,17 +61,17 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-var scopes = map[string]brain.ListScope{"delta": brain.Changes, "full": brain.Full, "cached": brain.Cached,
-	"failed": brain.Failed}
+var scopes = map[string]policy.ListScope{"delta": policy.Changes, "full": policy.Full, "cached": policy.Cached,
+	"failed": policy.Failed}
 
-var states = map[string]brain.ServerState{"live": brain.Live, "quiescing": brain.Draining, "dead": brain.Dead}
+var states = map[string]policy.ServerState{"live": policy.Live, "quiescing": policy.Draining, "dead": policy.Dead}
 
-var reasons = []brain.Reason{brain.Errored, brain.OK, brain.Rejected, brain.TimedOut, brain.NoConnection,
-	brain.Reset, brain.Cancelled, brain.Moot, brain.Miss}
+var reasons = []policy.Reason{policy.Errored, policy.OK, policy.Rejected, policy.TimedOut, policy.NoConnection,
+	policy.Reset, policy.Cancelled, policy.Moot, policy.Miss}
 
 // ParseServers reads the entries of a CATALOG message.
-func ParseServers(records []Record) ([]brain.Server, error) {
-	servers := make([]brain.Server, len(records))
+func ParseServers(records []Record) ([]policy.Server, error) {
+	servers := make([]policy.Server, len(records))
 	for i, rec := range records {
 		state, err := config.Word(states, "records.health", rec.Health)
 		if err != nil {
@@ -80,7 +80,7 @@
 		if rec.Server == "" {
 			return nil, errors.New("CATALOG: field records.server: empty")
 		}
-		servers[i] = brain.Server{ID: rec.Server, Zone: rec.Site, Kind: rec.Machine, Cell: rec.Cluster,
+		servers[i] = policy.Server{ID: rec.Server, Zone: rec.Site, Kind: rec.Machine, Cell: rec.Cluster,
 			State: state, Units: rec.Units, Started: micros(rec.LastStart)}
 	}
 	return servers, nil
@@ -88,37 +88,37 @@
 
 // Event translates a message into an event of the module. It returns nil for a type it does not know, and
 // takes the servers of an ANNOUNCE from banks.
-func (m *Message) Event(banks map[int][]brain.Server) (brain.Event, error) {
+func (m *Message) Event(banks map[int][]policy.Server) (policy.Event, error) {
 	switch m.Type {
 	case "ASK":
-		return brain.Request{ID: m.ID, Key: m.RouteKey, Class: m.Band, Tenant: m.Billing,
+		return policy.Request{ID: m.ID, Key: m.RouteKey, Class: m.Band, Tenant: m.Billing,
 			Deadline: micros(m.Deadline), Write: m.Update}, nil
 	case "COMPLETED":
 		reason, err := m.reason()
-		return brain.Outcome{ID: m.ID, Attempt: m.SeqNo, Server: m.Server, Reason: reason,
+		return policy.Outcome{ID: m.ID, Attempt: m.SeqNo, Server: m.Server, Reason: reason,
 			Took: micros(m.Delay), Ended: m.Ended}, err
 	case "DEADLINE_HIT":
-		return brain.Timer{Token: m.KeyBack}, nil
+		return policy.Timer{Token: m.KeyBack}, nil
 	case "DROPPED":
-		return brain.Gone{ID: m.ID}, nil
+		return policy.Gone{ID: m.ID}, nil
 	case "MESSAGE":
 		data, err := hex.DecodeString(m.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("MESSAGE: field bytes: %w", err)
 		}
-		return brain.Heard{From: m.SrcPeer, Data: data}, nil
+		return policy.Heard{From: m.SrcPeer, Data: data}, nil
 	case "ESTABLISHED":
-		return brain.Streaming{ID: m.ID, Attempt: m.SeqNo}, nil
+		return policy.Streaming{ID: m.ID, Attempt: m.SeqNo}, nil
 	case "HEALTH":
 		reason, err := m.reason()
-		return brain.Probed{Server: m.Server, Reason: reason}, err
+		return policy.Probed{Server: m.Server, Reason: reason}, err
 	case "ANNOUNCE":
 		scope, err := config.Word(scopes, "scope", m.Scope)
 		if err != nil {
 			return nil, fmt.Errorf("ANNOUNCE: %w", err)
 		}
-		list := brain.List{Scope: scope}
-		if scope != brain.Failed {
+		list := policy.List{Scope: scope}
+		if scope != policy.Failed {
 			servers, ok := banks[m.Bank]
 			if !ok {
 				return nil, fmt.Errorf("ANNOUNCE: field bank: no CATALOG %d", m.Bank)
@@ -130,7 +130,7 @@
 	return nil, nil
 }
 
-func (m *Message) reason() (brain.Reason, error) {
+func (m *Message) reason() (policy.Reason, error) {
 	if m.Reason < 0 || m.Reason >= len(reasons) {
 		return 0, fmt.Errorf("%s: field reason: unknown value %d", m.Type, m.Reason)
 	}
@@ -163,28 +163,28 @@
 }
 
 // Encode translates an action of the module.
-func Encode(a brain.Action) (Output, error) {
+func Encode(a policy.Action) (Output, error) {
 	switch a := a.(type) {
-	case brain.Send:
+	case policy.Send:
 		return Output{Type: "SEND", ID: &a.ID, Server: a.Server}, nil
-	case brain.Refuse:
+	case policy.Refuse:
 		return Output{Type: "SAY_NO", ID: &a.ID, HoldOff: a.RetryAfter.Microseconds()}, nil
-	case brain.Fail:
+	case policy.Fail:
 		return Output{Type: "FAIL", ID: &a.ID}, nil
-	case brain.Cancel:
+	case policy.Cancel:
 		return Output{Type: "REVOKE", ID: &a.ID, SeqNo: &a.Attempt}, nil
-	case brain.Probe:
+	case policy.Probe:
 		return Output{Type: "PROBE", Server: a.Server}, nil
-	case brain.Close:
+	case policy.Close:
 		return Output{Type: "DISCONNECT", Server: a.Server}, nil
-	case brain.SetTimer:
+	case policy.SetTimer:
 		at := a.At.Microseconds()
 		return Output{Type: "TIMER", Time: &at, KeyBack: &a.Token}, nil
-	case brain.Subscribe:
+	case policy.Subscribe:
 		return Output{Type: "SUBSCRIBE", On: true}, nil
-	case brain.Tell: // without a peer it goes to all
+	case policy.Tell: // without a peer it goes to all
 		return Output{Type: "SAY", Bytes: hex.EncodeToString(a.Data)}, nil
-	case brain.Log:
+	case policy.Log:
 		return Output{Type: "RECORD", ReasonText: a.Text}, nil
 	}
 	return Output{}, fmt.Errorf("action %T has no form on the wire", a)
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/supervise/agent/agent.go
+++ b/internal/supervisor/agent/agent.go
@@ -13,15 +13,15 @@
 	"time"
 
 	"shelfproxy/internal/control"
-	"shelfproxy/internal/handover"
+	"shelfproxy/internal/eventloop"
 	"shelfproxy/internal/logs"
-	"shelfproxy/internal/loop"
-	"shelfproxy/internal/supervise"
+	"shelfproxy/internal/supervisor"
+	"shelfproxy/internal/supervisor/handover"
 )
 
 // Options are what an agent is made of.
 type Options struct {
-	Core    supervise.Config
+	Core    supervisor.Config
 	Command func(instance int) (program string, args, env []string) // asked at each start
 	Listen  func(instance int) string                               // where clients come, host and port
 	Log     *slog.Logger
@@ -29,9 +29,9 @@
 
 // Agent is a supervisor with its processes.
 type Agent struct {
-	*loop.Loop[supervise.Event, supervise.Effect]
+	*eventloop.Loop[supervisor.Event, supervisor.Effect]
 	opt     Options
-	core    *supervise.Core
+	core    *supervisor.Core
 	sockets []*os.File // by instance; they outlive all processes
 	running map[int]*os.Process
 	done    chan struct{}
@@ -42,12 +42,12 @@
 
 // New opens the sockets; Serve starts the processes.
 func New(opt Options) (*Agent, error) {
-	core, err := supervise.New(opt.Core)
+	core, err := supervisor.New(opt.Core)
 	if err != nil {
 		return nil, err
 	}
 	a := &Agent{opt: opt, core: core, running: map[int]*os.Process{}, done: make(chan struct{})}
-	a.Loop = loop.New(core, a.do)
+	a.Loop = eventloop.New(core, a.do)
 	for i := range opt.Core.Instances {
 		f, err := handover.ListenFile(opt.Listen(i))
 		if err != nil {
@@ -60,12 +60,12 @@
 
 // Serve keeps the processes running until all were stopped (supervise.Stop).
 func (a *Agent) Serve() {
-	a.Tell(func() { a.Step(supervise.Tick{}) })
-	a.Run(a.done, tick, func() { a.Step(supervise.Tick{}) })
+	a.Tell(func() { a.Step(supervisor.Tick{}) })
+	a.Run(a.done, tick, func() { a.Step(supervisor.Tick{}) })
 }
 
 // tell has the core take an event that must not be lost, however far the loop is behind.
-func (a *Agent) tell(ev supervise.Event) {
+func (a *Agent) tell(ev supervisor.Event) {
 	for !a.Post(ev) {
 		select {
 		case <-a.done:
@@ -84,33 +84,33 @@
 	})
 }
 
-func (a *Agent) do(e supervise.Effect) {
+func (a *Agent) do(e supervisor.Effect) {
 	switch e := e.(type) {
-	case supervise.Start:
+	case supervisor.Start:
 		a.start(e)
-	case supervise.Term:
+	case supervisor.Term:
 		if p := a.running[e.Process]; p != nil && e.Replaced {
 			p.Signal(handover.Replaced)
 		} else if p != nil {
 			p.Signal(syscall.SIGTERM)
 		}
-	case supervise.Kill:
+	case supervisor.Kill:
 		if p := a.running[e.Process]; p != nil {
 			p.Kill()
 		}
-	case supervise.Done:
+	case supervisor.Done:
 		close(a.done)
-	case supervise.Note:
+	case supervisor.Note:
 		level := slog.LevelInfo
 		switch e.Kind {
-		case supervise.Crashed, supervise.NotReady, supervise.Overdue, supervise.Halted, supervise.BadAnswer, supervise.Hangs:
+		case supervisor.Crashed, supervisor.NotReady, supervisor.Overdue, supervisor.Halted, supervisor.BadAnswer, supervisor.Hangs:
 			level = slog.LevelWarn
 		}
 		attrs := []slog.Attr{slog.String(logs.Event, "instance_"+e.Kind.String())}
 		if e.Instance >= 0 {
 			attrs = append(attrs, slog.Int("instance", e.Instance), slog.Int("process", e.Process))
 		}
-		if e.Kind == supervise.Waits {
+		if e.Kind == supervisor.Waits {
 			attrs = append(attrs, slog.Duration("wait", e.Wait))
 		}
 		a.opt.Log.LogAttrs(context.Background(), level, "supervised processes", attrs...)
@@ -118,7 +118,7 @@
 }
 
 // start starts a process. One that cannot be started has ended.
-func (a *Agent) start(e supervise.Start) {
+func (a *Agent) start(e supervisor.Start) {
 	program, args, env := a.opt.Command(e.Instance)
 	child, err := handover.NewChild(a.sockets[e.Instance])
 	if err == nil {
@@ -135,17 +135,17 @@
 		child.Drop()
 	}
 	a.opt.Log.Error("a process cannot be started", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
-	go a.tell(supervise.Exited{Process: e.Process})
+	go a.tell(supervisor.Exited{Process: e.Process})
 }
 
 // follow hands over what a process says, and its end.
-func (a *Agent) follow(e supervise.Start, cmd *exec.Cmd, child *handover.Child) {
+func (a *Agent) follow(e supervisor.Start, cmd *exec.Cmd, child *handover.Child) {
 	heard := make(chan struct{})
 	go func() {
 		defer close(heard)
-		err := child.Listen(func() { a.tell(supervise.Ready{Process: e.Process}) },
+		err := child.Listen(func() { a.tell(supervisor.Ready{Process: e.Process}) },
 			func(answers, failed int) {
-				a.Post(supervise.Served{Process: e.Process, Answers: answers, Failed: failed})
+				a.Post(supervisor.Served{Process: e.Process, Answers: answers, Failed: failed})
 			})
 		if errors.Is(err, handover.ErrNonsense) {
 			a.opt.Log.Warn("a process said what makes no sense", logs.Event, "instance_nonsense", "instance", e.Instance, "process", e.Process)
@@ -159,7 +159,7 @@
 	a.opt.Log.Info("a process ended", logs.Event, "instance_exit", "instance", e.Instance, "process", e.Process, "pid", cmd.Process.Pid,
 		"state", cmd.ProcessState.String())
 	a.Tell(func() { delete(a.running, e.Process) })
-	a.tell(supervise.Exited{Process: e.Process, Clean: err == nil})
+	a.tell(supervisor.Exited{Process: e.Process, Clean: err == nil})
 }
 
 // Overview is what operators see.
@@ -170,7 +170,7 @@
 
 // Instance is one of them, with the number of the process that the system knows.
 type Instance struct {
-	supervise.Status
+	supervisor.Status
 	PID    int    `json:"pid"`
 	Listen string `json:"listen"`
 }
@@ -180,7 +180,7 @@
 	look := func(url.Values) (any, error) {
 		var o Overview
 		if a.Ask(func() {
-			var all []supervise.Status
+			var all []supervisor.Status
 			all, o.Halted = a.core.Statuses(a.Now())
 			for _, st := range all {
 				in := Instance{Status: st, Listen: a.opt.Listen(st.Instance)}
@@ -195,7 +195,7 @@
 		return o, nil
 	}
 	s.Look("instances", look)
-	steer := func(name string, event func(url.Values) (supervise.Event, error)) {
+	steer := func(name string, event func(url.Values) (supervisor.Event, error)) {
 		s.Steer(name, func(q url.Values) (any, error) {
 			ev, err := event(q)
 			if err != nil {
@@ -207,20 +207,20 @@
 			return look(nil)
 		})
 	}
-	plain := func(ev supervise.Event) func(url.Values) (supervise.Event, error) {
-		return func(url.Values) (supervise.Event, error) { return ev, nil }
+	plain := func(ev supervisor.Event) func(url.Values) (supervisor.Event, error) {
+		return func(url.Values) (supervisor.Event, error) { return ev, nil }
 	}
-	steer("halt", plain(supervise.Halt{}))
-	steer("resume", plain(supervise.Resume{}))
-	steer("stop", plain(supervise.Stop{}))
-	steer("replace", func(q url.Values) (supervise.Event, error) {
+	steer("halt", plain(supervisor.Halt{}))
+	steer("resume", plain(supervisor.Resume{}))
+	steer("stop", plain(supervisor.Stop{}))
+	steer("replace", func(q url.Values) (supervisor.Event, error) {
 		if !q.Has("instance") {
-			return supervise.Roll{}, nil
+			return supervisor.Roll{}, nil
 		}
 		n, err := strconv.Atoi(q.Get("instance"))
 		if err != nil || n < 0 || n >= a.opt.Core.Instances {
 			return nil, errors.New("instance: there is none of that number")
 		}
-		return supervise.Restart{Instance: n}, nil
+		return supervisor.Restart{Instance: n}, nil
 	})
 }
--- a/internal/supervise/core.go
+++ b/internal/supervisor/core.go
@@ -2,7 +2,7 @@
 // without a moment in which one does not serve: a successor is started beside the process it replaces, which is told to end once
 // the successor is ready. The core has no clock, no processes and no I/O: it takes (now, event) and returns effects. See
 // docs/supervise.md.
-package supervise
+package supervisor
 
 import (
 	"errors"
--- a/internal/supervise/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -1,4 +1,4 @@
-package supervise
+package supervisor
 
 import (
 	"encoding/json"
--- a/internal/lab/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -20,9 +20,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/load"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/scenario"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/scenario"
+	"shelfproxy/internal/testbed/workload"
 )
 
 // Node is a node as clients see it. Each of its functions may be called at any time; one that is nil says that nothing
@@ -41,7 +41,7 @@
 	// Taken: the last byte of a request is about to be written to a node; wait is how long its client waits from now.
 	Taken(id, class string, node int, wait time.Duration)
 	// Answered: the last byte of a final answer was read.
-	Answered(id string, kind rules.Final, value []byte)
+	Answered(id string, kind invariants.Final, value []byte)
 	// Ended: the node ended the connection with the answer owed, and may, if unread, never have read the request.
 	Ended(id string, unread bool)
 }
@@ -54,9 +54,9 @@
 	// next request when it has the last answer. It is there to show what that hides.
 	Closed int
 	// Source, if set, gives out what is due in place of the plan's schedule; classes and nodes are the plan's.
-	Source func() (load.Arrival, bool)
+	Source func() (workload.Arrival, bool)
 	// Record, if set, gets every request as it is taken in hand.
-	Record func(load.Arrival)
+	Record func(workload.Arrival)
 	// Most bounds the requests that are out at a time; one more makes the run invalid. 0 is 50,000.
 	Most int
 }
@@ -125,7 +125,7 @@
 func (l *Load) requests() func() (request, bool) {
 	source := l.opt.Source
 	if source == nil {
-		source = load.New(l.plan.Load).Next
+		source = workload.New(l.plan.Load).Next
 	}
 	run := strconv.FormatUint(rand.Uint64()>>32, 16)
 	n := 0
@@ -192,7 +192,7 @@
 }
 
 type request struct {
-	load.Arrival
+	workload.Arrival
 	id string
 }
 
@@ -263,7 +263,7 @@
 	sent := time.Now()
 	c.SetDeadline(sent.Add(class.Deadline.D() + l.plan.Rules.Grace.D() + 500*time.Millisecond))
 	_, err = c.Write(q.words(class))
-	var kind rules.Final
+	var kind invariants.Final
 	var value []byte
 	if err == nil {
 		kind, value, err = c.answer()
@@ -282,7 +282,7 @@
 	l.idle[n] = append(l.idle[n], c)
 	k := &l.classes[q.Class]
 	switch kind {
-	case rules.Served:
+	case invariants.Served:
 		k.Served++
 		if took <= class.Aim.D() {
 			k.InAim++
@@ -290,9 +290,9 @@
 		record(k.Latency, took)
 		record(k.Service, service)
 		l.gen.served(q.Due, took)
-	case rules.Refused:
+	case invariants.Refused:
 		k.Refused++
-	case rules.Failed:
+	case invariants.Failed:
 		k.Failed++
 	}
 	return true
@@ -379,7 +379,7 @@
 }
 
 // answer reads one answer.
-func (c *conn) answer() (rules.Final, []byte, error) {
+func (c *conn) answer() (invariants.Final, []byte, error) {
 	line, err := c.rd.ReadString('\n')
 	if err != nil {
 		return 0, nil, err
@@ -388,7 +388,7 @@
 	if strings.HasPrefix(line, "*") { // an array that begins with the value
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 1 {
-			return rules.Failed, nil, err
+			return invariants.Failed, nil, err
 		}
 		kind, value, err := c.answer()
 		for range n - 1 {
@@ -400,7 +400,7 @@
 	}
 	switch {
 	case line == "$-1":
-		return rules.Failed, nil, nil
+		return invariants.Failed, nil, nil
 	case strings.HasPrefix(line, "$"):
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 0 || n > 1<<20 {
@@ -410,11 +410,11 @@
 		if _, err := io.ReadFull(c.rd, b); err != nil {
 			return 0, nil, err
 		}
-		return rules.Served, b[:n], nil
+		return invariants.Served, b[:n], nil
 	case strings.HasPrefix(line, "-BUSY"):
-		return rules.Refused, nil, nil
+		return invariants.Refused, nil, nil
 	}
-	return rules.Failed, nil, nil
+	return invariants.Failed, nil, nil
 }
 
 // Classes is what the load came to so far.
--- a/internal/lab/clients/clients_test.go
+++ b/internal/testbed/clients/clients_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/scenario"
+	"shelfproxy/internal/testbed/scenario"
 )
 
 // server answers every command after 2 ms with a value, but for a stall, in which it answers nothing.
--- a/internal/lab/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -14,14 +14,14 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"shelfproxy/internal/lab/clients"
-	"shelfproxy/internal/lab/emulate"
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/nodes"
-	"shelfproxy/internal/lab/relay"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/scenario"
-	"shelfproxy/internal/lab/wording"
+	"shelfproxy/internal/testbed/clients"
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/faultproxy"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/nodes"
+	"shelfproxy/internal/testbed/scenario"
+	"shelfproxy/internal/testbed/wireformat"
 )
 
 // Options say what is played and how.
@@ -40,20 +40,20 @@
 }
 
 // watcher tells the rules of the emulator what clients see.
-type watcher struct{ em *emulate.Emulator }
+type watcher struct{ em *emulator.Emulator }
 
 func (w watcher) Taken(id, class string, node int, wait time.Duration) {
 	due := w.em.Now() + wait
-	w.em.Tell(func(now time.Duration, check *rules.Checker) { check.Taken(now, id, class, node, due) })
+	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.Taken(now, id, class, node, due) })
 }
 
-func (w watcher) Answered(id string, kind rules.Final, value []byte) {
-	madeFor := wording.MadeFor(value)
-	w.em.Tell(func(now time.Duration, check *rules.Checker) { check.Answered(now, id, kind, madeFor) })
+func (w watcher) Answered(id string, kind invariants.Final, value []byte) {
+	madeFor := wireformat.MadeFor(value)
+	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.Answered(now, id, kind, madeFor) })
 }
 
 func (w watcher) Ended(id string, unread bool) {
-	w.em.Tell(func(now time.Duration, check *rules.Checker) { check.Ended(now, id, unread) })
+	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.Ended(now, id, unread) })
 }
 
 // NodeResult is what a node used.
@@ -68,7 +68,7 @@
 	Interrupted bool
 	Classes     []clients.Class
 	Generator   clients.Generator
-	Summary     emulate.Summary
+	Summary     emulator.Summary
 	Nodes       []NodeResult
 	Took        time.Duration
 	Ends        []error // nodes that did not end as they should have
@@ -86,7 +86,7 @@
 
 // place is where a node's process of the moment is; a restart puts another there.
 type place struct {
-	emulate.NodeConfig
+	emulator.NodeConfig
 	mu   sync.Mutex
 	proc *nodes.Process
 	used atomic.Bool
@@ -111,15 +111,15 @@
 			return nil, err
 		}
 	}
-	var between *relay.Relay
+	var between *faultproxy.Relay
 	if opt.Roll != nil {
 		var err error
-		if between, err = relay.New(len(opt.Plan.Spec.Nodes), opt.Roll.Faults, opt.Plan.Seed); err != nil {
+		if between, err = faultproxy.New(len(opt.Plan.Spec.Nodes), opt.Roll.Faults, opt.Plan.Seed); err != nil {
 			return nil, err
 		}
 		defer between.Close()
 	}
-	em, err := emulate.New(opt.Plan, emulate.Options{Log: opt.Log, Peers: peersOf(between)})
+	em, err := emulator.New(opt.Plan, emulator.Options{Log: opt.Log, Peers: peersOf(between)})
 	if err != nil {
 		return nil, err
 	}
@@ -202,7 +202,7 @@
 	}
 	r.Ends = append(r.Ends, stopAll(places)...)
 	// What was taken in the last moment shows by its deadline, when the clients have given up on it.
-	em.Do(func(now time.Duration, _ *model.Portal, check *rules.Checker) { check.Tick(now) })
+	em.Do(func(now time.Duration, _ *model.Portal, check *invariants.Checker) { check.Tick(now) })
 	r.Classes, r.Generator = load.Classes(), load.Generator()
 	r.Summary = em.Summary()
 	r.Took = time.Since(began)
@@ -244,7 +244,7 @@
 
 // restart restarts every node in turn, evenly over the load: SIGTERM, a moment later the front no longer hands out
 // connections to it, and a new process in its place.
-func restart(ctx context.Context, opt Options, em *emulate.Emulator, places []*place, program string, done <-chan struct{}) error {
+func restart(ctx context.Context, opt Options, em *emulator.Emulator, places []*place, program string, done <-chan struct{}) error {
 	gap := opt.Plan.Length / time.Duration(opt.Restarts*len(places)+1)
 	for range opt.Restarts {
 		for _, p := range places {
@@ -261,7 +261,7 @@
 			if err := old.Stop(stopWithin); err != nil {
 				return err
 			}
-			em.Tell(func(_ time.Duration, check *rules.Checker) { check.Restarted(p.Number) })
+			em.Tell(func(_ time.Duration, check *invariants.Checker) { check.Restarted(p.Number) })
 			if err := em.WriteConfig(p.NodeConfig); err != nil {
 				return err
 			}
@@ -281,7 +281,7 @@
 
 // TempDir makes a folder for a run.
 func TempDir() (string, error) {
-	dir, err := os.MkdirTemp("", "shelflab")
+	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return "", fmt.Errorf("no folder for the run: %w", err)
 	}
--- a/internal/lab/demo/roll.go
+++ b/internal/testbed/demo/roll.go
@@ -14,16 +14,16 @@
 	"syscall"
 	"time"
 
-	"shelfproxy/internal/lab/emulate"
-	"shelfproxy/internal/lab/relay"
-	"shelfproxy/internal/lab/rules"
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/faultproxy"
+	"shelfproxy/internal/testbed/invariants"
 )
 
 // Roll has the whole fleet go to another release by its own agreement, under the load, while the datagrams between its nodes
 // meet faults.
 type Roll struct {
 	Budget int // nodes out at once
-	Faults relay.Faults
+	Faults faultproxy.Faults
 	Stall  time.Duration // the first node that may go is stopped for so long at that moment
 	After  time.Duration // into the load
 }
@@ -45,16 +45,16 @@
 // rolling is a roll that goes on.
 type rolling struct {
 	opt    Options
-	em     *emulate.Emulator
+	em     *emulator.Emulator
 	places []*place
-	relay  *relay.Relay
+	relay  *faultproxy.Relay
 	result RollResult
 	out    []time.Time // when a node went, by its number; zero while it is in
 	on     []string    // release that its process was started with
 	seen   []int64     // of its log
 }
 
-func newRolling(opt Options, em *emulate.Emulator, net *relay.Relay) *rolling {
+func newRolling(opt Options, em *emulator.Emulator, net *faultproxy.Relay) *rolling {
 	n := len(opt.Plan.Spec.Nodes)
 	r := &rolling{opt: opt, em: em, relay: net, out: make([]time.Time, n), on: make([]string, n), seen: make([]int64, n)}
 	for i := range r.on {
@@ -64,7 +64,7 @@
 }
 
 // peers is what the emulator's configurations say of the other nodes.
-func peersOf(net *relay.Relay) func(int) (string, []string, string) {
+func peersOf(net *faultproxy.Relay) func(int) (string, []string, string) {
 	if net == nil {
 		return nil
 	}
@@ -193,7 +193,7 @@
 	}
 	p.used.Store(false)
 	p.cpu += p.process().Usage().CPU
-	r.em.Tell(func(_ time.Duration, check *rules.Checker) { check.Restarted(p.Number) })
+	r.em.Tell(func(_ time.Duration, check *invariants.Checker) { check.Restarted(p.Number) })
 	if err := r.em.WriteConfig(p.NodeConfig); err != nil {
 		return err
 	}
--- a/internal/lab/demo/show.go
+++ b/internal/testbed/demo/show.go
@@ -9,16 +9,16 @@
 
 	"github.com/olekukonko/tablewriter"
 
-	"shelfproxy/internal/lab/clients"
-	"shelfproxy/internal/lab/emulate"
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/rules"
+	"shelfproxy/internal/testbed/clients"
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
 )
 
 const syscallTerm = syscall.SIGTERM
 
 // watch shows the run while it goes on: a table in place on a terminal, else a line now and then.
-func watch(opt Options, em *emulate.Emulator, load *clients.Load, done <-chan struct{}) {
+func watch(opt Options, em *emulator.Emulator, load *clients.Load, done <-chan struct{}) {
 	tick := time.NewTicker(opt.Every)
 	defer tick.Stop()
 	drawn := 0
@@ -31,7 +31,7 @@
 		var now time.Duration
 		var servers []model.ServerState
 		var broken int
-		if !em.Do(func(t time.Duration, p *model.Portal, c *rules.Checker) {
+		if !em.Do(func(t time.Duration, p *model.Portal, c *invariants.Checker) {
 			now, servers, broken = t, p.Servers(), len(c.Broken())
 		}) {
 			return
--- a/internal/lab/emulate/configs.go
+++ b/internal/testbed/emulator/configs.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"time"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/rules"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
 )
 
 // NodeConfig is where a node is to listen and the file that tells it so, in the form of LB_CONFIG.
@@ -58,7 +58,7 @@
 // restart.
 func (e *Emulator) WriteConfig(c NodeConfig) error {
 	var known json.RawMessage
-	if !e.Do(func(_ time.Duration, p *model.Portal, check *rules.Checker) {
+	if !e.Do(func(_ time.Duration, p *model.Portal, check *invariants.Checker) {
 		l := p.List()
 		for _, s := range l.Entries {
 			check.Knows(c.Number, s.ID, s.Started)
--- a/internal/lab/emulate/conn.go
+++ b/internal/testbed/emulator/conn.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/wording"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/wireformat"
 )
 
 // conn is a connection from a node to a box or the origin. One goroutine reads requests, another writes answers in
@@ -134,7 +134,7 @@
 func (c *conn) takeRESP(cmd redcon.Command) bool {
 	switch name := strings.ToUpper(string(cmd.Args[0])); name {
 	case "CACHE.GET", "CACHE.SET":
-		q, why := wording.Request(c.e.classes, name == "CACHE.SET", cmd.Args)
+		q, why := wireformat.Request(c.e.classes, name == "CACHE.SET", cmd.Args)
 		if why != "" {
 			c.e.malformed(c, why)
 			return c.say(redcon.AppendError(nil, "SYNTAX "+why), false)
@@ -227,9 +227,9 @@
 	for _, s := range c.slots {
 		if s.seq == a.Seq {
 			if s.http {
-				s.out, s.last = wording.HTTP(s.id, a)
+				s.out, s.last = wireformat.HTTP(s.id, a)
 			} else {
-				s.out = wording.RESP(s.id, a)
+				s.out = wireformat.RESP(s.id, a)
 			}
 			s.ready, s.spoilt = true, a.Spoilt
 			c.ready.Broadcast()
@@ -291,11 +291,11 @@
 		if err != nil {
 			if _, broken := err.(net.Error); !broken && err != io.EOF && err != io.ErrUnexpectedEOF {
 				c.e.malformed(c, err.Error())
-				c.say(wording.Text("400 Bad Request", "", "", true), true)
+				c.say(wireformat.Text("400 Bad Request", "", "", true), true)
 			}
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, wording.MaxValue+1))
+		body, err := io.ReadAll(io.LimitReader(req.Body, wireformat.MaxValue+1))
 		if err != nil {
 			return
 		}
@@ -313,16 +313,16 @@
 	case path == "/metrics/load" && req.Method == http.MethodGet:
 		return c.probe(true, true)
 	case req.Method != http.MethodGet && req.Method != http.MethodPut:
-		return c.say(wording.Text("405 Method Not Allowed", "", "", false), false)
+		return c.say(wireformat.Text("405 Method Not Allowed", "", "", false), false)
 	}
 	args := [][]byte{nil, []byte(strings.TrimPrefix(path, "/")), []byte(req.Header.Get("X-Request-Id")), []byte(req.Header.Get("X-Extras"))}
 	if req.Method == http.MethodPut {
 		args = append(args, body)
 	}
-	q, why := wording.Request(c.e.classes, req.Method == http.MethodPut, args)
+	q, why := wireformat.Request(c.e.classes, req.Method == http.MethodPut, args)
 	if why != "" {
 		c.e.malformed(c, why)
-		return c.say(wording.Text("400 Bad Request", "", why, false), false)
+		return c.say(wireformat.Text("400 Bad Request", "", why, false), false)
 	}
 	return c.attempt(q, true)
 }
--- a/internal/lab/emulate/discovery.go
+++ b/internal/testbed/emulator/discovery.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"net"
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/wording"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/wireformat"
 )
 
 // discovery is the discovery service as one node reaches it. All of them tell of one roster.
@@ -52,7 +52,7 @@
 
 // wire words a list as a node is told it.
 func (e *Emulator) wire(l model.List, node int) []byte {
-	return wording.List(l, func(slot int) string { return e.addr(slot, node) },
+	return wireformat.List(l, func(slot int) string { return e.addr(slot, node) },
 		func(at time.Duration) int64 { return e.start.Add(at).UnixMilli() })
 }
 
--- a/internal/lab/emulate/door.go
+++ b/internal/testbed/emulator/door.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
 )
 
 // door is the address of one slot for one node. It keeps its port for as long as the emulator runs, whatever becomes
--- a/internal/lab/emulate/emulate.go
+++ b/internal/testbed/emulator/emulate.go
@@ -5,7 +5,7 @@
 //
 // One goroutine, the loop, owns the model and the rules. Connections reach it through a bounded queue and wait while
 // it is full.
-package emulate
+package emulator
 
 import (
 	"errors"
@@ -18,10 +18,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/scenario"
 	"shelfproxy/internal/logs"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/scenario"
 )
 
 // Options say how a plan is played.
@@ -58,7 +58,7 @@
 
 	// The loop's.
 	portal  *model.Portal
-	check   *rules.Checker
+	check   *invariants.Checker
 	conns   map[model.ConnID]*conn
 	calls   map[uint64]*call
 	origins map[int]bool // slots at which the origin is
@@ -81,12 +81,12 @@
 		queue: make(chan func(time.Duration), queueLength), stop: make(chan struct{}), ended: make(chan struct{}),
 		conns: map[model.ConnID]*conn{}, calls: map[uint64]*call{}, origins: map[int]bool{}, doors: map[doorKey]*door{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
-	var classes []rules.Class
+	var classes []invariants.Class
 	for _, c := range plan.Class {
 		e.classes[c.Name] = c
-		classes = append(classes, rules.Class{Name: c.Name, Effect: rules.Effects[c.Effect], Window: c.Window.D()})
+		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.Window.D()})
 	}
-	e.check = rules.New(classes, rules.Figures{DrainWithin: plan.Rules.DrainWithin.D(), ToldWithin: plan.Rules.ToldWithin.D(),
+	e.check = invariants.New(classes, invariants.Figures{DrainWithin: plan.Rules.DrainWithin.D(), ToldWithin: plan.Rules.ToldWithin.D(),
 		Grace: plan.Rules.Grace.D()})
 	e.portal = model.New(plan.Spec)
 	e.portal.Trace = opt.Trace
@@ -156,7 +156,7 @@
 }
 
 // Do runs f in the loop and waits for it.
-func (e *Emulator) Do(f func(now time.Duration, portal *model.Portal, check *rules.Checker)) bool {
+func (e *Emulator) Do(f func(now time.Duration, portal *model.Portal, check *invariants.Checker)) bool {
 	done := make(chan struct{})
 	if !e.post(func(now time.Duration) { f(now, e.portal, e.check); close(done) }) {
 		return false
@@ -170,7 +170,7 @@
 }
 
 // Tell tells the rules something without waiting for it.
-func (e *Emulator) Tell(f func(now time.Duration, check *rules.Checker)) {
+func (e *Emulator) Tell(f func(now time.Duration, check *invariants.Checker)) {
 	e.post(func(now time.Duration) { f(now, e.check) })
 }
 
@@ -236,9 +236,9 @@
 			}
 		case model.Answer:
 			if ef.Request != "" {
-				proof := rules.MayHaveRun
+				proof := invariants.MayHaveRun
 				if ef.Outcome == model.Turned || ef.Outcome == model.Miss {
-					proof = rules.NeverRan
+					proof = invariants.NeverRan
 				}
 				whole := ef.Spoilt == model.Sound || ef.Spoilt >= model.SpoiltTwice
 				value := whole && (ef.Outcome == model.Hit || ef.Outcome == model.Written)
@@ -299,20 +299,20 @@
 	Length                                                  time.Duration
 	Connections, Requests, Probes, Malformed, Spoilt, Calls int64
 	Events                                                  uint64 // hash of the model's event log
-	Rules                                                   rules.Counts
-	Broken                                                  []rules.Violation
+	Rules                                                   invariants.Counts
+	Broken                                                  []invariants.Violation
 	LateP50, LateP99, LateMax                               time.Duration // of the loop against what was due
 }
 
 // Summary is what the run came to so far.
 func (e *Emulator) Summary() Summary {
 	var s Summary
-	e.Do(func(now time.Duration, p *model.Portal, check *rules.Checker) {
+	e.Do(func(now time.Duration, p *model.Portal, check *invariants.Checker) {
 		us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 		s = Summary{Length: now, Connections: e.stats.Connections.Load(), Requests: e.stats.Requests.Load(),
 			Probes: e.stats.Probes.Load(), Malformed: e.stats.Malformed.Load(), Spoilt: e.stats.Spoilt.Load(),
 			Calls: e.stats.Calls.Load(), Events: p.Hash(), Rules: check.Counts(),
-			Broken: append([]rules.Violation(nil), check.Broken()...), LateP50: us(e.late.ValueAtQuantile(50)),
+			Broken: append([]invariants.Violation(nil), check.Broken()...), LateP50: us(e.late.ValueAtQuantile(50)),
 			LateP99: us(e.late.ValueAtQuantile(99)), LateMax: us(e.late.Max())}
 	})
 	return s
--- a/internal/lab/emulate/emulate_test.go
+++ b/internal/testbed/emulator/emulate_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/scenario"
-	"shelfproxy/internal/lab/wording"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/scenario"
+	"shelfproxy/internal/testbed/wireformat"
 )
 
 // patience is generous: it only bounds how long a failing test takes.
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	body, _ := io.ReadAll(resp.Body)
-	if resp.StatusCode != 200 || wording.MadeFor(body) != "id1" || !strings.Contains(resp.Header.Get("X-Load"), "inflight=") {
+	if resp.StatusCode != 200 || wireformat.MadeFor(body) != "id1" || !strings.Contains(resp.Header.Get("X-Load"), "inflight=") {
 		t.Errorf("the origin answers %d %v %.40q", resp.StatusCode, resp.Header, body)
 	}
 	box.send("CACHE.GET", "k", "id2", "c=read,d=900")
@@ -203,7 +203,7 @@
 		t.Fatalf("the write: %v %v", resp, err)
 	}
 	body, _ = io.ReadAll(resp.Body)
-	if wording.MadeFor(body) != "id3" {
+	if wireformat.MadeFor(body) != "id3" {
 		t.Errorf("the receipt is %q", body)
 	}
 	box.send("CACHE.GET", "k", "id4", "c=read,d=900")
@@ -367,7 +367,7 @@
 		t.Errorf("the successor is %+v, want it at %s", in, r.list.Instances[1].Addr)
 	}
 	broken := r.e.Summary().Broken
-	if len(broken) != 1 || broken[0].Rule != rules.Drained || !strings.Contains(broken[0].Text, "late was sent to box-0") {
+	if len(broken) != 1 || broken[0].Rule != invariants.Drained || !strings.Contains(broken[0].Text, "late was sent to box-0") {
 		t.Errorf("rules broken: %v", broken)
 	}
 }
@@ -400,8 +400,8 @@
 	seen := map[string]model.SpoiltKind{}
 	for k := model.Sound; k <= model.SpoiltReport; k++ {
 		a.Spoilt = k
-		h, _ := wording.HTTP("id", a)
-		for form, text := range map[string]string{"RESP": string(wording.RESP("id", a)), "HTTP": string(h)} {
+		h, _ := wireformat.HTTP("id", a)
+		for form, text := range map[string]string{"RESP": string(wireformat.RESP("id", a)), "HTTP": string(h)} {
 			if other, ok := seen[form+text]; ok {
 				t.Errorf("%s: kinds %d and %d are the same", form, k, other)
 			}
@@ -462,7 +462,7 @@
 		b.Fatal(err)
 	}
 	var l list
-	e.Do(func(_ time.Duration, p *model.Portal, _ *rules.Checker) { json.Unmarshal(e.wire(p.List(), 0), &l) })
+	e.Do(func(_ time.Duration, p *model.Portal, _ *invariants.Checker) { json.Unmarshal(e.wire(p.List(), 0), &l) })
 	cpu := func() time.Duration {
 		var u syscall.Rusage
 		syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/lab/relay/relay.go
+++ b/internal/testbed/faultproxy/relay.go
@@ -1,7 +1,7 @@
 // Package relay stands between the nodes of a fleet and does to their datagrams what networks do: it loses, delays,
 // doubles, garbles and reorders them, and cuts pairs of nodes off from each other. Each node sees every other one under
 // an address of that pair alone, as the platform has it, so nothing gets past the relay.
-package relay
+package faultproxy
 
 import (
 	"fmt"
--- a/internal/lab/rules/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -5,7 +5,7 @@
 // reached the rig is not held against them.
 //
 // A Checker belongs to one goroutine. What it remembers of a request it forgets some seconds after its deadline.
-package rules
+package invariants
 
 import (
 	"fmt"
--- a/internal/lab/rules/rules_test.go
+++ b/internal/testbed/invariants/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"strings"
--- a/internal/lab/overhead/overhead.go
+++ b/internal/testbed/overhead/overhead.go
@@ -21,8 +21,8 @@
 	"github.com/olekukonko/tablewriter"
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/clients"
-	"shelfproxy/internal/lab/nodes"
+	"shelfproxy/internal/testbed/clients"
+	"shelfproxy/internal/testbed/nodes"
 )
 
 // Options say how it is measured.
--- a/internal/lab/scenario/plan.go
+++ b/internal/testbed/scenario/plan.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"shelfproxy/internal/lab/load"
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/workload"
 )
 
 // Plan is a scenario of which a seed has drawn every figure.
@@ -21,7 +21,7 @@
 	Rules  Rules
 	Class  []Class
 	Zones  []string
-	Load   load.Spec
+	Load   workload.Spec
 }
 
 // Draw draws the figures. Each part has a stream of its own, so adding a fault does not move the boxes.
@@ -81,22 +81,22 @@
 // drawLoad draws what clients ask for.
 func (s *Scenario) drawLoad(p *Plan, stream func(string) *rand.Rand) {
 	r := stream("load")
-	p.Load = load.Spec{Seed: p.Seed, Length: p.Length, Uniform: s.Load.Uniform,
-		Shapes: []load.Shape{{Kind: load.Steady, Rate: s.Load.Rate.Draw(r)}}, Keys: s.Keys.Count.Int(r), Skew: s.Keys.Skew.Draw(r),
+	p.Load = workload.Spec{Seed: p.Seed, Length: p.Length, Uniform: s.Load.Uniform,
+		Shapes: []workload.Shape{{Kind: workload.Steady, Rate: s.Load.Rate.Draw(r)}}, Keys: s.Keys.Count.Int(r), Skew: s.Keys.Skew.Draw(r),
 		Offset: s.Keys.Offset.Draw(r), Drift: s.Keys.Drift.D()}
 	for i, sh := range s.Load.Shape {
 		r := stream(fmt.Sprintf("load/shape/%d", i))
-		kind, _ := load.ShapeOf(sh.Kind) // checked as it was read
-		p.Load.Shapes = append(p.Load.Shapes, load.Shape{Kind: kind, Rate: sh.Rate.Draw(r), At: sh.At.Draw(r), For: sh.For.Draw(r),
+		kind, _ := workload.ShapeOf(sh.Kind) // checked as it was read
+		p.Load.Shapes = append(p.Load.Shapes, workload.Shape{Kind: kind, Rate: sh.Rate.Draw(r), At: sh.At.Draw(r), For: sh.For.Draw(r),
 			Period: sh.Period.D(), Class: sh.Class})
 	}
 	for i, h := range s.Load.Heat {
 		r := stream(fmt.Sprintf("load/heat/%d", i))
-		p.Load.Heats = append(p.Load.Heats, load.Heat{Share: h.Share.Draw(r), Keys: h.Keys, At: h.At.Draw(r), For: h.For.Draw(r),
+		p.Load.Heats = append(p.Load.Heats, workload.Heat{Share: h.Share.Draw(r), Keys: h.Keys, At: h.At.Draw(r), For: h.For.Draw(r),
 			Move: h.Move.D()})
 	}
 	for _, c := range s.Class {
-		p.Load.Classes = append(p.Load.Classes, load.Class{Name: c.Name, Share: c.Share, Keyed: c.Effect == "deduplicated",
+		p.Load.Classes = append(p.Load.Classes, workload.Class{Name: c.Name, Share: c.Share, Keyed: c.Effect == "deduplicated",
 			BytesLeast: int(c.Bytes.Least), BytesMost: int(c.Bytes.Most)})
 	}
 }
--- a/internal/lab/scenario/ranges.go
+++ b/internal/testbed/scenario/ranges.go
@@ -8,7 +8,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
 	"shelfproxy/internal/tomlfile"
 )
 
--- a/internal/lab/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"shelfproxy/internal/lab/load"
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/workload"
 	"shelfproxy/internal/tomlfile"
 )
 
@@ -371,13 +371,13 @@
 	}
 	for i, sh := range s.Load.Shape {
 		at := func(f string) string { return fmt.Sprintf("load.shape[%d].%s", i, f) }
-		kind, err := load.ShapeOf(sh.Kind)
+		kind, err := workload.ShapeOf(sh.Kind)
 		switch {
 		case err != nil:
 			return bad(at("kind"), "%v", err)
 		case !sh.Rate.in(0, mostRate):
 			return bad(at("rate"), "must be from 0 to %d", mostRate)
-		case (kind == load.Sine || kind == load.Burst) && sh.Period < tomlfile.Duration(10*time.Millisecond):
+		case (kind == workload.Sine || kind == workload.Burst) && sh.Period < tomlfile.Duration(10*time.Millisecond):
 			return bad(at("period"), "a shape of the kind %s needs one of 10ms or more", sh.Kind)
 		case sh.Class != "" && !slices.ContainsFunc(s.Class, func(c Class) bool { return c.Name == sh.Class }):
 			return bad(at("class"), "there is no class %q", sh.Class)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
 )
 
 func read(t *testing.T, text string) (*Scenario, error) {
@@ -47,7 +47,7 @@
 
 // Every scenario that is shipped is good, and a seed draws the same plan from it each time.
 func TestShippedScenarios(t *testing.T) {
-	files, _ := filepath.Glob("../../../lab/scenarios/*.toml")
+	files, _ := filepath.Glob("../../../scenarios/*.toml")
 	if len(files) < 6 {
 		t.Fatalf("found %v", files)
 	}
--- a/internal/lab/sim/agree.go
+++ b/internal/testbed/simulation/agree.go
@@ -1,13 +1,13 @@
-package sim
+package simulation
 
 import (
 	"slices"
 	"strconv"
 	"time"
 
-	"shelfproxy/brain"
+	"shelfproxy/internal/fleet/lease"
 	"shelfproxy/internal/fleet/membership"
-	"shelfproxy/internal/lease"
+	"shelfproxy/internal/policy"
 )
 
 // agreements are what a node takes part in beside its requests: duties that one node holds for all, and who is there. The decision
@@ -31,7 +31,7 @@
 	a := &agreements{n: n, life: n.life, born: w.now}
 	seed, date := w.plan.Seed*1000+uint64(n.index*100+n.life), uint64(epoch.UnixMilli()+(w.now+n.skew).Milliseconds())
 	var err error
-	if a.lease, err = lease.New(lease.Config{Self: n.index, Nodes: len(w.nodes), Fleet: 1, Duties: brain.DutyNames[:], Lease: dutyLease, Drift: 0.01,
+	if a.lease, err = lease.New(lease.Config{Self: n.index, Nodes: len(w.nodes), Fleet: 1, Duties: policy.DutyNames[:], Lease: dutyLease, Drift: 0.01,
 		Epoch: date, Seed: seed}); err != nil {
 		panic(err)
 	}
@@ -54,7 +54,7 @@
 func (a *agreements) clock() time.Duration { return a.n.w.now - a.born }
 
 // tell hands the module what the agreements came to, in the loop's turn.
-func (a *agreements) tell(ev brain.Event) {
+func (a *agreements) tell(ev policy.Event) {
 	a.n.later(a.n.lag(), func() {
 		a.n.core.Tell(ev)
 		a.n.arm()
@@ -62,7 +62,7 @@
 }
 
 func (a *agreements) duty(ev lease.Event) {
-	number := func(name string) brain.Duty { return brain.Duty(slices.Index(brain.DutyNames[:], name)) }
+	number := func(name string) policy.Duty { return policy.Duty(slices.Index(policy.DutyNames[:], name)) }
 	for _, e := range a.lease.Step(a.clock(), ev) {
 		switch e := e.(type) {
 		case lease.Send:
@@ -70,16 +70,16 @@
 		case lease.Held:
 			a.n.w.note("held", strconv.Itoa(a.n.index), e.Duty, strconv.FormatUint(e.Token, 10))
 		case lease.Holder:
-			who := brain.Another
+			who := policy.Another
 			switch e.Node {
 			case lease.None:
-				who = brain.Nobody
+				who = policy.Nobody
 			case a.n.index:
-				who = brain.Self
+				who = policy.Self
 			}
-			a.tell(brain.Holder{Duty: number(e.Duty), Who: who})
+			a.tell(policy.Holder{Duty: number(e.Duty), Who: who})
 		case lease.Said:
-			a.tell(brain.Word{Duty: number(e.Duty)})
+			a.tell(policy.Word{Duty: number(e.Duty)})
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		case membership.Send:
 			a.send(e.To, e.Data)
 		case membership.Count:
-			a.tell(brain.Fleet{Routers: e.Nodes})
+			a.tell(policy.Fleet{Routers: e.Nodes})
 		}
 	}
 }
@@ -111,7 +111,7 @@
 
 // checkDuties looks whether two nodes would act under one duty.
 func (w *world) checkDuties() {
-	for _, duty := range brain.DutyNames {
+	for _, duty := range policy.DutyNames {
 		holder := lease.None
 		for i, n := range w.nodes {
 			if !n.up || n.agree == nil {
--- a/internal/lab/sim/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"bytes"
@@ -8,15 +8,15 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/load"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/wording"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/wireformat"
+	"shelfproxy/internal/testbed/workload"
 )
 
 // clients ask nodes for what the plan's load says, over connections that they keep, and tell the rules what they see.
 type clients struct {
 	w        *world
-	schedule *load.Schedule
+	schedule *workload.Schedule
 	idle     [][]*clientConn // by node, the one used last at the end
 	open     []*clientConn
 	byID     map[string]*ask
@@ -28,7 +28,7 @@
 
 // ask is one request, through all its tries.
 type ask struct {
-	load.Arrival
+	workload.Arrival
 	id     string
 	class  string
 	writes bool
@@ -52,7 +52,7 @@
 }
 
 func newClients(w *world) *clients {
-	return &clients{w: w, schedule: load.New(w.plan.Load), idle: make([][]*clientConn, len(w.nodes)), byID: map[string]*ask{}, refused: map[string]bool{}}
+	return &clients{w: w, schedule: workload.New(w.plan.Load), idle: make([][]*clientConn, len(w.nodes)), byID: map[string]*ask{}, refused: map[string]bool{}}
 }
 
 func (c *clients) start() {
@@ -285,8 +285,8 @@
 		}
 		q := k.owed[0]
 		k.owed = k.owed[1:]
-		madeFor := wording.MadeFor(value)
-		if kind == rules.Served && madeFor != q.id {
+		madeFor := wireformat.MadeFor(value)
+		if kind == invariants.Served && madeFor != q.id {
 			w.broken(Order, "%s is served what was made for %q", q.id, madeFor)
 		}
 		if q.ended == "" {
@@ -304,7 +304,7 @@
 }
 
 // answerOf cuts one answer off; n is 0 where it has not come whole.
-func answerOf(b []byte) (kind rules.Final, value []byte, n int) {
+func answerOf(b []byte) (kind invariants.Final, value []byte, n int) {
 	eol := bytes.Index(b, []byte("\r\n"))
 	if eol < 0 {
 		return 0, nil, 0
@@ -315,11 +315,11 @@
 		if len(b) < eol+2+size+2 {
 			return 0, nil, 0
 		}
-		return rules.Served, b[eol+2 : eol+2+size], eol + 2 + size + 2
+		return invariants.Served, b[eol+2 : eol+2+size], eol + 2 + size + 2
 	case bytes.HasPrefix(b, []byte("-BUSY")):
-		return rules.Refused, nil, eol + 2
+		return invariants.Refused, nil, eol + 2
 	}
-	return rules.Failed, nil, eol + 2
+	return invariants.Failed, nil, eol + 2
 }
 
 // nonsense is what some clients send.
--- a/internal/lab/sim/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"container/heap"
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
+	"shelfproxy/internal/fleet/lease"
 	"shelfproxy/internal/fleet/membership"
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lease"
-	"shelfproxy/internal/rollout"
+	"shelfproxy/internal/fleet/rollout"
+	"shelfproxy/internal/testbed/model"
 )
 
 // The invariants of fleets: what nodes agree on among themselves.
--- a/internal/lab/sim/mutants_test.go
+++ b/internal/testbed/simulation/mutants_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"flag"
@@ -22,9 +22,9 @@
 }
 
 var known = []mutant{
-	{"resent after it may have run", "brain/brain.go", "if q.risk == nil || q.class.Effect == Safe {", "if q != nil {", nil, false},
-	{"refused after it may have run", "brain/brain.go", "if q.risk == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == AllServers {", "if c != nil {", nil, false},
-	{"drained servers get new work", "brain/router.go", "return !origin && s.listed && s.State == Live", "return !origin && s.listed",
+	{"resent after it may have run", "internal/policy/brain.go", "if q.risk == nil || q.class.Effect == Safe {", "if q != nil {", nil, false},
+	{"refused after it may have run", "internal/policy/brain.go", "if q.risk == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == AllServers {", "if c != nil {", nil, false},
+	{"drained servers get new work", "internal/policy/router.go", "return !origin && s.listed && s.State == Live", "return !origin && s.listed",
 		&mutant{file: "internal/forward/core.go", old: "p.addr, p.left = addr, left", new: "left = false\n\tp.addr, p.left = addr, left"}, false},
 	{"watch never found silent", "internal/discovery/follower.go", "silence      = 5 * time.Second", "silence      = 5 * time.Hour", nil, false},
 	{"answered twice", "internal/listener/core.go", "c.slots = append(c.slots[:0:0], c.slots[n:]...)", "c.slots = append(c.slots[:0:0], c.slots[n-1:]...)", nil, false},
@@ -38,7 +38,7 @@
 	{"room of long answers leaks", "internal/target/target.go", "d.room.Give(d.took)", "d.room.Give(0)", nil, false},
 	{"garbage of clients is not answered", "internal/listener/core.go", "l.finish(now, c, fx)\n\t\t\tl.wake(c, fx)", "", nil, false},
 	{"given up as if not written", "internal/forward/core.go", "p.next(now, c, fx)\n\treturn f.written", "p.next(now, c, fx)\n\treturn false", nil, false},
-	{"cold budget ignored", "brain/brain.go", "if warmth == 1 {", "if warmth <= 1 {", &mutant{file: "brain/brain.go", old: "weight := r.warmth(s)", new: "weight := 1.0"}, false},
+	{"cold budget ignored", "internal/policy/brain.go", "if warmth == 1 {", "if warmth <= 1 {", &mutant{file: "internal/policy/brain.go", old: "weight := r.warmth(s)", new: "weight := 1.0"}, false},
 
 	{"a duty is held past its lease", "internal/lease/core.go", "d.held && now < d.until {", "d.held {", &mutant{file: "internal/lease/core.go",
 		old: "if d.held && now >= d.until {", new: "if c == nil {"}, true},
@@ -70,7 +70,7 @@
 			continue
 		}
 		dir := t.TempDir()
-		if out, err := exec.Command("cp", "-r", filepath.Join(root, "brain"), filepath.Join(root, "cmd"), filepath.Join(root, "internal"),
+		if out, err := exec.Command("cp", "-r", filepath.Join(root, "cmd"), filepath.Join(root, "internal"),
 			filepath.Join(root, "lab"), filepath.Join(root, "go.mod"), filepath.Join(root, "go.sum"), dir).CombinedOutput(); err != nil {
 			t.Fatal(string(out))
 		}
@@ -82,12 +82,12 @@
 			}
 			os.WriteFile(path, []byte(strings.Replace(string(text), change.old, change.new, 1)), 0o600)
 		}
-		build := exec.Command("go", "build", "-o", "shelflab", "./cmd/shelflab")
+		build := exec.Command("go", "build", "-o", "testbed", "./cmd/testbed")
 		build.Dir = dir
 		if out, err := build.CombinedOutput(); err != nil {
 			t.Fatalf("%s: %s", m.name, out)
 		}
-		play := exec.Command(filepath.Join(dir, "shelflab"), "simulate", "--seeds", "2000", "--first")
+		play := exec.Command(filepath.Join(dir, "testbed"), "simulate", "--seeds", "2000", "--first")
 		if m.fleet {
 			play.Args = append(play.Args, "--fleet")
 		}
--- a/internal/lab/sim/net.go
+++ b/internal/testbed/simulation/net.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import "time"
 
--- a/internal/lab/sim/node.go
+++ b/internal/testbed/simulation/node.go
@@ -1,22 +1,22 @@
-package sim
+package simulation
 
 import (
 	"log/slog"
 	"strconv"
 	"time"
 
-	"shelfproxy/brain"
 	"shelfproxy/internal/counters"
 	"shelfproxy/internal/discovery"
+	"shelfproxy/internal/fleet/lease"
 	"shelfproxy/internal/fleet/membership"
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
-	"shelfproxy/internal/lab/wording"
-	"shelfproxy/internal/lease"
 	"shelfproxy/internal/listener"
 	nodecore "shelfproxy/internal/node"
-	"shelfproxy/internal/origin"
-	"shelfproxy/internal/target"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/testbed/wireformat"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/origin"
+	"shelfproxy/internal/upstream/resp"
 
 	"github.com/valyala/fastjson"
 )
@@ -35,7 +35,7 @@
 	front  *listener.Core
 	pools  []*pool
 	conns  []*frontConn // open, in the order in which they came
-	long   *forward.Room
+	long   *upstream.Room
 	due    Time // when the core is looked at next; 0 is not booked
 	listAt Time // when the last news of the list is taken
 	heard  Time // when discovery last said something
@@ -92,14 +92,14 @@
 	for _, c := range p.Class {
 		names = append(names, c.Name)
 	}
-	ends := make([]string, forward.Ends())
+	ends := make([]string, upstream.Ends())
 	for i := range ends {
-		ends[i] = forward.End(i).String()
+		ends[i] = upstream.End(i).String()
 	}
-	n.count = counters.New(names, flow.Kinds(), ends)
-	n.long = forward.NewRoom(p.Nodes.MemoryMB<<20/8, p.Nodes.MemoryMB<<20/32)
-	targets, origins := forward.NewBudget(p.Nodes.Sockets/3), forward.NewBudget(max(1, p.Nodes.Sockets/10))
-	v, err := fastjson.ParseBytes(wording.List(w.portal.List(), func(slot int) string { return address(slot, n.index) }, unixMs))
+	n.count = counters.New(names, request.Kinds(), ends)
+	n.long = upstream.NewRoom(p.Nodes.MemoryMB<<20/8, p.Nodes.MemoryMB<<20/32)
+	targets, origins := upstream.NewBudget(p.Nodes.Sockets/3), upstream.NewBudget(max(1, p.Nodes.Sockets/10))
+	v, err := fastjson.ParseBytes(wireformat.List(w.portal.List(), func(slot int) string { return address(slot, n.index) }, unixMs))
 	if err != nil {
 		panic(err)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		panic(err)
 	}
-	limits := forward.Limits{Connect: p.Nodes.ConnectTimeout.D(), Idle: p.Nodes.ConnectionIdle.D() * 8 / 10, Streams: p.Nodes.Streams, Conns: 16,
+	limits := upstream.Limits{Connect: p.Nodes.ConnectTimeout.D(), Idle: p.Nodes.ConnectionIdle.D() * 8 / 10, Streams: p.Nodes.Streams, Conns: 16,
 		Waiting: 64, Share: p.Net.Share}
 	originLimits := limits
 	originLimits.Streams, originLimits.Conns = 1, p.Nodes.Sockets
@@ -116,14 +116,14 @@
 	n.core, err = nodecore.NewCore(nodecore.Options{Module: module, Seed: p.Seed*1000 + uint64(n.index*100+n.life), MaxOpen: p.Nodes.MaxOpen,
 		MaxHeld: p.Nodes.MemoryMB << 20 / 4, MaxWait: p.longestWait(), Known: known, Source: source{n, n.life}, Count: n.count,
 		Log: slog.New(slog.DiscardHandler), Tell: n.tell, Spread: n.spread,
-		Upstream: func(s discovery.Server, isOrigin bool, report func(*forward.Forward, forward.Answer)) nodecore.Upstream {
-			u := &pool{n: n, life: life, id: s.ID, report: report, wrote: map[*forward.Forward]*serverConn{}}
+		Upstream: func(s discovery.Server, isOrigin bool, report func(*upstream.Forward, upstream.Answer)) nodecore.Upstream {
+			u := &pool{n: n, life: life, id: s.ID, report: report, wrote: map[*upstream.Forward]*serverConn{}}
 			if isOrigin {
 				u.codec = origin.Codec{Host: s.Addr, Room: n.long}
-				u.core = forward.NewCore(s.Addr, u.codec, originLimits, origins)
+				u.core = upstream.NewCore(s.Addr, u.codec, originLimits, origins)
 			} else {
-				u.codec = target.Codec{Room: n.long}
-				u.core = forward.NewCore(s.Addr, u.codec, limits, targets)
+				u.codec = resp.Codec{Room: n.long}
+				u.core = upstream.NewCore(s.Addr, u.codec, limits, targets)
 			}
 			n.pools = append(n.pools, u)
 			return u
@@ -133,7 +133,7 @@
 	}
 	n.front = listener.NewCore(n.now(), names, nil, listener.Limits{Conns: p.Nodes.Sockets / 2, Pipelined: 8, Value: 64 << 10, Write: 10 * time.Second,
 		Silent: 2500 * time.Millisecond, Idle: time.Minute, Crowd: 50 * time.Millisecond, Owed: p.Nodes.MemoryMB << 20 / 6}, n.count)
-	n.front.Reply = func(c *listener.Conn, s *listener.Slot, r flow.Response) {
+	n.front.Reply = func(c *listener.Conn, s *listener.Slot, r request.Response) {
 		var fx listener.Effects
 		n.front.Answer(n.now(), c, s, r, &fx)
 		n.carry(fx)
@@ -147,9 +147,9 @@
 }
 
 // spread tells all others what the holder of a duty has to say.
-func (n *node) spread(duty brain.Duty) {
+func (n *node) spread(duty policy.Duty) {
 	if n.agree != nil {
-		n.agree.duty(lease.Say{Duty: brain.DutyNames[duty]})
+		n.agree.duty(lease.Say{Duty: policy.DutyNames[duty]})
 	}
 }
 
@@ -181,7 +181,7 @@
 }
 
 // landed takes the end of a forward from a pool, in the loop's turn.
-func (n *node) landed(f *forward.Forward, a forward.Answer) {
+func (n *node) landed(f *upstream.Forward, a upstream.Answer) {
 	n.later(n.lag(), func() {
 		n.core.Landed(f, a)
 		n.arm()
@@ -230,7 +230,7 @@
 			case o.agree != nil && text[0] == membership.Mark:
 				o.agree.member(membership.Heard{From: n.index, Data: text})
 			default:
-				o.core.Tell(brain.Heard{From: n.index, Data: text})
+				o.core.Tell(policy.Heard{From: n.index, Data: text})
 				o.arm()
 			}
 		})
--- a/internal/lab/sim/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"strings"
 	"time"
 
-	"shelfproxy/brain"
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/scenario"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/policy/locality"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/scenario"
 	"shelfproxy/internal/tomlfile"
-	"shelfproxy/internal/zones"
 )
 
 // Net is what the network, the machines' schedulers and the clients do.
@@ -77,17 +77,17 @@
 }
 
 // Module is what the decision module of a node is told.
-func (p *Plan) Module(node int) brain.Settings {
-	set := brain.Settings{Routers: len(p.Spec.Nodes), Zone: p.Spec.Nodes[node].Zone, OriginKind: model.OriginID, MustAsk: true,
+func (p *Plan) Module(node int) policy.Settings {
+	set := policy.Settings{Routers: len(p.Spec.Nodes), Zone: p.Spec.Nodes[node].Zone, OriginKind: model.OriginID, MustAsk: true,
 		MustAskIn: 10 * time.Second, DrainGrace: p.Rules.DrainWithin.D(), Probes: p.Probes, Peers: !p.Mute, Cancels: p.Nodes.Cancel,
-		LeaveOwner: zones.DefaultLeave, MaxAttempts: p.Nodes.MaxAttempts, MaxRetryAfter: p.Nodes.RetryAfter.D(), Tick: 5 * time.Millisecond,
+		LeaveOwner: locality.DefaultLeave, MaxAttempts: p.Nodes.MaxAttempts, MaxRetryAfter: p.Nodes.RetryAfter.D(), Tick: 5 * time.Millisecond,
 		ColdFrom: 1, FallFactor: p.Rules.FallFactor}
 	for _, b := range p.Spec.Boxes {
 		set.ColdFrom, set.WarmAfter = min(set.ColdFrom, b.Kind.ColdFrom), max(set.WarmAfter, b.Kind.WarmAfter)
 	}
-	effects := map[string]brain.Effect{"idempotent": brain.Safe, "deduplicated": brain.Keyed, "at_most_once": brain.Unsafe}
+	effects := map[string]policy.Effect{"idempotent": policy.Safe, "deduplicated": policy.Keyed, "at_most_once": policy.Unsafe}
 	for _, c := range p.Class {
-		set.Classes = append(set.Classes, brain.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D(), Late: c.Late, Effect: effects[c.Effect], Window: c.Window.D()})
+		set.Classes = append(set.Classes, policy.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D(), Late: c.Late, Effect: effects[c.Effect], Window: c.Window.D()})
 	}
 	return set
 }
--- a/internal/lab/sim/pool.go
+++ b/internal/testbed/simulation/pool.go
@@ -1,10 +1,10 @@
-package sim
+package simulation
 
 import (
 	"strconv"
 	"time"
 
-	"shelfproxy/internal/forward"
+	"shelfproxy/internal/upstream"
 )
 
 // pool stands in for the shell of a forward.Core: the goroutines and sockets between it and one server.
@@ -12,19 +12,19 @@
 	n      *node
 	life   int
 	id     string
-	codec  forward.Codec
-	core   *forward.Core
-	report func(*forward.Forward, forward.Answer)
+	codec  upstream.Codec
+	core   *upstream.Core
+	report func(*upstream.Forward, upstream.Answer)
 	due    Time
 	socks  []*sock
-	wrote  map[*forward.Forward]*serverConn // forwards whose request went out whole, and where
+	wrote  map[*upstream.Forward]*serverConn // forwards whose request went out whole, and where
 }
 
 // sock is a connection to a server.
 type sock struct {
 	p       *pool
 	end     *end
-	conn    *forward.Conn
+	conn    *upstream.Conn
 	server  *serverConn
 	inbox   []byte // came, and not read yet
 	eof     bool
@@ -36,15 +36,15 @@
 func (p *pool) now() time.Time { return p.n.now() }
 
 // Send, Abandon, CloseIdle and Update are what the loop calls.
-func (p *pool) Send(f *forward.Forward) (forward.End, bool) {
-	var fx forward.Effects
+func (p *pool) Send(f *upstream.Forward) (upstream.End, bool) {
+	var fx upstream.Effects
 	end, ok := p.core.Send(p.now(), f, &fx)
 	p.carry(fx)
 	return end, ok
 }
 
-func (p *pool) Abandon(f *forward.Forward) bool {
-	var fx forward.Effects
+func (p *pool) Abandon(f *upstream.Forward) bool {
+	var fx upstream.Effects
 	written := p.core.Abandon(p.now(), f, &fx)
 	p.carry(fx)
 	if !written {
@@ -53,8 +53,8 @@
 	return written
 }
 
-func (p *pool) Withdraw(f *forward.Forward) bool {
-	var fx forward.Effects
+func (p *pool) Withdraw(f *upstream.Forward) bool {
+	var fx upstream.Effects
 	done := p.core.Withdraw(p.now(), f, &fx)
 	p.carry(fx)
 	if done {
@@ -64,13 +64,13 @@
 }
 
 func (p *pool) CloseIdle() {
-	var fx forward.Effects
+	var fx upstream.Effects
 	p.core.CloseIdle(p.now(), &fx)
 	p.carry(fx)
 }
 
-func (p *pool) Update(addr string, left bool) []*forward.Forward {
-	var fx forward.Effects
+func (p *pool) Update(addr string, left bool) []*upstream.Forward {
+	var fx upstream.Effects
 	drained := p.core.Update(p.now(), addr, left, &fx)
 	p.carry(fx)
 	for _, f := range drained {
@@ -80,7 +80,7 @@
 }
 
 // claims checks what is said of a forward that never ran: its request must not have come whole to its server.
-func (p *pool) claims(f *forward.Forward, what string) {
+func (p *pool) claims(f *upstream.Forward, what string) {
 	if c := p.wrote[f]; c != nil && f.Flow != nil && c.came[string(f.Flow.ID)] {
 		p.n.w.broken(NeverRan, "%s at %s is %s, and came whole", f.Flow.ID, p.id, what)
 	}
@@ -102,25 +102,25 @@
 		if p.due == t {
 			p.due = 0
 		}
-		var fx forward.Effects
+		var fx upstream.Effects
 		p.core.Due(p.now(), &fx)
 		p.carry(fx)
 	})
 }
 
-func (p *pool) carry(fx forward.Effects) {
+func (p *pool) carry(fx upstream.Effects) {
 	for _, e := range fx {
 		switch e.Kind {
-		case forward.Dial:
+		case upstream.Dial:
 			p.dial(e.Conn, e.Addr)
-		case forward.Write:
+		case upstream.Write:
 			s := e.Conn.Socket.(*sock)
 			p.n.later(p.n.lag(), s.pull)
-		case forward.Shut:
+		case upstream.Shut:
 			e.Conn.Socket.(*sock).shut()
-		case forward.Report:
+		case upstream.Report:
 			switch a := e.Answer; a.End {
-			case forward.NoRoom, forward.Drained, forward.NoConnect, forward.CutShort, forward.NotSent:
+			case upstream.NoRoom, upstream.Drained, upstream.NoConnect, upstream.CutShort, upstream.NotSent:
 				p.claims(e.Forward, a.End.String())
 			}
 			p.report(e.Forward, e.Answer)
@@ -130,7 +130,7 @@
 }
 
 // dial opens a connection, as the door of the server's slot lets it.
-func (p *pool) dial(c *forward.Conn, addr string) {
+func (p *pool) dial(c *upstream.Conn, addr string) {
 	w, slot := p.n.w, slotOf(addr)
 	trip := w.between(200*time.Microsecond, 3*time.Millisecond)
 	if w.strikes(w.plan.Net.SlowConnect) {
@@ -138,7 +138,7 @@
 	}
 	limit := w.plan.Nodes.ConnectTimeout.D()
 	p.n.later(min(trip, limit), func() {
-		var fx forward.Effects
+		var fx upstream.Effects
 		state := w.doors[doorKey{slot, p.n.index}]
 		switch {
 		case trip >= limit || state == 1 || w.strikes(w.plan.Net.RefuseNew): // shut
@@ -146,7 +146,7 @@
 			p.core.Dialed(p.now(), c, false, &fx)
 		case state == 2: // silent: it never comes up
 			p.n.later(limit-min(trip, limit), func() {
-				var fx forward.Effects
+				var fx upstream.Effects
 				p.core.Dialed(p.now(), c, false, &fx)
 				p.carry(fx)
 			})
@@ -182,7 +182,7 @@
 func (s *sock) read() {
 	s.reading = false
 	p := s.p
-	var fx forward.Effects
+	var fx upstream.Effects
 	for len(s.inbox) > 0 && !s.conn.Closed() {
 		k := copy(s.conn.Decoder.Space(), s.inbox)
 		s.inbox = s.inbox[k:]
@@ -197,7 +197,7 @@
 // pull has the connection's writer run.
 func (s *sock) pull() {
 	p, w := s.p, s.p.n.w
-	var fx forward.Effects
+	var fx upstream.Effects
 	stale := s.conn.Quiet() && (len(s.inbox) > 0 || s.eof)
 	f := p.core.Pull(p.now(), s.conn, stale, &fx)
 	p.carry(fx)
@@ -222,7 +222,7 @@
 			s.end.write(b)
 			p.wrote[f] = s.server
 		}
-		var fx forward.Effects
+		var fx upstream.Effects
 		p.core.Wrote(p.now(), s.conn, whole, good, &fx)
 		p.carry(fx)
 		s.pull()
--- a/internal/lab/sim/servers.go
+++ b/internal/testbed/simulation/servers.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"bufio"
@@ -12,11 +12,11 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/asking"
 	"shelfproxy/internal/discovery"
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/wording"
+	"shelfproxy/internal/discovery/polling"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/wireformat"
 )
 
 // serverConn is a connection from a node as the box or the origin behind a slot sees it. What is answered, and when, is the
@@ -141,7 +141,7 @@
 func (c *serverConn) takeRESP(cmd redcon.Command) {
 	switch name := strings.ToUpper(string(cmd.Args[0])); name {
 	case "CACHE.GET", "CACHE.SET":
-		c.attempt(wording.Request(c.w.classes, name == "CACHE.SET", cmd.Args))
+		c.attempt(wireformat.Request(c.w.classes, name == "CACHE.SET", cmd.Args))
 	case "PING":
 		c.probe()
 	default:
@@ -181,7 +181,7 @@
 			if req.Method == http.MethodPut {
 				args = append(args, body)
 			}
-			c.attempt(wording.Request(c.w.classes, req.Method == http.MethodPut, args))
+			c.attempt(wireformat.Request(c.w.classes, req.Method == http.MethodPut, args))
 		}
 		c.first = sent
 	}
@@ -222,9 +222,9 @@
 // answered takes an answer of the model. It goes out when those of the requests before it have.
 func (w *world) answered(a model.Answer) {
 	if a.Request != "" {
-		proof := rules.MayHaveRun
+		proof := invariants.MayHaveRun
 		if a.Outcome == model.Turned || a.Outcome == model.Miss {
-			proof = rules.NeverRan
+			proof = invariants.NeverRan
 		}
 		whole := a.Spoilt == model.Sound || a.Spoilt >= model.SpoiltTwice
 		value := whole && (a.Outcome == model.Hit || a.Outcome == model.Written)
@@ -242,9 +242,9 @@
 				a.Spoilt = model.Sound
 			}
 			if c.origin {
-				s.out, s.last = wording.HTTP(s.id, a)
+				s.out, s.last = wireformat.HTTP(s.id, a)
 			} else {
-				s.out = wording.RESP(s.id, a)
+				s.out = wireformat.RESP(s.id, a)
 			}
 			s.ready = true
 		}
@@ -323,7 +323,7 @@
 func (s source) Watch(after int64, report func(discovery.List, error)) (stop func()) {
 	w := s.n.w
 	w.lastAsk++
-	c := &call{w: w, id: w.lastAsk, n: s.n, life: s.life, report: report, follower: discovery.NewFollower(s.n.now(), asking.CallWithin)}
+	c := &call{w: w, id: w.lastAsk, n: s.n, life: s.life, report: report, follower: discovery.NewFollower(s.n.now(), polling.CallWithin)}
 	c.near, c.end = w.pipe(w.plan.Net.Discovery, w.plan.Net.Discovery)
 	c.near.data = c.received
 	c.near.ended = func(reset bool) {
@@ -436,7 +436,7 @@
 	}
 	line := []byte{'\n'}
 	if t.List != nil {
-		line = append(wording.List(*t.List, func(slot int) string { return address(slot, c.n.index) }, unixMs), '\n')
+		line = append(wireformat.List(*t.List, func(slot int) string { return address(slot, c.n.index) }, unixMs), '\n')
 	}
 	c.end.write(line)
 	if l := t.List; l != nil && !c.end.silent && !(l.Whole && len(l.Entries) == 0) { // a list of nothing is no news
--- a/internal/lab/sim/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -2,7 +2,7 @@
 // the lab's model of boxes, origin and discovery, and clients, over a network of byte streams and datagrams that does to them
 // what the seed says. One goroutine, one seed, no wall clock: a run is the same each time, byte for byte, which the hash of its
 // event log shows. The rules of the service are checked after every step. See docs/simulation.md.
-package sim
+package simulation
 
 import (
 	"container/heap"
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/scenario"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/scenario"
 )
 
 // Time is a point of the run, counted from its start.
@@ -79,7 +79,7 @@
 	plan *Plan
 
 	portal  *model.Portal
-	check   *rules.Checker
+	check   *invariants.Checker
 	seen    int // violations that were taken over
 	classes map[string]scenario.Class
 
@@ -117,12 +117,12 @@
 		report.Hash = w.hash.Sum64() ^ w.portal.Hash()
 		report.Took = time.Since(began)
 	}()
-	var classes []rules.Class
+	var classes []invariants.Class
 	for _, c := range plan.Class {
 		w.classes[c.Name] = c
-		classes = append(classes, rules.Class{Name: c.Name, Effect: rules.Effects[c.Effect], Window: c.Window.D()})
+		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.Window.D()})
 	}
-	w.check = rules.New(classes, rules.Figures{DrainWithin: plan.Rules.DrainWithin.D(), ToldWithin: plan.toldWithin(), Grace: plan.Rules.Grace.D()})
+	w.check = invariants.New(classes, invariants.Figures{DrainWithin: plan.Rules.DrainWithin.D(), ToldWithin: plan.toldWithin(), Grace: plan.Rules.Grace.D()})
 	w.portal = model.New(plan.Spec)
 	w.portal.Trace = opt.Trace
 	w.carry(w.portal.Start())
--- a/internal/lab/sim/sim_test.go
+++ b/internal/testbed/simulation/sim_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"bytes"
@@ -45,7 +45,7 @@
 			words[w]++
 		}
 		if len(r.Broken) > 0 {
-			t.Errorf("%s; shelflab simulate --replay %d shows it", r, r.Seed)
+			t.Errorf("%s; testbed simulate --replay %d shows it", r, r.Seed)
 		}
 	})
 	if uint64(served) < 200*seedsInCI || uint64(kills) < seedsInCI/4 {
@@ -66,7 +66,7 @@
 			words[w]++
 		}
 		if len(r.Broken) > 0 {
-			t.Errorf("%s; shelflab simulate --fleet --replay %d shows it", r, r.Seed)
+			t.Errorf("%s; testbed simulate --fleet --replay %d shows it", r, r.Seed)
 		}
 	})
 	for k := range fleetFaultKinds {
--- a/internal/lab/trace/golden_test.go
+++ b/internal/testbed/trace/golden_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"shelfproxy/internal/golden"
-	"shelfproxy/internal/lab/load"
+	"shelfproxy/internal/testbed/workload"
 )
 
 // TestGoldenTrace: trace files of earlier releases are read, and the same bytes are written.
 func TestGoldenTrace(t *testing.T) {
-	arrivals := []load.Arrival{
+	arrivals := []workload.Arrival{
 		{Due: 1500 * time.Microsecond, Class: 0, Key: "anna", Node: 1, Size: 300},
 		{Due: 1501 * time.Microsecond, Class: 1, Key: "ben", Node: 0, Size: 70000, Once: "once-7"},
 		{Due: 2 * time.Hour, Class: 1, Key: "", Node: 1, Size: 0},
--- a/internal/lab/trace/tools.go
+++ b/internal/testbed/trace/tools.go
@@ -11,11 +11,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"shelfproxy/internal/lab/load"
+	"shelfproxy/internal/testbed/workload"
 )
 
 // Change makes another request of one, or drops it.
-type Change func(load.Arrival) (load.Arrival, bool)
+type Change func(workload.Arrival) (workload.Arrival, bool)
 
 // Copy writes the requests of a trace, changed, into a new file.
 func Copy(from, to string, change Change) (n int, err error) {
@@ -47,7 +47,7 @@
 
 // Cut keeps what was due from one time to another, which becomes the start.
 func Cut(from, to time.Duration) Change {
-	return func(a load.Arrival) (load.Arrival, bool) {
+	return func(a workload.Arrival) (workload.Arrival, bool) {
 		keep := a.Due >= from && (to <= 0 || a.Due < to)
 		a.Due -= from
 		return a, keep
@@ -56,7 +56,7 @@
 
 // Scale plays it so many times as fast.
 func Scale(speed float64) Change {
-	return func(a load.Arrival) (load.Arrival, bool) {
+	return func(a workload.Arrival) (workload.Arrival, bool) {
 		a.Due = time.Duration(float64(a.Due) / speed)
 		return a, true
 	}
@@ -71,7 +71,7 @@
 		}
 		return strconv.FormatUint(xxhash.Sum64String(salt+"\x00"+s), 36)
 	}
-	return func(a load.Arrival) (load.Arrival, bool) {
+	return func(a workload.Arrival) (workload.Arrival, bool) {
 		a.Key, a.Once = hide(a.Key), hide(a.Once)
 		return a, true
 	}
@@ -163,7 +163,7 @@
 func Import(rd io.Reader, path string) (n int, err error) {
 	dec := json.NewDecoder(rd)
 	dec.DisallowUnknownFields()
-	var all []load.Arrival
+	var all []workload.Arrival
 	m := Meta{From: "import"}
 	for {
 		var l line
@@ -184,7 +184,7 @@
 			m.Classes = append(m.Classes, l.Class)
 		}
 		m.Nodes = max(m.Nodes, l.Node+1)
-		all = append(all, load.Arrival{Due: time.Duration(l.DueMicros) * time.Microsecond, Class: class, Key: l.Key, Node: l.Node,
+		all = append(all, workload.Arrival{Due: time.Duration(l.DueMicros) * time.Microsecond, Class: class, Key: l.Key, Node: l.Node,
 			Size: l.Size, Once: l.Once})
 	}
 	w, err := Create(path, m)
--- a/internal/lab/trace/trace.go
+++ b/internal/testbed/trace/trace.go
@@ -24,7 +24,7 @@
 	"os"
 	"time"
 
-	"shelfproxy/internal/lab/load"
+	"shelfproxy/internal/testbed/workload"
 )
 
 const (
@@ -109,7 +109,7 @@
 
 // Add adds a request. Requests are added in the order in which they were due; one that comes late counts as due with
 // the one before.
-func (t *Writer) Add(a load.Arrival) error {
+func (t *Writer) Add(a workload.Arrival) error {
 	if t.n == 0 {
 		t.last = 0
 	}
@@ -246,21 +246,21 @@
 }
 
 // Next is the next request; io.EOF is the end, also that before a block that is not whole.
-func (r *Reader) Next() (load.Arrival, error) {
+func (r *Reader) Next() (workload.Arrival, error) {
 	for r.n == 0 {
 		content, err := r.block()
 		if err == errTorn {
-			return load.Arrival{}, io.EOF
+			return workload.Arrival{}, io.EOF
 		}
 		if err != nil {
 			if err != io.EOF {
 				err = fmt.Errorf("trace: %w", err)
 			}
-			return load.Arrival{}, err
+			return workload.Arrival{}, err
 		}
 		n, k := binary.Uvarint(content)
 		if k <= 0 {
-			return load.Arrival{}, fmt.Errorf("trace: the block before byte %d has no count", r.at)
+			return workload.Arrival{}, fmt.Errorf("trace: the block before byte %d has no count", r.at)
 		}
 		r.n, r.rest, r.last = n, content[k:], 0
 	}
@@ -286,10 +286,10 @@
 		return s
 	}
 	r.last += time.Duration(number()) * time.Microsecond
-	a := load.Arrival{Due: r.last, Class: int(number()), Node: int(number()), Size: int(number())}
+	a := workload.Arrival{Due: r.last, Class: int(number()), Node: int(number()), Size: int(number())}
 	a.Key, a.Once = text(), text()
 	if bad || a.Class < 0 || a.Class >= len(r.Meta.Classes) || a.Due < 0 {
-		return load.Arrival{}, fmt.Errorf("trace: a request in the block before byte %d makes no sense", r.at)
+		return workload.Arrival{}, fmt.Errorf("trace: a request in the block before byte %d makes no sense", r.at)
 	}
 	return a, nil
 }
--- a/internal/lab/trace/trace_test.go
+++ b/internal/testbed/trace/trace_test.go
@@ -13,20 +13,20 @@
 
 	"pgregory.net/rapid"
 
-	"shelfproxy/internal/lab/load"
+	"shelfproxy/internal/testbed/workload"
 )
 
 var meta = Meta{Classes: []string{"read", "sign"}, Nodes: 2, From: "test"}
 
-func arrivals(n int) (out []load.Arrival) {
+func arrivals(n int) (out []workload.Arrival) {
 	for i := range n {
-		out = append(out, load.Arrival{Due: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7), Node: i % 2,
+		out = append(out, workload.Arrival{Due: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7), Node: i % 2,
 			Size: i % 100, Once: []string{"", "0f"}[i%2]})
 	}
 	return out
 }
 
-func write(t testing.TB, path string, as []load.Arrival) {
+func write(t testing.TB, path string, as []workload.Arrival) {
 	t.Helper()
 	w, err := Create(path, meta)
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-func read(path string) (out []load.Arrival, torn int64, err error) {
+func read(path string) (out []workload.Arrival, torn int64, err error) {
 	r, err := Open(path)
 	if err != nil {
 		return nil, 0, err
@@ -67,11 +67,11 @@
 	rapid.Check(t, func(r *rapid.T) {
 		n++
 		path := filepath.Join(dir, fmt.Sprint(n))
-		var as []load.Arrival
+		var as []workload.Arrival
 		due := time.Duration(0)
 		for range rapid.IntRange(0, 700).Draw(r, "n") {
 			due += time.Duration(rapid.IntRange(0, 1e7).Draw(r, "gap")) * time.Microsecond
-			as = append(as, load.Arrival{Due: due, Class: rapid.IntRange(0, 1).Draw(r, "class"), Node: rapid.IntRange(0, 300).Draw(r, "node"),
+			as = append(as, workload.Arrival{Due: due, Class: rapid.IntRange(0, 1).Draw(r, "class"), Node: rapid.IntRange(0, 300).Draw(r, "node"),
 				Size: rapid.IntRange(0, 1<<20).Draw(r, "size"), Key: rapid.StringN(0, 20, 80).Draw(r, "key"), Once: rapid.StringN(0, 4, 16).Draw(r, "once")})
 		}
 		write(t, path, as)
--- a/internal/lab/wording/answers.go
+++ b/internal/testbed/wireformat/answers.go
@@ -1,6 +1,6 @@
 // Package wording puts what the model says into the bytes of the protocol, and reads what nodes send. It has no clock and no
 // I/O: the emulator's sockets and the simulation's streams both speak with it.
-package wording
+package wireformat
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
 )
 
 // Value is what servers answer for a request: it names the request that it was made for, so that a client can tell
--- a/internal/lab/wording/list.go
+++ b/internal/testbed/wireformat/list.go
@@ -1,10 +1,10 @@
-package wording
+package wireformat
 
 import (
 	"encoding/json"
 	"time"
 
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
 )
 
 // instance is an entry in the form of the protocol.
--- a/internal/lab/wording/request.go
+++ b/internal/testbed/wireformat/request.go
@@ -1,12 +1,12 @@
-package wording
+package wireformat
 
 import (
 	"strconv"
 	"strings"
 	"time"
 
-	"shelfproxy/internal/lab/model"
-	"shelfproxy/internal/lab/scenario"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/scenario"
 )
 
 // MaxValue is the longest value, by the protocol.
--- a/internal/lab/load/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -1,11 +1,11 @@
-package load
+package workload
 
 import (
 	"math/rand/v2"
 	"strconv"
 	"time"
 
-	"shelfproxy/internal/lab/model"
+	"shelfproxy/internal/testbed/model"
 )
 
 // Class is a class of requests in the mix.
--- a/internal/lab/load/shape.go
+++ b/internal/testbed/workload/shape.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"fmt"
--- a/internal/forward/core.go
+++ b/internal/upstream/core.go
@@ -1,4 +1,4 @@
-package forward
+package upstream
 
 import (
 	"errors"
@@ -6,12 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // Forward is one attempt of a flow at a server, or a probe of it.
 type Forward struct {
-	Flow     *flow.Flow // nil for a probe
+	Flow     *request.Flow // nil for a probe
 	Attempt  int
 	Server   string
 	Sent     time.Time // when the node handed it to the pool
--- a/internal/forward/core_test.go
+++ b/internal/upstream/core_test.go
@@ -1,4 +1,4 @@
-package forward
+package upstream
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // line is a protocol of single bytes: a request is its id, its answer 'a' for a value, 'm' for a miss, '!' for garbage.
@@ -44,7 +44,7 @@
 func TestAnsweredBeforeItIsWritten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 4, Waiting: 4}, NewBudget(4))
-	first, next := &Forward{Flow: &flow.Flow{}, Sent: now}, &Forward{Flow: &flow.Flow{}, Sent: now}
+	first, next := &Forward{Flow: &request.Flow{}, Sent: now}, &Forward{Flow: &request.Flow{}, Sent: now}
 	var fx Effects
 	p.Send(now, first, &fx)
 	c := fx[0].Conn
@@ -113,7 +113,7 @@
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
-				f := &Forward{Flow: &flow.Flow{}, Sent: now, Deadline: now.Add(time.Minute), Fresh: rapid.IntRange(0, 4).Draw(t, "fresh") == 0}
+				f := &Forward{Flow: &request.Flow{}, Sent: now, Deadline: now.Add(time.Minute), Fresh: rapid.IntRange(0, 4).Draw(t, "fresh") == 0}
 				all = append(all, f)
 				var fx Effects
 				if end, ok := p.Send(now, f, &fx); !ok {
--- a/internal/forward/decoder_fuzz_test.go
+++ b/internal/upstream/decoder_fuzz_test.go
@@ -1,12 +1,12 @@
-package forward_test
+package upstream_test
 
 import (
 	"fmt"
 	"testing"
 
-	"shelfproxy/internal/forward"
-	"shelfproxy/internal/origin"
-	"shelfproxy/internal/target"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/origin"
+	"shelfproxy/internal/upstream/resp"
 )
 
 // FuzzDecoders: whatever a server sends, and wherever it is cut, a decoder neither panics nor goes round in circles, the answers are
@@ -20,8 +20,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8, http bool) {
 		const all = 1 << 20
-		room := forward.NewRoom(all, 128<<10)
-		codec := forward.Codec(target.Codec{Room: room})
+		room := upstream.NewRoom(all, 128<<10)
+		codec := upstream.Codec(resp.Codec{Room: room})
 		if http {
 			codec = origin.Codec{Room: room}
 		}
--- a/internal/forward/decoder_test.go
+++ b/internal/upstream/decoder_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package upstream_test
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"shelfproxy/internal/forward"
-	"shelfproxy/internal/origin"
-	"shelfproxy/internal/target"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/origin"
+	"shelfproxy/internal/upstream/resp"
 )
 
 // TestDecoders feeds answers in pieces of any size, cut anywhere, to both decoders. Each comes out whole and in order,
@@ -19,23 +19,23 @@
 func TestDecoders(t *testing.T) {
 	const most, room = 500 << 10, 2 << 20
 	protocols := map[string]struct {
-		codec func(*forward.Room) forward.Codec
+		codec func(*upstream.Room) upstream.Codec
 		text  func(value string) string
 	}{
-		"target": {func(r *forward.Room) forward.Codec { return target.Codec{Room: r} },
+		"target": {func(r *upstream.Room) upstream.Codec { return resp.Codec{Room: r} },
 			func(v string) string { return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(v), v) }},
-		"origin": {func(r *forward.Room) forward.Codec { return origin.Codec{Room: r} },
+		"origin": {func(r *upstream.Room) upstream.Codec { return origin.Codec{Room: r} },
 			func(v string) string {
 				return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(v), v)
 			}},
-		"origin, chunked": {func(r *forward.Room) forward.Codec { return origin.Codec{Room: r} },
+		"origin, chunked": {func(r *upstream.Room) upstream.Codec { return origin.Codec{Room: r} },
 			func(v string) string {
 				return fmt.Sprintf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(v), v)
 			}},
 	}
 	for name, p := range protocols {
 		rng := rand.New(rand.NewPCG(1, 1))
-		r := forward.NewRoom(room, most)
+		r := upstream.NewRoom(room, most)
 		d := p.codec(r).NewDecoder()
 		var wire bytes.Buffer
 		var want []string
@@ -70,17 +70,17 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		codec forward.Codec
+		codec upstream.Codec
 		text  string
 		want  error
 	}{
-		"target, too long":        {target.Codec{Room: forward.NewRoom(room, most)}, "*3\r\n$3221225472\r\nx", forward.ErrGarbage},
-		"target, a little longer": {target.Codec{Room: forward.NewRoom(room, most)}, fmt.Sprintf("*3\r\n$%d\r\nx", most+1), forward.ErrGarbage},
-		"target, no room":         {target.Codec{Room: forward.NewRoom(100_000, most)}, "*3\r\n$200000\r\nx", forward.ErrNoRoom},
-		"origin, too long":        {origin.Codec{Room: forward.NewRoom(room, most)}, "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx", forward.ErrGarbage},
-		"origin, no room":         {origin.Codec{Room: forward.NewRoom(100_000, most)}, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nx", forward.ErrNoRoom},
-		"origin, noise":           {origin.Codec{}, "\x00\xff", forward.ErrGarbage},
-		"target, noise":           {target.Codec{}, "\x00\xff", forward.ErrGarbage},
+		"target, too long":        {resp.Codec{Room: upstream.NewRoom(room, most)}, "*3\r\n$3221225472\r\nx", upstream.ErrGarbage},
+		"target, a little longer": {resp.Codec{Room: upstream.NewRoom(room, most)}, fmt.Sprintf("*3\r\n$%d\r\nx", most+1), upstream.ErrGarbage},
+		"target, no room":         {resp.Codec{Room: upstream.NewRoom(100_000, most)}, "*3\r\n$200000\r\nx", upstream.ErrNoRoom},
+		"origin, too long":        {origin.Codec{Room: upstream.NewRoom(room, most)}, "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx", upstream.ErrGarbage},
+		"origin, no room":         {origin.Codec{Room: upstream.NewRoom(100_000, most)}, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nx", upstream.ErrNoRoom},
+		"origin, noise":           {origin.Codec{}, "\x00\xff", upstream.ErrGarbage},
+		"target, noise":           {resp.Codec{}, "\x00\xff", upstream.ErrGarbage},
 	} {
 		d := test.codec.NewDecoder()
 		d.Took(copy(d.Space(), test.text))
--- a/internal/forward/end.go
+++ b/internal/upstream/end.go
@@ -1,8 +1,8 @@
 // Package forward is the life of one attempt at a server: from the pool that finds it a connection to the one
 // value that says how it ended.
-package forward
+package upstream
 
-import "shelfproxy/brain"
+import "shelfproxy/internal/policy"
 
 // End is every way in which a forward, or the connection under it, can end.
 type End int
@@ -31,25 +31,25 @@
 
 var ends = [numberOfEnds]struct {
 	name   string
-	reason brain.Reason
+	reason policy.Reason
 }{
-	Served:    {"served", brain.OK},
-	Missed:    {"missed", brain.Miss},
-	Errored:   {"errored", brain.Errored},
-	Busy:      {"busy", brain.Rejected},
-	NotSent:   {"not_sent", brain.Moot},
-	NoRoom:    {"no_room", brain.Rejected},
-	Drained:   {"drained", brain.Rejected}, // as the server itself would have answered
-	NoConnect: {"no_connect", brain.NoConnection},
-	CutShort:  {"cut_short", brain.NoConnection},
-	Broken:    {"broken", brain.Reset},
-	Garbage:   {"garbage", brain.Spoilt},
-	Unheld:    {"unheld", brain.Errored}, // it may have run, and again it would be as long
-	TimedOut:  {"timed_out", brain.TimedOut},
-	Cancelled: {"cancelled", brain.Cancelled},
+	Served:    {"served", policy.OK},
+	Missed:    {"missed", policy.Miss},
+	Errored:   {"errored", policy.Errored},
+	Busy:      {"busy", policy.Rejected},
+	NotSent:   {"not_sent", policy.Moot},
+	NoRoom:    {"no_room", policy.Rejected},
+	Drained:   {"drained", policy.Rejected}, // as the server itself would have answered
+	NoConnect: {"no_connect", policy.NoConnection},
+	CutShort:  {"cut_short", policy.NoConnection},
+	Broken:    {"broken", policy.Reset},
+	Garbage:   {"garbage", policy.Spoilt},
+	Unheld:    {"unheld", policy.Errored}, // it may have run, and again it would be as long
+	TimedOut:  {"timed_out", policy.TimedOut},
+	Cancelled: {"cancelled", policy.Cancelled},
 }
 
 // Reason is the outcome that the module is told. This is the only place where ends become outcomes.
-func (e End) Reason() brain.Reason { return ends[e].reason }
+func (e End) Reason() policy.Reason { return ends[e].reason }
 
 func (e End) String() string { return ends[e].name }
--- a/internal/forward/end_test.go
+++ b/internal/upstream/end_test.go
@@ -1,22 +1,22 @@
-package forward_test
+package upstream_test
 
 import (
 	"testing"
 	"time"
 
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
-	"shelfproxy/internal/origin"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/origin"
 )
 
 // TestResetIsNoEnd: an answer without a length ends with its connection where the server ends that in order, and is none where it
 // is reset.
 func TestResetIsNoEnd(t *testing.T) {
-	for whole, want := range map[bool]forward.End{true: forward.Served, false: forward.Broken} {
+	for whole, want := range map[bool]upstream.End{true: upstream.Served, false: upstream.Broken} {
 		now := time.Unix(1000, 0)
-		p := forward.NewCore("o", origin.Codec{Host: "o"}, forward.Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 1, Waiting: 1}, forward.NewBudget(1))
-		var fx forward.Effects
-		p.Send(now, &forward.Forward{Flow: &flow.Flow{Key: []byte("k"), ID: []byte("i")}, Sent: now, Deadline: now.Add(time.Minute)}, &fx)
+		p := upstream.NewCore("o", origin.Codec{Host: "o"}, upstream.Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 1, Waiting: 1}, upstream.NewBudget(1))
+		var fx upstream.Effects
+		p.Send(now, &upstream.Forward{Flow: &request.Flow{Key: []byte("k"), ID: []byte("i")}, Sent: now, Deadline: now.Add(time.Minute)}, &fx)
 		c := fx[0].Conn
 		p.Dialed(now, c, true, &fx)
 		p.Pull(now, c, false, &fx)
@@ -26,7 +26,7 @@
 		p.Ended(now, c, whole, &fx)
 		ended := 0
 		for _, e := range fx {
-			if e.Kind == forward.Report {
+			if e.Kind == upstream.Report {
 				if ended++; e.Answer.End != want {
 					t.Errorf("ended in order %v: %v %q, want %v", whole, e.Answer.End, e.Answer.Value, want)
 				}
--- a/internal/forward/gone_test.go
+++ b/internal/upstream/gone_test.go
@@ -1,11 +1,11 @@
-package forward
+package upstream
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"shelfproxy/internal/flow"
+	"shelfproxy/internal/request"
 )
 
 // TestGoneBeforeItIsWritten: whatever a forward waits for as its client leaves, not a byte of it is written, and the connection
@@ -25,13 +25,13 @@
 			var fx Effects
 			var c *Conn
 			if wait.first {
-				p.Send(now, &Forward{Flow: &flow.Flow{}, Sent: now}, &fx)
+				p.Send(now, &Forward{Flow: &request.Flow{}, Sent: now}, &fx)
 				c = fx[0].Conn
 				p.Dialed(now, c, true, &fx)
 				p.Pull(now, c, false, &fx)
 				p.Wrote(now, c, true, true, &fx)
 			}
-			gone, next := &Forward{Flow: &flow.Flow{}, Sent: now, Fresh: wait.fresh}, &Forward{Flow: &flow.Flow{}, Sent: now}
+			gone, next := &Forward{Flow: &request.Flow{}, Sent: now, Fresh: wait.fresh}, &Forward{Flow: &request.Flow{}, Sent: now}
 			p.Send(now, gone, &fx)
 			gone.Flow.Cancel()
 			if heard && !p.Withdraw(now, gone, &fx) {
@@ -60,7 +60,7 @@
 func TestNotTakenBackOnceItMayHaveRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 4, Waiting: 4}, NewBudget(4))
-	f := &Forward{Flow: &flow.Flow{}, Sent: now}
+	f := &Forward{Flow: &request.Flow{}, Sent: now}
 	var fx Effects
 	p.Send(now, f, &fx)
 	p.Dialed(now, fx[0].Conn, true, &fx)
@@ -77,8 +77,8 @@
 	start := time.Unix(1000, 0)
 	for late, want := range map[time.Duration]bool{0: true, time.Nanosecond: false} {
 		p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 1, Waiting: 4}, NewBudget(4))
-		repeat := &Forward{Flow: &flow.Flow{}, Sent: start, Deadline: start.Add(time.Hour), By: start.Add(400 * time.Millisecond)}
-		next := &Forward{Flow: &flow.Flow{}, Sent: start, Deadline: start.Add(time.Hour)}
+		repeat := &Forward{Flow: &request.Flow{}, Sent: start, Deadline: start.Add(time.Hour), By: start.Add(400 * time.Millisecond)}
+		next := &Forward{Flow: &request.Flow{}, Sent: start, Deadline: start.Add(time.Hour)}
 		if repeat.writeBy() != repeat.By || next.writeBy() != next.Deadline {
 			t.Error("what has not left is given up at another time")
 		}
--- a/internal/forward/growth.go
+++ b/internal/upstream/growth.go
@@ -1,4 +1,4 @@
-package forward
+package upstream
 
 import (
 	"math"
--- a/internal/forward/growth_test.go
+++ b/internal/upstream/growth_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package upstream_test
 
 import (
 	"net"
@@ -8,9 +8,9 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/flow"
-	"shelfproxy/internal/forward"
-	"shelfproxy/internal/target"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/resp"
 )
 
 // server answers each command once it is told to, and counts its connections.
@@ -67,13 +67,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newServer(t)
-			ended := make(chan forward.End, 8)
-			p := forward.NewPool(s.addr, target.Codec{}, forward.Limits{Connect: 10 * time.Second, Idle: time.Minute,
-				Streams: 32, Conns: 8, Waiting: 8, Share: test.share}, forward.NewBudget(8),
-				func(_ *forward.Forward, a forward.Answer) { ended <- a.End }, func() {})
+			ended := make(chan upstream.End, 8)
+			p := upstream.NewPool(s.addr, resp.Codec{}, upstream.Limits{Connect: 10 * time.Second, Idle: time.Minute,
+				Streams: 32, Conns: 8, Waiting: 8, Share: test.share}, upstream.NewBudget(8),
+				func(_ *upstream.Forward, a upstream.Answer) { ended <- a.End }, func() {})
 			t.Cleanup(func() { p.Update(s.addr, true) })
 			send := func(key string) {
-				f := &forward.Forward{Flow: &flow.Flow{Key: []byte(key), ID: []byte(key)}, Sent: time.Now(),
+				f := &upstream.Forward{Flow: &request.Flow{Key: []byte(key), ID: []byte(key)}, Sent: time.Now(),
 					Deadline: time.Now().Add(time.Minute), Fresh: test.fresh}
 				if end, ok := p.Send(f); !ok {
 					t.Fatalf("%s ended at once: %v", key, end)
@@ -89,7 +89,7 @@
 				s.answer <- struct{}{}
 				s.answer <- struct{}{}
 				for range 2 {
-					if end := <-ended; end != forward.Served {
+					if end := <-ended; end != upstream.Served {
 						t.Fatalf("round %d: ended as %v", round, end)
 					}
 				}
--- a/internal/origin/origin.go
+++ b/internal/upstream/origin/origin.go
@@ -11,7 +11,7 @@
 	"net/url"
 	"time"
 
-	"shelfproxy/internal/forward"
+	"shelfproxy/internal/upstream"
 )
 
 const (
@@ -22,12 +22,12 @@
 // Codec writes the origin's requests and reads its responses. Its connections carry one request at a time.
 type Codec struct {
 	Host string
-	Room *forward.Room
+	Room *upstream.Room
 }
 
 // Append appends the HTTP request of a forward, with the time that is left as d: the origin is asked after a cache server, and
 // what that took is gone from the time that the client gave.
-func (c Codec) Append(b []byte, f *forward.Forward, now time.Time) []byte {
+func (c Codec) Append(b []byte, f *upstream.Forward, now time.Time) []byte {
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/alive"}, Host: c.Host,
 		Header: http.Header{"User-Agent": {""}}}
 	if q := f.Flow; q != nil {
@@ -47,7 +47,7 @@
 }
 
 // NewDecoder returns a decoder of the responses on a connection.
-func (c Codec) NewDecoder() forward.Decoder { return &decoder{room: c.Room} }
+func (c Codec) NewDecoder() upstream.Decoder { return &decoder{room: c.Room} }
 
 const (
 	chunk = 4 << 10
@@ -56,7 +56,7 @@
 
 // decoder keeps what came of one response and has net/http's codec read it, anew with each part that comes.
 type decoder struct {
-	room *forward.Room
+	room *upstream.Room
 	took int // of it
 	buf  []byte
 	end  int
@@ -80,13 +80,13 @@
 
 var proto = []byte("HTTP/1.")
 
-func (d *decoder) Next(ended bool) (forward.Answer, bool, error) {
+func (d *decoder) Next(ended bool) (upstream.Answer, bool, error) {
 	all := d.buf[:d.end]
 	if n := min(len(all), len(proto)); !bytes.Equal(all[:n], proto[:n]) {
-		return forward.Answer{}, false, forward.ErrGarbage
+		return upstream.Answer{}, false, upstream.ErrGarbage
 	}
 	if !ended && d.end < d.want {
-		return forward.Answer{}, false, nil
+		return upstream.Answer{}, false, nil
 	}
 	d.want = 0
 	d.in.Reset(all)
@@ -100,13 +100,13 @@
 	case errors.Is(err, errMore) && d.end < maxHeader+2*d.room.Most(): // a body may be chunked
 		if need := max(d.want, d.end) - d.took; need > short {
 			if !d.room.Take(need) {
-				return forward.Answer{}, false, forward.ErrNoRoom
+				return upstream.Answer{}, false, upstream.ErrNoRoom
 			}
 			d.took += need
 		}
-		return forward.Answer{}, false, nil
+		return upstream.Answer{}, false, nil
 	case err != nil:
-		return forward.Answer{}, false, forward.ErrGarbage
+		return upstream.Answer{}, false, upstream.ErrGarbage
 	}
 	d.Drop()
 	rest := d.in.Len() + d.rd.Buffered()
@@ -135,34 +135,34 @@
 }
 
 // response reads one response, with the 1xx answers that may come ahead of it.
-func (d *decoder) response(ended bool) (forward.Answer, error) {
+func (d *decoder) response(ended bool) (upstream.Answer, error) {
 	var resp *http.Response
 	// 1xx answers come ahead of the one that counts; after 101 the connection would speak another protocol. The codec takes half a
 	// line at the end for a whole one, so each header is read once all of it is there.
 	for n := 0; resp == nil || resp.StatusCode < 200; n++ {
 		if resp != nil && (n > maxInterim || resp.StatusCode == http.StatusSwitchingProtocols) {
-			return forward.Answer{}, forward.ErrGarbage
+			return upstream.Answer{}, upstream.ErrGarbage
 		}
 		rest := d.buf[d.end-d.in.Len()-d.rd.Buffered() : d.end]
 		if !bytes.Contains(rest, []byte("\n\r\n")) && !bytes.Contains(rest, []byte("\n\n")) {
-			return forward.Answer{}, errMore
+			return upstream.Answer{}, errMore
 		}
 		var err error
 		if resp, err = http.ReadResponse(d.rd, nil); err != nil {
-			return forward.Answer{}, more(err)
+			return upstream.Answer{}, more(err)
 		}
 	}
 	defer resp.Body.Close()
 	body, err := d.body(resp, ended)
 	if err != nil {
-		return forward.Answer{}, err
+		return upstream.Answer{}, err
 	}
-	a := forward.Answer{End: forward.Errored, Load: []byte(resp.Header.Get("X-Load")), Close: resp.Close}
+	a := upstream.Answer{End: upstream.Errored, Load: []byte(resp.Header.Get("X-Load")), Close: resp.Close}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		a.End, a.Value = forward.Served, body
+		a.End, a.Value = upstream.Served, body
 	case resp.Header.Get("X-Not-Run") == "1":
-		a.End = forward.Busy
+		a.End = upstream.Busy
 	}
 	return a, nil
 }
@@ -171,7 +171,7 @@
 func (d *decoder) body(resp *http.Response, ended bool) ([]byte, error) {
 	most := d.room.Most()
 	if resp.ContentLength > int64(most) {
-		return nil, forward.ErrGarbage
+		return nil, upstream.ErrGarbage
 	}
 	if n := resp.ContentLength; n >= 0 {
 		if have := d.in.Len() + d.rd.Buffered(); int64(have) < n {
@@ -185,7 +185,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(most)+1))
 	switch {
 	case len(body) > most:
-		return nil, forward.ErrGarbage
+		return nil, upstream.ErrGarbage
 	case err != nil:
 		return nil, more(err)
 	case len(resp.TransferEncoding) == 0 && !ended: // its end is that of the connection
--- a/internal/target/resp_fuzz_test.go
+++ b/internal/upstream/resp/resp_fuzz_test.go
@@ -1,4 +1,4 @@
-package target
+package resp
 
 import "testing"
 
--- a/internal/target/target.go
+++ b/internal/upstream/resp/target.go
@@ -1,5 +1,5 @@
 // Package target speaks RESP2 to the cache servers.
-package target
+package resp
 
 import (
 	"bytes"
@@ -7,14 +7,14 @@
 
 	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/forward"
+	"shelfproxy/internal/upstream"
 )
 
 // Codec writes the commands of cache servers and reads their answers.
-type Codec struct{ Room *forward.Room }
+type Codec struct{ Room *upstream.Room }
 
 // Append appends the command of a forward: as the client gave it, but with the time that is left as d.
-func (Codec) Append(b []byte, f *forward.Forward, now time.Time) []byte {
+func (Codec) Append(b []byte, f *upstream.Forward, now time.Time) []byte {
 	if f.Flow == nil {
 		return append(b, "*1\r\n$4\r\nPING\r\n"...)
 	}
@@ -36,14 +36,14 @@
 }
 
 // NewDecoder returns a decoder of the answers on a connection.
-func (c Codec) NewDecoder() forward.Decoder { return &decoder{room: c.Room} }
+func (c Codec) NewDecoder() upstream.Decoder { return &decoder{room: c.Room} }
 
 // chunk is how much is read at once. Answers are slices of the chunk that they were read into; what was read is
 // never written over, as an answer may still be on its way to a client.
 const chunk = 16 << 10
 
 type decoder struct {
-	room       *forward.Room
+	room       *upstream.Room
 	buf        []byte
 	start, end int
 	want       int // bytes of the answer at start, where it is known to be longer than a chunk
@@ -68,22 +68,22 @@
 	return d.buf[d.end:]
 }
 
-func (d *decoder) Next(bool) (forward.Answer, bool, error) {
+func (d *decoder) Next(bool) (upstream.Answer, bool, error) {
 	if d.end-d.start < d.want {
-		return forward.Answer{}, false, nil
+		return upstream.Answer{}, false, nil
 	}
 	v, n, err := parse(d.buf[d.start:d.end], 0, d.room.Most())
 	switch {
 	case err != nil || n == 0:
-		return forward.Answer{}, false, err
+		return upstream.Answer{}, false, err
 	case n < 0:
 		if d.want = -n; d.want > chunk && d.took == 0 {
 			if !d.room.Take(d.want) {
-				return forward.Answer{}, false, forward.ErrNoRoom
+				return upstream.Answer{}, false, upstream.ErrNoRoom
 			}
 			d.took = d.want
 		}
-		return forward.Answer{}, false, nil
+		return upstream.Answer{}, false, nil
 	}
 	d.start += n
 	if d.want > chunk { // the buffer is the answer's
@@ -103,25 +103,25 @@
 
 var busy = []byte("BUSY")
 
-func answer(v reply) (forward.Answer, error) {
+func answer(v reply) (upstream.Answer, error) {
 	switch {
 	case v.kind == '+':
-		return forward.Answer{End: forward.Served}, nil // PONG
+		return upstream.Answer{End: upstream.Served}, nil // PONG
 	case v.kind == '-' && (len(v.data) == 0 || v.data[0] < 'A' || v.data[0] > 'Z'):
-		return forward.Answer{}, forward.ErrGarbage
+		return upstream.Answer{}, upstream.ErrGarbage
 	case v.kind == '-' && bytes.HasPrefix(v.data, busy):
-		return forward.Answer{End: forward.Busy, Load: lastWord(v.data)}, nil
+		return upstream.Answer{End: upstream.Busy, Load: lastWord(v.data)}, nil
 	case v.kind == '-':
-		return forward.Answer{End: forward.Errored, Load: lastWord(v.data)}, nil
+		return upstream.Answer{End: upstream.Errored, Load: lastWord(v.data)}, nil
 	case v.kind == '*' && len(v.items) == maxItems && v.items[0].kind == '$':
-		a := forward.Answer{End: forward.Served, Value: v.items[0].data}
+		a := upstream.Answer{End: upstream.Served, Value: v.items[0].data}
 		if v.items[0].null {
-			a.End = forward.Missed
+			a.End = upstream.Missed
 		}
 		a.Load = v.items[2].data
 		return a, nil
 	}
-	return forward.Answer{}, forward.ErrGarbage
+	return upstream.Answer{}, upstream.ErrGarbage
 }
 
 // lastWord is the load report that an error line may end with.
--- a/tests/lab_test.go
+++ b/tests/lab_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"shelfproxy/internal/lab/demo"
-	"shelfproxy/internal/lab/overhead"
-	"shelfproxy/internal/lab/relay"
-	"shelfproxy/internal/lab/rules"
-	"shelfproxy/internal/lab/scenario"
+	"shelfproxy/internal/testbed/demo"
+	"shelfproxy/internal/testbed/faultproxy"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/overhead"
+	"shelfproxy/internal/testbed/scenario"
 )
 
 // play plays a scenario with a program as its nodes.
@@ -96,7 +96,7 @@
 	t.Parallel()
 	const text = "length = \"24s\"\n[nodes]\ncount = 5\n[boxes]\ncount = 4\n[load]\nrate = 60\n[rules]\ngrace = \"400ms\""
 	r := playWith(t, program, text, 0, &demo.Roll{Budget: 2, Stall: 500 * time.Millisecond,
-		Faults: relay.Faults{Lost: 0.1, Twice: 0.1, Delay: 20 * time.Millisecond}})
+		Faults: faultproxy.Faults{Lost: 0.1, Twice: 0.1, Delay: 20 * time.Millisecond}})
 	if !r.Kept() {
 		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
 	}
@@ -108,7 +108,7 @@
 func TestBrokenNodesAreCaught(t *testing.T) {
 	t.Parallel()
 	naive := filepath.Join(t.TempDir(), "naive")
-	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", naive, "shelfproxy/tests/naive").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", naive, "shelfproxy/tests/baseline").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	const calm = `
@@ -146,8 +146,8 @@
 at = "1s"
 boxes = ["box-0"]
 `
-	for mode, want := range map[string]rules.Rule{"keep": "", "resend": rules.Repeated, "drain": rules.Drained, "lose": rules.LostAnswer,
-		"swap": rules.LostAnswer, "late": rules.LostAnswer} {
+	for mode, want := range map[string]invariants.Rule{"keep": "", "resend": invariants.Repeated, "drain": invariants.Drained, "lose": invariants.LostAnswer,
+		"swap": invariants.LostAnswer, "late": invariants.LostAnswer} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			wrapper := filepath.Join(t.TempDir(), "node")
@@ -156,7 +156,7 @@
 			}
 			broken := play(t, wrapper, calm, 0).Summary.Broken
 			for _, v := range broken {
-				if v.Rule != want || want != rules.Drained && len(v.History) == 0 {
+				if v.Rule != want || want != invariants.Drained && len(v.History) == 0 {
 					t.Errorf("%v, want the rule %q with a history", v, want)
 				}
 			}
@@ -228,7 +228,7 @@
 		"list":                {0, "deploy"},
 		"check rush --seed 2": {0, "rush is good"},
 		"--version":           {0, "go1"},
-		"completion bash":     {0, "shelflab"},
+		"completion bash":     {0, "testbed"},
 		"check " + bad:        {2, "bad.toml:1: lenght: there is no such field"},
 		"check nosuch":        {2, "there is no scenario \"nosuch\"; shipped are"},
 		"demo --node /nonexistent --length 100ms": {1, "n"},
--- a/tests/rig_test.go
+++ b/tests/rig_test.go
@@ -35,9 +35,9 @@
 	if err != nil {
 		panic(err)
 	}
-	program, lab = filepath.Join(dir, "shelfproxy"), filepath.Join(dir, "shelflab")
+	program, lab = filepath.Join(dir, "shelfproxy"), filepath.Join(dir, "testbed")
 	args := append([]string{"build", "-buildvcs=false", "-o", dir + "/"}, buildFlags...)
-	if out, err := exec.Command("go", append(args, "shelfproxy/cmd/shelfproxy", "shelfproxy/cmd/shelflab")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(args, "shelfproxy/cmd/shelfproxy", "shelfproxy/cmd/testbed")...).CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
