--- a/tests/rollout_test.go
+++ b/tests/rollout_test.go
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"shelfproxy/internal/lab/relay"
+	"shelfproxy/internal/testbed/faultproxy"
 )
 
 // fleet is real nodes that agree on who may go out, and the one who starts those again that ended.
 type fleet struct {
 	*rig
-	relay   *relay.Relay
+	relay   *faultproxy.Relay
 	mu      sync.Mutex
 	nodes   []*member
 	release string // that a node is started with
@@ -47,7 +47,7 @@
 		}
 	}()
 	var err error
-	if f.relay, err = relay.New(nodes, relay.Faults{Lost: bad, Twice: bad, Garbled: bad, Delay: 20 * time.Millisecond}, 1); err != nil {
+	if f.relay, err = faultproxy.New(nodes, faultproxy.Faults{Lost: bad, Twice: bad, Garbled: bad, Delay: 20 * time.Millisecond}, 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.relay.Close)
--- a/tests/supervise_test.go
+++ b/tests/supervise_test.go
@@ -16,13 +16,13 @@
 	"testing"
 	"time"
 
-	"shelfproxy/internal/lab/relay"
+	"shelfproxy/internal/testbed/faultproxy"
 )
 
 // machine is a supervisor with its nodes.
 type machine struct {
 	*rig
-	relay   *relay.Relay // between the nodes
+	relay   *faultproxy.Relay // between the nodes
 	dir, ip string
 	nodes   int
 	cmd     *exec.Cmd
@@ -40,7 +40,7 @@
 	m.address().Close()
 	m.ip, _, _ = net.SplitHostPort(m.addr)
 	var err error
-	if m.relay, err = relay.New(nodes, relay.Faults{}, 1); err != nil {
+	if m.relay, err = faultproxy.New(nodes, faultproxy.Faults{}, 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.relay.Close)
