--- a/cmd/shelfproxy/fleet.go
+++ b/cmd/shelfproxy/fleet.go
@@ -49,8 +49,8 @@
 // core is what the supervisor's core is told.
 func (f *fleetFile) core(seed uint64) supervisor.Config {
 	c := f.Fleet
-	return supervisor.Config{Instances: c.Instances, AtOnce: c.AtOnce, ReadyWithin: c.ReadyWithin.D(), Watch: c.Watch.D(), EndWithin: c.EndWithin.D(), Silent: c.Silent.D(),
-		BackoffLeast: c.BackoffLeast.D(), BackoffMost: c.BackoffMost.D(), MaxFailed: c.MaxFailed, LeastJudged: c.LeastJudged, Seed: seed}
+	return supervisor.Config{Instances: c.Instances, MaxConcurrent: c.AtOnce, ReadyTimeout: c.ReadyWithin.D(), ObservationPeriod: c.Watch.D(), TerminateTimeout: c.EndWithin.D(), HangTimeout: c.Silent.D(),
+		MinBackoff: c.BackoffLeast.D(), MaxBackoff: c.BackoffMost.D(), MaxFailureRate: c.MaxFailed, MinSamples: c.LeastJudged, Seed: seed}
 }
 
 // fill writes an instance's number and port into a text.
@@ -124,7 +124,7 @@
 		}
 		program = own
 	}
-	a, err := agent.New(agent.Options{Core: f.core(uint64(time.Now().UnixNano())), Log: log,
+	a, err := agent.New(agent.Options{Config: f.core(uint64(time.Now().UnixNano())), Log: log,
 		Listen: func(i int) string { return f.fill(f.Instance.Listen, i) },
 		Command: func(i int) (string, []string, []string) {
 			return f.fill(program, i), f.fillAll(f.Instance.Args, i), append(os.Environ(), f.fillAll(f.Instance.Env, i)...)
@@ -134,7 +134,7 @@
 	}
 	stop := make(chan struct{})
 	calls := control.New(f.Fleet.Control)
-	a.Register(calls)
+	a.RegisterCalls(calls)
 	go func() {
 		if err := calls.Serve(stop); err != nil {
 			log.Error("operators' calls are not taken", logs.Event, "control_failed", "error", err.Error())
@@ -146,7 +146,7 @@
 			case <-hup:
 				a.Signal(syscall.SIGHUP)
 			case <-term:
-				a.Post(supervisor.Stop{})
+				a.Post(supervisor.StopRequested{})
 			case <-stop:
 				return
 			}
--- a/cmd/shelfproxy/run.go
+++ b/cmd/shelfproxy/run.go
@@ -60,12 +60,12 @@
 	node  *node.Node
 	front *listener.Listener
 
-	agent            *agent.Agent       // nil where nodes go when they are told
-	duties           *dutyAgent.Agent   // nil where each node does for itself
-	members          *memberAgent.Agent // nil where nobody looks who is there
-	socket           *peers.Socket      // nil where nodes may not talk to each other
-	parent           *handover.Parent   // a supervisor, if one started this process
-	told             rollout.Served     // to the supervisor
+	agent            *agent.Agent           // nil where nodes go when they are told
+	duties           *dutyAgent.Agent       // nil where each node does for itself
+	members          *memberAgent.Agent     // nil where nobody looks who is there
+	socket           *peers.Socket          // nil where nodes may not talk to each other
+	parent           *handover.Parent       // a supervisor, if one started this process
+	told             rollout.ResponseCounts // to the supervisor
 	leave            chan struct{}
 	memory           admission.Memory
 	pressure         float64 // as the node was told
@@ -77,7 +77,7 @@
 	// From here on, as a signal that is not caught ends the program. One of a kind that waits is enough: it is
 	// looked at after the others came.
 	hup, term, usr := catch(syscall.SIGHUP), catch(syscall.SIGTERM, syscall.SIGINT), catch(syscall.SIGUSR1)
-	replaced := catch(handover.Replaced)
+	replaced := catch(handover.ReplacedSignal)
 	parent, err := handover.Inherit()
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	go d.front.Serve()
 	if d.agent != nil {
 		go d.agent.Serve(ended)
-		d.agent.Post(rollout.Up{})
+		d.agent.Post(rollout.ServingStarted{})
 	}
 	if d.duties != nil {
 		go d.duties.Serve(ended)
@@ -109,7 +109,7 @@
 	go d.serveControl(d.cfg.Operator.Rollout.Control, ended)
 	d.log.Info("the node is up", logs.Event, "started", "name", cfg.Name, "listen", cfg.Listen, "cores", cfg.Cores,
 		"memory_mb", cfg.MemoryMB, "sockets", cfg.Sockets)
-	parent.Ready()
+	parent.ReportReady()
 
 	begun := time.Now()
 	looks := time.NewTicker(look)
@@ -121,7 +121,7 @@
 		}
 		d.log.Info(what, logs.Event, event)
 		if d.agent != nil {
-			d.agent.Post(rollout.Going{})
+			d.agent.Post(rollout.ShutdownStarted{})
 		}
 		d.resign()
 		over = d.shutDown()
@@ -192,7 +192,7 @@
 	targets, origins := upstream.NewBudget(start[admission.Targets]), upstream.NewBudget(start[admission.Origin])
 	limits := upstream.Limits{Connect: cfg.Node.ConnectTimeout, Idle: cfg.Node.ConnIdle * 8 / 10,
 		Streams: cfg.Node.Streams, Conns: op.Pools.Connections, Waiting: op.Pools.Waiting}
-	if cfg.Module.HandshakePrice > 0 {
+	if cfg.Module.HandshakeCost > 0 {
 		limits.Share = sharedFor
 	}
 	originLimits := limits
@@ -208,13 +208,13 @@
 	}
 	module := cfg.Module
 	var tell func([]byte) error
-	if module.Peers = socket != nil; module.Peers {
-		tell = socket.Tell
+	if module.MayGossip = socket != nil; module.MayGossip {
+		tell = socket.Broadcast
 	}
 	var duties *dutyAgent.Agent
-	spread := func(duty policy.Duty) {
+	spread := func(duty policy.Role) {
 		if duties != nil {
-			duties.Say(policy.DutyNames[duty])
+			duties.Announce(policy.RoleNames[duty])
 		}
 	}
 	long := upstream.NewRoom(cfg.MemoryMB<<20/longShare, max(leastValue, cfg.MemoryMB<<20/valueShare))
@@ -257,12 +257,12 @@
 	if socket != nil {
 		heard := func(from int, data []byte) {
 			switch {
-			case agreement != nil && len(data) > 0 && data[0] == rollout.Mark:
-				agreement.Heard(from, data)
-			case duties != nil && len(data) > 0 && data[0] == lease.Mark:
-				duties.Heard(from, data)
-			case members != nil && len(data) > 0 && data[0] == membership.Mark:
-				members.Heard(from, data)
+			case agreement != nil && len(data) > 0 && data[0] == rollout.Magic:
+				agreement.Receive(from, data)
+			case duties != nil && len(data) > 0 && data[0] == lease.Magic:
+				duties.Receive(from, data)
+			case members != nil && len(data) > 0 && data[0] == membership.Magic:
+				members.Receive(from, data)
 			default:
 				n.Heard(from, data)
 			}
@@ -288,8 +288,8 @@
 // source is discovery, or the agent on this machine that lists are pushed to.
 func source(cfg *config.Config) *discovery.Client {
 	c := &discovery.Client{Addr: cfg.Discovery}
-	if !cfg.Module.MustAsk {
-		c.Within = discovery.AgentWithin
+	if !cfg.Module.MustPoll {
+		c.CallTimeout = discovery.AgentCallTimeout
 	}
 	return c
 }
@@ -302,7 +302,7 @@
 		return nil, nil
 	}
 	if replaces {
-		return peers.Later(cfg.Peers)
+		return peers.OpenLater(cfg.Peers)
 	}
 	return bind(log, cfg.Peers.Listen, term, func() (*peers.Socket, error) { return peers.Open(cfg.Peers) })
 }
@@ -339,53 +339,53 @@
 
 // newAgent makes this node's part in the agreement on who may go out.
 func newAgent(cfg *config.Config, socket *peers.Socket, count *counters.Counters, leave chan struct{}, log *slog.Logger) (*agent.Agent, error) {
-	counts := make([]*atomic.Int64, rollout.Notes)
-	for kind := range rollout.Notes {
+	counts := make([]*atomic.Int64, rollout.LogEventKinds)
+	for kind := range rollout.LogEventKinds {
 		counts[kind] = count.More("rollout_" + kind.String())
 	}
 	r := cfg.Operator.Rollout
 	core := r.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), cfg.Module.Zone, uint64(time.Now().UnixMilli()), cfg.Seed)
-	return agent.New(agent.Options{Core: core, Send: socket.TellTo, Log: log,
-		Go: func() { leave <- struct{}{} },
-		Served: func() rollout.Served {
+	return agent.New(agent.Options{Config: core, Send: socket.SendTo, Log: log,
+		DrainGranted: func() { leave <- struct{}{} },
+		ResponseCounts: func() rollout.ResponseCounts {
 			answers, failed := count.Total(int(request.Failed))
-			return rollout.Served{Answers: answers, Failed: failed, Slow: int(count.Slow.Load())}
+			return rollout.ResponseCounts{Responses: answers, Failed: failed, Slow: int(count.Slow.Load())}
 		},
-		Note: func(kind rollout.NoteKind) { counts[kind].Add(1) }})
+		CountEvent: func(kind rollout.LogEventKind) { counts[kind].Add(1) }})
 }
 
 // newDuties makes this node's part in the agreement on duties.
 func newDuties(cfg *config.Config, socket *peers.Socket, n *node.Node, count *counters.Counters, log *slog.Logger) (*dutyAgent.Agent, error) {
-	counts := make([]*atomic.Int64, lease.Notes)
-	for kind := range lease.Notes {
+	counts := make([]*atomic.Int64, lease.LogEventKinds)
+	for kind := range lease.LogEventKinds {
 		counts[kind] = count.More("duty_" + kind.String())
 	}
-	number := func(name string) policy.Duty { return policy.Duty(slices.Index(policy.DutyNames[:], name)) }
+	number := func(name string) policy.Role { return policy.Role(slices.Index(policy.RoleNames[:], name)) }
 	core := cfg.Operator.Duties.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), uint64(time.Now().UnixMilli()), cfg.Seed)
-	return dutyAgent.New(dutyAgent.Options{Core: core, Send: socket.TellTo, Log: log,
-		Holder: func(duty string, node int) {
-			who := policy.Another
+	return dutyAgent.New(dutyAgent.Options{Config: core, Send: socket.SendTo, Log: log,
+		HolderChanged: func(duty string, node int) {
+			who := policy.AssignedElsewhere
 			switch node {
-			case lease.None:
-				who = policy.Nobody
-			case lease.Mine:
-				who = policy.Self
+			case lease.NoNode:
+				who = policy.Unassigned
+			case lease.ThisNode:
+				who = policy.AssignedHere
 			}
-			n.Duty(policy.Holder{Duty: number(duty), Who: who})
+			n.Duty(policy.RoleAssigned{Role: number(duty), Responsibility: who})
 		},
-		Said: func(duty string) { n.Duty(policy.Word{Duty: number(duty)}) },
-		Note: func(kind lease.NoteKind) { counts[kind].Add(1) }})
+		Announced:  func(duty string) { n.Duty(policy.RoleAnnouncement{Role: number(duty)}) },
+		CountEvent: func(kind lease.LogEventKind) { counts[kind].Add(1) }})
 }
 
 // newMembers makes this node's part in who is there.
 func newMembers(cfg *config.Config, socket *peers.Socket, n *node.Node, count *counters.Counters, log *slog.Logger) (*memberAgent.Agent, error) {
-	counts := make([]*atomic.Int64, memberAgent.Notes)
-	for note := range memberAgent.Notes {
+	counts := make([]*atomic.Int64, memberAgent.EventKinds)
+	for note := range memberAgent.EventKinds {
 		counts[note] = count.More("member_" + note.String())
 	}
 	core := cfg.Operator.Members.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), cfg.Operator.Duties.Fleet(len(cfg.Peers.Peers)), uint64(time.Now().UnixMilli()), cfg.Seed)
-	return memberAgent.New(memberAgent.Options{Core: core, Send: socket.TellTo, Count: n.Fleet, Log: log,
-		Note: func(note memberAgent.Note) { counts[note].Add(1) }})
+	return memberAgent.New(memberAgent.Options{Config: core, Send: socket.SendTo, SetFleetSize: n.Fleet, Log: log,
+		CountEvent: func(note memberAgent.EventKind) { counts[note].Add(1) }})
 }
 
 // resign gives the duties of this node to the others at once, and tells them that it ends.
@@ -394,19 +394,19 @@
 		d.duties.Resign()
 	}
 	if d.members != nil {
-		d.members.Leave()
+		d.members.Shutdown()
 	}
 	if d.parent.Listener != nil && d.socket != nil { // a successor waits for the address of the datagrams
 		go func() {
 			// What was posted before is out once each has taken one thing more.
 			if d.agent != nil {
-				d.agent.Ask(func() {})
+				d.agent.Call(func() {})
 			}
 			if d.duties != nil {
-				d.duties.Ask(func() {})
+				d.duties.Call(func() {})
 			}
 			if d.members != nil {
-				d.members.Ask(func() {})
+				d.members.Call(func() {})
 			}
 			d.socket.Close()
 		}()
@@ -415,12 +415,12 @@
 
 // report tells a supervisor how it goes, and whether it is still there.
 func (d *daemon) report() bool {
-	if !d.parent.Watched() {
+	if !d.parent.IsSupervised() {
 		return true
 	}
 	answers, failed := d.count.Total(int(request.Failed))
-	err := d.parent.Served(answers-d.told.Answers, failed-d.told.Failed)
-	d.told = rollout.Served{Answers: answers, Failed: failed}
+	err := d.parent.ReportResponses(answers-d.told.Responses, failed-d.told.Failed)
+	d.told = rollout.ResponseCounts{Responses: answers, Failed: failed}
 	return err == nil
 }
 
@@ -428,7 +428,7 @@
 // as operators have signals too.
 func (d *daemon) serveControl(addr string, stop <-chan struct{}) {
 	s := control.New(addr)
-	s.Look("explain", func(q url.Values) (any, error) {
+	s.HandleQuery("explain", func(q url.Values) (any, error) {
 		why, ok := d.node.Explain(q.Get("key"))
 		if !ok {
 			return nil, control.ErrBusy
@@ -436,13 +436,13 @@
 		return why, nil
 	})
 	if d.agent != nil {
-		d.agent.Register(s)
+		d.agent.RegisterCalls(s)
 	}
 	if d.duties != nil {
-		d.duties.Register(s)
+		d.duties.RegisterCalls(s)
 	}
 	if d.members != nil {
-		d.members.Register(s)
+		d.members.RegisterCalls(s)
 	}
 	err := s.Serve(stop)
 	for told := false; errors.Is(err, control.ErrInUse); err = s.Serve(stop) {
@@ -559,7 +559,7 @@
 	}
 	if r := cfg.Operator.Rollout; d.agent != nil && r != d.cfg.Operator.Rollout {
 		d.log.Info("reload: the budget changes", logs.Event, "rollout_budget", "nodes_out", r.NodesOut, "zone_out", r.ZoneOut)
-		d.agent.Post(rollout.Budget{Nodes: r.NodesOut, Zone: r.ZoneOut})
+		d.agent.Post(rollout.BudgetChanged{Nodes: r.NodesOut, Zone: r.ZoneOut})
 		kept, op := *d.cfg, *d.cfg.Operator
 		op.Rollout = r
 		kept.Operator = &op
@@ -578,7 +578,7 @@
 // movePeers takes over another list of peers, where that is safe: duties are handed on between majorities of the list
 // before and the list after, so these may differ by one node.
 func (d *daemon) movePeers(cfg *config.Config) {
-	changed := d.cfg.Peers.Changed(cfg.Peers)
+	changed := d.cfg.Peers.CountChanges(cfg.Peers)
 	if changed == 0 && d.cfg.Operator.Duties.List == cfg.Operator.Duties.List || d.socket == nil {
 		return
 	}
@@ -592,7 +592,7 @@
 		refused = "this node is not among them"
 	}
 	if refused == "" {
-		if err := d.socket.Move(cfg.Peers); err != nil {
+		if err := d.socket.UpdatePeers(cfg.Peers); err != nil {
 			refused = err.Error()
 		}
 	}
@@ -604,10 +604,10 @@
 	self, nodes := cfg.Peers.Self(), len(cfg.Peers.Peers)
 	list := cfg.Operator.Duties.Fleet(nodes)
 	if d.duties != nil {
-		d.duties.Move(lease.Peers{Self: self, Nodes: nodes, Fleet: list})
+		d.duties.UpdatePeers(lease.PeersChanged{Self: self, Nodes: nodes, PeerListID: list})
 	}
 	if d.members != nil {
-		d.members.Move(membership.Peers{Self: self, Nodes: nodes, Fleet: list})
+		d.members.UpdatePeers(membership.PeersChanged{Self: self, Nodes: nodes, PeerListID: list})
 	}
 	kept, op := *d.cfg, *d.cfg.Operator
 	kept.Peers, op.Duties.List = cfg.Peers, cfg.Operator.Duties.List
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -103,9 +103,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Module.LeaveOwner, c.Module.ServersOut = op.Zones.Leave, op.Rollout.ServersOut
+	c.Module.AffinityBudget, c.Module.MaxEjectedFraction = op.Zones.Leave, op.Rollout.ServersOut
 	if c.Tells() {
-		if err := c.Peers.Check(); err != nil {
+		if err := c.Peers.Validate(); err != nil {
 			return nil, err
 		}
 	}
@@ -130,7 +130,9 @@
 }
 
 // Tells says whether the node may send messages to others and knows where they are.
-func (c *Config) Tells() bool { return c.Module.Peers && c.Peers.All != "" && c.Peers.Listen != "" }
+func (c *Config) Tells() bool {
+	return c.Module.MayGossip && c.Peers.Broadcast != "" && c.Peers.Listen != ""
+}
 
 // The platform's SIGKILL comes no sooner than this after SIGTERM and the longest deadline, of which no more than so much
 // counts. An answer needs a moment to be written before.
@@ -201,7 +203,7 @@
 	if err := c.number(v, path, &c.Sockets, 128, "sockets"); err != nil {
 		return nil, err
 	}
-	c.Peers = peers.Addresses{Listen: string(v.GetStringBytes("peer_listen")), All: string(v.GetStringBytes("peers_all"))}
+	c.Peers = peers.Addresses{Listen: string(v.GetStringBytes("peer_listen")), Broadcast: string(v.GetStringBytes("peers_all"))}
 	for _, p := range v.GetArray("peers") {
 		c.Peers.Peers = append(c.Peers.Peers, string(p.GetStringBytes()))
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -90,7 +90,7 @@
 	if err != nil || c.Seed == d.Seed {
 		t.Errorf("two starts with the same random numbers: %v", err)
 	}
-	if c.Module.Zone != "room-b" || c.Node.LongestWait != 2*time.Second || c.Module.FallFactor != 3 {
+	if c.Module.Zone != "room-b" || c.Node.LongestWait != 2*time.Second || c.Module.OverloadFactor != 3 {
 		t.Errorf("settings %+v", c.Settings)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -98,9 +98,9 @@
 
 // Core is what the agreement's core is told, as node self of so many.
 func (r Rollout) Core(self, nodes int, zone string, start, seed uint64) rollout.Config {
-	return rollout.Config{Self: self, Nodes: nodes, Zone: zone, Budget: r.NodesOut, ZoneBudget: r.ZoneOut, Beacon: r.Beacon.D(),
-		Silent: r.Silent.D(), Lease: r.Lease.D(), Return: r.Return.D(), Lost: r.Lost.D(), Watch: r.Watch.D(), Drift: r.Drift,
-		Release: r.Release, MaxFailed: r.MaxFailed, MaxSlow: r.MaxSlow, LeastJudged: r.LeastJudged, Start: start, Seed: seed}
+	return rollout.Config{Self: self, Nodes: nodes, Zone: zone, Budget: r.NodesOut, ZoneBudget: r.ZoneOut, HeartbeatInterval: r.Beacon.D(),
+		UnresponsiveAfter: r.Silent.D(), RequestTimeout: r.Lease.D(), ReturnTimeout: r.Return.D(), WriteOffAfter: r.Lost.D(), ObservationPeriod: r.Watch.D(), MaxClockDrift: r.Drift,
+		Release: r.Release, MaxFailureRate: r.MaxFailed, MaxSlowRate: r.MaxSlow, MinSamples: r.LeastJudged, Incarnation: start, Seed: seed}
 }
 
 // Duties are those that one node holds for all. They take effect where nodes may send each other messages.
@@ -113,11 +113,11 @@
 
 // Core is what the core of duties is told, as node self of so many.
 func (d Duties) Core(self, nodes int, epoch, seed uint64) lease.Config {
-	return lease.Config{Self: self, Nodes: nodes, Fleet: d.Fleet(nodes), Duties: d.Hold, Lease: d.Lease.D(), Drift: d.Drift, Epoch: epoch, Seed: seed}
+	return lease.Config{Self: self, Nodes: nodes, PeerListID: d.Fleet(nodes), Resources: d.Hold, LeaseDuration: d.Lease.D(), MaxClockDrift: d.Drift, Epoch: epoch, Seed: seed}
 }
 
 // Fleet is the number of a list of peers. Their addresses are not in it: each node may know the others under its own.
-func (d Duties) Fleet(nodes int) uint32 { return lease.Name(fmt.Sprintf("%d/%s", nodes, d.List)) }
+func (d Duties) Fleet(nodes int) uint32 { return lease.HashName(fmt.Sprintf("%d/%s", nodes, d.List)) }
 
 // Members says whether this node keeps track of which of its peers are there. It takes effect where nodes may send each other
 // messages.
@@ -131,7 +131,7 @@
 
 // Core is what the core of membership is told, as node self of so many.
 func (m Members) Core(self, nodes int, fleet uint32, life, seed uint64) membership.Config {
-	return membership.Config{Self: self, Nodes: nodes, Fleet: fleet, Life: life, Period: m.Period.D(), Wait: m.Wait.D(), Ask: m.Ask, Suspicion: m.Suspicion, Seed: seed}
+	return membership.Config{Self: self, Nodes: nodes, PeerListID: fleet, Incarnation: life, ProbeInterval: m.Period.D(), ProbeTimeout: m.Wait.D(), IndirectProbes: m.Ask, SuspicionFactor: m.Suspicion, Seed: seed}
 }
 
 // Service is what the nodes of a deployment have in common.
@@ -180,7 +180,7 @@
 		Shutdown: Shutdown{Grace: tomlfile.Duration(2200 * time.Millisecond),
 			Last: tomlfile.Duration(3400 * time.Millisecond)},
 	}
-	o.Zones.Leave = locality.DefaultLeave
+	o.Zones.Leave = locality.DefaultAffinityBudget
 	o.Rollout = Rollout{Beacon: tomlfile.Duration(500 * time.Millisecond), Silent: tomlfile.Duration(3 * time.Second),
 		Lease: tomlfile.Duration(5 * time.Second), Return: tomlfile.Duration(time.Minute), Lost: tomlfile.Duration(10 * time.Minute),
 		Watch: tomlfile.Duration(10 * time.Second), MaxFailed: 0.2, MaxSlow: 0.5, LeastJudged: 20, Drift: 0.01}
@@ -267,8 +267,8 @@
 		}
 	}
 	for _, name := range o.Duties.Hold {
-		if !slices.Contains(policy.DutyNames[:], name) {
-			return o.file.Errorf("duties.hold", "%q is none of %s", name, strings.Join(policy.DutyNames[:], ", "))
+		if !slices.Contains(policy.RoleNames[:], name) {
+			return o.file.Errorf("duties.hold", "%q is none of %s", name, strings.Join(policy.RoleNames[:], ", "))
 		}
 	}
 	if len(o.Duties.Hold) > 0 {
@@ -290,10 +290,10 @@
 	in := o.Service
 	at := func(field string) string { return "service." + field }
 	set := Settings{
-		Module: policy.Settings{Routers: in.Nodes, Zone: in.Zone, MustAsk: in.Subscribe, Probes: in.Probes,
-			Cancels: in.Cancel, MaxAttempts: in.MaxAttempts, MaxRetryAfter: in.RetryAfter.D(), Tick: in.Tick.D(),
-			OriginKind: in.OriginKind, SizedUnits: in.SizedWeights, ColdFrom: in.Cold.From,
-			WarmAfter: in.Cold.WarmAfter.D(), FallFactor: in.Cold.Overload},
+		Module: policy.Settings{Nodes: in.Nodes, Zone: in.Zone, MustPoll: in.Subscribe, MayHealthCheck: in.Probes,
+			MayCancel: in.Cancel, MaxAttempts: in.MaxAttempts, MaxRetryAfter: in.RetryAfter.D(), Tick: in.Tick.D(),
+			OriginKind: in.OriginKind, WeightByCapacity: in.SizedWeights, SlowStartFloor: in.Cold.From,
+			SlowStartDuration: in.Cold.WarmAfter.D(), OverloadFactor: in.Cold.Overload},
 		Node: Node{MaxOpen: in.MaxOpen, Streams: in.Streams, ConnectTimeout: in.ConnectTimeout.D(),
 			ConnIdle: in.ConnectionIdle.D()},
 	}
@@ -334,8 +334,8 @@
 		case !(c.Worth >= 0):
 			return set, o.file.Errorf(field("worth"), "must not be negative")
 		}
-		set.Module.Classes = append(set.Module.Classes, policy.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D(),
-			Late: c.Late, Effect: effect, Group: group, Window: c.Window.D()})
+		set.Module.Classes = append(set.Module.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, LatencyObjective: c.Aim.D(),
+			LateFraction: c.Late, Effect: effect, DedupScope: group, DedupWindow: c.Window.D()})
 		set.Node.LongestWait = max(set.Node.LongestWait, c.Deadline.D())
 	}
 	if _, err := policy.New(set.Module, 0); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -78,10 +78,10 @@
 	Tick int64 `json:"tick"`
 }
 
-var effects = map[string]policy.Effect{"": policy.Safe, "idempotent": policy.Safe, "deduplicated": policy.Keyed,
-	"at_most_once": policy.Unsafe}
+var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
+	"at_most_once": policy.AtMostOnce}
 
-var groups = map[string]policy.Group{"": policy.AllServers, "all": policy.AllServers, "zone": policy.SameZone,
+var groups = map[string]policy.DedupScope{"": policy.AllServers, "all": policy.AllServers, "zone": policy.SameZone,
 	"cell": policy.SameCell}
 
 // ParseSettings reads the settings: those of a node's configuration and those of the simulator's first message
@@ -101,15 +101,15 @@
 
 func (in *setup) module() (policy.Settings, error) {
 	set := policy.Settings{
-		Routers: in.Replicas, Zone: in.Zone, OverShare: in.OverShare,
-		SizedUnits: in.Weights == "nominal" || in.Weights == "rough",
-		MustAsk:    in.Registry == "subscribe",
-		Peers:      in.Limits.Peers, Probes: in.Limits.Probes, Cancels: in.Limits.Cancel,
+		Nodes: in.Replicas, Zone: in.Zone, OverQuotaFraction: in.OverShare,
+		WeightByCapacity: in.Weights == "nominal" || in.Weights == "rough",
+		MustPoll:         in.Registry == "subscribe",
+		MayGossip:        in.Limits.Peers, MayHealthCheck: in.Limits.Probes, MayCancel: in.Limits.Cancel,
 		MaxAttempts: in.Limits.MaxAttempts, Tick: micros(in.Tick),
-		ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
-		FallFactor: in.Rules.Overload,
-		MustAskIn:  micros(in.Rules.MustAskIn), DrainGrace: micros(in.Rules.Drain),
-		ConnectionPrice: in.Prices.Connection, HandshakePrice: in.Prices.Handshake, CrossPrice: in.Prices.Cross, LeaveOwner: locality.DefaultLeave,
+		SlowStartFloor: in.Rules.ColdFrom, SlowStartDuration: micros(in.Rules.WarmAfter),
+		OverloadFactor:  in.Rules.Overload,
+		MaxPollInterval: micros(in.Rules.MustAskIn), DrainGrace: micros(in.Rules.Drain),
+		ConnectionCost: in.Prices.Connection, HandshakeCost: in.Prices.Handshake, CrossZoneCost: in.Prices.Cross, AffinityBudget: locality.DefaultAffinityBudget,
 	}
 	if in.Limits.RetryAfter {
 		set.MaxRetryAfter = micros(in.Limits.MaxRetryAfter)
@@ -130,8 +130,8 @@
 		if err != nil {
 			return set, err
 		}
-		set.Classes = append(set.Classes, policy.Class{Name: l.Name, Worth: l.Worth, Aim: micros(l.GoalTime),
-			Late: l.LateWorth, Effect: effect, Group: group, Window: micros(l.Window)})
+		set.Classes = append(set.Classes, policy.Class{Name: l.Name, PriorityWeight: l.Worth, LatencyObjective: micros(l.GoalTime),
+			LateFraction: l.LateWorth, Effect: effect, DedupScope: group, DedupWindow: micros(l.Window)})
 	}
 	for _, a := range in.Accounts {
 		set.Tenants = append(set.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -12,7 +12,7 @@
 // "default".
 type Setting struct{ Field, Value, From string }
 
-var effectWords = map[policy.Effect]string{policy.Safe: "idempotent", policy.Keyed: "deduplicated", policy.Unsafe: "at_most_once"}
+var effectWords = map[policy.Effect]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.AtMostOnce: "at_most_once"}
 
 // Show lists every value in force, in a fixed order.
 func (c *Config) Show() []Setting {
@@ -71,11 +71,11 @@
 
 	m, n := c.Module, c.Node
 	set := func(field string, v any) { add("settings."+field, v, c.from["settings"]) }
-	set("nodes", m.Routers)
+	set("nodes", m.Nodes)
 	set("zone", m.Zone)
-	set("subscribe", m.MustAsk)
-	set("probes", m.Probes)
-	set("cancel", m.Cancels)
+	set("subscribe", m.MustPoll)
+	set("probes", m.MayHealthCheck)
+	set("cancel", m.MayCancel)
 	set("max_attempts", m.MaxAttempts)
 	set("max_retry_after", m.MaxRetryAfter)
 	set("max_open", n.MaxOpen)
@@ -84,13 +84,13 @@
 	set("connection_idle", n.ConnIdle)
 	set("longest_wait", n.LongestWait)
 	set("origin_kind", m.OriginKind)
-	set("sized_weights", m.SizedUnits)
+	set("sized_weights", m.WeightByCapacity)
 	set("tick", m.Tick)
-	set("cold", fmt.Sprintf("from %v, warm after %v, falls over past %v", m.ColdFrom, m.WarmAfter, m.FallFactor))
-	set("prices", fmt.Sprintf("connection %v, handshake %v, crossing %v", m.ConnectionPrice, m.HandshakePrice, m.CrossPrice))
+	set("cold", fmt.Sprintf("from %v, warm after %v, falls over past %v", m.SlowStartFloor, m.SlowStartDuration, m.OverloadFactor))
+	set("prices", fmt.Sprintf("connection %v, handshake %v, crossing %v", m.ConnectionCost, m.HandshakeCost, m.CrossZoneCost))
 	for _, cl := range m.Classes {
-		set("class."+cl.Name, fmt.Sprintf("worth %v, aim %v, late %v, %s, window %v, group %v", cl.Worth, cl.Aim, cl.Late,
-			effectWords[cl.Effect], cl.Window, cl.Group))
+		set("class."+cl.Name, fmt.Sprintf("worth %v, aim %v, late %v, %s, window %v, group %v", cl.PriorityWeight, cl.LatencyObjective, cl.LateFraction,
+			effectWords[cl.Effect], cl.DedupWindow, cl.DedupScope))
 	}
 	for _, t := range m.Tenants {
 		set("tenant."+t.Name, fmt.Sprintf("%v a second", t.Quota))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -19,8 +19,8 @@
 	writeWithin = 2 * time.Second
 )
 
-// Call carries one call out. Its answer is written as JSON. It must not wait for other nodes.
-type Call func(query url.Values) (any, error)
+// Handler carries one call out. Its answer is written as JSON. It must not wait for other nodes.
+type Handler func(query url.Values) (any, error)
 
 // ErrInUse says that another process takes calls at the path. It may be one that this one replaces, and end.
 var ErrInUse = errors.New("another process answers there")
@@ -31,20 +31,20 @@
 // Server is the socket and its calls.
 type Server struct {
 	path  string
-	look  map[string]Call // by path; may be made again and again
-	steer map[string]Call // changes something
+	look  map[string]Handler // by path; may be made again and again
+	steer map[string]Handler // changes something
 }
 
 // New makes a server for a socket at a path; an empty one means none.
 func New(path string) *Server {
-	return &Server{path: path, look: map[string]Call{}, steer: map[string]Call{}}
+	return &Server{path: path, look: map[string]Handler{}, steer: map[string]Handler{}}
 }
 
-// Look registers a call that changes nothing (GET).
-func (s *Server) Look(name string, c Call) { s.look["/"+name] = c }
+// HandleQuery registers a call that changes nothing (GET).
+func (s *Server) HandleQuery(name string, c Handler) { s.look["/"+name] = c }
 
-// Steer registers a call that changes something (POST).
-func (s *Server) Steer(name string, c Call) { s.steer["/"+name] = c }
+// HandleCommand registers a call that changes something (POST).
+func (s *Server) HandleCommand(name string, c Handler) { s.steer["/"+name] = c }
 
 // Serve takes calls until stop is closed. All calls have to be registered before.
 func (s *Server) Serve(stop <-chan struct{}) error {
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -14,9 +14,9 @@
 // TestGoldenCalls: the HTTP answers that shelfproxy ctl of another release gets.
 func TestGoldenCalls(t *testing.T) {
 	s := New("")
-	s.Look("status", func(q url.Values) (any, error) { return map[string]any{"key": q.Get("key"), "n": 3}, nil })
-	s.Look("behind", func(url.Values) (any, error) { return nil, ErrBusy })
-	s.Steer("drain", func(url.Values) (any, error) { return nil, errors.New("no such node") })
+	s.HandleQuery("status", func(q url.Values) (any, error) { return map[string]any{"key": q.Get("key"), "n": 3}, nil })
+	s.HandleQuery("behind", func(url.Values) (any, error) { return nil, ErrBusy })
+	s.HandleCommand("drain", func(url.Values) (any, error) { return nil, errors.New("no such node") })
 	var lines golden.Lines
 	for _, call := range [][2]string{{"GET", "/status?key=a%20b"}, {"GET", "/behind"}, {"POST", "/drain"}, {"GET", "/drain"}, {"POST", "/status"}, {"PUT", "/status"}, {"GET", "/"}} {
 		w := httptest.NewRecorder()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,38 +22,38 @@
 
 // Client speaks to the discovery service at Addr. It moves bytes; a Follower decides.
 type Client struct {
-	Addr   string
-	Within time.Duration // a call is to be answered in; 0 is asking.CallWithin
-	once   sync.Once
-	http   *http.Client
+	Addr        string
+	CallTimeout time.Duration // a call is to be answered in; 0 is asking.CallWithin
+	once        sync.Once
+	http        *http.Client
 }
 
-// AgentWithin is how long a call of an agent may be unanswered. It is on the node's own machine and answers at once with what it
+// AgentCallTimeout is how long a call of an agent may be unanswered. It is on the node's own machine and answers at once with what it
 // has; where it is silent it has to be found quickly when it no longer is, as what it gets then counts as told.
-const AgentWithin = 250 * time.Millisecond
+const AgentCallTimeout = 250 * time.Millisecond
 
-// Path is that of the call for a watch on what changes after a version.
-func Path(after int64) string {
+// WatchPath is that of the call for a watch on what changes after a version.
+func WatchPath(after int64) string {
 	return "/discovery/hosts?watch=1&after=" + strconv.FormatInt(after, 10)
 }
 
 // Watch opens a watch of its own connection.
 func (c *Client) Watch(after int64, report func(List, error)) (stop func()) {
 	c.once.Do(func() {
-		if c.Within == 0 {
-			c.Within = polling.CallWithin
+		if c.CallTimeout == 0 {
+			c.CallTimeout = polling.CallTimeout
 		}
 		c.http = &http.Client{Transport: &http.Transport{
-			DialContext:       (&net.Dialer{Timeout: c.Within}).DialContext,
-			DisableKeepAlives: true, ResponseHeaderTimeout: c.Within}}
+			DialContext:       (&net.Dialer{Timeout: c.CallTimeout}).DialContext,
+			DisableKeepAlives: true, ResponseHeaderTimeout: c.CallTimeout}}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		defer cancel()
-		w := &watch{follower: NewFollower(time.Now(), c.Within), cancel: cancel, report: report}
-		w.timer = time.AfterFunc(time.Until(w.follower.Next()), w.due)
+		w := &watch{follower: NewWatchState(time.Now(), c.CallTimeout), cancel: cancel, report: report}
+		w.timer = time.AfterFunc(time.Until(w.follower.Deadline()), w.due)
 		defer w.timer.Stop()
-		err := w.follow(ctx, c.http, "http://"+c.Addr+Path(after))
+		err := w.follow(ctx, c.http, "http://"+c.Addr+WatchPath(after))
 		if err != nil && (ctx.Err() == nil || w.silent()) {
 			report(List{}, err)
 		}
@@ -67,7 +67,7 @@
 // watch is the shell round one follower.
 type watch struct {
 	mu       sync.Mutex
-	follower *Follower
+	follower *WatchState
 	over     error // why the follower ended it while the shell waited
 	timer    *time.Timer
 	cancel   func()
@@ -78,12 +78,12 @@
 func (w *watch) due() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.follower.Due(time.Now()); err != nil {
+	if err := w.follower.CheckTimeout(time.Now()); err != nil {
 		w.over = err
 		w.cancel()
 		return
 	}
-	w.timer.Reset(max(time.Millisecond, time.Until(w.follower.Next())))
+	w.timer.Reset(max(time.Millisecond, time.Until(w.follower.Deadline())))
 }
 
 func (w *watch) silent() bool {
@@ -113,18 +113,18 @@
 		return err
 	}
 	defer resp.Body.Close()
-	if _, err := w.step(func(now time.Time) ([]List, error) { return nil, w.follower.Answered(now, resp.StatusCode) }); err != nil {
+	if _, err := w.step(func(now time.Time) ([]List, error) { return nil, w.follower.ResponseReceived(now, resp.StatusCode) }); err != nil {
 		return err
 	}
 	buf := make([]byte, chunk)
 	for {
 		n, broke := resp.Body.Read(buf)
-		lists, err := w.step(func(now time.Time) ([]List, error) { return w.follower.Received(now, buf[:n]) })
+		lists, err := w.step(func(now time.Time) ([]List, error) { return w.follower.BytesReceived(now, buf[:n]) })
 		if err == nil && broke != nil {
 			if errors.Is(broke, io.EOF) {
 				broke = nil
 			}
-			_, err = w.step(func(time.Time) ([]List, error) { return nil, w.follower.Ended(broke) })
+			_, err = w.step(func(time.Time) ([]List, error) { return nil, w.follower.ConnectionEnded(broke) })
 		}
 		for _, l := range lists {
 			w.report(l, nil)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -33,13 +33,13 @@
 // List is the whole list, or the entries that changed.
 type List struct {
 	Version int64
-	Whole   bool
+	IsFull  bool
 	Servers []Server
 }
 
 // Parse reads a list in discovery's form.
 func Parse(v *fastjson.Value) (List, error) {
-	l := List{Version: v.GetInt64("generation"), Whole: v.GetBool("reset")}
+	l := List{Version: v.GetInt64("generation"), IsFull: v.GetBool("reset")}
 	if v.Get("generation") == nil || v.Get("instances") == nil {
 		return l, errors.New("generation or instances: missing")
 	}
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -14,23 +14,23 @@
 
 // How a watch ends, beside what its connection does.
 var (
-	// ErrGarbage ends a watch that sent what is no list.
-	ErrGarbage  = errors.New("discovery: no list")
-	errSilent   = errors.New("discovery: the watch fell silent")
-	errLate     = errors.New("discovery: the call was not answered in time")
-	errEnded    = errors.New("discovery: the watch ended")
-	errCut      = fmt.Errorf("%w: one that is cut short", ErrGarbage)
-	errTooLong  = fmt.Errorf("%w: one without an end", ErrGarbage)
-	errNoObject = fmt.Errorf("%w: something that is no object", ErrGarbage)
+	// ErrMalformed ends a watch that sent what is no list.
+	ErrMalformed = errors.New("discovery: no list")
+	errSilent    = errors.New("discovery: the watch fell silent")
+	errLate      = errors.New("discovery: the call was not answered in time")
+	errEnded     = errors.New("discovery: the watch ended")
+	errCut       = fmt.Errorf("%w: one that is cut short", ErrMalformed)
+	errTooLong   = fmt.Errorf("%w: one without an end", ErrMalformed)
+	errNoObject  = fmt.Errorf("%w: something that is no object", ErrMalformed)
 )
 
-// Follower is one watch as a state machine: it cuts lists out of what the watch sends, and judges when it has fallen
+// WatchState is one watch as a state machine: it cuts lists out of what the watch sends, and judges when it has fallen
 // silent. It has no clock and no I/O: whoever moves the bytes tells it what came and when.
 //
 // A list is a JSON object; it may be indented, and so take many lines. Between lists there is white space, and a line of nothing
 // else says that nothing has changed. Such a line within a list, or the end of one within a string, shows that the list was cut
 // short: whatever comes behind is no part of it.
-type Follower struct {
+type WatchState struct {
 	opened bool
 	until  time.Time // silent from then on
 	list   []byte    // of which the end has not come yet
@@ -42,30 +42,30 @@
 	ended  bool
 }
 
-// NewFollower begins a watch with its call, which is to be answered in a time.
-func NewFollower(now time.Time, within time.Duration) *Follower {
-	return &Follower{until: now.Add(within)}
+// NewWatchState begins a watch with its call, which is to be answered in a time.
+func NewWatchState(now time.Time, within time.Duration) *WatchState {
+	return &WatchState{until: now.Add(within)}
 }
 
-// Answered takes the status of the answer.
-func (f *Follower) Answered(now time.Time, status int) error {
+// ResponseReceived takes the status of the answer.
+func (f *WatchState) ResponseReceived(now time.Time, status int) error {
 	if status != 200 {
 		return f.end(fmt.Errorf("discovery: status %d", status))
 	}
-	f.opened, f.until = true, now.Add(polling.Silence)
+	f.opened, f.until = true, now.Add(polling.WatchTimeout)
 	return nil
 }
 
-// Received takes bytes of the answer's body and returns the lists that came whole, in order. After an error the watch is
+// BytesReceived takes bytes of the answer's body and returns the lists that came whole, in order. After an error the watch is
 // over; the lists that come with it count.
-func (f *Follower) Received(now time.Time, b []byte) (lists []List, err error) {
+func (f *WatchState) BytesReceived(now time.Time, b []byte) (lists []List, err error) {
 	if f.ended {
 		return nil, nil
 	}
 	begun := 0 // where in b the part of the list in hand begins
 	for i, c := range b {
 		if c == '\n' {
-			f.until = now.Add(polling.Silence)
+			f.until = now.Add(polling.WatchTimeout)
 			if f.depth > 0 && (f.text || !f.said) {
 				return lists, f.end(errCut)
 			}
@@ -96,10 +96,10 @@
 				break
 			}
 			f.list = append(f.list, b[begun:i+1]...)
-			begun, f.until = i+1, now.Add(polling.Silence)
+			begun, f.until = i+1, now.Add(polling.WatchTimeout)
 			l, err := f.parse()
 			if err != nil {
-				return lists, f.end(fmt.Errorf("%w: %w", ErrGarbage, err))
+				return lists, f.end(fmt.Errorf("%w: %w", ErrMalformed, err))
 			}
 			lists = append(lists, l)
 		}
@@ -113,7 +113,7 @@
 }
 
 // parse reads the list in hand, which has come whole.
-func (f *Follower) parse() (List, error) {
+func (f *WatchState) parse() (List, error) {
 	v, err := f.parser.ParseBytes(f.list)
 	f.list = f.list[:0]
 	if err != nil {
@@ -122,8 +122,8 @@
 	return Parse(v)
 }
 
-// Ended says that the answer has ended, and how its connection broke where it did. A list of which the end has not come is none.
-func (f *Follower) Ended(broke error) error {
+// ConnectionEnded says that the answer has ended, and how its connection broke where it did. A list of which the end has not come is none.
+func (f *WatchState) ConnectionEnded(broke error) error {
 	switch {
 	case f.ended:
 		return nil
@@ -133,11 +133,11 @@
 	return f.end(broke)
 }
 
-// Next is when Due is wanted.
-func (f *Follower) Next() time.Time { return f.until }
+// Deadline is when Due is wanted.
+func (f *WatchState) Deadline() time.Time { return f.until }
 
-// Due ends a watch that has been silent for too long.
-func (f *Follower) Due(now time.Time) error {
+// CheckTimeout ends a watch that has been silent for too long.
+func (f *WatchState) CheckTimeout(now time.Time) error {
 	switch {
 	case f.ended || now.Before(f.until):
 		return nil
@@ -147,7 +147,7 @@
 	return f.end(errSilent)
 }
 
-func (f *Follower) end(err error) error {
+func (f *WatchState) end(err error) error {
 	f.ended = true
 	return err
 }
--- a/internal/discovery/follower_fuzz_test.go
+++ b/internal/discovery/follower_fuzz_test.go
@@ -18,24 +18,24 @@
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8, ends bool) {
 		start := time.Unix(1000, 0)
 		play := func(piece int) string {
-			w := NewFollower(start, time.Second)
-			w.Answered(start, 200)
+			w := NewWatchState(start, time.Second)
+			w.ResponseReceived(start, 200)
 			var all []List
 			var over error
 			for rest := text; len(rest) > 0 && over == nil; {
 				n := min(piece, len(rest))
-				lists, err := w.Received(start, rest[:n])
+				lists, err := w.BytesReceived(start, rest[:n])
 				all, over, rest = append(all, lists...), err, rest[n:]
 			}
 			if over == nil && ends {
-				if over = w.Ended(nil); over == nil {
+				if over = w.ConnectionEnded(nil); over == nil {
 					t.Fatal("it has ended, and does not say so")
 				}
 			}
 			if over == nil {
-				over = w.Due(w.Next())
+				over = w.CheckTimeout(w.Deadline())
 			}
-			if over == nil || w.Due(w.Next().Add(time.Hour)) != nil {
+			if over == nil || w.CheckTimeout(w.Deadline().Add(time.Hour)) != nil {
 				t.Fatalf("silent: %v", over)
 			}
 			return fmt.Sprintf("%+v %v", all, over)
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -19,17 +19,17 @@
 	now := time.Unix(1000, 0)
 	for name, text := range map[string]string{"one line": list, "indented": indented, "with line ends of two bytes": strings.ReplaceAll(indented, "\n", "\r\n")} {
 		for at := range len(text) {
-			f := NewFollower(now, time.Second)
-			f.Answered(now, 200)
-			half, err := f.Received(now, []byte("\n"+text[:at]))
+			f := NewWatchState(now, time.Second)
+			f.ResponseReceived(now, 200)
+			half, err := f.BytesReceived(now, []byte("\n"+text[:at]))
 			if len(half) > 0 || err != nil {
 				t.Fatalf("%s, cut at %d: %d lists, %v", name, at, len(half), err)
 			}
-			whole, err := f.Received(now, []byte(text[at:]))
+			whole, err := f.BytesReceived(now, []byte(text[at:]))
 			if len(whole) != 1 || err != nil || whole[0].Version != 43 || whole[0].Servers[0].State != Draining {
 				t.Fatalf("%s, cut at %d: %+v, %v", name, at, whole, err)
 			}
-			if err := f.Ended(nil); !errors.Is(err, errEnded) {
+			if err := f.ConnectionEnded(nil); !errors.Is(err, errEnded) {
 				t.Fatalf("%s: %v at the end", name, err)
 			}
 		}
@@ -43,10 +43,10 @@
 	now := time.Unix(1000, 0)
 	for at := 1; at < len(list); at++ {
 		for name, behind := range map[string]string{"beats": "\n\n", "another list": "\n" + list + "\n\n", "beats of two bytes": "\r\n\r\n"} {
-			f := NewFollower(now, time.Second)
-			f.Answered(now, 200)
-			lists, err := f.Received(now, []byte(list[:at]+behind))
-			if len(lists) > 0 || !errors.Is(err, ErrGarbage) {
+			f := NewWatchState(now, time.Second)
+			f.ResponseReceived(now, 200)
+			lists, err := f.BytesReceived(now, []byte(list[:at]+behind))
+			if len(lists) > 0 || !errors.Is(err, ErrMalformed) {
 				t.Fatalf("cut at %d, then %s: %d lists, %v", at, name, len(lists), err)
 			}
 		}
@@ -57,22 +57,22 @@
 // that is not answered is given up.
 func TestFollowerFindsSilence(t *testing.T) {
 	now := time.Unix(1000, 0)
-	f := NewFollower(now, time.Second)
-	if err := f.Due(now.Add(time.Second)); !errors.Is(err, errLate) {
+	f := NewWatchState(now, time.Second)
+	if err := f.CheckTimeout(now.Add(time.Second)); !errors.Is(err, errLate) {
 		t.Errorf("not answered: %v", err)
 	}
-	f = NewFollower(now, time.Second)
-	f.Answered(now, 200)
+	f = NewWatchState(now, time.Second)
+	f.ResponseReceived(now, 200)
 	for _, line := range []string{"\n", "{\"generation\":\n", "43,\"instances\":[]}", "\n"} {
-		now = now.Add(polling.Silence - time.Millisecond)
-		if err := f.Due(now); err != nil {
+		now = now.Add(polling.WatchTimeout - time.Millisecond)
+		if err := f.CheckTimeout(now); err != nil {
 			t.Fatalf("before %q: %v", line, err)
 		}
-		if _, err := f.Received(now, []byte(line)); err != nil {
+		if _, err := f.BytesReceived(now, []byte(line)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := f.Due(now.Add(polling.Silence)); !errors.Is(err, errSilent) {
+	if err := f.CheckTimeout(now.Add(polling.WatchTimeout)); !errors.Is(err, errSilent) {
 		t.Errorf("after a silence: %v", err)
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -11,7 +11,7 @@
 // TestGoldenLists: the JSON that discovery sends, and what is made of it; and the call that asks for it.
 func TestGoldenLists(t *testing.T) {
 	var lines golden.Lines
-	lines.Text("path", Path(42))
+	lines.Text("path", WatchPath(42))
 	for _, text := range []string{
 		`{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a","machineType":"cache","cell":3,"weight":1.5,"startedAtMs":1700000000000,"lifecycle":"up"},` +
 			`{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"draining"},{"instanceId":"s-3","lifecycle":"removed"}]}`,
@@ -22,14 +22,14 @@
 		`{"generation":8,"instances":[{"instanceId":"s-1","hostPort":"nowhere","lifecycle":"up"}]}`,
 	} {
 		now := time.Unix(1000, 0)
-		f := NewFollower(now, time.Second)
-		if err := f.Answered(now, 200); err != nil {
+		f := NewWatchState(now, time.Second)
+		if err := f.ResponseReceived(now, 200); err != nil {
 			t.Fatal(err)
 		}
-		lists, err := f.Received(now, []byte(text+"\n\n"))
+		lists, err := f.BytesReceived(now, []byte(text+"\n\n"))
 		lines.Text("sent", fmt.Sprintf("%q", text))
 		for _, l := range lists {
-			lines.Text("list", fmt.Sprintf("version %d, whole %v", l.Version, l.Whole))
+			lines.Text("list", fmt.Sprintf("version %d, whole %v", l.Version, l.IsFull))
 			for _, s := range l.Servers {
 				lines.Text("server", fmt.Sprintf("%s at %s, zone %q, kind %q, cell %d, state %d, weight %v, started %d", s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMs))
 			}
--- a/internal/discovery/polling/asking.go
+++ b/internal/discovery/polling/asking.go
@@ -7,22 +7,22 @@
 // Time is a point on the caller's clock.
 type Time = time.Duration
 
-// Who has the duty to call while discovery does not answer.
-type Who int
+// Responsibility has the duty to call while discovery does not answer.
+type Responsibility int
 
 // The answers.
 const (
-	Nobody  Who = iota // each node calls for itself
-	Self               // this node calls for all
-	Another            // another node does
+	Unassigned        Responsibility = iota // each node calls for itself
+	AssignedHere                            // this node calls for all
+	AssignedElsewhere                       // another node does
 )
 
 // What a node makes of a discovery that says nothing.
 const (
-	// Silence is how long a watch may say nothing: an empty line comes every 2 s, and half of that is for its way.
-	Silence = 3 * time.Second
-	// CallWithin is how long a call may be unanswered: discovery itself gives it up after 2 s, and says so.
-	CallWithin = 2250 * time.Millisecond
+	// WatchTimeout is how long a watch may say nothing: an empty line comes every 2 s, and half of that is for its way.
+	WatchTimeout = 3 * time.Second
+	// CallTimeout is how long a call may be unanswered: discovery itself gives it up after 2 s, and says so.
+	CallTimeout = 2250 * time.Millisecond
 )
 
 const (
@@ -32,56 +32,56 @@
 	unheard = 10 * every             // a call that is never answered is made again after this
 )
 
-// Calls is when one node calls. Waits are of full jitter: Jitter draws any moment up to a wait.
-type Calls struct {
-	Spread time.Duration // over which all nodes spread their calls when something told them all
-	Within time.Duration // a node that did not call for so long may not use its list; 0 is for ever
-	Most   time.Duration // no wait is longer: discovery may answer again the moment after a call failed; 0 is no bound
-	Jitter func(time.Duration) time.Duration
+// Schedule is when one node calls. Waits are of full jitter: Jitter draws any moment up to a wait.
+type Schedule struct {
+	SpreadOver time.Duration // over which all nodes spread their calls when something told them all
+	StaleAfter time.Duration // a node that did not call for so long may not use its list; 0 is for ever
+	MaxBackoff time.Duration // no wait is longer: discovery may answer again the moment after a call failed; 0 is no bound
+	Jitter     func(time.Duration) time.Duration
 
 	asking bool
 	at     Time
 	wait   time.Duration // after the next failure; 0 is the first
-	who    Who
+	who    Responsibility
 	missed bool // a call failed since the last list
 	news   bool // that discovery answers again
 }
 
-// First is the wait after the first failure.
-func (c *Calls) First() time.Duration { return min(max(least, c.Spread), c.most()) }
+// FirstBackoff is the wait after the first failure.
+func (c *Schedule) FirstBackoff() time.Duration { return min(max(least, c.SpreadOver), c.most()) }
 
-func (c *Calls) most() time.Duration {
-	if c.Most > 0 {
-		return c.Most
+func (c *Schedule) most() time.Duration {
+	if c.MaxBackoff > 0 {
+		return c.MaxBackoff
 	}
 	return longest
 }
 
 // Start plans the first call.
-func (c *Calls) Start(now Time) { c.asking, c.at = true, now+c.Jitter(c.Spread) }
+func (c *Schedule) Start(now Time) { c.asking, c.at = true, now+c.Jitter(c.SpreadOver) }
 
-// Held takes it who has the duty from now on. Where nobody has it any longer, or this node, it need not wait for another's
+// Assign takes it who has the duty from now on. Where nobody has it any longer, or this node, it need not wait for another's
 // word.
-func (c *Calls) Held(now Time, who Who) {
-	if c.asking && c.missed && who != Another && c.who == Another {
-		c.at = min(c.at, now+c.Jitter(c.First()))
+func (c *Schedule) Assign(now Time, who Responsibility) {
+	if c.asking && c.missed && who != AssignedElsewhere && c.who == AssignedElsewhere {
+		c.at = min(c.at, now+c.Jitter(c.FirstBackoff()))
 	}
 	c.who = who
 }
 
 // Failed plans the next call after one that did not succeed, or a watch that broke.
-func (c *Calls) Failed(now Time) {
+func (c *Schedule) Failed(now Time) {
 	if c.wait == 0 {
-		c.wait = c.First()
+		c.wait = c.FirstBackoff()
 	}
 	wait := c.Jitter(c.wait)
 	// Whose duty it is calls steadily, and its word brings all others; these call by themselves only in case that is lost.
 	switch most := c.most(); {
-	case c.who == Self:
+	case c.who == AssignedHere:
 		wait = min(every, most)
-	case c.who == Another && c.missed:
-		if c.Within > 0 {
-			most = max(every, min(most, c.Within))
+	case c.who == AssignedElsewhere && c.missed:
+		if c.StaleAfter > 0 {
+			most = max(every, min(most, c.StaleAfter))
 		}
 		wait = most - most/8 + c.Jitter(most/8)
 	}
@@ -89,28 +89,28 @@
 	c.at, c.wait = now+wait, min(2*c.wait, c.most())
 }
 
-// Listed takes it that discovery answered.
-func (c *Calls) Listed() {
-	c.news = c.who == Self && c.missed
+// Succeeded takes it that discovery answered.
+func (c *Schedule) Succeeded() {
+	c.news = c.who == AssignedHere && c.missed
 	c.asking, c.missed, c.wait = false, false, 0
 }
 
-// Tell tells, once, that all others should hear that discovery answers again.
-func (c *Calls) Tell() bool {
+// TakeAnnouncement tells, once, that all others should hear that discovery answers again.
+func (c *Schedule) TakeAnnouncement() bool {
 	news := c.news
 	c.news = false
 	return news
 }
 
-// Told takes the word that discovery answers again.
-func (c *Calls) Told(now Time) {
+// RecoveryAnnounced takes the word that discovery answers again.
+func (c *Schedule) RecoveryAnnounced(now Time) {
 	if c.asking && c.missed {
-		c.at = min(c.at, now+c.Jitter(c.Spread))
+		c.at = min(c.at, now+c.Jitter(c.SpreadOver))
 	}
 }
 
 // Due tells whether to call now, and notes that it is done.
-func (c *Calls) Due(now Time) bool {
+func (c *Schedule) Due(now Time) bool {
 	if !c.asking || now < c.at {
 		return false
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -42,10 +42,10 @@
 }
 
 // Post has the core take an event. It never waits: while the loop is behind the event is lost, and it says so.
-func (l *Loop[Event, Effect]) Post(ev Event) bool { return l.Tell(func() { l.Step(ev) }) }
+func (l *Loop[Event, Effect]) Post(ev Event) bool { return l.Submit(func() { l.Step(ev) }) }
 
-// Tell has f called in the loop's goroutine. It never waits.
-func (l *Loop[Event, Effect]) Tell(f func()) bool {
+// Submit has f called in the loop's goroutine. It never waits.
+func (l *Loop[Event, Effect]) Submit(f func()) bool {
 	select {
 	case l.queue <- f:
 		return true
@@ -54,10 +54,10 @@
 	}
 }
 
-// Ask has f called in the loop's goroutine and waits until it was.
-func (l *Loop[Event, Effect]) Ask(f func()) error {
+// Call has f called in the loop's goroutine and waits until it was.
+func (l *Loop[Event, Effect]) Call(f func()) error {
 	done := make(chan struct{})
-	if !l.Tell(func() { f(); close(done) }) {
+	if !l.Submit(func() { f(); close(done) }) {
 		return ErrBusy
 	}
 	select {
--- a/internal/fleet/datagram/datagram.go
+++ b/internal/fleet/datagram/datagram.go
@@ -7,26 +7,28 @@
 	"hash/crc32"
 )
 
-// Max is how long a datagram may be on the platform.
-const Max = 256
+// MaxSize is how long a datagram may be on the platform.
+const MaxSize = 256
 
 const (
 	header = 3
 	sum    = 4
 )
 
-// Room is how many bytes a kind's own part may have.
-const Room = Max - header - sum
+// MaxPayload is how many bytes a kind's own part may have.
+const MaxPayload = MaxSize - header - sum
 
 // Begin is a datagram without its content.
-func Begin(mark, version, kind byte) []byte { return append(make([]byte, 0, Max), mark, version, kind) }
+func Begin(mark, version, kind byte) []byte {
+	return append(make([]byte, 0, MaxSize), mark, version, kind)
+}
 
 // Seal adds the sum.
 func Seal(b []byte) []byte { return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b)) }
 
 // Open checks the outer form; ok is false for what nobody of this mark and version sealed.
 func Open(b []byte, mark, version byte) (kind byte, body *Reader, ok bool) {
-	if len(b) < header+sum || len(b) > Max || b[0] != mark || b[1] != version {
+	if len(b) < header+sum || len(b) > MaxSize || b[0] != mark || b[1] != version {
 		return 0, nil, false
 	}
 	content := b[:len(b)-sum]
@@ -64,8 +66,8 @@
 // U64 is the next eight bytes.
 func (r *Reader) U64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-// Good tells whether all that was asked for was there. What a later version says behind it is skipped.
-func (r *Reader) Good() bool { return !r.bad }
+// IsValid tells whether all that was asked for was there. What a later version says behind it is skipped.
+func (r *Reader) IsValid() bool { return !r.bad }
 
-// Over tells whether nothing is left.
-func (r *Reader) Over() bool { return len(r.left) == 0 }
+// IsEmpty tells whether nothing is left.
+func (r *Reader) IsEmpty() bool { return len(r.left) == 0 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -31,78 +31,78 @@
 	flagAnswered, flagSilent = 1, 2
 )
 
-// Mark names a server or a key: the lowest bits of a hash that is the same at every node. With 60 servers two share one
+// Fingerprint names a server or a key: the lowest bits of a hash that is the same at every node. With 60 servers two share one
 // in one fleet of 10,000, and are then judged together.
-type Mark uint32
-
-// MarkOf takes the mark out of a hash.
-func MarkOf(hash uint64) Mark { return Mark(hash & markBits) }
-
-// Note is what one node met at one server since its last note.
-type Note struct {
-	Server   Mark
-	Seen     int  // attempts that ended, at most 7
-	Bad      int  // of them: slow or failed
-	Answered bool // it answered after the node had believed it down
-	Silent   bool // the node believes that it is down
+type Fingerprint uint32
+
+// FingerprintOf takes the mark out of a hash.
+func FingerprintOf(hash uint64) Fingerprint { return Fingerprint(hash & markBits) }
+
+// Observation is what one node met at one server since its last note.
+type Observation struct {
+	Server       Fingerprint
+	Attempts     int  // attempts that ended, at most 7
+	Failures     int  // of them: slow or failed
+	Recovered    bool // it answered after the node had believed it down
+	Unresponsive bool // the node believes that it is down
 }
 
-// Ledger collects a node's own notes and the keys of its sample until they are taken.
-type Ledger struct {
-	notes []Note
-	keys  []Mark
+// Buffer collects a node's own notes and the keys of its sample until they are taken.
+type Buffer struct {
+	notes []Observation
+	keys  []Fingerprint
 }
 
-// Asked notes a key of the sample. Of more than fit a datagram the earliest go.
-func (l *Ledger) Asked(key Mark) {
+// KeyRequested notes a key of the sample. Of more than fit a datagram the earliest go.
+func (l *Buffer) KeyRequested(key Fingerprint) {
 	if len(l.keys) == maxKeys {
 		l.keys = slices.Delete(l.keys, 0, 1)
 	}
 	l.keys = append(l.keys, key)
 }
 
-func (l *Ledger) note(m Mark) *Note {
+func (l *Buffer) note(m Fingerprint) *Observation {
 	for i := range l.notes {
 		if l.notes[i].Server == m {
 			return &l.notes[i]
 		}
 	}
-	l.notes = append(l.notes, Note{Server: m})
+	l.notes = append(l.notes, Observation{Server: m})
 	return &l.notes[len(l.notes)-1]
 }
 
-// Saw notes an attempt that ended.
-func (l *Ledger) Saw(m Mark, bad bool) {
+// AttemptEnded notes an attempt that ended.
+func (l *Buffer) AttemptEnded(m Fingerprint, bad bool) {
 	n := l.note(m)
-	if n.Seen == maxCount {
+	if n.Attempts == maxCount {
 		return // a sample is enough
 	}
-	n.Seen++
+	n.Attempts++
 	if bad {
-		n.Bad++
+		n.Failures++
 	}
 }
 
-// Alive notes a sign of life.
-func (l *Ledger) Alive(m Mark) {
+// Recovered notes a sign of life.
+func (l *Buffer) Recovered(m Fingerprint) {
 	n := l.note(m)
-	n.Answered, n.Silent = true, false
+	n.Recovered, n.Unresponsive = true, false
 }
 
-// Silent notes that a server is believed down.
-func (l *Ledger) Silent(m Mark) {
+// Unresponsive notes that a server is believed down.
+func (l *Buffer) Unresponsive(m Fingerprint) {
 	n := l.note(m)
-	n.Answered, n.Silent = false, true
+	n.Recovered, n.Unresponsive = false, true
 }
 
-// Take returns a datagram with the keys and the notes collected, the worst notes first where they don't all fit, or nil
+// Encode returns a datagram with the keys and the notes collected, the worst notes first where they don't all fit, or nil
 // without any. Notes that don't fit stay for the next.
-func (l *Ledger) Take() []byte {
+func (l *Buffer) Encode() []byte {
 	if len(l.notes)+len(l.keys) == 0 {
 		return nil
 	}
 	if len(l.notes) > maxNotes {
-		slices.SortStableFunc(l.notes, func(a, b Note) int { return b.weight() - a.weight() })
+		slices.SortStableFunc(l.notes, func(a, b Observation) int { return b.weight() - a.weight() })
 	}
 	n := min(len(l.notes), maxNotes)
 	b := append(make([]byte, 0, header+len(l.keys)*keySize+n*noteSize), version, byte(len(l.keys)))
@@ -112,62 +112,64 @@
 	l.keys = l.keys[:0]
 	for _, note := range l.notes[:n] {
 		flags := byte(0)
-		if note.Answered {
+		if note.Recovered {
 			flags |= flagAnswered
 		}
-		if note.Silent {
+		if note.Unresponsive {
 			flags |= flagSilent
 		}
 		m := note.Server
-		b = append(b, byte(m>>16), byte(m>>8), byte(m), byte(note.Seen<<5|note.Bad<<2)|flags)
+		b = append(b, byte(m>>16), byte(m>>8), byte(m), byte(note.Attempts<<5|note.Failures<<2)|flags)
 	}
 	l.notes = slices.Delete(l.notes, 0, n)
 	return b
 }
 
-func (n Note) weight() int {
-	if n.Silent {
+func (n Observation) weight() int {
+	if n.Unresponsive {
 		return 2 * maxCount
 	}
-	return n.Bad
+	return n.Failures
 }
 
 // ErrMalformed is returned for a datagram that no node of this version sent.
 var ErrMalformed = errors.New("gossip: malformed datagram")
 
-// News is what a datagram holds.
-type News struct {
-	Notes []Note
-	Keys  []Mark
+// Message is what a datagram holds.
+type Message struct {
+	Observations []Observation
+	Keys         []Fingerprint
 }
 
 // Decode reads a datagram. A malformed one counts for nothing, not even in part.
-func Decode(b []byte) (News, error) {
+func Decode(b []byte) (Message, error) {
 	if len(b) <= header || len(b) > maxBytes || b[0] != version || b[1] > maxKeys {
-		return News{}, ErrMalformed
+		return Message{}, ErrMalformed
 	}
 	keys, notes := b[header:], []byte(nil)
 	if n := int(b[1]) * keySize; n <= len(keys) {
 		keys, notes = keys[:n], keys[n:]
 	} else {
-		return News{}, ErrMalformed
+		return Message{}, ErrMalformed
 	}
 	if len(notes)%noteSize != 0 || len(notes) > maxNotes*noteSize {
-		return News{}, ErrMalformed
+		return Message{}, ErrMalformed
 	}
-	var news News
+	var news Message
 	for ; len(keys) > 0; keys = keys[keySize:] {
 		news.Keys = append(news.Keys, mark(keys))
 	}
 	for b = notes; len(b) > 0; b = b[noteSize:] {
-		n := Note{Server: mark(b), Seen: int(b[3] >> 5), Bad: int(b[3] >> 2 & maxCount),
-			Answered: b[3]&flagAnswered != 0, Silent: b[3]&flagSilent != 0}
-		if n.Bad > n.Seen || n.Answered && n.Silent {
-			return News{}, ErrMalformed
+		n := Observation{Server: mark(b), Attempts: int(b[3] >> 5), Failures: int(b[3] >> 2 & maxCount),
+			Recovered: b[3]&flagAnswered != 0, Unresponsive: b[3]&flagSilent != 0}
+		if n.Failures > n.Attempts || n.Recovered && n.Unresponsive {
+			return Message{}, ErrMalformed
 		}
-		news.Notes = append(news.Notes, n)
+		news.Observations = append(news.Observations, n)
 	}
 	return news, nil
 }
 
-func mark(b []byte) Mark { return Mark(b[0])<<16 | Mark(b[1])<<8 | Mark(b[2]) }
+func mark(b []byte) Fingerprint {
+	return Fingerprint(b[0])<<16 | Fingerprint(b[1])<<8 | Fingerprint(b[2])
+}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -12,39 +12,39 @@
 
 func TestNotesComeBackAsTheyWere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Ledger
-		want := map[Mark]*Note{}
-		var keys []Mark
+		var l Buffer
+		want := map[Fingerprint]*Observation{}
+		var keys []Fingerprint
 		for range rapid.IntRange(0, 40).Draw(t, "keys") {
-			keys = append(keys, Mark(rapid.IntRange(0, markBits).Draw(t, "key")))
-			l.Asked(keys[len(keys)-1])
+			keys = append(keys, Fingerprint(rapid.IntRange(0, markBits).Draw(t, "key")))
+			l.KeyRequested(keys[len(keys)-1])
 		}
 		keys = keys[max(0, len(keys)-maxKeys):]
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
-			m := Mark(rapid.IntRange(0, 70).Draw(t, "server") << 17)
+			m := Fingerprint(rapid.IntRange(0, 70).Draw(t, "server") << 17)
 			n := want[m]
 			if n == nil {
-				n = &Note{Server: m}
+				n = &Observation{Server: m}
 				want[m] = n
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				l.Alive(m)
-				n.Answered, n.Silent = true, false
+				l.Recovered(m)
+				n.Recovered, n.Unresponsive = true, false
 			case 1:
-				l.Silent(m)
-				n.Answered, n.Silent = false, true
+				l.Unresponsive(m)
+				n.Recovered, n.Unresponsive = false, true
 			default:
 				bad := rapid.Bool().Draw(t, "bad")
-				l.Saw(m, bad)
-				if n.Seen < maxCount {
-					if n.Seen++; bad {
-						n.Bad++
+				l.AttemptEnded(m, bad)
+				if n.Attempts < maxCount {
+					if n.Attempts++; bad {
+						n.Failures++
 					}
 				}
 			}
 		}
-		for data := l.Take(); data != nil; data = l.Take() {
+		for data := l.Encode(); data != nil; data = l.Encode() {
 			if len(data) > 256 {
 				t.Fatalf("a datagram of %d bytes", len(data))
 			}
@@ -56,7 +56,7 @@
 				t.Fatalf("read the keys %v, want %v", news.Keys, keys)
 			}
 			keys = nil
-			for _, n := range news.Notes {
+			for _, n := range news.Observations {
 				if w := want[n.Server]; w == nil || !reflect.DeepEqual(*w, n) {
 					t.Fatalf("read %+v, want %+v", n, w)
 				}
@@ -82,11 +82,11 @@
 		"more bad than seen":   {version, 0, 0, 0, 7, 1<<5 | 2<<2},
 		"silent and answered":  {version, 0, 0, 0, 7, flagSilent | flagAnswered},
 	} {
-		if news, err := Decode(b); err == nil || len(news.Notes)+len(news.Keys) != 0 {
+		if news, err := Decode(b); err == nil || len(news.Observations)+len(news.Keys) != 0 {
 			t.Errorf("%s: read as %v", name, news)
 		}
 	}
-	if news, err := Decode(good); err != nil || len(news.Notes) != 2 || !news.Notes[1].Silent || !slices.Equal(news.Keys, []Mark{5}) {
+	if news, err := Decode(good); err != nil || len(news.Observations) != 2 || !news.Observations[1].Unresponsive || !slices.Equal(news.Keys, []Fingerprint{5}) {
 		t.Errorf("%v, %v", news, err)
 	}
 }
@@ -99,8 +99,8 @@
 		if err != nil && len(news.Keys) > 0 || len(news.Keys) > maxKeys {
 			t.Fatalf("%v, %v", news, err)
 		}
-		for _, n := range news.Notes {
-			if err != nil || n.Bad > n.Seen || n.Seen > maxCount {
+		for _, n := range news.Observations {
+			if err != nil || n.Failures > n.Attempts || n.Attempts > maxCount {
 				t.Fatalf("%v, %v", news, err)
 			}
 		}
@@ -111,9 +111,9 @@
 	for _, test := range []struct{ bad, all, want float64 }{
 		{0, 0, 1}, {0.3, 0, 1}, {0.45, 0, 0.5}, {1, 0, keepLeast}, {1, 1, 1}, {0.9, 0.8, 1}, {0.6, 0.1, 1.0 / 3},
 	} {
-		o := NewOpinion(1)
-		if o.Judge(test.bad, test.all); o.Keep < test.want-1e-9 || o.Keep > test.want+1e-9 {
-			t.Errorf("%v bad where all are %v: keeps %v, want %v", test.bad, test.all, o.Keep, test.want)
+		o := NewAssessment(1)
+		if o.Update(test.bad, test.all); o.KeptFraction < test.want-1e-9 || o.KeptFraction > test.want+1e-9 {
+			t.Errorf("%v bad where all are %v: keeps %v, want %v", test.bad, test.all, o.KeptFraction, test.want)
 		}
 	}
 }
@@ -134,9 +134,9 @@
 		"two, long apart":          {[]word{{0, 3, false}, {3 * time.Second, 4, false}}, false},
 		"one, and its own attempt": {[]word{{0, 3, true}}, true},
 	} {
-		o, got := NewOpinion(1), false
+		o, got := NewAssessment(1), false
 		for _, w := range test.words {
-			got = o.Witness(w.at, w.from, w.failed)
+			got = o.Corroborate(w.at, w.from, w.failed)
 		}
 		if got != test.want {
 			t.Errorf("%s: believed %v", name, got)
@@ -147,20 +147,20 @@
 // TestTalkIsPaidFor: nothing is told of a server that is well, less the more is known, good and bad alike, and not
 // by all nodes at once.
 func TestTalkIsPaidFor(t *testing.T) {
-	well, ill := NewOpinion(1), NewOpinion(2)
-	well.Judge(0.05, 0)
-	ill.Judge(0.6, 0)
-	talk := Talk{Nodes: 80}
+	well, ill := NewAssessment(1), NewAssessment(2)
+	well.Update(0.05, 0)
+	ill.Update(0.6, 0)
+	talk := Sender{FleetSize: 80}
 	for i := range 100 {
-		talk.Saw(&well, 1, true, float64(i)/100)
+		talk.AttemptEnded(&well, 1, true, float64(i)/100)
 	}
-	if b := talk.Due(time.Hour, 0); b != nil {
+	if b := talk.NextDatagram(time.Hour, 0); b != nil {
 		t.Errorf("told %v of a server that is well", b)
 	}
 	told := func(timings float64, bad bool) (n int) {
 		for i := range 1000 {
-			var one Talk
-			one.Saw(&ill, timings, bad, float64(i)/1000)
+			var one Sender
+			one.AttemptEnded(&ill, timings, bad, float64(i)/1000)
 			n += len(one.notes)
 		}
 		return n
@@ -173,15 +173,15 @@
 	}
 	sent := 0
 	for now := Time(0); now < 10*time.Second; now += 10 * time.Millisecond {
-		talk.Silent(1)
-		if talk.Due(now, 0.5) != nil {
+		talk.Unresponsive(1)
+		if talk.NextDatagram(now, 0.5) != nil {
 			sent++
 		}
 	}
 	if sent > 27 { // 80 nodes, 5 ms each
 		t.Errorf("%d datagrams in 10 s", sent)
 	}
-	if mute := (Talk{Mute: true, Ledger: Ledger{notes: []Note{{Silent: true}}}}); mute.Due(0, 0) != nil {
+	if mute := (Sender{Disabled: true, Buffer: Buffer{notes: []Observation{{Unresponsive: true}}}}); mute.NextDatagram(0, 0) != nil {
 		t.Error("a datagram where none is allowed")
 	}
 }
@@ -196,23 +196,23 @@
 		want    bool
 	}{{"unknown", 0, 0, true}, {"a few between", near - 2, 0, true}, {"many between", near, 0, false},
 		{"known to draw little", 0, 0.01, true}, {"known to draw much", 0, 0.2, false}} {
-		talk := Talk{Nodes: 300}
-		talk.Due(0, 0.5) // the next is due in 1.5 s
-		talk.Asked(7, test.share, 1)
+		talk := Sender{FleetSize: 300}
+		talk.NextDatagram(0, 0.5) // the next is due in 1.5 s
+		talk.KeyRequested(7, test.share, 1)
 		for i := range test.between {
-			talk.Asked(Mark(100+i), 0, 1)
+			talk.KeyRequested(Fingerprint(100+i), 0, 1)
 		}
-		talk.Asked(7, test.share, 1)
-		news, _ := Decode(talk.Due(soonest, 0.5))
+		talk.KeyRequested(7, test.share, 1)
+		news, _ := Decode(talk.NextDatagram(soonest, 0.5))
 		if got := slices.Contains(news.Keys, 7); got != test.want {
 			t.Errorf("%s: told at once %v", test.name, got)
 		}
 	}
-	var l Talk
+	var l Sender
 	for i := range 1000 {
-		l.Asked(Mark(i), 0, float64(i)/1000)
+		l.KeyRequested(Fingerprint(i), 0, float64(i)/1000)
 		if i == 124 || i == 999 {
-			if data := l.Take(); len(data) != header+keySize*maxKeys && i == 124 || data != nil && i == 999 {
+			if data := l.Encode(); len(data) != header+keySize*maxKeys && i == 124 || data != nil && i == 999 {
 				t.Errorf("request %d: %d bytes", i, len(data))
 			}
 		}
--- a/internal/fleet/lease/agent/agent.go
+++ b/internal/fleet/lease/agent/agent.go
@@ -15,12 +15,12 @@
 
 // Options are what an agent is made of. Its functions are called from the agent's goroutine and must not wait.
 type Options struct {
-	Core   lease.Config
-	Send   func(to int, data []byte) error // to one node, by its number
-	Holder func(duty string, node int)     // who has a duty from now on: lease.Mine, lease.None for nobody, or a node
-	Said   func(duty string)               // the holder of a duty told all
-	Note   func(kind lease.NoteKind)       // counts
-	Log    *slog.Logger
+	Config        lease.Config
+	Send          func(to int, data []byte) error // to one node, by its number
+	HolderChanged func(duty string, node int)     // who has a duty from now on: lease.Mine, lease.None for nobody, or a node
+	Announced     func(duty string)               // the holder of a duty told all
+	CountEvent    func(kind lease.LogEventKind)   // counts
+	Log           *slog.Logger
 }
 
 // Agent is one node's part in the agreement.
@@ -34,27 +34,27 @@
 
 // New makes an agent; Serve serves it.
 func New(opt Options) (*Agent, error) {
-	core, err := lease.New(opt.Core)
+	core, err := lease.New(opt.Config)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, core: core, self: opt.Core.Self, nodes: opt.Core.Nodes}
+	a := &Agent{opt: opt, core: core, self: opt.Config.Self, nodes: opt.Config.Nodes}
 	a.Loop = eventloop.New(core, a.do)
 	return a, nil
 }
 
-// Heard hands over a datagram of another node. While the agent is behind it is lost, as any may be.
-func (a *Agent) Heard(from int, data []byte) { a.Post(lease.Heard{From: from, Data: data}) }
+// Receive hands over a datagram of another node. While the agent is behind it is lost, as any may be.
+func (a *Agent) Receive(from int, data []byte) { a.Post(lease.MessageReceived{From: from, Data: data}) }
 
-// Say tells all others something under a duty, if this node still has it at that moment.
-func (a *Agent) Say(duty string) { a.Post(lease.Say{Duty: duty}) }
+// Announce tells all others something under a duty, if this node still has it at that moment.
+func (a *Agent) Announce(duty string) { a.Post(lease.Announce{Resource: duty}) }
 
 // Resign gives back what this node holds.
 func (a *Agent) Resign() { a.Post(lease.Resign{}) }
 
-// Move takes another list of peers. What is sent from then on goes by it.
-func (a *Agent) Move(p lease.Peers) {
-	a.Tell(func() {
+// UpdatePeers takes another list of peers. What is sent from then on goes by it.
+func (a *Agent) UpdatePeers(p lease.PeersChanged) {
+	a.Submit(func() {
 		a.Step(p)
 		a.self, a.nodes = p.Self, p.Nodes
 	})
@@ -65,44 +65,44 @@
 
 // Serve owns the core until stop is closed.
 func (a *Agent) Serve(stop <-chan struct{}) {
-	a.Run(stop, a.opt.Core.Lease/ticks, func() { a.Step(lease.Tick{}) })
+	a.Run(stop, a.opt.Config.LeaseDuration/ticks, func() { a.Step(lease.Tick{}) })
 }
 
 func (a *Agent) do(e lease.Effect) {
 	switch e := e.(type) {
 	case lease.Send:
 		for to := range a.nodes {
-			if to != a.self && (e.To == lease.All || e.To == to) {
+			if to != a.self && (e.To == lease.AllNodes || e.To == to) {
 				a.opt.Send(to, e.Data) // one that cannot be sent is lost
 			}
 		}
-	case lease.Holder:
+	case lease.HolderChanged:
 		node := e.Node
 		if node == a.self {
-			node = lease.Mine
+			node = lease.ThisNode
 		}
-		a.opt.Holder(e.Duty, node)
-	case lease.Said:
-		a.opt.Said(e.Duty)
-	case lease.Note:
-		a.opt.Note(e.Kind)
+		a.opt.HolderChanged(e.Resource, node)
+	case lease.Announced:
+		a.opt.Announced(e.Resource)
+	case lease.LogEvent:
+		a.opt.CountEvent(e.Kind)
 		level := slog.LevelDebug
 		switch e.Kind {
-		case lease.NoteHeld, lease.NoteHandedOver, lease.NoteLost:
+		case lease.LogLeaseAcquired, lease.LogHolderChanged, lease.LogLeaseLost:
 			level = slog.LevelInfo
-		case lease.NoteStale:
+		case lease.LogTokenStale:
 			level = slog.LevelWarn
 		}
-		a.opt.Log.Log(context.Background(), level, "the fleet's agreement on duties", logs.Event, "duty_"+e.Kind.String(), "duty", e.Duty,
-			"node", e.Node, "token", e.Token, "reason", e.Why.String())
+		a.opt.Log.Log(context.Background(), level, "the fleet's agreement on duties", logs.Event, "duty_"+e.Kind.String(), "duty", e.Resource,
+			"node", e.Node, "token", e.Token, "reason", e.Reason.String())
 	}
 }
 
-// Register adds the operators' call: duties.
-func (a *Agent) Register(s *control.Server) {
-	s.Look("duties", func(url.Values) (any, error) {
+// RegisterCalls adds the operators' call: duties.
+func (a *Agent) RegisterCalls(s *control.Server) {
+	s.HandleQuery("duties", func(url.Values) (any, error) {
 		var status []lease.Status
-		if err := a.Ask(func() { status = a.core.Status(a.Now()) }); err != nil {
+		if err := a.Call(func() { status = a.core.Status(a.Now()) }); err != nil {
 			return nil, control.ErrBusy
 		}
 		return status, nil
--- a/internal/fleet/lease/core.go
+++ b/internal/fleet/lease/core.go
@@ -23,36 +23,36 @@
 
 // Config is what a node is told. All nodes should be told the same, but for Self, Epoch and Seed.
 type Config struct {
-	Self, Nodes int
-	Fleet       uint32 // names the list of peers: what comes from a node that has another list counts for nothing
-	Duties      []string
-	Lease       time.Duration
-	Drift       float64 // of two clocks against each other, at most
-	Epoch       uint64  // Unix milliseconds at Time 0: tokens grow with it where a majority forgot the last one
-	Seed        uint64
+	Self, Nodes   int
+	PeerListID    uint32 // names the list of peers: what comes from a node that has another list counts for nothing
+	Resources     []string
+	LeaseDuration time.Duration
+	MaxClockDrift float64 // of two clocks against each other, at most
+	Epoch         uint64  // Unix milliseconds at Time 0: tokens grow with it where a majority forgot the last one
+	Seed          uint64
 }
 
-// MostDuties bounds the duties of a fleet.
-const MostDuties = 16
+// MaxResources bounds the duties of a fleet.
+const MaxResources = 16
 
 // Validate tells which field makes no sense.
 func (c Config) Validate() error {
 	switch {
 	case c.Nodes < 1 || c.Self < 0 || c.Self >= c.Nodes:
 		return errors.New("nodes: this one is not among them")
-	case c.Lease < leastLease:
+	case c.LeaseDuration < leastLease:
 		return fmt.Errorf("lease: must be %s at least", leastLease)
-	case !(c.Drift >= 0 && c.Drift < 0.5):
+	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < 0.5):
 		return errors.New("drift: must be from 0 to 0.5")
-	case len(c.Duties) == 0 || len(c.Duties) > MostDuties:
-		return fmt.Errorf("hold: from 1 to %d duties can be", MostDuties)
+	case len(c.Resources) == 0 || len(c.Resources) > MaxResources:
+		return fmt.Errorf("hold: from 1 to %d duties can be", MaxResources)
 	}
 	ids := map[uint32]bool{}
-	for _, name := range c.Duties {
-		if name == "" || ids[Name(name)] {
+	for _, name := range c.Resources {
+		if name == "" || ids[HashName(name)] {
 			return fmt.Errorf("hold: %q stands there twice, or is no name", name)
 		}
-		ids[Name(name)] = true
+		ids[HashName(name)] = true
 	}
 	return nil
 }
@@ -66,8 +66,8 @@
 	ahead      = 3600 // seconds by which a token may be ahead of this node's clock: no clock is further off
 )
 
-// Name is the number by which a duty or a list of peers is told.
-func Name(text string) uint32 {
+// HashName is the number by which a duty or a list of peers is told.
+func HashName(text string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(text))
 	return h.Sum32()
@@ -79,27 +79,27 @@
 type (
 	// Tick says that time went on; the core wants one every Lease/16 or so.
 	Tick struct{}
-	// Heard brings a datagram of another node.
-	Heard struct {
+	// MessageReceived brings a datagram of another node.
+	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// Say tells all nodes something under a duty, if this node holds it.
-	Say struct{ Duty string }
+	// Announce tells all nodes something under a duty, if this node holds it.
+	Announce struct{ Resource string }
 	// Resign gives back what this node holds, and asks for nothing more: it is about to end.
 	Resign struct{}
-	// Peers changes the list of peers. Two lists in a row may differ by one node, or two majorities need not share one.
-	Peers struct {
+	// PeersChanged changes the list of peers. Two lists in a row may differ by one node, or two majorities need not share one.
+	PeersChanged struct {
 		Self, Nodes int
-		Fleet       uint32
+		PeerListID  uint32
 	}
 )
 
-func (Tick) event()   {}
-func (Heard) event()  {}
-func (Say) event()    {}
-func (Resign) event() {}
-func (Peers) event()  {}
+func (Tick) event()            {}
+func (MessageReceived) event() {}
+func (Announce) event()        {}
+func (Resign) event()          {}
+func (PeersChanged) event()    {}
 
 // Effect is what the core wants done: one of the types below it.
 type Effect interface{ effect() }
@@ -110,69 +110,69 @@
 		To   int
 		Data []byte
 	}
-	// Held says that this node has a duty from now on; it asks Holds at each deed.
-	Held struct {
-		Duty  string
-		Token uint64
+	// Acquired says that this node has a duty from now on; it asks Holds at each deed.
+	Acquired struct {
+		Resource string
+		Token    uint64
 	}
 	// Lost says that it no longer has it.
 	Lost struct {
-		Duty  string
-		Token uint64
-	}
-	// Holder says who has a duty as far as this node knows: None, itself, or another node.
-	Holder struct {
-		Duty  string
-		Node  int
-		Token uint64
-	}
-	// Said brings what the holder of a duty told all.
-	Said struct {
-		Duty  string
-		Node  int
-		Token uint64
-	}
-	// Note is for the log and the counters.
-	Note struct {
-		Kind  NoteKind
-		Duty  string
-		Node  int
-		Token uint64
-		Why   Reason
+		Resource string
+		Token    uint64
+	}
+	// HolderChanged says who has a duty as far as this node knows: None, itself, or another node.
+	HolderChanged struct {
+		Resource string
+		Node     int
+		Token    uint64
+	}
+	// Announced brings what the holder of a duty told all.
+	Announced struct {
+		Resource string
+		Node     int
+		Token    uint64
+	}
+	// LogEvent is for the log and the counters.
+	LogEvent struct {
+		Kind     LogEventKind
+		Resource string
+		Node     int
+		Token    uint64
+		Reason   Reason
 	}
 )
 
-// All is the address of all other nodes, None is no node, and Mine is what agents call their own.
+// AllNodes is the address of all other nodes, None is no node, and Mine is what agents call their own.
 const (
-	All  = -1
-	None = -1
-	Mine = -2
+	AllNodes = -1
+	NoNode   = -1
+	ThisNode = -2
 )
 
-func (Send) effect()   {}
-func (Held) effect()   {}
-func (Lost) effect()   {}
-func (Holder) effect() {}
-func (Said) effect()   {}
-func (Note) effect()   {}
+func (Send) effect()          {}
+func (Acquired) effect()      {}
+func (Lost) effect()          {}
+func (HolderChanged) effect() {}
+func (Announced) effect()     {}
+func (LogEvent) effect()      {}
 
-// NoteKind is what happened.
-type NoteKind int
+// LogEventKind is what happened.
+type LogEventKind int
 
 // What is noted.
 const (
-	NoteAsked NoteKind = iota
-	NoteHeld
-	NoteLost
-	NoteGaveUp
-	NoteRefused
-	NoteHandedOver // to another node, as this one heard
-	NoteStale      // something came under a token that is over
-	NoteGarbled
-	Notes
+	LogLeaseRequested LogEventKind = iota
+	LogLeaseAcquired
+	LogLeaseLost
+	LogRequestAbandoned
+	LogLeaseDenied
+	LogHolderChanged // to another node, as this one heard
+	LogTokenStale    // something came under a token that is over
+	LogMessageCorrupt
+	LogEventKinds
 )
 
-func (k NoteKind) String() string {
+func (k LogEventKind) String() string {
 	return [...]string{"asked", "held", "lost", "gave_up", "refused", "handed_over", "stale", "garbled"}[k]
 }
 
@@ -181,14 +181,14 @@
 
 // The reasons.
 const (
-	Granted   Reason = iota
-	Taken            // another node has it
-	Contested        // another node asks for it and has not won yet
-	Old              // the token is not greater than the last
-	Abstains         // the node has just started: what it granted before is unknown to it
-	Expired          // the lease ended with too few answers
-	Resigned         // given back
-	Moved            // the list of peers changed
+	ReasonGranted         Reason = iota
+	ReasonTaken                  // another node has it
+	ReasonContested              // another node asks for it and has not won yet
+	ReasonTokenSuperseded        // the token is not greater than the last
+	ReasonAbstaining             // the node has just started: what it granted before is unknown to it
+	ReasonExpired                // the lease ended with too few answers
+	ReasonResigned               // given back
+	ReasonPeersChanged           // the list of peers changed
 	reasons
 )
 
@@ -254,8 +254,8 @@
 		return nil, err
 	}
 	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch))}
-	for _, name := range cfg.Duties {
-		c.duties = append(c.duties, &duty{name: name, id: Name(name), to: None, holder: None, released: map[int]uint64{}})
+	for _, name := range cfg.Resources {
+		c.duties = append(c.duties, &duty{name: name, id: HashName(name), to: NoNode, holder: NoNode, released: map[int]uint64{}})
 	}
 	return c, nil
 }
@@ -271,18 +271,18 @@
 		c.expire(now, d)
 	}
 	switch e := ev.(type) {
-	case Heard:
+	case MessageReceived:
 		c.heard(now, e)
-	case Say:
-		if d := c.named(e.Duty); d != nil && d.held {
-			c.do(Send{All, c.message(kindWord, d.id, d.own, 0, 0)})
+	case Announce:
+		if d := c.named(e.Resource); d != nil && d.held {
+			c.do(Send{AllNodes, c.message(kindWord, d.id, d.own, 0, 0)})
 		}
 	case Resign:
 		c.over = true
 		for _, d := range c.duties {
-			c.drop(now, d, Resigned)
+			c.drop(now, d, ReasonResigned)
 		}
-	case Peers:
+	case PeersChanged:
 		c.move(now, e)
 	}
 	for _, d := range c.duties {
@@ -293,8 +293,8 @@
 
 func (c *Core) do(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) note(kind NoteKind, d *duty, node int, token uint64, why Reason) {
-	c.do(Note{kind, d.name, node, token, why})
+func (c *Core) note(kind LogEventKind, d *duty, node int, token uint64, why Reason) {
+	c.do(LogEvent{kind, d.name, node, token, why})
 }
 
 func (c *Core) named(name string) *duty {
@@ -316,12 +316,14 @@
 func majority(nodes int) int { return nodes/2 + 1 }
 
 // lease is how long a holder trusts answers, by its own clock.
-func (c *Core) lease() time.Duration { return time.Duration(float64(c.cfg.Lease) * (1 - c.cfg.Drift)) }
+func (c *Core) lease() time.Duration {
+	return time.Duration(float64(c.cfg.LeaseDuration) * (1 - c.cfg.MaxClockDrift))
+}
 
 // abstains tells whether this node may not grant yet: what it granted before it started, or under another list of peers,
 // is unknown to it or was counted otherwise, and is over after a lease.
 func (c *Core) abstains(now Time) bool {
-	return c.cfg.Nodes > 1 && float64(now-c.begun) < float64(c.cfg.Lease)*(1+c.cfg.Drift)
+	return c.cfg.Nodes > 1 && float64(now-c.begun) < float64(c.cfg.LeaseDuration)*(1+c.cfg.MaxClockDrift)
 }
 
 func (c *Core) wall(now Time) uint64 { return c.cfg.Epoch + uint64(now/time.Millisecond) }
@@ -329,10 +331,10 @@
 // expire ends what is over by the clock.
 func (c *Core) expire(now Time, d *duty) {
 	if d.held && now >= d.until {
-		c.drop(now, d, Expired)
+		c.drop(now, d, ReasonExpired)
 	}
-	if d.holder != None && d.holder != c.cfg.Self && now >= d.heardTill {
-		c.know(now, d, None, d.heardOf)
+	if d.holder != NoNode && d.holder != c.cfg.Self && now >= d.heardTill {
+		c.know(now, d, NoNode, d.heardOf)
 	}
 }
 
@@ -347,29 +349,29 @@
 		d.rounds[i].valid = false
 	}
 	if d.to == c.cfg.Self && d.token == token {
-		d.to = None
+		d.to = NoNode
 	}
-	c.do(Send{All, c.message(kindRelease, d.id, token, 0, 0)})
+	c.do(Send{AllNodes, c.message(kindRelease, d.id, token, 0, 0)})
 	if !held {
-		c.note(NoteGaveUp, d, c.cfg.Self, token, why)
+		c.note(LogRequestAbandoned, d, c.cfg.Self, token, why)
 		return
 	}
 	c.do(Lost{d.name, token})
-	c.note(NoteLost, d, c.cfg.Self, token, why)
-	c.know(now, d, None, token)
+	c.note(LogLeaseLost, d, c.cfg.Self, token, why)
+	c.know(now, d, NoNode, token)
 }
 
 // know takes it that a node has a duty.
 func (c *Core) know(now Time, d *duty, node int, token uint64) {
-	d.heardTill = now + c.cfg.Lease
+	d.heardTill = now + c.cfg.LeaseDuration
 	if d.holder == node && d.heardOf == token {
 		return
 	}
-	if node != None && node != c.cfg.Self {
-		c.note(NoteHandedOver, d, node, token, Granted)
+	if node != NoNode && node != c.cfg.Self {
+		c.note(LogHolderChanged, d, node, token, ReasonGranted)
 	}
 	d.holder, d.heardOf = node, token
-	c.do(Holder{d.name, node, token})
+	c.do(HolderChanged{d.name, node, token})
 }
 
 // pursue does what is due for a duty: to renew it, to ask for it again, or to begin to ask.
@@ -380,21 +382,21 @@
 		if d.free <= now {
 			d.tries++
 		}
-		c.drop(now, d, Taken)
+		c.drop(now, d, ReasonTaken)
 		d.nextAt = max(now, d.free) + c.wait(d)
-	case d.held && now-r.sent >= c.cfg.Lease/renewals:
+	case d.held && now-r.sent >= c.cfg.LeaseDuration/renewals:
 		c.send(now, d)
-	case d.own != 0 && len(r.yes) < majority(c.cfg.Nodes) && now-d.sentAt >= c.cfg.Lease/repeats:
+	case d.own != 0 && len(r.yes) < majority(c.cfg.Nodes) && now-d.sentAt >= c.cfg.LeaseDuration/repeats:
 		c.resend(now, d) // some may be lost
 	case d.own != 0:
-	case c.abstains(now) || d.holder != None && now < d.heardTill || d.to != None && now < d.granted:
+	case c.abstains(now) || d.holder != NoNode && now < d.heardTill || d.to != NoNode && now < d.granted:
 		d.nextAt, d.tries = 0, 0
 	case d.nextAt == 0:
 		d.nextAt = now + c.wait(d)
 	case now >= d.nextAt:
 		d.own = max(d.high+1, d.promised+1, c.wall(now))
 		d.free = 0
-		c.note(NoteAsked, d, c.cfg.Self, d.own, Granted)
+		c.note(LogLeaseRequested, d, c.cfg.Self, d.own, ReasonGranted)
 		c.send(now, d)
 	}
 }
@@ -403,7 +405,7 @@
 // timers, as Nonnenmacher and Biersack use them to have one of a large group answer (Scalable feedback for large groups,
 // 1999). Two that ask at once may take the votes from each other; after that all wait longer.
 func (c *Core) wait(d *duty) time.Duration {
-	span := float64(c.cfg.Lease / 4 << min(d.tries, 4))
+	span := float64(c.cfg.LeaseDuration / 4 << min(d.tries, 4))
 	early := math.Log(1-c.rng.Float64()) / math.Log(float64(max(fewest, c.cfg.Nodes)))
 	return 1 + time.Duration(span*max(0, 1+early))
 }
@@ -425,28 +427,28 @@
 	if d.held {
 		flags = flagHeld
 	}
-	c.do(Send{All, c.message(kindAsk, d.id, d.own, d.last, flags)})
+	c.do(Send{AllNodes, c.message(kindAsk, d.id, d.own, d.last, flags)})
 }
 
 // decide answers an ask and keeps what it granted.
 func (c *Core) decide(now Time, d *duty, from int, token uint64, held bool) Reason {
 	switch same := d.to == from && d.token == token; {
 	case c.abstains(now):
-		return Abstains
+		return ReasonAbstaining
 	case same && now < d.granted:
-	case d.to != None && d.to != from && now < d.granted && d.settled:
-		return Taken
-	case d.to != None && d.to != from && now < d.granted:
-		return Contested // a node that asks under another token has given the one before back
+	case d.to != NoNode && d.to != from && now < d.granted && d.settled:
+		return ReasonTaken
+	case d.to != NoNode && d.to != from && now < d.granted:
+		return ReasonContested // a node that asks under another token has given the one before back
 	case d.to == from && token < d.token && now < d.granted:
-		return Old // a renewal of before that comes late: what the node gave back under it must not take the grant of now with it
+		return ReasonTokenSuperseded // a renewal of before that comes late: what the node gave back under it must not take the grant of now with it
 	case token < d.high || token <= d.released[from] || token <= d.promised && !same && !held:
-		return Old
+		return ReasonTokenSuperseded
 	}
 	// A holder is granted its token again though another node was granted a greater one meanwhile and did not win: it must
 	// not lose the vote for good. What was promised stays promised.
-	d.to, d.token, d.promised, d.granted, d.settled = from, token, max(d.promised, token), now+c.cfg.Lease, held
-	return Granted
+	d.to, d.token, d.promised, d.granted, d.settled = from, token, max(d.promised, token), now+c.cfg.LeaseDuration, held
+	return ReasonGranted
 }
 
 // vote counts an answer to one of the rounds.
@@ -455,9 +457,9 @@
 	if d.own == 0 || !r.valid || r.n != n {
 		return
 	}
-	if why != Granted {
+	if why != ReasonGranted {
 		r.no[from] = true
-		d.free = max(d.free, now+min(left, c.cfg.Lease))
+		d.free = max(d.free, now+min(left, c.cfg.LeaseDuration))
 		return
 	}
 	r.yes[from] = true
@@ -468,24 +470,24 @@
 	d.until = until
 	if !d.held {
 		d.held, d.since, d.tries, d.high = true, now, 0, max(d.high, d.own)
-		c.do(Held{d.name, d.own})
-		c.note(NoteHeld, d, c.cfg.Self, d.own, Granted)
+		c.do(Acquired{d.name, d.own})
+		c.note(LogLeaseAcquired, d, c.cfg.Self, d.own, ReasonGranted)
 		c.know(now, d, c.cfg.Self, d.own)
 		c.send(now, d) // all others hear at once who has it
 	}
 }
 
-func (c *Core) heard(now Time, e Heard) {
+func (c *Core) heard(now Time, e MessageReceived) {
 	if e.From < 0 || e.From >= c.cfg.Nodes || e.From == c.cfg.Self {
 		return
 	}
 	m, err := decode(e.Data)
 	if err != nil || m.token > c.wall(now)+ahead*1000 {
-		c.do(Note{Kind: NoteGarbled, Node: e.From})
+		c.do(LogEvent{Kind: LogMessageCorrupt, Node: e.From})
 		return
 	}
 	i := slices.IndexFunc(c.duties, func(d *duty) bool { return d.id == m.duty })
-	if i < 0 || m.fleet != c.cfg.Fleet {
+	if i < 0 || m.fleet != c.cfg.PeerListID {
 		return
 	}
 	d := c.duties[i]
@@ -495,13 +497,13 @@
 			c.heardHolder(now, d, e.From, m.token)
 		}
 		if d.own != 0 && !d.held && m.token > d.own {
-			c.drop(now, d, Contested) // of two that ask at once the greater token wins, at once
+			c.drop(now, d, ReasonContested) // of two that ask at once the greater token wins, at once
 		}
-		a := message{kind: kindAnswer, fleet: c.cfg.Fleet, duty: d.id, token: m.token, round: m.round}
-		if a.why = c.decide(now, d, e.From, m.token, m.flags&flagHeld != 0); a.why != Granted {
-			c.note(NoteRefused, d, e.From, m.token, a.why)
+		a := message{kind: kindAnswer, fleet: c.cfg.PeerListID, duty: d.id, token: m.token, round: m.round}
+		if a.why = c.decide(now, d, e.From, m.token, m.flags&flagHeld != 0); a.why != ReasonGranted {
+			c.note(LogLeaseDenied, d, e.From, m.token, a.why)
 		}
-		if a.high = max(d.high, d.promised); a.why == Taken {
+		if a.high = max(d.high, d.promised); a.why == ReasonTaken {
 			a.left = uint32((d.granted - now) / time.Millisecond)
 		}
 		c.do(Send{e.From, a.encode()})
@@ -513,18 +515,18 @@
 	case kindRelease:
 		d.released[e.From] = max(d.released[e.From], m.token)
 		if d.to == e.From && d.token == m.token {
-			d.to = None
+			d.to = NoNode
 		}
 		if d.holder == e.From && d.heardOf == m.token {
-			c.know(now, d, None, m.token)
+			c.know(now, d, NoNode, m.token)
 		}
 	case kindWord:
 		if m.token < d.high || m.token <= d.released[e.From] {
-			c.note(NoteStale, d, e.From, m.token, Old)
+			c.note(LogTokenStale, d, e.From, m.token, ReasonTokenSuperseded)
 			return
 		}
 		c.heardHolder(now, d, e.From, m.token)
-		c.do(Said{d.name, e.From, m.token})
+		c.do(Announced{d.name, e.From, m.token})
 	}
 }
 
@@ -539,18 +541,18 @@
 
 // move takes another list of peers: what is held under the old one is given back, and nothing is granted before all that
 // was granted under it is over.
-func (c *Core) move(now Time, e Peers) {
+func (c *Core) move(now Time, e PeersChanged) {
 	next := c.cfg
-	next.Self, next.Nodes, next.Fleet = e.Self, e.Nodes, e.Fleet
-	if next.Validate() != nil || e.Fleet == c.cfg.Fleet {
+	next.Self, next.Nodes, next.PeerListID = e.Self, e.Nodes, e.PeerListID
+	if next.Validate() != nil || e.PeerListID == c.cfg.PeerListID {
 		return
 	}
 	for _, d := range c.duties {
-		c.drop(now, d, Moved)
-		if d.holder != None {
-			c.know(now, d, None, d.heardOf)
+		c.drop(now, d, ReasonPeersChanged)
+		if d.holder != NoNode {
+			c.know(now, d, NoNode, d.heardOf)
 		}
-		d.to, d.nextAt = None, 0
+		d.to, d.nextAt = NoNode, 0
 		clear(d.released) // of nodes that have other numbers now
 	}
 	c.cfg, c.begun = next, now
@@ -558,22 +560,22 @@
 
 // Status is one duty as this node sees it.
 type Status struct {
-	Duty   string        `json:"duty"`
-	Holder int           `json:"holder"` // -1: nobody that this node knows of
-	Token  uint64        `json:"token"`
-	Mine   bool          `json:"mine"`
-	Since  time.Duration `json:"held_for_ns,omitempty"` // of this node's own
-	State  string        `json:"state"`                 // held, asking, waiting, abstains or idle
+	Resource   string        `json:"duty"`
+	Holder     int           `json:"holder"` // -1: nobody that this node knows of
+	Token      uint64        `json:"token"`
+	IsHeldHere bool          `json:"mine"`
+	Since      time.Duration `json:"held_for_ns,omitempty"` // of this node's own
+	State      string        `json:"state"`                 // held, asking, waiting, abstains or idle
 }
 
 // Status lists all duties.
 func (c *Core) Status(now Time) []Status {
 	var out []Status
 	for _, d := range c.duties {
-		s := Status{Duty: d.name, Holder: d.holder, Token: d.heardOf, State: "idle"}
+		s := Status{Resource: d.name, Holder: d.holder, Token: d.heardOf, State: "idle"}
 		switch _, mine := c.Holds(now, d.name); {
 		case mine:
-			s.Mine, s.Since, s.State = true, now-d.since, "held"
+			s.IsHeldHere, s.Since, s.State = true, now-d.since, "held"
 		case d.own != 0:
 			s.State = "asking"
 		case c.abstains(now):
--- a/internal/fleet/lease/core_test.go
+++ b/internal/fleet/lease/core_test.go
@@ -52,7 +52,7 @@
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), loss: 0.1, late: 60 * time.Millisecond, stalled: make([]bool, nodes),
 		nodes: make([]*Core, nodes), born: make([]time.Duration, nodes), greatest: map[string]uint64{}, holders: map[string]int{}, said: map[int]int{}}
 	for i := range nodes {
-		w.cfg = append(w.cfg, Config{Self: i, Nodes: nodes, Fleet: 1, Duties: duties, Lease: testLease, Drift: drift, Seed: seed*100 + uint64(i)})
+		w.cfg = append(w.cfg, Config{Self: i, Nodes: nodes, PeerListID: 1, Resources: duties, LeaseDuration: testLease, MaxClockDrift: drift, Seed: seed*100 + uint64(i)})
 		w.rate = append(w.rate, 1+(w.rng.Float64()-0.5)*drift) // two differ by drift at most
 		w.skew = append(w.skew, time.Duration(w.rng.Int64N(int64(testLease/2))))
 		w.cut = append(w.cut, make([]bool, nodes))
@@ -87,14 +87,14 @@
 		switch e := e.(type) {
 		case Send:
 			for to := range w.nodes {
-				if to != i && (e.To == All || e.To == to) {
+				if to != i && (e.To == AllNodes || e.To == to) {
 					w.send(i, to, e.Data)
 				}
 			}
-		case Said:
+		case Announced:
 			w.said[i]++
-		case Note:
-			if e.Kind == NoteStale {
+		case LogEvent:
+			if e.Kind == LogTokenStale {
 				w.stale++
 			}
 		}
@@ -124,7 +124,7 @@
 		}
 		w.wire = kept
 		for _, p := range due {
-			w.step(p.to, Heard{p.from, p.data})
+			w.step(p.to, MessageReceived{p.from, p.data})
 		}
 		for i := range w.nodes {
 			if !w.stalled[i] && w.rng.IntN(3) == 0 {
@@ -136,8 +136,8 @@
 }
 
 func (w *world) check() {
-	for k, name := range w.cfg[0].Duties {
-		holder := None
+	for k, name := range w.cfg[0].Resources {
+		holder := NoNode
 		for i, c := range w.nodes {
 			if c == nil || w.stalled[i] {
 				continue
@@ -148,7 +148,7 @@
 			}
 			last, acted := w.holders[name]
 			switch {
-			case holder != None:
+			case holder != NoNode:
 				w.t.Fatalf("at %v nodes %d and %d both hold %s", w.now, holder, i, name)
 			case token < w.greatest[name] || token == w.greatest[name] && acted && last != i:
 				w.t.Fatalf("at %v node %d holds %s under %d, after %d had %d", w.now, i, name, token, last, w.greatest[name])
@@ -158,7 +158,7 @@
 			}
 			holder, w.greatest[name], w.holders[name] = i, token, i
 		}
-		if holder == None && k == 0 {
+		if holder == NoNode && k == 0 {
 			w.idle += 10 * time.Millisecond
 		}
 	}
@@ -173,13 +173,13 @@
 			}
 		}
 	}
-	return None
+	return NoNode
 }
 
 // held waits until somebody holds a duty, and tells for how long it took.
 func (w *world) held(name string, not int) (int, time.Duration) {
 	for began := w.now; w.now < began+time.Minute; w.pass(10 * time.Millisecond) {
-		if i := w.holder(name); i != None && i != not {
+		if i := w.holder(name); i != NoNode && i != not {
 			return i, w.now - began
 		}
 	}
@@ -221,9 +221,9 @@
 			case 4:
 				w.split(w.rng.IntN(nodes))
 			case 5:
-				w.step(i, Heard{j, []byte{Mark, version, byte(w.rng.IntN(5)), 1, 2, 3, 4, 5, 6, 7, 8, 9, byte(w.rng.IntN(256))}})
+				w.step(i, MessageReceived{j, []byte{Magic, version, byte(w.rng.IntN(5)), 1, 2, 3, 4, 5, 6, 7, 8, 9, byte(w.rng.IntN(256))}})
 			case 6:
-				if h := w.holder("a"); h != None && w.rng.IntN(2) == 0 {
+				if h := w.holder("a"); h != NoNode && w.rng.IntN(2) == 0 {
 					w.step(h, Resign{})
 					w.kill(h)
 				}
@@ -272,7 +272,7 @@
 	} {
 		for seed := range uint64(20) {
 			w := newWorld(t, seed, test.nodes, "a")
-			before, _ := w.held("a", None)
+			before, _ := w.held("a", NoNode)
 			token := w.greatest["a"]
 			test.play(w, before)
 			w.pass(testLease) // it is over by then in any case
@@ -317,17 +317,17 @@
 		for seed := range uint64(12) {
 			w := newWorld(t, seed, nodes, "a")
 			w.late = 27 * time.Millisecond // as on the platform
-			w.held("a", None)
+			w.held("a", NoNode)
 			w.pass(testLease)
-			h, _ := w.held("a", None)
-			old := w.nodes[h].message(kindWord, Name("a"), w.greatest["a"], 0, 0)
+			h, _ := w.held("a", NoNode)
+			old := w.nodes[h].message(kindWord, HashName("a"), w.greatest["a"], 0, 0)
 			w.stalled[h] = true
 			next, took := w.held("a", h)
 			longest = max(longest, took)
 			w.pass(testLease / 2)
 			w.each(func(i int) { // what it had on its way as it stalled
 				if i != h {
-					w.step(i, Heard{h, old})
+					w.step(i, MessageReceived{h, old})
 				}
 			})
 			if w.stale < nodes*2/3 || len(w.said) > nodes/3 {
@@ -350,14 +350,14 @@
 func TestAWordReachesAll(t *testing.T) {
 	w := newWorld(t, 1, 5, "a")
 	w.loss = 0
-	h, _ := w.held("a", None)
+	h, _ := w.held("a", NoNode)
 	w.pass(testLease)
-	w.step((h+1)%5, Say{"a"})
+	w.step((h+1)%5, Announce{"a"})
 	w.pass(testLease / 4)
 	if len(w.said) != 0 {
 		t.Fatal("a node that holds nothing was heard")
 	}
-	w.step(h, Say{"a"})
+	w.step(h, Announce{"a"})
 	w.pass(testLease / 4)
 	if len(w.said) != 4 || w.said[h] != 0 {
 		t.Fatalf("heard by %v", w.said)
@@ -369,19 +369,19 @@
 	for seed := range uint64(200) {
 		w := newWorld(t, seed, 4, "a")
 		for i := range 3 { // the fourth is not in the first list
-			w.nodes[i].Step(w.clock(i), Peers{i, 3, 9})
+			w.nodes[i].Step(w.clock(i), PeersChanged{i, 3, 9})
 		}
 		w.kill(3)
 		w.cfg = w.cfg[:4]
-		w.held("a", None)
+		w.held("a", NoNode)
 		for i := range 3 {
 			w.pass(time.Duration(w.rng.Int64N(int64(testLease))))
-			w.step(i, Peers{i, 4, 1})
+			w.step(i, PeersChanged{i, 4, 1})
 			if i == 1 {
 				w.start(3)
 			}
 		}
-		if h, took := w.held("a", None); took > 4*testLease {
+		if h, took := w.held("a", NoNode); took > 4*testLease {
 			t.Fatalf("seed %d: node %d has it after %v", seed, h, took)
 		}
 	}
@@ -399,14 +399,14 @@
 	}
 	for name, words := range map[string][]word{
 		// testbed simulate --fleet, seed 1385: two had the duty.
-		"a renewal under an earlier token, and the word that gave that back, leave a grant": {{0, kindAsk, 2000, 0, 0, Granted},
-			{0, kindAsk, 1000, flagHeld, 0, reasons}, {0, kindRelease, 1000, 0, 0, reasons}, {2, kindAsk, 2500, 0, 0, Contested}},
+		"a renewal under an earlier token, and the word that gave that back, leave a grant": {{0, kindAsk, 2000, 0, 0, ReasonGranted},
+			{0, kindAsk, 1000, flagHeld, 0, reasons}, {0, kindRelease, 1000, 0, 0, reasons}, {2, kindAsk, 2500, 0, 0, ReasonContested}},
 		// testbed simulate --fleet, seed 1759: the holder had the vote of this node no more.
-		"an ask under a greater token that came to nothing leaves the holder its vote": {{0, kindAsk, 1000, 0, 0, Granted}, {0, kindAsk, 1000, flagHeld, 0, Granted},
-			{2, kindAsk, 2000, 0, 2 * testLease, Granted}, {2, kindRelease, 2000, 0, 0, reasons}, {0, kindAsk, 1000, flagHeld, 0, Granted}},
-		"what was given back is not renewed": {{0, kindAsk, 1000, 0, 0, Granted}, {0, kindRelease, 1000, 0, 0, reasons}, {0, kindAsk, 1000, flagHeld, 0, Old}},
+		"an ask under a greater token that came to nothing leaves the holder its vote": {{0, kindAsk, 1000, 0, 0, ReasonGranted}, {0, kindAsk, 1000, flagHeld, 0, ReasonGranted},
+			{2, kindAsk, 2000, 0, 2 * testLease, ReasonGranted}, {2, kindRelease, 2000, 0, 0, reasons}, {0, kindAsk, 1000, flagHeld, 0, ReasonGranted}},
+		"what was given back is not renewed": {{0, kindAsk, 1000, 0, 0, ReasonGranted}, {0, kindRelease, 1000, 0, 0, reasons}, {0, kindAsk, 1000, flagHeld, 0, ReasonTokenSuperseded}},
 	} {
-		c, err := New(Config{Self: 1, Nodes: 3, Fleet: 1, Duties: []string{"d"}, Lease: testLease, Drift: drift, Epoch: 1_000_000})
+		c, err := New(Config{Self: 1, Nodes: 3, PeerListID: 1, Resources: []string{"d"}, LeaseDuration: testLease, MaxClockDrift: drift, Epoch: 1_000_000})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -415,7 +415,7 @@
 		for i, w := range words {
 			now += w.after
 			got := reasons
-			for _, e := range c.Step(now, Heard{w.from, message{kind: w.kind, fleet: 1, duty: Name("d"), token: 1_000_000 + w.token, round: 1, flags: w.flags}.encode()}) {
+			for _, e := range c.Step(now, MessageReceived{w.from, message{kind: w.kind, fleet: 1, duty: HashName("d"), token: 1_000_000 + w.token, round: 1, flags: w.flags}.encode()}) {
 				if s, ok := e.(Send); ok && s.To == w.from {
 					if m, err := decode(s.Data); err == nil && m.kind == kindAnswer {
 						got = m.why
@@ -437,8 +437,8 @@
 		if m.fleet == 0 {
 			m.fleet = 1
 		}
-		m.duty = Name("a")
-		for _, e := range c.Step(now, Heard{1, m.encode()}) {
+		m.duty = HashName("a")
+		for _, e := range c.Step(now, MessageReceived{1, m.encode()}) {
 			if s, ok := e.(Send); ok && s.To == 1 {
 				got, _ := decode(s.Data)
 				return got.why
@@ -448,7 +448,7 @@
 	}
 	ask := func(token uint64) message { return message{kind: kindAsk, token: token} }
 	begin := func() {
-		c, _ = New(Config{Nodes: 3, Fleet: 1, Duties: []string{"a"}, Lease: time.Second, Drift: 0.05, Epoch: 1, Seed: 1})
+		c, _ = New(Config{Nodes: 3, PeerListID: 1, Resources: []string{"a"}, LeaseDuration: time.Second, MaxClockDrift: 0.05, Epoch: 1, Seed: 1})
 		c.Step(0, Tick{})
 		c.Step(at, Tick{})
 	}
@@ -467,28 +467,28 @@
 		}
 	}
 	begin()
-	if got := play(at, ask(5)); got != Granted {
+	if got := play(at, ask(5)); got != ReasonGranted {
 		t.Fatalf("the first ask is %v", got)
 	}
 	from2 := func(now Time, token uint64) Reason {
 		return c.decide(now, c.duties[0], 2, token, false)
 	}
-	if got := from2(at+990*time.Millisecond, 6); got != Contested {
+	if got := from2(at+990*time.Millisecond, 6); got != ReasonContested {
 		t.Errorf("within the lease another ask is %v", got)
 	}
-	if got := from2(at+1010*time.Millisecond, 5); got != Old {
+	if got := from2(at+1010*time.Millisecond, 5); got != ReasonTokenSuperseded {
 		t.Errorf("after it, one under the same token is %v", got)
 	}
-	if got := from2(at+1010*time.Millisecond, 6); got != Granted {
+	if got := from2(at+1010*time.Millisecond, 6); got != ReasonGranted {
 		t.Errorf("after it, one under the next token is %v", got)
 	}
 	begin()
-	c.Step(at, Peers{0, 4, 2})
+	c.Step(at, PeersChanged{0, 4, 2})
 	for _, test := range []struct {
 		after time.Duration
 		fleet uint32
 		want  Reason
-	}{{10 * time.Millisecond, 1, reasons}, {10 * time.Millisecond, 2, Abstains}, {1040 * time.Millisecond, 2, Abstains}, {1060 * time.Millisecond, 2, Granted}} {
+	}{{10 * time.Millisecond, 1, reasons}, {10 * time.Millisecond, 2, ReasonAbstaining}, {1040 * time.Millisecond, 2, ReasonAbstaining}, {1060 * time.Millisecond, 2, ReasonGranted}} {
 		m := ask(9)
 		if m.fleet = test.fleet; play(at+test.after, m) != test.want {
 			t.Errorf("%v after another list of peers an ask under list %d is not %v", test.after, test.fleet, test.want)
@@ -516,7 +516,7 @@
 			for _, e := range cores[i].Step(now, ev) {
 				if s, ok := e.(Send); ok {
 					for to := range nodes {
-						if to != i && (s.To == All || s.To == to) {
+						if to != i && (s.To == AllNodes || s.To == to) {
 							wire = append(wire, packet{i, to, string(s.Data)})
 						}
 					}
@@ -524,7 +524,7 @@
 			}
 		}
 		for i := range nodes {
-			cores[i], _ = New(Config{Self: i, Nodes: nodes, Fleet: 1, Duties: []string{"a"}, Lease: testLease, Epoch: 1, Seed: uint64(i)})
+			cores[i], _ = New(Config{Self: i, Nodes: nodes, PeerListID: 1, Resources: []string{"a"}, LeaseDuration: testLease, Epoch: 1, Seed: uint64(i)})
 			step(i, Tick{})
 		}
 		now = 2 * testLease
@@ -554,7 +554,7 @@
 			case move <= len(wire): // one message comes
 				p := wire[move-1]
 				wire = append(wire[:move-1:move-1], wire[move:]...)
-				step(p.to, Heard{p.from, []byte(p.data)})
+				step(p.to, MessageReceived{p.from, []byte(p.data)})
 			default: // time passes for one that looks no more
 				now += testLease / 2
 				step(move%nodes, Tick{})
@@ -582,15 +582,15 @@
 }
 
 func TestBadConfig(t *testing.T) {
-	good := Config{Nodes: 3, Duties: []string{"a"}, Lease: time.Second}
+	good := Config{Nodes: 3, Resources: []string{"a"}, LeaseDuration: time.Second}
 	for name, change := range map[string]func(*Config){
 		"not among them": func(c *Config) { c.Self = 3 },
-		"short lease":    func(c *Config) { c.Lease = time.Millisecond },
-		"drift":          func(c *Config) { c.Drift = 0.5 },
-		"no duty":        func(c *Config) { c.Duties = nil },
-		"one twice":      func(c *Config) { c.Duties = []string{"a", "a"} },
-		"no name":        func(c *Config) { c.Duties = []string{""} },
-		"too many":       func(c *Config) { c.Duties = make([]string, MostDuties+1) },
+		"short lease":    func(c *Config) { c.LeaseDuration = time.Millisecond },
+		"drift":          func(c *Config) { c.MaxClockDrift = 0.5 },
+		"no duty":        func(c *Config) { c.Resources = nil },
+		"one twice":      func(c *Config) { c.Resources = []string{"a", "a"} },
+		"no name":        func(c *Config) { c.Resources = []string{""} },
+		"too many":       func(c *Config) { c.Resources = make([]string, MaxResources+1) },
 	} {
 		c := good
 		change(&c)
@@ -608,7 +608,7 @@
 		case kindAsk:
 			m.round, m.flags = 7, flagHeld
 		case kindAnswer:
-			m.round, m.why, m.high, m.left = 7, Old, rapid.Uint64().Draw(t, "high"), rapid.Uint32().Draw(t, "left")
+			m.round, m.why, m.high, m.left = 7, ReasonTokenSuperseded, rapid.Uint64().Draw(t, "high"), rapid.Uint32().Draw(t, "left")
 		}
 		data := m.encode()
 		if got, err := decode(data); err != nil || got != m {
@@ -625,7 +625,7 @@
 	f.Add(message{kind: kindAsk, token: 1}.encode())
 	f.Add(message{kind: kindAnswer, token: 1}.encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, _ := New(Config{Nodes: 3, Duties: []string{"a"}, Lease: time.Second})
-		c.Step(0, Heard{1, data})
+		c, _ := New(Config{Nodes: 3, Resources: []string{"a"}, LeaseDuration: time.Second})
+		c.Step(0, MessageReceived{1, data})
 	})
 }
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -16,9 +16,9 @@
 	}{
 		{"ask", message{kind: kindAsk, fleet: 0x01020304, duty: 0x11121314, token: 0x2122232425262728, round: 7, flags: flagHeld}},
 		{"ask_new", message{kind: kindAsk, fleet: 1, duty: 2, token: 3, round: 4}},
-		{"answer_granted", message{kind: kindAnswer, fleet: 1, duty: 2, token: 3, round: 4, why: Granted}},
-		{"answer_taken", message{kind: kindAnswer, fleet: 1, duty: 2, token: 3, round: 4, why: Taken, high: 99, left: 1500}},
-		{"answer_moved", message{kind: kindAnswer, fleet: 1, duty: 2, token: 3, round: 4, why: Moved, high: 1 << 40, left: 1}},
+		{"answer_granted", message{kind: kindAnswer, fleet: 1, duty: 2, token: 3, round: 4, why: ReasonGranted}},
+		{"answer_taken", message{kind: kindAnswer, fleet: 1, duty: 2, token: 3, round: 4, why: ReasonTaken, high: 99, left: 1500}},
+		{"answer_moved", message{kind: kindAnswer, fleet: 1, duty: 2, token: 3, round: 4, why: ReasonPeersChanged, high: 1 << 40, left: 1}},
 		{"release", message{kind: kindRelease, fleet: 1, duty: 2, token: 3}},
 		{"word", message{kind: kindWord, fleet: 1, duty: 2, token: 3}},
 	}
@@ -26,7 +26,7 @@
 	for _, test := range messages {
 		lines.Hex(test.name, test.m.encode())
 	}
-	lines.Text("name", string(json.RawMessage(mustJSON(t, Name("prober")))))
+	lines.Text("name", string(json.RawMessage(mustJSON(t, HashName("prober")))))
 	golden.Check(t, "datagrams.golden", lines.Bytes())
 	file := golden.Read(t, "datagrams.golden")
 	for _, test := range messages {
@@ -39,8 +39,8 @@
 // TestGoldenStatus: operators' scripts read the status as JSON, and the words of reasons and events from the log.
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
-	lines.Text("held", mustJSON(t, Status{Duty: "prober", Holder: 2, Token: 77, Mine: true, Since: time.Second, State: "held"}))
-	lines.Text("idle", mustJSON(t, Status{Duty: "caller", Holder: -1, State: "idle"}))
+	lines.Text("held", mustJSON(t, Status{Resource: "prober", Holder: 2, Token: 77, IsHeldHere: true, Since: time.Second, State: "held"}))
+	lines.Text("idle", mustJSON(t, Status{Resource: "caller", Holder: -1, State: "idle"}))
 	golden.Check(t, "status.golden", lines.Bytes())
 }
 
--- a/internal/fleet/lease/message.go
+++ b/internal/fleet/lease/message.go
@@ -10,7 +10,7 @@
 // Every datagram holds the list of peers and the duty by their numbers, the token, and what the kind adds. None is longer than 48
 // bytes. What a later version says behind the known fields is skipped.
 const (
-	Mark    = 'L'
+	Magic   = 'L'
 	version = 1
 
 	kindAsk     = 1 // + round, flags
@@ -37,11 +37,11 @@
 }
 
 func (c *Core) message(kind byte, duty uint32, token uint64, round uint32, flags byte) []byte {
-	return message{kind: kind, fleet: c.cfg.Fleet, duty: duty, token: token, round: round, flags: flags}.encode()
+	return message{kind: kind, fleet: c.cfg.PeerListID, duty: duty, token: token, round: round, flags: flags}.encode()
 }
 
 func (m message) encode() []byte {
-	b := datagram.Begin(Mark, version, m.kind)
+	b := datagram.Begin(Magic, version, m.kind)
 	b = binary.BigEndian.AppendUint32(b, m.fleet)
 	b = binary.BigEndian.AppendUint32(b, m.duty)
 	b = binary.BigEndian.AppendUint64(b, m.token)
@@ -57,7 +57,7 @@
 }
 
 func decode(b []byte) (m message, err error) {
-	kind, r, ok := datagram.Open(b, Mark, version)
+	kind, r, ok := datagram.Open(b, Magic, version)
 	if !ok {
 		return m, errGarbled
 	}
@@ -71,7 +71,7 @@
 	default:
 		return m, errGarbled
 	}
-	if !r.Good() || m.why >= reasons {
+	if !r.IsValid() || m.why >= reasons {
 		return m, errGarbled
 	}
 	return m, nil
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -38,14 +38,14 @@
 
 // Config is what a node is told.
 type Config struct {
-	Self, Nodes int
-	Fleet       uint32        // names the list of nodes: numbers of nodes mean nothing under another
-	Life        uint64        // Unix milliseconds of the process's start: greater for each process of a node, but for what clocks do
-	Period      time.Duration // between two probes of a node
-	Wait        time.Duration // for an answer, before others are asked to ask
-	Ask         int           // others that are asked
-	Suspicion   float64       // periods, times the logarithm of the fleet, after which a suspect is dead
-	Seed        uint64
+	Self, Nodes     int
+	PeerListID      uint32        // names the list of nodes: numbers of nodes mean nothing under another
+	Incarnation     uint64        // Unix milliseconds of the process's start: greater for each process of a node, but for what clocks do
+	ProbeInterval   time.Duration // between two probes of a node
+	ProbeTimeout    time.Duration // for an answer, before others are asked to ask
+	IndirectProbes  int           // others that are asked
+	SuspicionFactor float64       // periods, times the logarithm of the fleet, after which a suspect is dead
+	Seed            uint64
 }
 
 // Validate tells which field makes no sense.
@@ -53,13 +53,13 @@
 	switch {
 	case c.Nodes < 1 || c.Nodes > 1<<16-1 || c.Self < 0 || c.Self >= c.Nodes:
 		return errors.New("nodes: this one is not among them")
-	case c.Period < 50*time.Millisecond:
+	case c.ProbeInterval < 50*time.Millisecond:
 		return errors.New("period: must be 50ms at least")
-	case c.Wait <= 0 || c.Wait > c.Period/2:
+	case c.ProbeTimeout <= 0 || c.ProbeTimeout > c.ProbeInterval/2:
 		return errors.New("wait: must be above 0, and half a period at most")
-	case c.Ask < 0 || c.Ask > 10:
+	case c.IndirectProbes < 0 || c.IndirectProbes > 10:
 		return errors.New("ask: must be from 0 to 10")
-	case !(c.Suspicion >= 1 && c.Suspicion <= 100):
+	case !(c.SuspicionFactor >= 1 && c.SuspicionFactor <= 100):
 		return errors.New("suspicion: must be from 1 to 100")
 	}
 	return nil
@@ -71,24 +71,24 @@
 type (
 	// Tick says that time went on; the core wants one every Wait/2 or so.
 	Tick struct{}
-	// Heard brings a datagram of another node.
-	Heard struct {
+	// MessageReceived brings a datagram of another node.
+	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// Leave says that this node ends.
-	Leave struct{}
-	// Peers brings another list of nodes. All of them are unknown then.
-	Peers struct {
+	// ShutdownStarted says that this node ends.
+	ShutdownStarted struct{}
+	// PeersChanged brings another list of nodes. All of them are unknown then.
+	PeersChanged struct {
 		Self, Nodes int
-		Fleet       uint32
+		PeerListID  uint32
 	}
 )
 
-func (Tick) event()  {}
-func (Heard) event() {}
-func (Leave) event() {}
-func (Peers) event() {}
+func (Tick) event()            {}
+func (MessageReceived) event() {}
+func (ShutdownStarted) event() {}
+func (PeersChanged) event()    {}
 
 // Effect is what the core wants done: one of the types below it.
 type Effect interface{ effect() }
@@ -99,30 +99,30 @@
 		To   int
 		Data []byte
 	}
-	// Changed says that another node counts as something else from now on, or that a process of a later life has its name.
-	Changed struct {
-		Node int
-		Was  State
-		Is   State
-		Life uint64
+	// StateChanged says that another node counts as something else from now on, or that a process of a later life has its name.
+	StateChanged struct {
+		Node        int
+		From        State
+		To          State
+		Incarnation uint64
 	}
-	// Count says how many nodes share the work from now on, this one among them; 0: that cannot be told (Core.Count).
-	Count struct{ Nodes int }
-	// Claimed says that a process of this node's name and of a later life was heard of: one from before a clock was set back, or
+	// FleetSizeChanged says how many nodes share the work from now on, this one among them; 0: that cannot be told (Core.Count).
+	FleetSizeChanged struct{ Nodes int }
+	// IncarnationConflict says that a process of this node's name and of a later life was heard of: one from before a clock was set back, or
 	// one that runs now, in which case this comes again and again. This process's life goes past it.
-	Claimed struct{ Life uint64 }
-	// Refused says that a datagram counted for nothing: it was garbled, or goes by another list of nodes.
-	Refused struct {
-		From  int
-		Other bool
+	IncarnationConflict struct{ Incarnation uint64 }
+	// MessageRejected says that a datagram counted for nothing: it was garbled, or goes by another list of nodes.
+	MessageRejected struct {
+		From          int
+		OtherPeerList bool
 	}
 )
 
-func (Send) effect()    {}
-func (Changed) effect() {}
-func (Count) effect()   {}
-func (Claimed) effect() {}
-func (Refused) effect() {}
+func (Send) effect()                {}
+func (StateChanged) effect()        {}
+func (FleetSizeChanged) effect()    {}
+func (IncarnationConflict) effect() {}
+func (MessageRejected) effect()     {}
 
 // member is what is known of a node.
 type member struct {
@@ -188,8 +188,8 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Life))}
-	c.begin(cfg.Life)
+	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation))}
+	c.begin(cfg.Incarnation)
 	return c, nil
 }
 
@@ -211,9 +211,9 @@
 
 func (c *Core) times() int { return int(math.Ceil(tellTimes * c.scale())) }
 
-// Suspicion is how long a node is suspected before it is dead.
-func (c *Core) Suspicion() time.Duration {
-	return time.Duration(c.cfg.Suspicion * c.scale() * float64(c.cfg.Period))
+// SuspicionTimeout is how long a node is suspected before it is dead.
+func (c *Core) SuspicionTimeout() time.Duration {
+	return time.Duration(c.cfg.SuspicionFactor * c.scale() * float64(c.cfg.ProbeInterval))
 }
 
 // Step takes one event and returns its effects, which belong to the caller.
@@ -223,9 +223,9 @@
 		return nil
 	}
 	if !c.started {
-		c.started, c.begun, c.period, c.last = true, now, now+time.Duration(c.rng.Int64N(int64(c.cfg.Period))), now
+		c.started, c.begun, c.period, c.last = true, now, now+time.Duration(c.rng.Int64N(int64(c.cfg.ProbeInterval))), now
 	}
-	if now-c.last > pause*c.cfg.Period {
+	if now-c.last > pause*c.cfg.ProbeInterval {
 		// This process was stopped. What it asked before has long been answered, and what it suspects may have been refuted.
 		c.probe.waiting, c.errands = false, nil
 		for i := range c.members {
@@ -236,14 +236,14 @@
 	}
 	c.last = now
 	switch e := ev.(type) {
-	case Heard:
+	case MessageReceived:
 		c.heard(now, e)
-	case Leave:
+	case ShutdownStarted:
 		c.leave()
 		return c.effects
-	case Peers:
+	case PeersChanged:
 		was := c.cfg
-		c.cfg.Self, c.cfg.Nodes, c.cfg.Fleet = e.Self, e.Nodes, e.Fleet
+		c.cfg.Self, c.cfg.Nodes, c.cfg.PeerListID = e.Self, e.Nodes, e.PeerListID
 		if c.cfg.Validate() != nil {
 			c.cfg = was
 			break
@@ -252,9 +252,9 @@
 		c.begin(c.members[was.Self].life)
 	}
 	c.look(now)
-	if n := c.Count(now); n != c.count {
+	if n := c.FleetSize(now); n != c.count {
 		c.count = n
-		c.do(Count{n})
+		c.do(FleetSizeChanged{n})
 	}
 	return c.effects
 }
@@ -263,22 +263,22 @@
 
 // look does what is due.
 func (c *Core) look(now Time) {
-	if p := &c.probe; p.waiting && !p.asked && now-p.sent >= c.cfg.Wait {
+	if p := &c.probe; p.waiting && !p.asked && now-p.sent >= c.cfg.ProbeTimeout {
 		p.asked = true
-		for _, other := range c.some(c.cfg.Ask, p.node) {
+		for _, other := range c.some(c.cfg.IndirectProbes, p.node) {
 			c.send(other, message{kind: kindAsk, seq: p.seq, node: uint16(p.node)})
 		}
 	}
-	c.errands = slices.DeleteFunc(c.errands, func(e errand) bool { return now-e.at >= c.cfg.Period })
+	c.errands = slices.DeleteFunc(c.errands, func(e errand) bool { return now-e.at >= c.cfg.ProbeInterval })
 	for i := range c.members {
-		if m := &c.members[i]; m.state == Suspect && now-m.since >= c.Suspicion() {
+		if m := &c.members[i]; m.state == Suspect && now-m.since >= c.SuspicionTimeout() {
 			c.take(now, i, news{node: uint16(i), life: m.life, word: m.word, state: Dead})
 		}
 	}
 	if now < c.period {
 		return
 	}
-	c.period = max(c.period+c.cfg.Period, now+c.cfg.Period/2)
+	c.period = max(c.period+c.cfg.ProbeInterval, now+c.cfg.ProbeInterval/2)
 	if p := c.probe; p.waiting {
 		if m := c.members[p.node]; m.state == Alive && m.heard < p.sent {
 			c.take(now, p.node, news{node: uint16(p.node), life: m.life, word: m.word, state: Suspect})
@@ -327,17 +327,17 @@
 	return out
 }
 
-func (c *Core) heard(now Time, e Heard) {
+func (c *Core) heard(now Time, e MessageReceived) {
 	if e.From < 0 || e.From >= c.cfg.Nodes || e.From == c.cfg.Self {
 		return
 	}
 	m, err := decode(e.Data)
-	if err != nil || m.fleet != c.cfg.Fleet {
-		c.do(Refused{e.From, err == nil})
+	if err != nil || m.fleet != c.cfg.PeerListID {
+		c.do(MessageRejected{e.From, err == nil})
 		return
 	}
 	c.members[e.From].heard = now
-	most := c.cfg.Life + uint64((now+future)/time.Millisecond)
+	most := c.cfg.Incarnation + uint64((now+future)/time.Millisecond)
 	for _, n := range m.news {
 		if int(n.node) < c.cfg.Nodes && n.life <= most {
 			c.take(now, int(n.node), n)
@@ -397,7 +397,7 @@
 	}
 	*m = member{state: n.state, life: n.life, word: n.word, since: since, left: c.times(), heard: m.heard}
 	if was.state != n.state || was.life != n.life {
-		c.do(Changed{node, was.state, n.state, n.life})
+		c.do(StateChanged{node, was.state, n.state, n.life})
 	}
 }
 
@@ -406,7 +406,7 @@
 	me := &c.members[c.cfg.Self]
 	switch {
 	case n.life > me.life:
-		c.do(Claimed{n.life})
+		c.do(IncarnationConflict{n.life})
 		me.life, me.word = n.life+1, 0
 	case n.life == me.life && n.state != Alive && int8(n.word-me.word) >= 0:
 		me.word = n.word + 1
@@ -416,7 +416,7 @@
 // leave tells some others that this node ends; they tell the rest.
 func (c *Core) leave() {
 	c.members[c.cfg.Self].state = Left
-	for _, to := range c.some(c.cfg.Ask+2, c.cfg.Self) {
+	for _, to := range c.some(c.cfg.IndirectProbes+2, c.cfg.Self) {
 		c.seq++
 		c.send(to, message{kind: kindPing, seq: c.seq})
 	}
@@ -425,7 +425,7 @@
 
 // send sends a message with the news that were told least often so far, this node's own word first.
 func (c *Core) send(to int, m message) {
-	m.fleet = c.cfg.Fleet
+	m.fleet = c.cfg.PeerListID
 	var tell []int
 	for i := range c.members {
 		if c.members[i].left > 0 && i != c.cfg.Self {
@@ -450,10 +450,10 @@
 
 // Member is one node as this one knows it.
 type Member struct {
-	Node  int           `json:"node"`
-	State string        `json:"state"`
-	Life  uint64        `json:"started_ms"`
-	For   time.Duration `json:"for_ns"`
+	Node        int           `json:"node"`
+	State       string        `json:"state"`
+	Incarnation uint64        `json:"started_ms"`
+	Duration    time.Duration `json:"for_ns"`
 }
 
 // Members lists all nodes.
@@ -465,13 +465,13 @@
 	return out
 }
 
-// Count is how many nodes share the work, this one among them: those that are there, or suspected, those that this node heard
+// FleetSize is how many nodes share the work, this one among them: those that are there, or suspected, those that this node heard
 // itself within two rounds of probes, whatever others say of them, so that no other node can make it smaller, and those of which
 // it has not had the time to hear. It is 0 where no more than half of the list is heard: in a fleet that fell apart each part
 // has all the others for dead, and clients reach them all.
-func (c *Core) Count(now Time) int {
-	recent := rounds * time.Duration(len(c.order)) * c.cfg.Period
-	young := now-c.begun < recent+c.Suspicion()
+func (c *Core) FleetSize(now Time) int {
+	recent := rounds * time.Duration(len(c.order)) * c.cfg.ProbeInterval
+	young := now-c.begun < recent+c.SuspicionTimeout()
 	heard, unheard := 0, 0
 	for i, m := range c.members {
 		switch {
--- a/internal/fleet/membership/core_test.go
+++ b/internal/fleet/membership/core_test.go
@@ -50,7 +50,7 @@
 
 func (w *world) start(i int) {
 	w.lives[i] = max(w.lives[i]+1, lifeFrom+uint64(w.now/time.Millisecond))
-	c, err := New(Config{Self: i, Nodes: len(w.nodes), Life: w.lives[i], Period: period, Wait: 100 * time.Millisecond, Ask: 3, Suspicion: 2, Seed: uint64(i)})
+	c, err := New(Config{Self: i, Nodes: len(w.nodes), Incarnation: w.lives[i], ProbeInterval: period, ProbeTimeout: 100 * time.Millisecond, IndirectProbes: 3, SuspicionFactor: 2, Seed: uint64(i)})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 		case Send:
 			w.sent++
 			w.bytes += len(e.Data)
-			if len(e.Data) > datagram.Max {
+			if len(e.Data) > datagram.MaxSize {
 				w.t.Fatalf("a datagram of %d bytes", len(e.Data))
 			}
 			for range 1 + w.rng.IntN(10)/9 {
@@ -76,12 +76,12 @@
 					w.wire = append(w.wire, packet{w.now + time.Duration(w.rng.Int64N(int64(27*time.Millisecond))), i, e.To, e.Data})
 				}
 			}
-		case Changed:
-			w.changes[e.Is]++
-			if e.Is == Dead && w.there(e.Node) && !w.cut(i, e.Node) {
+		case StateChanged:
+			w.changes[e.To]++
+			if e.To == Dead && w.there(e.Node) && !w.cut(i, e.Node) {
 				w.false_++
 			}
-		case Claimed:
+		case IncarnationConflict:
 			w.claimed[i]++
 		}
 	}
@@ -96,7 +96,7 @@
 			if p.at > w.now || w.stopped[p.to] {
 				w.wire = append(w.wire, p)
 			} else {
-				w.step(p.to, Heard{p.from, p.data})
+				w.step(p.to, MessageReceived{p.from, p.data})
 			}
 		}
 		for i := range w.nodes {
@@ -155,7 +155,7 @@
 		"started again after it was dead": {5, func(w *world) { w.nodes[1] = nil; w.pass(20 * time.Second); w.start(1) }},
 		"stopped for ten seconds":         {5, func(w *world) { w.stopped[1] = true; w.pass(10 * time.Second); w.stopped[1] = false }},
 		"all start at once":               {8, func(w *world) { w.each(func(i int) { w.nodes[i] = nil; w.start(i) }) }},
-		"leaves in order":                 {5, func(w *world) { w.step(1, Leave{}); w.nodes[1] = nil }},
+		"leaves in order":                 {5, func(w *world) { w.step(1, ShutdownStarted{}); w.nodes[1] = nil }},
 		"falls apart and comes together": {6, func(w *world) {
 			w.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
 			w.pass(30 * time.Second)
@@ -193,7 +193,7 @@
 			w.nodes[nodes/2] = nil
 			took := w.until("the death")
 			t.Logf("| %d | %.0f%% | %.1f s | %.1f s | %d | %d | %.0f |", nodes, loss*100, start.Seconds(), took.Seconds(), suspected, false_, perNode)
-			if false_ > 0 && loss < 0.1 || took > w.nodes[0].Suspicion()+time.Duration(nodes/4+14)*period {
+			if false_ > 0 && loss < 0.1 || took > w.nodes[0].SuspicionTimeout()+time.Duration(nodes/4+14)*period {
 				t.Errorf("%d nodes, %.0f%% lost: %d were taken for dead wrongly, a death took %v", nodes, loss*100, false_, took)
 			}
 		}
@@ -233,12 +233,12 @@
 		for range 40 {
 			w.pass(period)
 			if both { // the earlier one hears what the others hear, and asks them
-				for _, e := range old.Step(w.now, Heard{0, w.word(0, 1)}) {
+				for _, e := range old.Step(w.now, MessageReceived{0, w.word(0, 1)}) {
 					switch e := e.(type) {
-					case Claimed:
+					case IncarnationConflict:
 						w.claimed[1]++
 					case Send:
-						w.step(e.To, Heard{1, e.Data})
+						w.step(e.To, MessageReceived{1, e.Data})
 					}
 				}
 			}
@@ -256,26 +256,26 @@
 func (w *world) word(from, to int) []byte {
 	c := w.nodes[from]
 	k := c.members[to]
-	return message{kind: kindAck, fleet: c.cfg.Fleet, news: []news{{uint16(to), k.life, k.word, k.state}}}.encode()
+	return message{kind: kindAck, fleet: c.cfg.PeerListID, news: []news{{uint16(to), k.life, k.word, k.state}}}.encode()
 }
 
 // TestCount: how many share the work is what is configured until enough is known, and no other node can make it smaller.
 func TestCount(t *testing.T) {
 	const nodes = 5
-	c, err := New(Config{Self: 0, Nodes: nodes, Life: lifeFrom, Period: period, Wait: 100 * time.Millisecond, Suspicion: 2})
+	c, err := New(Config{Self: 0, Nodes: nodes, Incarnation: lifeFrom, ProbeInterval: period, ProbeTimeout: 100 * time.Millisecond, SuspicionFactor: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, counted := time.Duration(0), -1
 	told := func(ev Event) {
 		for _, e := range c.Step(now, ev) {
-			if n, ok := e.(Count); ok {
+			if n, ok := e.(FleetSizeChanged); ok {
 				counted = n.Nodes
 			}
 		}
 	}
 	hear := func(from int, all ...news) {
-		told(Heard{from, message{kind: kindAck, news: append(all, news{uint16(from), lifeFrom, 0, Alive})}.encode()})
+		told(MessageReceived{from, message{kind: kindAck, news: append(all, news{uint16(from), lifeFrom, 0, Alive})}.encode()})
 	}
 	want := func(what string, n int) {
 		t.Helper()
@@ -312,7 +312,7 @@
 		})
 		all := rapid.SliceOfN(one, 1, 8).Draw(t, "news")
 		end := func(order []int) member {
-			c, _ := New(Config{Self: 0, Nodes: 3, Life: lifeFrom, Period: period, Wait: 100 * time.Millisecond, Suspicion: 2})
+			c, _ := New(Config{Self: 0, Nodes: 3, Incarnation: lifeFrom, ProbeInterval: period, ProbeTimeout: 100 * time.Millisecond, SuspicionFactor: 2})
 			for _, i := range order {
 				c.take(0, 1, all[i])
 				before := c.members[1]
@@ -345,7 +345,7 @@
 			m.news = append(m.news, news{rapid.Uint16().Draw(t, "n"), lifeFrom + rapid.Uint64Range(0, lifeMost).Draw(t, "life"), rapid.Byte().Draw(t, "word"), Alive})
 		}
 		data := m.encode()
-		if got, err := decode(data); err != nil || fmt.Sprint(got) != fmt.Sprint(m) || len(data) > datagram.Max {
+		if got, err := decode(data); err != nil || fmt.Sprint(got) != fmt.Sprint(m) || len(data) > datagram.MaxSize {
 			t.Fatalf("%v, %v, %d bytes", got, err, len(data))
 		}
 		data[rapid.IntRange(0, len(data)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
@@ -358,7 +358,7 @@
 func FuzzHeard(f *testing.F) {
 	f.Add(message{kind: kindPing, news: []news{{1, lifeFrom, 0, Alive}}}.encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, _ := New(Config{Self: 0, Nodes: 3, Life: lifeFrom, Period: period, Wait: 100 * time.Millisecond, Suspicion: 2})
-		c.Step(0, Heard{1, data})
+		c, _ := New(Config{Self: 0, Nodes: 3, Incarnation: lifeFrom, ProbeInterval: period, ProbeTimeout: 100 * time.Millisecond, SuspicionFactor: 2})
+		c.Step(0, MessageReceived{1, data})
 	})
 }
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -41,7 +41,7 @@
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
 	for state := Unknown; state < states; state++ {
-		text, err := json.Marshal(Member{Node: 3, State: state.String(), Life: 1_700_000_000_000, For: time.Second})
+		text, err := json.Marshal(Member{Node: 3, State: state.String(), Incarnation: 1_700_000_000_000, Duration: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -10,7 +10,7 @@
 // Every datagram holds the name of the list of nodes, a number that an answer repeats, the node that is asked about, and news of 9
 // bytes each, as many as fit. What a later version says behind the news is skipped.
 const (
-	Mark    = 'M'
+	Magic   = 'M'
 	version = 1
 
 	kindPing = 1
@@ -19,7 +19,7 @@
 
 	fixed    = 4 + 4 + 2 + 1
 	newsSize = 2 + 5 + 1 + 1
-	mostNews = (datagram.Room - fixed) / newsSize
+	mostNews = (datagram.MaxPayload - fixed) / newsSize
 
 	// Lives are told as milliseconds since then, in 40 bits.
 	lifeFrom = 1_577_836_800_000 // 2020-01-01
@@ -46,7 +46,7 @@
 
 func (m message) encode() []byte {
 	n := min(len(m.news), mostNews)
-	b := datagram.Begin(Mark, version, m.kind)
+	b := datagram.Begin(Magic, version, m.kind)
 	b = binary.BigEndian.AppendUint32(b, m.fleet)
 	b = binary.BigEndian.AppendUint32(b, m.seq)
 	b = binary.BigEndian.AppendUint16(b, m.node)
@@ -62,19 +62,19 @@
 }
 
 func decode(b []byte) (m message, err error) {
-	kind, r, ok := datagram.Open(b, Mark, version)
+	kind, r, ok := datagram.Open(b, Magic, version)
 	if !ok || kind < kindPing || kind > kindAsk {
 		return m, errGarbled
 	}
 	m = message{kind: kind, fleet: r.U32(), seq: r.U32(), node: r.U16()}
 	for range r.U8() {
 		s := news{node: r.U16(), life: lifeFrom + uint64(r.U8())<<32 + uint64(r.U32()), word: r.U8(), state: State(r.U8())}
-		if !r.Good() || s.state == Unknown || s.state >= states {
+		if !r.IsValid() || s.state == Unknown || s.state >= states {
 			return m, errGarbled
 		}
 		m.news = append(m.news, s)
 	}
-	if !r.Good() {
+	if !r.IsValid() {
 		return m, errGarbled
 	}
 	return m, nil
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// MaxBytes is the longest datagram that the platform takes.
-const MaxBytes = 256
+// MaxDatagram is the longest datagram that the platform takes.
+const MaxDatagram = 256
 
 // Addresses are where the nodes of a tier reach each other.
 type Addresses struct {
-	Listen string
-	Peers  []string // by the nodes' numbers, this node's own included
-	All    string   // reaches every node
+	Listen    string
+	Peers     []string // by the nodes' numbers, this node's own included
+	Broadcast string   // reaches every node
 }
 
 // Socket sends to all nodes and receives from them.
@@ -40,8 +40,8 @@
 	from map[netip.Addr]int
 }
 
-// Check tells which field is no address.
-func (a Addresses) Check() error {
+// Validate tells which field is no address.
+func (a Addresses) Validate() error {
 	_, _, _, err := a.parse()
 	return err
 }
@@ -50,7 +50,7 @@
 	if listen, err = netip.ParseAddrPort(a.Listen); err != nil {
 		return listen, all, nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if all, err = netip.ParseAddrPort(a.All); err != nil {
+	if all, err = netip.ParseAddrPort(a.Broadcast); err != nil {
 		return listen, all, nil, fmt.Errorf("peers_all: %w", err)
 	}
 	from = map[netip.Addr]int{}
@@ -79,9 +79,9 @@
 // openEvery is how often Later looks whether the address is free.
 const openEvery = 20 * time.Millisecond
 
-// Later makes a node's socket at an address that the process before may still hold: it is opened once that one lets go of it. Until
+// OpenLater makes a node's socket at an address that the process before may still hold: it is opened once that one lets go of it. Until
 // then nothing is sent, as if it were lost.
-func Later(a Addresses) (*Socket, error) {
+func OpenLater(a Addresses) (*Socket, error) {
 	s, err := newSocket(a)
 	if err != nil {
 		return nil, err
@@ -137,8 +137,8 @@
 	s.far.Store(f)
 }
 
-// Move takes other addresses of the other nodes. This node stays where it listens.
-func (s *Socket) Move(a Addresses) error {
+// UpdatePeers takes other addresses of the other nodes. This node stays where it listens.
+func (s *Socket) UpdatePeers(a Addresses) error {
 	listen, all, from, err := a.parse()
 	if err != nil {
 		return err
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// Changed is how many nodes two lists differ by, of those added and of those taken away.
-func (a Addresses) Changed(b Addresses) (n int) {
+// CountChanges is how many nodes two lists differ by, of those added and of those taken away.
+func (a Addresses) CountChanges(b Addresses) (n int) {
 	for _, p := range a.Peers {
 		if !slices.Contains(b.Peers, p) {
 			n++
@@ -165,18 +165,18 @@
 	return n
 }
 
-// Tell sends a datagram to all nodes. One that cannot be sent is lost, as any may be.
-func (s *Socket) Tell(data []byte) error {
-	if len(data) > MaxBytes {
-		return fmt.Errorf("peers: a datagram of %d bytes, %d are allowed", len(data), MaxBytes)
+// Broadcast sends a datagram to all nodes. One that cannot be sent is lost, as any may be.
+func (s *Socket) Broadcast(data []byte) error {
+	if len(data) > MaxDatagram {
+		return fmt.Errorf("peers: a datagram of %d bytes, %d are allowed", len(data), MaxDatagram)
 	}
 	return s.write(data, s.far.Load().all)
 }
 
-// TellTo sends a datagram to one node, by its number.
-func (s *Socket) TellTo(node int, data []byte) error {
+// SendTo sends a datagram to one node, by its number.
+func (s *Socket) SendTo(node int, data []byte) error {
 	to := s.far.Load().to
-	if len(data) > MaxBytes || node < 0 || node >= len(to) {
+	if len(data) > MaxDatagram || node < 0 || node >= len(to) {
 		return fmt.Errorf("peers: no datagram of %d bytes goes to node %d", len(data), node)
 	}
 	return s.write(data, to[node])
@@ -194,7 +194,7 @@
 		return net.ErrClosed
 	}
 	conn := s.conn.Load()
-	buf := make([]byte, MaxBytes+1)
+	buf := make([]byte, MaxDatagram+1)
 	for {
 		n, addr, err := conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -203,7 +203,7 @@
 		from, known := s.far.Load().from[addr.Addr().Unmap()]
 		switch {
 		case addr.Addr().Unmap() == s.self.Addr():
-		case !known || n > MaxBytes:
+		case !known || n > MaxDatagram:
 			foreign(addr)
 		default:
 			heard(from, append([]byte(nil), buf[:n]...))
--- a/internal/fleet/rollout/core.go
+++ b/internal/fleet/rollout/core.go
@@ -28,20 +28,20 @@
 	Budget      int // nodes out at once, 1 to MaxBudget
 	ZoneBudget  int // of one zone; 0 is no bound of its own
 
-	Beacon time.Duration // between two beacons of a node
-	Silent time.Duration // a node unheard for so long is out
-	Lease  time.Duration // an ask counts for so long; a node that starts grants nothing before
-	Return time.Duration // a node that is out for longer has failed: the release halts
-	Lost   time.Duration // and is written off after this: its slot is free
-	Watch  time.Duration // a node that starts is not fit before it did well for so long
-	Drift  float64       // of two clocks against each other, at most
-
-	Release     string  // that this node runs
-	MaxFailed   float64 // share of its answers that may fail while it is watched, past what fails at the others
-	MaxSlow     float64 // the same of those that come after their class's aim
-	LeastJudged int     // answers from which that is judged
-	Start       uint64  // greater for each start of this node: its own clock's milliseconds will do
-	Seed        uint64
+	HeartbeatInterval time.Duration // between two beacons of a node
+	UnresponsiveAfter time.Duration // a node unheard for so long is out
+	RequestTimeout    time.Duration // an ask counts for so long; a node that starts grants nothing before
+	ReturnTimeout     time.Duration // a node that is out for longer has failed: the release halts
+	WriteOffAfter     time.Duration // and is written off after this: its slot is free
+	ObservationPeriod time.Duration // a node that starts is not fit before it did well for so long
+	MaxClockDrift     float64       // of two clocks against each other, at most
+
+	Release        string  // that this node runs
+	MaxFailureRate float64 // share of its answers that may fail while it is watched, past what fails at the others
+	MaxSlowRate    float64 // the same of those that come after their class's aim
+	MinSamples     int     // answers from which that is judged
+	Incarnation    uint64  // greater for each start of this node: its own clock's milliseconds will do
+	Seed           uint64
 }
 
 // MaxBudget is the greatest budget: the slots that a node granted must fit a datagram.
@@ -53,9 +53,9 @@
 // The states of a node. All but Fit are out of service for the budget.
 const (
 	Starting State = iota // not yet fit
-	Fit
-	Leaving // it drains, or is about to end
-	Broken  // it did badly as it started
+	Ready
+	Draining  // it drains, or is about to end
+	Unhealthy // it did badly as it started
 	states
 )
 
@@ -66,16 +66,16 @@
 
 // The reasons.
 const (
-	Granted      Reason = iota
-	Taken               // another node has the slot
-	Over                // so many are out already
-	Halted              // the release is halted
-	Abstains            // it has just started and does not know yet what it granted before
-	ByOperator          // halted by hand
-	NodeBroken          // a node that started does badly
-	NotReturned         // a node that went out did not come back
-	Superfluous         // the ask is over already
-	NotInstalled        // a node that went out for a release came back with another
+	ReasonGranted        Reason = iota
+	ReasonSlotTaken             // another node has the slot
+	ReasonOverBudget            // so many are out already
+	ReasonHalted                // the release is halted
+	ReasonAbstaining            // it has just started and does not know yet what it granted before
+	ReasonOperator              // halted by hand
+	ReasonNodeUnhealthy         // a node that started does badly
+	ReasonNotReturned           // a node that went out did not come back
+	ReasonRequestExpired        // the ask is over already
+	ReasonNotInstalled          // a node that went out for a release came back with another
 	reasons
 )
 
@@ -89,39 +89,39 @@
 type (
 	// Tick says that time went on; the core wants one every Beacon/2 or so.
 	Tick struct{}
-	// Heard brings a datagram of another node.
-	Heard struct {
+	// MessageReceived brings a datagram of another node.
+	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// Up says that the node serves; it is watched from then on.
-	Up struct{}
-	// Served counts answers of the node, of which some failed and others came late, since the last such event.
-	Served struct{ Answers, Failed, Slow int }
-	// Leave asks for this node to go out.
-	Leave struct{}
-	// Going says that the node goes out, whether it may or not: it was told to end.
-	Going struct{}
-	// Roll orders the whole fleet to a release: every node that runs another goes out in its turn.
-	Roll struct{ Release string }
-	// Halt stops all grants, Resume lets them go on.
-	Halt struct{}
-	// Resume ends a halt, and the wait of a node that could not learn from enough others who is out.
-	Resume struct{}
-	// Budget changes the budget.
-	Budget struct{ Nodes, Zone int }
+	// ServingStarted says that the node serves; it is watched from then on.
+	ServingStarted struct{}
+	// ResponseCounts counts answers of the node, of which some failed and others came late, since the last such event.
+	ResponseCounts struct{ Responses, Failed, Slow int }
+	// DrainRequested asks for this node to go out.
+	DrainRequested struct{}
+	// ShutdownStarted says that the node goes out, whether it may or not: it was told to end.
+	ShutdownStarted struct{}
+	// ReleaseOrdered orders the whole fleet to a release: every node that runs another goes out in its turn.
+	ReleaseOrdered struct{ Release string }
+	// HaltRequested stops all grants, Resume lets them go on.
+	HaltRequested struct{}
+	// ResumeRequested ends a halt, and the wait of a node that could not learn from enough others who is out.
+	ResumeRequested struct{}
+	// BudgetChanged changes the budget.
+	BudgetChanged struct{ Nodes, Zone int }
 )
 
-func (Tick) event()   {}
-func (Heard) event()  {}
-func (Up) event()     {}
-func (Served) event() {}
-func (Leave) event()  {}
-func (Going) event()  {}
-func (Roll) event()   {}
-func (Halt) event()   {}
-func (Resume) event() {}
-func (Budget) event() {}
+func (Tick) event()            {}
+func (MessageReceived) event() {}
+func (ServingStarted) event()  {}
+func (ResponseCounts) event()  {}
+func (DrainRequested) event()  {}
+func (ShutdownStarted) event() {}
+func (ReleaseOrdered) event()  {}
+func (HaltRequested) event()   {}
+func (ResumeRequested) event() {}
+func (BudgetChanged) event()   {}
 
 // Effect is what the core wants done: one of the types below it.
 type Effect interface{ effect() }
@@ -132,46 +132,46 @@
 		To   int
 		Data []byte
 	}
-	// Go says that the node may go out, if it begins before Until.
-	Go struct{ Until Time }
-	// Note is for the log and the counters.
-	Note struct {
-		Kind   NoteKind
+	// DrainGranted says that the node may go out, if it begins before Until.
+	DrainGranted struct{ Until Time }
+	// LogEvent is for the log and the counters.
+	LogEvent struct {
+		Kind   LogEventKind
 		Node   int // that it is about
 		Slot   int
 		Reason Reason
 	}
 )
 
-// All is the address of all other nodes.
-const All = -1
+// AllNodes is the address of all other nodes.
+const AllNodes = -1
 
-func (Send) effect() {}
-func (Go) effect()   {}
-func (Note) effect() {}
+func (Send) effect()         {}
+func (DrainGranted) effect() {}
+func (LogEvent) effect()     {}
 
-// NoteKind is what happened.
-type NoteKind int
+// LogEventKind is what happened.
+type LogEventKind int
 
 // What is noted.
 const (
-	NoteAsked NoteKind = iota
-	NoteGranted
-	NoteRefused
-	NoteHeld
-	NoteGaveUp
-	NoteFreed
-	NoteExpired
-	NoteHalted
-	NoteResumed
-	NoteOrdered
-	NoteFit
-	NoteBroken
-	NoteGarbled
-	Notes
+	LogSlotRequested LogEventKind = iota
+	LogSlotGranted
+	LogSlotDenied
+	LogSlotAcquired
+	LogRequestAbandoned
+	LogSlotReleased
+	LogSlotExpired
+	LogHalted
+	LogResumed
+	LogReleaseOrdered
+	LogNodeReady
+	LogNodeUnhealthy
+	LogMessageCorrupt
+	LogEventKinds
 )
 
-func (k NoteKind) String() string {
+func (k LogEventKind) String() string {
 	return [...]string{"asked", "granted", "refused", "held", "gave_up", "freed", "expired", "halted", "resumed", "ordered", "fit", "broken", "garbled"}[k]
 }
 
@@ -245,17 +245,17 @@
 		return errors.New("nodes_out: must be from 1 to 11")
 	case c.ZoneBudget < 0 || c.ZoneBudget > MaxBudget:
 		return errors.New("zone_out: must be from 0 to 11")
-	case c.Beacon <= 0 || c.Silent < 3*c.Beacon:
+	case c.HeartbeatInterval <= 0 || c.UnresponsiveAfter < 3*c.HeartbeatInterval:
 		return errors.New("silent: must be three beacons at least")
-	case c.Lease < 2*c.Beacon:
+	case c.RequestTimeout < 2*c.HeartbeatInterval:
 		return errors.New("lease: must be two beacons at least")
-	case c.Return < c.Silent || c.Lost < c.Return:
+	case c.ReturnTimeout < c.UnresponsiveAfter || c.WriteOffAfter < c.ReturnTimeout:
 		return errors.New("return, lost: must grow from silent on")
-	case !(c.Drift >= 0 && c.Drift < 0.5):
+	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < 0.5):
 		return errors.New("drift: must be from 0 to 0.5")
-	case !(c.MaxFailed >= 0 && c.MaxFailed <= 1):
+	case !(c.MaxFailureRate >= 0 && c.MaxFailureRate <= 1):
 		return errors.New("max_failed: must be from 0 to 1")
-	case !(c.MaxSlow >= 0 && c.MaxSlow <= 1):
+	case !(c.MaxSlowRate >= 0 && c.MaxSlowRate <= 1):
 		return errors.New("max_slow: must be from 0 to 1")
 	}
 	return nil
@@ -266,11 +266,11 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	return &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Start)), peers: make([]peer, cfg.Nodes), release: Name(cfg.Release)}, nil
+	return &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), peers: make([]peer, cfg.Nodes), release: HashName(cfg.Release)}, nil
 }
 
-// Name is the number by which a release or a zone is told.
-func Name(text string) uint32 {
+// HashName is the number by which a release or a zone is told.
+func HashName(text string) uint32 {
 	if text == "" {
 		return 0
 	}
@@ -291,28 +291,28 @@
 		}
 	}
 	switch e := ev.(type) {
-	case Heard:
+	case MessageReceived:
 		c.heard(now, e)
-	case Up:
+	case ServingStarted:
 		if !c.up {
 			c.up, c.upAt = true, now
 		}
-	case Served:
+	case ResponseCounts:
 		c.served(now, e)
-	case Leave:
+	case DrainRequested:
 		c.asked = true
-	case Going:
+	case ShutdownStarted:
 		c.leave(now)
-	case Roll:
-		c.setHalt(now, false, ByOperator)
-		c.obey(order{c.order.Epoch + 1, Name(e.Release)})
+	case ReleaseOrdered:
+		c.setHalt(now, false, ReasonOperator)
+		c.obey(order{c.order.Epoch + 1, HashName(e.Release)})
 		c.beacon = now
-	case Halt:
-		c.setHalt(now, true, ByOperator)
-	case Resume:
-		c.setHalt(now, false, ByOperator)
+	case HaltRequested:
+		c.setHalt(now, true, ReasonOperator)
+	case ResumeRequested:
+		c.setHalt(now, false, ReasonOperator)
 		c.trusted = true
-	case Budget:
+	case BudgetChanged:
 		next := c.cfg
 		if next.Budget, next.ZoneBudget = e.Nodes, e.Zone; next.Validate() == nil {
 			c.cfg = next
@@ -324,67 +324,67 @@
 
 func (c *Core) do(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) note(kind NoteKind, node, slot int, why Reason) {
-	c.do(Note{Kind: kind, Node: node, Slot: slot, Reason: why})
+func (c *Core) note(kind LogEventKind, node, slot int, why Reason) {
+	c.do(LogEvent{Kind: kind, Node: node, Slot: slot, Reason: why})
 }
 
-// MayGo tells whether the node still has its slot. One that stalled after it was told to go asks before it acts.
-func (c *Core) MayGo(now Time) bool { return c.held && now < c.until && !c.halt.On }
+// MayDrain tells whether the node still has its slot. One that stalled after it was told to go asks before it acts.
+func (c *Core) MayDrain(now Time) bool { return c.held && now < c.until && !c.halt.On }
 
 func (c *Core) leave(now Time) {
-	if c.state != Leaving {
-		c.state, c.beacon = Leaving, now
+	if c.state != Draining {
+		c.state, c.beacon = Draining, now
 	}
 }
 
 // look does what is due.
 func (c *Core) look(now Time) {
-	if c.state == Starting && c.up && now-c.upAt >= c.cfg.Watch {
-		c.state, c.fitAt, c.beacon = Fit, now, now
-		c.note(NoteFit, c.cfg.Self, 0, Granted)
-		c.free(c.cfg.Self, c.cfg.Start, c.done) // what its process before had
+	if c.state == Starting && c.up && now-c.upAt >= c.cfg.ObservationPeriod {
+		c.state, c.fitAt, c.beacon = Ready, now, now
+		c.note(LogNodeReady, c.cfg.Self, 0, ReasonGranted)
+		c.free(c.cfg.Self, c.cfg.Incarnation, c.done) // what its process before had
 	}
 	c.watchHolders(now)
 	c.pursue(now)
 	if now >= c.beacon {
-		c.beacon = now + c.cfg.Beacon
+		c.beacon = now + c.cfg.HeartbeatInterval
 		c.tell(now)
 	}
 }
 
 func (c *Core) tell(now Time) {
 	c.count++
-	m := beacon{Start: c.cfg.Start, Count: c.count, State: c.state, Learns: c.abstains(now), Done: c.done, Release: c.release, Halt: c.halt, Order: c.order, Health: c.health()}
+	m := beacon{Start: c.cfg.Incarnation, Count: c.count, State: c.state, Learns: c.abstains(now), Done: c.done, Release: c.release, Halt: c.halt, Order: c.order, Health: c.health()}
 	for _, g := range c.grants {
 		m.Table = append(m.Table, g.entry)
 	}
-	c.do(Send{All, m.encode()})
+	c.do(Send{AllNodes, m.encode()})
 }
 
 // served judges a node while it is watched: one that does badly, where the others do not, says so and stops the release.
 // What goes badly everywhere is the origin's or the network's doing, and going back would not mend it.
-func (c *Core) served(now Time, e Served) {
-	if c.state == Fit {
-		keep := math.Exp(-float64(now-c.servedAt) / float64(max(c.cfg.Watch, 1)))
+func (c *Core) served(now Time, e ResponseCounts) {
+	if c.state == Ready {
+		keep := math.Exp(-float64(now-c.servedAt) / float64(max(c.cfg.ObservationPeriod, 1)))
 		c.answers, c.failed, c.slow = c.answers*keep, c.failed*keep, c.slow*keep
 	}
 	c.servedAt = now
-	c.answers, c.failed, c.slow = c.answers+float64(e.Answers), c.failed+float64(e.Failed), c.slow+float64(e.Slow)
+	c.answers, c.failed, c.slow = c.answers+float64(e.Responses), c.failed+float64(e.Failed), c.slow+float64(e.Slow)
 	h := c.health()
 	if c.state != Starting || !h.Known {
 		return
 	}
 	failed, slow := c.usual()
-	if share(h.Failed) > c.cfg.MaxFailed+failed || share(h.Slow) > c.cfg.MaxSlow+slow {
-		c.state, c.beacon = Broken, 0
-		c.note(NoteBroken, c.cfg.Self, 0, NodeBroken)
-		c.raise(NodeBroken, c.cfg.Self)
+	if share(h.Failed) > c.cfg.MaxFailureRate+failed || share(h.Slow) > c.cfg.MaxSlowRate+slow {
+		c.state, c.beacon = Unhealthy, 0
+		c.note(LogNodeUnhealthy, c.cfg.Self, 0, ReasonNodeUnhealthy)
+		c.raise(ReasonNodeUnhealthy, c.cfg.Self)
 	}
 }
 
 // health is what this node tells of its answers.
 func (c *Core) health() health {
-	if c.answers < float64(max(1, c.cfg.LeastJudged)) {
+	if c.answers < float64(max(1, c.cfg.MinSamples)) {
 		return health{}
 	}
 	part := func(n float64) byte { return byte(min(255, 255*n/c.answers)) }
@@ -398,7 +398,7 @@
 func (c *Core) usual() (failed, slow float64) {
 	var f, s []byte
 	for i, p := range c.peers {
-		if i != c.cfg.Self && p.met && p.state == Fit && p.well.Known {
+		if i != c.cfg.Self && p.met && p.state == Ready && p.well.Known {
 			f, s = append(f, p.well.Failed), append(s, p.well.Slow)
 		}
 	}
@@ -417,7 +417,7 @@
 	}
 	c.halt = halt{c.halt.Epoch + 1, true, why, uint16(by)}
 	c.beacon = 0
-	c.note(NoteHalted, by, 0, why)
+	c.note(LogHalted, by, 0, why)
 }
 
 func (c *Core) setHalt(now Time, on bool, why Reason) {
@@ -427,9 +427,9 @@
 	c.halt = halt{c.halt.Epoch + 1, on, why, uint16(c.cfg.Self)}
 	c.beacon = now
 	if on {
-		c.note(NoteHalted, c.cfg.Self, 0, why)
+		c.note(LogHalted, c.cfg.Self, 0, why)
 	} else {
-		c.note(NoteResumed, c.cfg.Self, 0, why)
+		c.note(LogResumed, c.cfg.Self, 0, why)
 	}
 }
 
@@ -439,20 +439,20 @@
 		return
 	}
 	c.order = o
-	c.note(NoteOrdered, c.cfg.Self, 0, Granted)
+	c.note(LogReleaseOrdered, c.cfg.Self, 0, ReasonGranted)
 }
 
 // wants tells whether this node is to go out: an operator asked it to, or the last order names another release than it runs. An
 // order for its own release does not take back what an operator asked of this node alone. A node that has just come back lets
 // the others see first what it runs.
 func (c *Core) wants(now Time) bool {
-	seen := c.state == Broken || c.state == Fit && now-c.fitAt >= c.cfg.Silent
+	seen := c.state == Unhealthy || c.state == Ready && now-c.fitAt >= c.cfg.UnresponsiveAfter
 	return c.asked || seen && c.order.Release != 0 && c.order.Release != c.release
 }
 
 // silent tells whether a node has not spoken for too long.
 func (c *Core) silent(now Time, node int) bool {
-	return node != c.cfg.Self && now-c.peers[node].heard >= c.cfg.Silent
+	return node != c.cfg.Self && now-c.peers[node].heard >= c.cfg.UnresponsiveAfter
 }
 
 // abstains tells whether this node may not grant yet. What it granted before it started is unknown to it: asks of then are
@@ -472,24 +472,24 @@
 	}
 	// A fleet that starts all at once has nobody who knows; together they know all there is.
 	learnt := knows >= min(majority(c.cfg.Nodes), c.cfg.Nodes-1) || told == c.cfg.Nodes-1
-	return !learnt && !c.trusted || float64(now-c.begun) < float64(c.cfg.Lease)*(1+c.cfg.Drift)
+	return !learnt && !c.trusted || float64(now-c.begun) < float64(c.cfg.RequestTimeout)*(1+c.cfg.MaxClockDrift)
 }
 
 // watchHolders halts the release where one that went out does not come back, and writes it off in the end.
 func (c *Core) watchHolders(now Time) {
 	c.grants = slices.DeleteFunc(c.grants, func(g grant) bool {
 		node := int(g.Holder)
-		if now-g.at >= c.cfg.Lost && c.silent(now, node) {
-			c.note(NoteExpired, node, int(g.Slot), NotReturned)
+		if now-g.at >= c.cfg.WriteOffAfter && c.silent(now, node) {
+			c.note(LogSlotExpired, node, int(g.Slot), ReasonNotReturned)
 			return true
 		}
 		return false
 	})
 	for i := range c.grants {
 		g := &c.grants[i]
-		if !g.told && now-g.at >= c.cfg.Return && int(g.Holder) != c.cfg.Self {
+		if !g.told && now-g.at >= c.cfg.ReturnTimeout && int(g.Holder) != c.cfg.Self {
 			g.told = true
-			c.raise(NotReturned, int(g.Holder))
+			c.raise(ReasonNotReturned, int(g.Holder))
 		}
 	}
 }
@@ -499,18 +499,18 @@
 	p := c.peers[from]
 	switch {
 	case from != c.cfg.Self && (a.Start < p.start || a.Start == p.start && a.Ask <= p.done):
-		return Superfluous
+		return ReasonRequestExpired
 	case c.halt.On:
-		return Halted
+		return ReasonHalted
 	case c.abstains(now):
-		return Abstains
+		return ReasonAbstaining
 	case int(a.Slot) >= c.cfg.Budget || c.cfg.ZoneBudget > 0 && int(a.Zone) >= c.cfg.ZoneBudget:
-		return Over
+		return ReasonOverBudget
 	}
 	if slices.ContainsFunc(c.grants, func(g grant) bool {
 		return int(g.Holder) == from && (g.Start > a.Start || g.Start == a.Start && g.Ask > a.Ask)
 	}) {
-		return Superfluous // it came late: a vote for the newer one must not be lost
+		return ReasonRequestExpired // it came late: a vote for the newer one must not be lost
 	}
 	out, near := 0, 0
 	holds := map[int]bool{}
@@ -519,7 +519,7 @@
 		switch same := c.cfg.ZoneBudget > 0 && g.Name == a.Name; {
 		case int(g.Holder) == from:
 		case g.Slot == a.Slot || same && g.Zone == a.Zone:
-			return Taken
+			return ReasonSlotTaken
 		default:
 			if out++; same {
 				near++
@@ -527,25 +527,25 @@
 		}
 	}
 	for i := range c.peers { // out of themselves, without a slot
-		if i != from && !holds[i] && (c.silent(now, i) || i != c.cfg.Self && c.peers[i].met && c.peers[i].state != Fit) {
+		if i != from && !holds[i] && (c.silent(now, i) || i != c.cfg.Self && c.peers[i].met && c.peers[i].state != Ready) {
 			out++
 		}
 	}
-	if c.state != Fit && from != c.cfg.Self && !holds[c.cfg.Self] {
+	if c.state != Ready && from != c.cfg.Self && !holds[c.cfg.Self] {
 		out++
 	}
 	if out >= c.cfg.Budget || c.cfg.ZoneBudget > 0 && near >= c.cfg.ZoneBudget {
-		return Over
+		return ReasonOverBudget
 	}
-	return Granted
+	return ReasonGranted
 }
 
 // decide answers an ask and keeps what it granted.
 func (c *Core) decide(now Time, from int, a ask) Reason {
 	why := c.judge(now, from, a)
-	if why != Granted {
-		if why != Superfluous {
-			c.note(NoteRefused, from, int(a.Slot), why)
+	if why != ReasonGranted {
+		if why != ReasonRequestExpired {
+			c.note(LogSlotDenied, from, int(a.Slot), why)
 		}
 		return why
 	}
@@ -553,15 +553,15 @@
 	for i := range c.grants {
 		if g := &c.grants[i]; int(g.Holder) == from {
 			if g.entry != e {
-				c.note(NoteGranted, from, int(a.Slot), Granted)
+				c.note(LogSlotGranted, from, int(a.Slot), ReasonGranted)
 			}
 			g.entry, g.at, g.told, g.order = e, now, false, c.order.Epoch
-			return Granted
+			return ReasonGranted
 		}
 	}
-	c.note(NoteGranted, from, int(a.Slot), Granted)
+	c.note(LogSlotGranted, from, int(a.Slot), ReasonGranted)
 	c.grants = append(c.grants, grant{entry: e, at: now, order: c.order.Epoch})
-	return Granted
+	return ReasonGranted
 }
 
 // compare halts the release where a node that went out for it came back with another: nothing else is installed there, and it
@@ -570,7 +570,7 @@
 	if c.order.Release != 0 && m.Release != c.order.Release && slices.ContainsFunc(c.grants, func(g grant) bool {
 		return int(g.Holder) == from && g.Start < m.Start && g.order == c.order.Epoch
 	}) {
-		c.raise(NotInstalled, from)
+		c.raise(ReasonNotInstalled, from)
 	}
 }
 
@@ -579,19 +579,19 @@
 	c.grants = slices.DeleteFunc(c.grants, func(g grant) bool {
 		over := int(g.Holder) == node && (g.Start < start || g.Start == start && g.Ask <= ask)
 		if over {
-			c.note(NoteFreed, node, int(g.Slot), Granted)
+			c.note(LogSlotReleased, node, int(g.Slot), ReasonGranted)
 		}
 		return over
 	})
 }
 
-func (c *Core) heard(now Time, e Heard) {
+func (c *Core) heard(now Time, e MessageReceived) {
 	if e.From < 0 || e.From >= c.cfg.Nodes || e.From == c.cfg.Self {
 		return
 	}
 	m, err := decode(e.Data)
 	if err != nil {
-		c.note(NoteGarbled, e.From, 0, Granted)
+		c.note(LogMessageCorrupt, e.From, 0, ReasonGranted)
 		return
 	}
 	switch m := m.(type) {
@@ -614,16 +614,16 @@
 	}
 	p.met, p.heard, p.start, p.count, p.state, p.well = true, now, m.Start, m.Count, m.State, m.Health
 	p.done = max(p.done, m.Done)
-	if m.State == Fit {
+	if m.State == Ready {
 		c.compare(from, m)
 		c.free(from, m.Start, m.Done) // of this process: what is over; of earlier ones: all
 	}
 	if m.Halt.Epoch > c.halt.Epoch || m.Halt.Epoch == c.halt.Epoch && m.Halt.On && !c.halt.On {
 		on := m.Halt.On
 		if c.halt = m.Halt; on {
-			c.note(NoteHalted, int(m.Halt.By), 0, m.Halt.Reason)
+			c.note(LogHalted, int(m.Halt.By), 0, m.Halt.Reason)
 		} else {
-			c.note(NoteResumed, int(m.Halt.By), 0, m.Halt.Reason)
+			c.note(LogResumed, int(m.Halt.By), 0, m.Halt.Reason)
 		}
 		c.beacon = now
 	}
@@ -639,8 +639,8 @@
 			continue
 		}
 		h := c.peers[node]
-		over := node != c.cfg.Self && h.met && h.state == Fit && (e.Start < h.start || e.Start == h.start && e.Ask <= h.done)
-		mine := node == c.cfg.Self && (c.state == Fit && e.Start < c.cfg.Start || e.Start == c.cfg.Start && e.Ask <= c.done)
+		over := node != c.cfg.Self && h.met && h.state == Ready && (e.Start < h.start || e.Start == h.start && e.Ask <= h.done)
+		mine := node == c.cfg.Self && (c.state == Ready && e.Start < c.cfg.Incarnation || e.Start == c.cfg.Incarnation && e.Ask <= c.done)
 		if !over && !mine {
 			c.grants = append(c.grants, grant{entry: e, at: now})
 		}
@@ -649,28 +649,28 @@
 
 // pursue asks for a slot, again and again until it has one.
 func (c *Core) pursue(now Time) {
-	if c.state == Leaving {
+	if c.state == Draining {
 		return
 	}
 	if !c.wants(now) {
 		if c.trying || c.held { // the way back was ordered meanwhile: others must not keep the slot for this node
-			c.giveUp(now, Superfluous)
+			c.giveUp(now, ReasonRequestExpired)
 		}
 		return
 	}
 	if c.held {
 		if now >= c.until { // it stalled: what it had may be another's by now
-			c.giveUp(now, Superfluous)
+			c.giveUp(now, ReasonRequestExpired)
 		}
 		return
 	}
-	lease := time.Duration(float64(c.cfg.Lease) * (1 - c.cfg.Drift))
+	lease := time.Duration(float64(c.cfg.RequestTimeout) * (1 - c.cfg.MaxClockDrift))
 	switch {
 	case c.trying && (now-c.askedAt >= lease/2 || len(c.noes) > c.cfg.Nodes-majority(c.cfg.Nodes)):
-		c.giveUp(now, Taken)
-	case c.trying && now-c.sentAt >= c.cfg.Beacon/2: // some may be lost
+		c.giveUp(now, ReasonSlotTaken)
+	case c.trying && now-c.sentAt >= c.cfg.HeartbeatInterval/2: // some may be lost
 		c.sentAt = now
-		c.do(Send{All, c.ask.encode()})
+		c.do(Send{AllNodes, c.ask.encode()})
 	case !c.trying && now >= c.nextAt && !c.halt.On:
 		c.try(now)
 	}
@@ -679,7 +679,7 @@
 // try begins an ask for a slot that is free as far as is known.
 func (c *Core) try(now Time) {
 	slot, ok := c.pick(c.cfg.Budget, func(g grant) int { return int(g.Slot) })
-	name := uint16(Name(c.cfg.Zone))
+	name := uint16(HashName(c.cfg.Zone))
 	zone, near := 0, true
 	if c.cfg.ZoneBudget > 0 {
 		zone, near = c.pick(c.cfg.ZoneBudget, func(g grant) int {
@@ -690,13 +690,13 @@
 		})
 	}
 	if !ok || !near {
-		c.nextAt = now + c.cfg.Beacon
+		c.nextAt = now + c.cfg.HeartbeatInterval
 		return
 	}
-	c.ask = ask{Start: c.cfg.Start, Ask: c.ask.Ask + 1, Slot: uint8(slot), Zone: uint8(zone), Name: name}
+	c.ask = ask{Start: c.cfg.Incarnation, Ask: c.ask.Ask + 1, Slot: uint8(slot), Zone: uint8(zone), Name: name}
 	c.trying, c.askedAt, c.sentAt, c.votes, c.noes = true, now, now, map[int]bool{}, map[int]bool{}
-	c.note(NoteAsked, c.cfg.Self, slot, Granted)
-	c.do(Send{All, c.ask.encode()})
+	c.note(LogSlotRequested, c.cfg.Self, slot, ReasonGranted)
+	c.do(Send{AllNodes, c.ask.encode()})
 	c.vote(now, c.cfg.Self, c.decide(now, c.cfg.Self, c.ask))
 }
 
@@ -715,46 +715,46 @@
 }
 
 func (c *Core) heardAnswer(now Time, from int, m answer) {
-	if c.trying && m.Start == c.cfg.Start && m.Ask == c.ask.Ask {
+	if c.trying && m.Start == c.cfg.Incarnation && m.Ask == c.ask.Ask {
 		c.vote(now, from, m.Reason)
 	}
 }
 
 // vote counts an answer. An answer counts for a lease from when the ask was first sent, by the slower clock.
 func (c *Core) vote(now Time, from int, why Reason) {
-	if why != Granted {
+	if why != ReasonGranted {
 		c.noes[from] = true
 		return
 	}
 	c.votes[from] = true
 	delete(c.noes, from)
-	until := c.askedAt + time.Duration(float64(c.cfg.Lease)*(1-c.cfg.Drift))
+	until := c.askedAt + time.Duration(float64(c.cfg.RequestTimeout)*(1-c.cfg.MaxClockDrift))
 	if len(c.votes) >= majority(c.cfg.Nodes) && now < until {
 		c.trying, c.held, c.until = false, true, until
-		c.note(NoteHeld, c.cfg.Self, int(c.ask.Slot), Granted)
-		c.do(Go{until})
+		c.note(LogSlotAcquired, c.cfg.Self, int(c.ask.Slot), ReasonGranted)
+		c.do(DrainGranted{until})
 	}
 }
 
 // giveUp ends an ask; the next comes after a wait of full jitter, so that two that took half of the votes each part.
 func (c *Core) giveUp(now Time, why Reason) {
-	c.note(NoteGaveUp, c.cfg.Self, int(c.ask.Slot), why)
+	c.note(LogRequestAbandoned, c.cfg.Self, int(c.ask.Slot), why)
 	c.trying, c.held, c.done = false, false, c.ask.Ask
-	c.free(c.cfg.Self, c.cfg.Start, c.done)
-	c.nextAt = now + time.Duration(c.rng.Int64N(int64(c.cfg.Lease)))
+	c.free(c.cfg.Self, c.cfg.Incarnation, c.done)
+	c.nextAt = now + time.Duration(c.rng.Int64N(int64(c.cfg.RequestTimeout)))
 	c.beacon = now
 }
 
 // Status is the agreement as this node sees it.
 type Status struct {
-	Node     int          `json:"node"`
-	State    string       `json:"state"`
-	Wants    bool         `json:"wants_out"`
-	Halted   string       `json:"halted,omitempty"`
-	HaltedBy int          `json:"halted_by"` // the node for which; -1 while nothing is halted
-	Out      []StatusNode `json:"out"`
-	Fit      int          `json:"fit"`
-	Budget   int          `json:"budget"`
+	Node       int          `json:"node"`
+	State      string       `json:"state"`
+	WantsDrain bool         `json:"wants_out"`
+	Halted     string       `json:"halted,omitempty"`
+	HaltedBy   int          `json:"halted_by"` // the node for which; -1 while nothing is halted
+	Out        []StatusNode `json:"out"`
+	Ready      int          `json:"fit"`
+	Budget     int          `json:"budget"`
 }
 
 // StatusNode is one node that is out.
@@ -766,7 +766,7 @@
 
 // Status tells who is out, and why nothing goes on where it does not.
 func (c *Core) Status(now Time) Status {
-	s := Status{Node: c.cfg.Self, State: c.state.String(), Wants: c.wants(now), Budget: c.cfg.Budget, HaltedBy: -1, Out: []StatusNode{}}
+	s := Status{Node: c.cfg.Self, State: c.state.String(), WantsDrain: c.wants(now), Budget: c.cfg.Budget, HaltedBy: -1, Out: []StatusNode{}}
 	if c.halt.On {
 		s.Halted, s.HaltedBy = c.halt.Reason.String(), int(c.halt.By)
 	}
@@ -785,8 +785,8 @@
 				n.Slot = int(g.Slot)
 			}
 		}
-		if n.State == Fit.String() && n.Slot < 0 {
-			s.Fit++
+		if n.State == Ready.String() && n.Slot < 0 {
+			s.Ready++
 			continue
 		}
 		s.Out = append(s.Out, n)
--- a/internal/fleet/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -13,9 +13,9 @@
 )
 
 func config(self, nodes, budget int) Config {
-	return Config{Self: self, Nodes: nodes, Budget: budget, Beacon: 200 * time.Millisecond, Silent: time.Second, Lease: 2 * time.Second,
-		Return: 20 * time.Second, Lost: 10 * time.Minute, Watch: 500 * time.Millisecond, Drift: 0.05, Release: "v1",
-		MaxFailed: 0.2, MaxSlow: 0.5, LeastJudged: 10, Start: 1, Seed: uint64(self) + 1}
+	return Config{Self: self, Nodes: nodes, Budget: budget, HeartbeatInterval: 200 * time.Millisecond, UnresponsiveAfter: time.Second, RequestTimeout: 2 * time.Second,
+		ReturnTimeout: 20 * time.Second, WriteOffAfter: 10 * time.Minute, ObservationPeriod: 500 * time.Millisecond, MaxClockDrift: 0.05, Release: "v1",
+		MaxFailureRate: 0.2, MaxSlowRate: 0.5, MinSamples: 10, Incarnation: 1, Seed: uint64(self) + 1}
 }
 
 // world plays a fleet: clocks that differ and drift, messages that are lost, late, twice and out of order, nodes that are
@@ -38,7 +38,7 @@
 	late    time.Duration
 	rolls   int
 	most    int
-	events  map[NoteKind]int
+	events  map[LogEventKind]int
 
 	stallOnGo bool // a node stalls at the moment in which it is told to go
 }
@@ -50,7 +50,7 @@
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, nodes, budget int, change func(*Config)) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), loss: 0.1, late: 300 * time.Millisecond, events: map[NoteKind]int{},
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), loss: 0.1, late: 300 * time.Millisecond, events: map[LogEventKind]int{},
 		out: make([]bool, nodes), back: make([]time.Duration, nodes), may: make([]bool, nodes), stalled: make([]bool, nodes)}
 	for i := range nodes {
 		c := config(i, nodes, budget)
@@ -73,13 +73,13 @@
 }
 
 func (w *world) start(i int) {
-	w.cfg[i].Start++
+	w.cfg[i].Incarnation++
 	c, err := New(w.cfg[i])
 	if err != nil {
 		w.t.Fatalf("%v", err)
 	}
 	w.nodes[i], w.may[i], w.stalled[i] = c, false, false
-	w.step(i, Up{})
+	w.step(i, ServingStarted{})
 }
 
 func (w *world) kill(i int) { w.nodes[i], w.may[i], w.stalled[i] = nil, false, false }
@@ -93,16 +93,16 @@
 		switch e := e.(type) {
 		case Send:
 			for to := range w.nodes {
-				if to != i && (e.To == All || e.To == to) {
+				if to != i && (e.To == AllNodes || e.To == to) {
 					w.send(i, to, e.Data)
 				}
 			}
-		case Go:
+		case DrainGranted:
 			w.may[i] = true
 			w.stalled[i] = w.stallOnGo
-		case Note:
+		case LogEvent:
 			w.events[e.Kind]++
-			if e.Kind == NoteFit && e.Node == i {
+			if e.Kind == LogNodeReady && e.Node == i {
 				w.out[i] = false
 			}
 		}
@@ -132,7 +132,7 @@
 		}
 		w.wire = kept
 		for _, p := range due {
-			w.step(p.to, Heard{p.from, p.data})
+			w.step(p.to, MessageReceived{p.from, p.data})
 		}
 		for i, c := range w.nodes {
 			switch {
@@ -161,12 +161,12 @@
 // act has a node go out that was told to, if it still may: it drains, ends, and is started again.
 func (w *world) act(i int) {
 	w.may[i] = false
-	if !w.nodes[i].MayGo(w.clock(i)) {
+	if !w.nodes[i].MayDrain(w.clock(i)) {
 		return
 	}
 	w.out[i] = true
 	w.rolls++
-	w.step(i, Going{})
+	w.step(i, ShutdownStarted{})
 	w.pass0(i)
 }
 
@@ -208,7 +208,7 @@
 			i, j := w.rng.IntN(nodes), w.rng.IntN(nodes)
 			switch w.rng.IntN(9) {
 			case 0, 1, 2, 3:
-				w.step(i, Leave{})
+				w.step(i, DrainRequested{})
 			case 4:
 				w.stalled[i] = w.nodes[i] != nil && !w.stalled[i]
 			case 5: // killed, and started again at once or later
@@ -226,11 +226,11 @@
 					}
 				}
 			case 8:
-				w.step(i, Heard{j, []byte{Mark, version, byte(w.rng.IntN(4)), byte(w.rng.IntN(256)), 1, 2, 3, 4, 5}})
+				w.step(i, MessageReceived{j, []byte{Magic, version, byte(w.rng.IntN(4)), byte(w.rng.IntN(256)), 1, 2, 3, 4, 5}})
 			}
 		}
 		rolls += w.rolls
-		granted += w.events[NoteGranted]
+		granted += w.events[LogSlotGranted]
 	}
 	if rolls < int(seeds) {
 		t.Errorf("only %d went out in %d lives, with %d grants: the test tells little", rolls, seeds, granted)
@@ -246,14 +246,14 @@
 		for i := range w.cfg { // what is started from now on runs the next release
 			w.cfg[i].Release = "v2"
 		}
-		w.step(0, Roll{"v2"})
+		w.step(0, ReleaseOrdered{"v2"})
 		for range 200 {
 			if w.pass(2 * time.Second); w.rolls >= size.nodes && fit(w) == size.nodes {
 				break
 			}
 		}
 		if w.rolls != size.nodes || fit(w) != size.nodes {
-			t.Errorf("%d nodes, budget %d: %d went out and %d are fit after %v; halts %d", size.nodes, size.budget, w.rolls, fit(w), w.now, w.events[NoteHalted])
+			t.Errorf("%d nodes, budget %d: %d went out and %d are fit after %v; halts %d", size.nodes, size.budget, w.rolls, fit(w), w.now, w.events[LogHalted])
 		}
 		if w.most != size.budget && size.nodes > 5 {
 			t.Errorf("%d nodes: %d were out at most, the budget is %d", size.nodes, w.most, size.budget)
@@ -263,7 +263,7 @@
 
 func fit(w *world) (n int) {
 	for _, c := range w.nodes {
-		if c != nil && c.state == Fit {
+		if c != nil && c.state == Ready {
 			n++
 		}
 	}
@@ -279,27 +279,27 @@
 		halted        bool
 	}{
 		"two ask for the last slot at once": {3, 1, func(w *world) {
-			w.step(0, Leave{})
-			w.step(1, Leave{})
+			w.step(0, DrainRequested{})
+			w.step(1, DrainRequested{})
 			w.pass(40 * time.Second)
 		}, 2, false},
 		"the holder is killed and stays away": {5, 1, func(w *world) {
-			w.step(0, Leave{})
+			w.step(0, DrainRequested{})
 			w.until(func() bool { return w.rolls > 0 })
 			w.back[0] = 0
-			w.step(1, Leave{})
+			w.step(1, DrainRequested{})
 			w.pass(15 * time.Second)
 		}, 1, false},
 		"the release halts as the holder does not return": {5, 2, func(w *world) {
-			w.step(0, Leave{})
+			w.step(0, DrainRequested{})
 			w.until(func() bool { return w.rolls > 0 })
 			w.back[0] = 0
 			w.pass(25 * time.Second)
-			w.step(1, Leave{})
+			w.step(1, DrainRequested{})
 			w.pass(10 * time.Second)
 		}, 1, true},
 		"the holder stalls before it acts and acts no more": {3, 1, func(w *world) {
-			w.step(0, Leave{})
+			w.step(0, DrainRequested{})
 			w.stallOnGo = true
 			w.pass(20 * time.Second)
 			if !w.may[0] || !w.stalled[0] {
@@ -315,7 +315,7 @@
 					w.cut[a][b] = a/2 != b/2
 				}
 			}
-			w.each(func(i int) { w.step(i, Leave{}) })
+			w.each(func(i int) { w.step(i, DrainRequested{}) })
 			w.pass(20 * time.Second)
 		}, 0, false},
 		"nodes that crashed count as out": {5, 2, func(w *world) {
@@ -323,66 +323,66 @@
 			w.kill(3)
 			w.kill(4)
 			w.pass(2 * time.Second)
-			w.step(0, Leave{})
+			w.step(0, DrainRequested{})
 			w.pass(10 * time.Second)
 		}, 0, false},
 		"a node that does badly as it starts halts all": {5, 2, func(w *world) {
-			w.cfg[0].Watch = 10 * time.Second
-			w.step(0, Leave{})
+			w.cfg[0].ObservationPeriod = 10 * time.Second
+			w.step(0, DrainRequested{})
 			w.until(func() bool { return w.rolls > 0 && w.nodes[0] != nil })
-			w.step(0, Served{Answers: 20, Failed: 15})
+			w.step(0, ResponseCounts{Responses: 20, Failed: 15})
 			w.pass(2 * time.Second)
-			w.step(1, Leave{})
+			w.step(1, DrainRequested{})
 			w.pass(10 * time.Second)
 		}, 1, true},
 		"after a resume it goes on": {5, 2, func(w *world) {
 			w.pass(5 * time.Second)
-			w.step(2, Halt{})
-			w.step(0, Leave{})
+			w.step(2, HaltRequested{})
+			w.step(0, DrainRequested{})
 			w.pass(10 * time.Second)
 			if w.rolls != 0 {
 				w.t.Fatalf("a node went out though it was halted")
 			}
-			w.step(4, Resume{})
+			w.step(4, ResumeRequested{})
 			w.pass(20 * time.Second)
 		}, 1, false},
 		"a smaller budget holds at once": {5, 2, func(w *world) {
 			w.pass(5 * time.Second)
-			w.step(0, Leave{})
+			w.step(0, DrainRequested{})
 			w.until(func() bool { return w.rolls > 0 })
 			w.back[0] = 0
-			w.each(func(i int) { w.step(i, Budget{Nodes: 1}) })
-			w.step(1, Leave{})
+			w.each(func(i int) { w.step(i, BudgetChanged{Nodes: 1}) })
+			w.step(1, DrainRequested{})
 			w.pass(15 * time.Second)
 		}, 1, false},
 		"an order for the release of a node leaves what an operator asked of it": {3, 1, func(w *world) {
 			w.pass(5 * time.Second)
-			w.step(0, Halt{})
-			w.step(0, Leave{})
-			w.step(0, Roll{"v1"}) // which also ends the halt
+			w.step(0, HaltRequested{})
+			w.step(0, DrainRequested{})
+			w.step(0, ReleaseOrdered{"v1"}) // which also ends the halt
 			w.pass(10 * time.Second)
 		}, 1, false},
 		"the way back frees the slot that was asked for": {3, 1, func(w *world) {
 			w.pass(5 * time.Second)
 			w.each(func(i int) { w.cut[i][1], w.cut[i][2] = i == 0, i == 0 }) // it has asked, and hears no answer
-			w.step(0, Roll{"v2"})
+			w.step(0, ReleaseOrdered{"v2"})
 			w.nodes[1].decide(w.clock(1), 0, w.nodes[0].ask)
 			w.nodes[2].decide(w.clock(2), 0, w.nodes[0].ask)
-			w.step(0, Roll{"v1"})
+			w.step(0, ReleaseOrdered{"v1"})
 			w.each(func(i int) { w.cut[i] = make([]bool, 3) })
-			w.step(1, Leave{})
+			w.step(1, DrainRequested{})
 			w.pass(10 * time.Second)
 		}, 1, false},
 		"a release that is not installed halts": {5, 1, func(w *world) {
 			w.pass(5 * time.Second)
-			w.step(2, Roll{"v2"})
+			w.step(2, ReleaseOrdered{"v2"})
 			w.pass(30 * time.Second)
 		}, 1, true},
 		"all start at once": {5, 2, func(w *world) {
 			w.pass(5 * time.Second)
 			w.each(func(i int) { w.kill(i); w.back[i] = w.now + time.Second })
 			w.pass(8 * time.Second)
-			w.step(0, Leave{})
+			w.step(0, DrainRequested{})
 			w.pass(20 * time.Second)
 		}, 1, false},
 	} {
@@ -400,20 +400,20 @@
 
 // TestLostIsWrittenOff: a node that never comes back gives its slot up in the end.
 func TestLostIsWrittenOff(t *testing.T) {
-	w := newWorld(t, 5, 5, 1, func(c *Config) { c.Return, c.Lost = 5*time.Second, 10*time.Second })
-	w.step(0, Leave{})
+	w := newWorld(t, 5, 5, 1, func(c *Config) { c.ReturnTimeout, c.WriteOffAfter = 5*time.Second, 10*time.Second })
+	w.step(0, DrainRequested{})
 	w.until(func() bool { return w.rolls > 0 })
 	w.back[0] = 0
 	w.pass(15 * time.Second)
-	if w.events[NoteExpired] < 3 {
-		t.Errorf("the slot expired at %d nodes", w.events[NoteExpired])
+	if w.events[LogSlotExpired] < 3 {
+		t.Errorf("the slot expired at %d nodes", w.events[LogSlotExpired])
 	}
 }
 
 // TestZoneBudget: no more than one of a zone is out, though two may be of the fleet.
 func TestZoneBudget(t *testing.T) {
 	w := newWorld(t, 9, 6, 3, func(c *Config) { c.ZoneBudget, c.Zone = 1, fmt.Sprint("z", c.Self%2) })
-	w.each(func(i int) { w.step(i, Leave{}) })
+	w.each(func(i int) { w.step(i, DrainRequested{}) })
 	for range 300 {
 		w.pass(100 * time.Millisecond)
 		for zone := range 2 {
@@ -436,28 +436,28 @@
 // TestStartIsJudgedBesideTheOthers: a node that starts is broken by what goes worse there than at the fit nodes.
 func TestStartIsJudgedBesideTheOthers(t *testing.T) {
 	for name, test := range map[string]struct {
-		served Served
+		served ResponseCounts
 		others []health
 		broken bool
 	}{
-		"well":                       {Served{100, 5, 10}, nil, false},
-		"fails":                      {Served{100, 30, 0}, nil, true},
-		"late":                       {Served{100, 0, 70}, nil, true},
-		"too few answers to tell":    {Served{5, 5, 0}, nil, false},
-		"fails like all others":      {Served{100, 60, 0}, []health{{true, 150, 0}, {true, 140, 0}, {true, 160, 0}}, false},
-		"late like all others":       {Served{100, 0, 90}, []health{{true, 0, 200}, {true, 0, 200}}, false},
-		"worse than all others":      {Served{100, 90, 0}, []health{{true, 60, 0}, {true, 60, 0}, {true, 60, 0}}, true},
-		"one other lies":             {Served{100, 90, 0}, []health{{true, 5, 0}, {true, 255, 255}, {true, 5, 0}}, true},
-		"others that tell nothing":   {Served{100, 90, 0}, []health{{}, {}, {}}, true},
-		"a little worse than others": {Served{100, 21, 0}, []health{{true, 10, 0}}, false},
+		"well":                       {ResponseCounts{100, 5, 10}, nil, false},
+		"fails":                      {ResponseCounts{100, 30, 0}, nil, true},
+		"late":                       {ResponseCounts{100, 0, 70}, nil, true},
+		"too few answers to tell":    {ResponseCounts{5, 5, 0}, nil, false},
+		"fails like all others":      {ResponseCounts{100, 60, 0}, []health{{true, 150, 0}, {true, 140, 0}, {true, 160, 0}}, false},
+		"late like all others":       {ResponseCounts{100, 0, 90}, []health{{true, 0, 200}, {true, 0, 200}}, false},
+		"worse than all others":      {ResponseCounts{100, 90, 0}, []health{{true, 60, 0}, {true, 60, 0}, {true, 60, 0}}, true},
+		"one other lies":             {ResponseCounts{100, 90, 0}, []health{{true, 5, 0}, {true, 255, 255}, {true, 5, 0}}, true},
+		"others that tell nothing":   {ResponseCounts{100, 90, 0}, []health{{}, {}, {}}, true},
+		"a little worse than others": {ResponseCounts{100, 21, 0}, []health{{true, 10, 0}}, false},
 	} {
 		c, _ := New(config(0, 5, 1))
-		c.Step(0, Up{})
+		c.Step(0, ServingStarted{})
 		for i, h := range test.others {
-			c.Step(0, Heard{i + 1, beacon{Start: 1, Count: 1, State: Fit, Health: h}.encode()})
+			c.Step(0, MessageReceived{i + 1, beacon{Start: 1, Count: 1, State: Ready, Health: h}.encode()})
 		}
 		c.Step(time.Millisecond, test.served)
-		if got := c.state == Broken; got != test.broken || got != c.halt.On {
+		if got := c.state == Unhealthy; got != test.broken || got != c.halt.On {
 			t.Errorf("%s: broken %v, halted %v, want %v", name, got, c.halt.On, test.broken)
 		}
 	}
@@ -468,8 +468,8 @@
 		"no budget":      func(c *Config) { c.Budget = 0 },
 		"large budget":   func(c *Config) { c.Budget = MaxBudget + 1 },
 		"not among them": func(c *Config) { c.Self = c.Nodes },
-		"short silence":  func(c *Config) { c.Silent = c.Beacon },
-		"lost too early": func(c *Config) { c.Lost = time.Second },
+		"short silence":  func(c *Config) { c.UnresponsiveAfter = c.HeartbeatInterval },
+		"lost too early": func(c *Config) { c.WriteOffAfter = time.Second },
 	} {
 		c := config(0, 3, 1)
 		change(&c)
@@ -482,13 +482,13 @@
 func TestMessagesComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := beacon{Start: rapid.Uint64().Draw(t, "start"), Count: rapid.Uint32().Draw(t, "count"), State: State(rapid.IntRange(0, int(states)-1).Draw(t, "state")),
-			Learns: rapid.Bool().Draw(t, "learns"), Done: rapid.Uint32().Draw(t, "done"), Halt: halt{rapid.Uint16().Draw(t, "epoch"), true, NodeBroken, 3}, Order: order{1, 2},
+			Learns: rapid.Bool().Draw(t, "learns"), Done: rapid.Uint32().Draw(t, "done"), Halt: halt{rapid.Uint16().Draw(t, "epoch"), true, ReasonNodeUnhealthy, 3}, Order: order{1, 2},
 			Health: health{true, rapid.Byte().Draw(t, "failed"), rapid.Byte().Draw(t, "slow")}}
 		for range rapid.IntRange(0, tableRoom).Draw(t, "entries") {
 			b.Table = append(b.Table, entry{rapid.Uint16().Draw(t, "holder"), rapid.Uint64().Draw(t, "s"), rapid.Uint32().Draw(t, "a"), 1, 2, 3})
 		}
 		data := b.encode()
-		if len(data) > datagram.Max {
+		if len(data) > datagram.MaxSize {
 			t.Fatalf("%d bytes", len(data))
 		}
 		if got, err := decode(data); err != nil || fmt.Sprint(got) != fmt.Sprint(b) {
@@ -508,10 +508,10 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(beacon{Table: []entry{{Holder: 1}}}.encode())
 	f.Add(ask{Start: 1}.encode())
-	f.Add(answer{Reason: Taken}.encode())
+	f.Add(answer{Reason: ReasonSlotTaken}.encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, _ := New(config(0, 3, 1))
-		c.Step(0, Heard{1, data})
+		c.Step(0, MessageReceived{1, data})
 	})
 }
 
@@ -523,29 +523,29 @@
 		majority                   int
 		want                       Reason
 	}{
-		{1, 1, 0, 0, 1, Granted}, {4, 1, 0, 0, 3, Granted}, {4, 1, 1, 0, 3, Over}, {4, 2, 1, 0, 3, Granted}, {4, 2, 0, 2, 3, Over},
-		{80, 4, 3, 0, 41, Granted}, {80, 4, 4, 0, 41, Over}, {80, 4, 2, 2, 41, Over}, {300, 11, 10, 0, 151, Granted}, {300, 11, 5, 6, 151, Over},
-		{1000, 11, 10, 0, 501, Granted}, {1000, 11, 11, 0, 501, Over}, {1000, 11, 0, 499, 501, Over},
+		{1, 1, 0, 0, 1, ReasonGranted}, {4, 1, 0, 0, 3, ReasonGranted}, {4, 1, 1, 0, 3, ReasonOverBudget}, {4, 2, 1, 0, 3, ReasonGranted}, {4, 2, 0, 2, 3, ReasonOverBudget},
+		{80, 4, 3, 0, 41, ReasonGranted}, {80, 4, 4, 0, 41, ReasonOverBudget}, {80, 4, 2, 2, 41, ReasonOverBudget}, {300, 11, 10, 0, 151, ReasonGranted}, {300, 11, 5, 6, 151, ReasonOverBudget},
+		{1000, 11, 10, 0, 501, ReasonGranted}, {1000, 11, 11, 0, 501, ReasonOverBudget}, {1000, 11, 0, 499, 501, ReasonOverBudget},
 	} {
 		c, err := New(config(0, test.nodes, test.budget))
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := Time(0)
-		c.Step(now, Up{})
+		c.Step(now, ServingStarted{})
 		count := uint32(0)
 		speak := func(nodes int) { // those that are out leave, the others are fit
 			count++
 			for i := 1; i < nodes; i++ {
-				state := Fit
+				state := Ready
 				if i <= test.out {
-					state = Leaving
+					state = Draining
 				}
-				c.Step(now, Heard{i, beacon{Start: 1, Count: count, State: state}.encode()})
+				c.Step(now, MessageReceived{i, beacon{Start: 1, Count: count, State: state}.encode()})
 			}
 		}
 		for _, nodes := range []int{test.nodes, test.nodes - test.silent} { // past the lease, then past the silence of some
-			for end := now + c.cfg.Lease + c.cfg.Silent; now < end; now += c.cfg.Beacon {
+			for end := now + c.cfg.RequestTimeout + c.cfg.UnresponsiveAfter; now < end; now += c.cfg.HeartbeatInterval {
 				speak(nodes)
 				c.Step(now, Tick{})
 			}
@@ -554,7 +554,7 @@
 			c.grants = append(c.grants, grant{entry: entry{Holder: uint16(i), Start: 1, Ask: 1, Slot: uint8(i - 1)}, at: now})
 		}
 		free := uint8(min(test.out, test.budget-1))
-		if got := c.judge(now, test.nodes-1-test.silent, ask{Start: 1, Ask: 1, Slot: free}); test.nodes > 1 && got != test.want && !(got == Taken && test.want == Over) {
+		if got := c.judge(now, test.nodes-1-test.silent, ask{Start: 1, Ask: 1, Slot: free}); test.nodes > 1 && got != test.want && !(got == ReasonSlotTaken && test.want == ReasonOverBudget) {
 			t.Errorf("%d nodes, budget %d, %d out, %d silent: %v, want %v", test.nodes, test.budget, test.out, test.silent, got, test.want)
 		}
 		if got := majority(test.nodes); got != test.majority {
@@ -564,7 +564,7 @@
 		for _, g := range c.grants {
 			b.Table = append(b.Table, g.entry)
 		}
-		if n := len(b.encode()); n > datagram.Max {
+		if n := len(b.encode()); n > datagram.MaxSize {
 			t.Errorf("%d nodes: a beacon of %d bytes", test.nodes, n)
 		}
 	}
--- a/internal/fleet/rollout/golden_test.go
+++ b/internal/fleet/rollout/golden_test.go
@@ -22,7 +22,7 @@
 		{"beacon", full},
 		{"beacon_least", beacon{Start: 1, Count: 1}},
 		{"ask", ask{Start: 1, Ask: 2, Slot: 3, Zone: 4, Name: 0x1234}},
-		{"answer_granted", answer{Start: 1, Ask: 2, Reason: Granted}},
+		{"answer_granted", answer{Start: 1, Ask: 2, Reason: ReasonGranted}},
 		{"answer_refused", answer{Start: 1, Ask: 2, Reason: reasons - 1}},
 	}
 	var lines golden.Lines
@@ -45,7 +45,7 @@
 		name   string
 		status Status
 	}{
-		{"halted", Status{Node: 1, State: "fit", Wants: true, Halted: "failed", HaltedBy: 3, Fit: 5, Budget: 2,
+		{"halted", Status{Node: 1, State: "fit", WantsDrain: true, Halted: "failed", HaltedBy: 3, Ready: 5, Budget: 2,
 			Out: []StatusNode{{Node: 3, State: "out", Slot: 1}, {Node: 4, State: "silent", Slot: -1}}}},
 		{"quiet", Status{HaltedBy: -1}},
 	} {
--- a/internal/fleet/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -9,7 +9,7 @@
 
 // The datagrams of this package; a garbled one must not pass for a grant, which their sums see to.
 const (
-	Mark    = 'R'
+	Magic   = 'R'
 	version = 2
 
 	kindBeacon = 1
@@ -82,10 +82,10 @@
 
 // Sizes: 3 + 8+4+1+1+4+4 + 2+1+1+2 + 2+4 + 3 + 1 + 4 of the sum; the table takes what is left. What a later version says
 // behind the table is skipped: the nodes of two releases must understand each other while one takes the other's place.
-const tableRoom = (datagram.Max - 45) / entrySize
+const tableRoom = (datagram.MaxSize - 45) / entrySize
 
 func (m beacon) encode() []byte {
-	b := datagram.Begin(Mark, version, kindBeacon)
+	b := datagram.Begin(Magic, version, kindBeacon)
 	b = binary.BigEndian.AppendUint64(b, m.Start)
 	b = binary.BigEndian.AppendUint32(b, m.Count)
 	b = append(b, byte(m.State), bit(m.Learns))
@@ -110,7 +110,7 @@
 }
 
 func (m ask) encode() []byte {
-	b := datagram.Begin(Mark, version, kindAsk)
+	b := datagram.Begin(Magic, version, kindAsk)
 	b = binary.BigEndian.AppendUint64(b, m.Start)
 	b = binary.BigEndian.AppendUint32(b, m.Ask)
 	b = append(b, m.Slot, m.Zone)
@@ -118,7 +118,7 @@
 }
 
 func (m answer) encode() []byte {
-	b := datagram.Begin(Mark, version, kindAnswer)
+	b := datagram.Begin(Magic, version, kindAnswer)
 	b = binary.BigEndian.AppendUint64(b, m.Start)
 	b = binary.BigEndian.AppendUint32(b, m.Ask)
 	return datagram.Seal(append(b, byte(m.Reason)))
@@ -133,7 +133,7 @@
 
 // decode reads a datagram: a beacon, an ask or an answer.
 func decode(data []byte) (any, error) {
-	kind, r, ok := datagram.Open(data, Mark, version)
+	kind, r, ok := datagram.Open(data, Magic, version)
 	if !ok {
 		return nil, errGarbled
 	}
@@ -159,7 +159,7 @@
 	default:
 		return nil, errGarbled
 	}
-	if bad || !r.Good() || !later && !r.Over() {
+	if bad || !r.IsValid() || !later && !r.IsEmpty() {
 		return nil, errGarbled
 	}
 	return m, nil
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -57,7 +57,7 @@
 	stopWatch func()
 	watch     int // number of the current watch; reports of earlier ones are dropped
 	healthy   bool
-	held      discovery.Guard
+	held      discovery.ListValidator
 }
 
 // state is a flow as the node keeps it until nothing of it is out.
@@ -97,8 +97,8 @@
 
 // Begin takes the list that is known and, where lists are pushed, begins to follow them.
 func (n *Core) Begin() {
-	n.held.Held(n.opt.Known.Version)
-	n.list(n.opt.Known, policy.Cached)
+	n.held.SetVersion(n.opt.Known.Version)
+	n.list(n.opt.Known, policy.CachedList)
 	if n.pushed() {
 		n.subscribe()
 	}
@@ -119,7 +119,7 @@
 }
 
 // Explain tells what the module makes of a key. It changes nothing.
-func (n *Core) Explain(key string) policy.Why {
+func (n *Core) Explain(key string) policy.Explanation {
 	return n.router.Explain(n.moduleTime(n.own.Now()), key)
 }
 
@@ -164,7 +164,7 @@
 func (n *Core) Strain(level float64) {
 	if d := level - n.level; d >= strainStep || d <= -strainStep || d != 0 && level == 0 {
 		n.level = level
-		n.Tell(policy.Strain{Level: level})
+		n.Tell(policy.LoadLevel{Level: level})
 	}
 }
 
@@ -205,7 +205,7 @@
 	switch a := a.(type) {
 	case policy.Send:
 		n.send(a)
-	case policy.Refuse:
+	case policy.Reject:
 		n.answer(n.flows[a.ID], request.Response{Kind: request.Refused, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		n.answer(n.flows[a.ID], request.Response{Kind: request.Failed})
@@ -213,17 +213,17 @@
 		if s := n.flows[a.ID]; s != nil && a.Attempt < len(s.forwards) && s.forwards[a.Attempt] != nil {
 			n.giveUp(s, s.forwards[a.Attempt], upstream.Cancelled)
 		}
-	case policy.Probe:
+	case policy.HealthCheck:
 		n.probe(a.Server)
-	case policy.Close:
+	case policy.CloseIdle:
 		if s := n.servers[a.Server]; s != nil {
 			s.up.CloseIdle()
 		}
 	case policy.SetTimer:
-		n.at(n.systemTime(a.At), func() { n.tell(policy.Timer{Token: a.Token}) })
+		n.at(n.systemTime(a.At), func() { n.tell(policy.TimerFired{Token: a.Token}) })
 	case policy.Subscribe:
 		n.subscribe()
-	case policy.Tell:
+	case policy.Gossip:
 		if n.opt.Tell == nil {
 			return
 		}
@@ -232,9 +232,9 @@
 		} else {
 			n.opt.Count.PeersTold.Add(1)
 		}
-	case policy.Spread:
+	case policy.Announce:
 		if n.opt.Spread != nil {
-			n.opt.Spread(a.Duty)
+			n.opt.Spread(a.Role)
 		}
 	case policy.Log:
 		n.opt.Log.Info(a.Text, logs.Event, "module")
@@ -296,7 +296,7 @@
 		n.opt.Count.Gone.Add(1)
 		n.over(s)
 		n.withdraw(s)
-		n.tell(policy.Gone{ID: s.id})
+		n.tell(policy.ClientDisconnected{ID: s.id})
 		n.forget(s)
 	}
 }
@@ -341,7 +341,7 @@
 		return
 	}
 	n.opt.Count.Answered(s.class, int(r.Kind))
-	if r.Kind == request.Served && n.own.Now().Sub(s.Taken) > n.opt.Module.Classes[s.class].Aim {
+	if r.Kind == request.Served && n.own.Now().Sub(s.Taken) > n.opt.Module.Classes[s.class].LatencyObjective {
 		n.opt.Count.Slow.Add(1)
 	}
 	s.Reply(r)
@@ -372,7 +372,7 @@
 		n.at(n.own.Now().Add(overdue), func() {
 			if !s.answered {
 				n.answer(s, request.Response{Kind: request.Failed})
-				n.tell(policy.Gone{ID: s.id})
+				n.tell(policy.ClientDisconnected{ID: s.id})
 			}
 		})
 	}
@@ -384,9 +384,9 @@
 		return
 	}
 	f := &upstream.Forward{Flow: s.Flow, Attempt: len(s.forwards), Server: a.Server, Sent: n.own.Now(),
-		Deadline: s.deadline, Fresh: n.opt.Module.Classes[s.class].Effect == policy.Unsafe}
-	if a.By > 0 {
-		f.By = n.systemTime(a.By)
+		Deadline: s.deadline, Fresh: n.opt.Module.Classes[s.class].Effect == policy.AtMostOnce}
+	if a.WriteBy > 0 {
+		f.By = n.systemTime(a.WriteBy)
 	}
 	s.forwards = append(s.forwards, f)
 	s.out++
@@ -462,7 +462,7 @@
 	for i, p := range srv.probes {
 		if p == f {
 			srv.probes = append(srv.probes[:i], srv.probes[i+1:]...)
-			n.backlog = append(n.backlog, policy.Probed{Server: f.Server, Reason: end.Reason()})
+			n.backlog = append(n.backlog, policy.HealthChecked{Server: f.Server, Reason: end.Reason()})
 			return true
 		}
 	}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -60,13 +60,13 @@
 
 func newBench(t *testing.T) *bench {
 	b := &bench{now: time.Unix(1000, 0), box: &held{}, origin: &held{}}
-	class := policy.Class{Name: "read", Worth: 1, Aim: time.Second, Late: 0.5}
-	put := policy.Class{Name: "put", Worth: 5, Aim: time.Second, Late: 0.5, Effect: policy.Unsafe}
+	class := policy.Class{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, LateFraction: 0.5}
+	put := policy.Class{Name: "put", PriorityWeight: 5, LatencyObjective: time.Second, LateFraction: 0.5, Effect: policy.AtMostOnce}
 	ends := make([]string, upstream.Ends())
-	opt := Options{Module: policy.Settings{Routers: 1, Classes: []policy.Class{class, put}, OriginKind: "origin", MaxAttempts: 6,
-		FallFactor: 3, ColdFrom: 0.2, WarmAfter: time.Second, Probes: true, MustAsk: true, Tick: time.Millisecond}, MaxOpen: 1000,
+	opt := Options{Module: policy.Settings{Nodes: 1, Classes: []policy.Class{class, put}, OriginKind: "origin", MaxAttempts: 6,
+		OverloadFactor: 3, SlowStartFloor: 0.2, SlowStartDuration: time.Second, MayHealthCheck: true, MustPoll: true, Tick: time.Millisecond}, MaxOpen: 1000,
 		Count: counters.New([]string{"read", "put"}, request.Kinds(), ends), Log: slog.New(slog.DiscardHandler),
-		Known: discovery.List{Version: 1, Whole: true, Servers: []discovery.Server{{ID: "s", Addr: "h:1", Kind: "box", Weight: 1},
+		Known: discovery.List{Version: 1, IsFull: true, Servers: []discovery.Server{{ID: "s", Addr: "h:1", Kind: "box", Weight: 1},
 			{ID: "o", Addr: "h:2", Kind: "origin", Weight: 1}}},
 		Source: silentSource{},
 		Upstream: func(s discovery.Server, origin bool, _ func(*upstream.Forward, upstream.Answer)) Upstream {
@@ -228,16 +228,16 @@
 		left  bool
 	}{
 		"a change":                  {[]discovery.List{{Servers: []discovery.Server{next}}}, true},
-		"a whole list with both":    {[]discovery.List{{Whole: true, Servers: []discovery.Server{next, old}}}, true},
+		"a whole list with both":    {[]discovery.List{{IsFull: true, Servers: []discovery.Server{next, old}}}, true},
 		"the one before named last": {[]discovery.List{{Servers: []discovery.Server{next}}, {Servers: []discovery.Server{old}}}, true},
 		"at another address":        {[]discovery.List{{Servers: []discovery.Server{elsewhere}}}, false},
 		"both long ago":             {[]discovery.List{{Servers: []discovery.Server{twin}}}, false},
 	} {
 		b := newBench(t)
 		for _, l := range test.lists {
-			scope := policy.Changes
-			if l.Whole {
-				scope = policy.Full
+			scope := policy.DeltaUpdate
+			if l.IsFull {
+				scope = policy.FullUpdate
 			}
 			b.core.list(l, scope)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	Source   discovery.Source
 	Upstream func(s discovery.Server, origin bool, report func(*upstream.Forward, upstream.Answer)) Upstream
 	Tell     func([]byte) error // sends a datagram to all other nodes; nil where they may not be told
-	Spread   func(policy.Duty)  // tells all other nodes what the holder of a duty has to say; nil without duties
+	Spread   func(policy.Role)  // tells all other nodes what the holder of a duty has to say; nil without duties
 	Count    *counters.Counters
 	Log      *slog.Logger
 }
@@ -85,15 +85,15 @@
 // Heard hands over a datagram of another node.
 func (n *Node) Heard(from int, data []byte) {
 	n.count.PeersHeard.Add(1)
-	n.offer(func() { n.core.Tell(policy.Heard{From: from, Data: data}) })
+	n.offer(func() { n.core.Tell(policy.GossipReceived{From: from, Data: data}) })
 }
 
 // Fleet tells the module how many nodes share the traffic from now on, this one among them; 0: as many as are configured.
-func (n *Node) Fleet(nodes int) { n.offer(func() { n.core.Tell(policy.Fleet{Routers: nodes}) }) }
+func (n *Node) Fleet(nodes int) { n.offer(func() { n.core.Tell(policy.FleetSize{Nodes: nodes}) }) }
 
 // Explain tells what the module makes of a key; false while the loop is behind or has ended.
-func (n *Node) Explain(key string) (why policy.Why, ok bool) {
-	got := make(chan policy.Why, 1)
+func (n *Node) Explain(key string) (why policy.Explanation, ok bool) {
+	got := make(chan policy.Explanation, 1)
 	select {
 	case n.queue <- func() { got <- n.core.Explain(key) }:
 	default:
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -13,18 +13,18 @@
 )
 
 var serverStates = map[discovery.State]policy.ServerState{discovery.Up: policy.Live,
-	discovery.Draining: policy.Draining, discovery.Removed: policy.Dead}
+	discovery.Draining: policy.Draining, discovery.Removed: policy.Removed}
 
 // list takes news of the list: the pools learn of it first, so that nothing queued before goes to a server that
 // has left, then the module.
-func (n *Core) list(l discovery.List, scope policy.ListScope) {
-	event := policy.List{Scope: scope}
+func (n *Core) list(l discovery.List, scope policy.EndpointScope) {
+	event := policy.EndpointUpdate{Scope: scope}
 	named := map[string]bool{}
 	l.Servers = n.succeeded(l)
 	for _, d := range l.Servers {
 		named[d.ID] = true
 		event.Servers = append(event.Servers, policy.Server{ID: d.ID, Zone: d.Zone, Kind: d.Kind, Cell: d.Cell,
-			State: serverStates[d.State], Units: d.Weight, Started: time.Duration(d.StartedMs) * time.Millisecond})
+			State: serverStates[d.State], Capacity: d.Weight, StartedAt: time.Duration(d.StartedMs) * time.Millisecond})
 		s := n.servers[d.ID]
 		if s == nil {
 			s = &server{Server: d}
@@ -39,7 +39,7 @@
 		s.Server, s.Addr = d, addr
 		n.leave(s, addr, d.State != discovery.Up)
 	}
-	if scope != policy.Changes {
+	if scope != policy.DeltaUpdate {
 		for _, id := range slices.Sorted(maps.Keys(n.servers)) {
 			if s := n.servers[id]; !named[id] {
 				s.State = discovery.Removed
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.servers)) {
-		if s := n.servers[id]; !named[id] && !l.Whole && s.State != discovery.Removed {
+		if s := n.servers[id]; !named[id] && !l.IsFull && s.State != discovery.Removed {
 			if s.StartedMs > newest[s.Addr].StartedMs {
 				newest[s.Addr] = s.Server
 			}
@@ -115,7 +115,7 @@
 
 // pushed says that the list is sent to this node unasked. On sockets that is an agent on its machine, which has to be
 // listened to: the module, which is told of lists and asks for none there, knows nothing of it.
-func (n *Core) pushed() bool { return !n.opt.Module.MustAsk }
+func (n *Core) pushed() bool { return !n.opt.Module.MustPoll }
 
 // subscribe starts a watch. While a healthy one runs there is nothing to ask for.
 func (n *Core) subscribe() {
@@ -150,7 +150,7 @@
 	}
 	refused := false
 	if err == nil {
-		if err = n.held.Take(l); err != nil {
+		if err = n.held.Accept(l); err != nil {
 			refused = true
 			n.stopWatch()
 		}
@@ -160,7 +160,7 @@
 		switch {
 		case refused:
 			n.opt.Count.ListsRefused.Add(1)
-		case errors.Is(err, discovery.ErrGarbage):
+		case errors.Is(err, discovery.ErrMalformed):
 			n.opt.Count.WatchesGarbage.Add(1)
 		default:
 			n.opt.Count.WatchesBroken.Add(1)
@@ -171,14 +171,14 @@
 		if n.pushed() {
 			n.at(n.own.Now().Add(agentRetry), n.subscribe)
 		} else {
-			n.tell(policy.List{Scope: policy.Failed})
+			n.tell(policy.EndpointUpdate{Scope: policy.PollFailed})
 		}
 	default:
 		n.opt.Count.Lists.Add(1)
 		n.healthy = true
-		scope := policy.Changes
-		if l.Whole {
-			scope = policy.Full
+		scope := policy.DeltaUpdate
+		if l.IsFull {
+			scope = policy.FullUpdate
 		}
 		n.list(l, scope)
 	}
