--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -16,10 +16,10 @@
 		cold      bool
 	}{
 		"nothing shown yet":            {TimedOut, time.Second, nil, true},
-		"it still holds its copies":    {TimedOut, time.Second, []Reason{OK, OK, OK, OK}, false},
-		"it holds some and lacks some": {TimedOut, time.Second, []Reason{OK, Miss, OK, OK, OK, OK}, true},
-		"it refused a connect":         {NoConnection, 2 * ms, []Reason{OK, OK, OK, OK}, true},
-		"a connect never came up":      {NoConnection, 250 * ms, []Reason{OK, OK, OK, OK}, false},
+		"it still holds its copies":    {TimedOut, time.Second, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, false},
+		"it holds some and lacks some": {TimedOut, time.Second, []Reason{Succeeded, Miss, Succeeded, Succeeded, Succeeded, Succeeded}, true},
+		"it refused a connect":         {NoConnection, 2 * ms, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, true},
+		"a connect never came up":      {NoConnection, 250 * ms, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, testSettings(), "s1")
@@ -28,12 +28,12 @@
 			b.ask("high", "lost", func(q *Request) { q.Deadline += time.Minute })
 			lost := b.nextID - 1
 			var actions []Action
-			for b.now += 2 * time.Second; len(find[Probe](actions)) == 0; b.now += upkeepEvery {
-				actions = b.do(Timer{housekeep})
+			for b.now += 2 * time.Second; len(find[HealthCheck](actions)) == 0; b.now += upkeepEvery {
+				actions = b.do(TimerFired{housekeep})
 			}
 			for range 2 {
 				b.now += 300 * ms
-				b.do(Probed{Server: "s1", Reason: TimedOut})
+				b.do(HealthChecked{Server: "s1", Reason: TimedOut})
 			}
 			if !s.silent {
 				t.Fatal("not silent")
@@ -41,17 +41,17 @@
 			b.now += 2 * time.Second
 			b.do(Outcome{ID: lost, Attempt: 0, Reason: test.meanwhile, Took: test.took})
 			b.now += time.Second
-			b.do(Probed{Server: "s1", Reason: OK})
+			b.do(HealthChecked{Server: "s1", Reason: Succeeded})
 			if s.silent || b.r.warmth(s) > 0.3 {
 				t.Fatal("it is not back, or not taken to be cold at first")
 			}
 			for i, reason := range test.answers {
 				id, actions := b.ask("high", fmt.Sprint("k", i), nil)
 				for b.sentTo(actions) != "s1" { // for a cold server lots are drawn; the others go to the origin
-					b.end(id, OK, 5*ms)
+					b.end(id, Succeeded, 5*ms)
 					id, actions = b.ask("high", fmt.Sprint("k", i, b.nextID), nil)
 				}
-				b.do(Outcome{ID: id, Attempt: 0, Server: "s1", Reason: reason, Took: 5 * ms, Ended: reason == OK})
+				b.do(Outcome{ID: id, Attempt: 0, Server: "s1", Reason: reason, Took: 5 * ms, Ended: reason == Succeeded})
 			}
 			if cold := b.r.warmth(s) < 1; cold != test.cold {
 				t.Errorf("counts as cold: %v, want %v", cold, test.cold)
@@ -67,21 +67,21 @@
 	refused := func(class string, change func(*Request)) (n int) {
 		for range 100 {
 			id, actions := b.ask(class, fmt.Sprint("s", b.nextID), change)
-			if len(find[Refuse](actions)) > 0 {
+			if len(find[Reject](actions)) > 0 {
 				n++
 				continue
 			}
 			b.now += ms
-			b.end(id, OK, ms)
+			b.end(id, Succeeded, ms)
 		}
 		return n
 	}
-	b.do(Strain{Level: 0.25})
+	b.do(LoadLevel{Level: 0.25})
 	low, middle, high, writes := refused("low", nil), refused("middle", nil), refused("high", nil), refused("low", write)
 	if low < 60 || middle < 15 || middle > 35 || high != 0 || writes != 0 {
 		t.Errorf("refused of 100: low %d, middle %d, high %d, writes %d", low, middle, high, writes)
 	}
-	b.do(Strain{})
+	b.do(LoadLevel{})
 	if n := refused("low", nil); n != 0 {
 		t.Errorf("%d refused when it is no longer behind", n)
 	}
@@ -111,10 +111,10 @@
 	b := newBench(t, testSettings(), "s1", "s2")
 	left := func(d time.Duration) bool {
 		id, actions := b.ask("low", fmt.Sprint("d", b.nextID), func(q *Request) { q.Deadline = b.now + d })
-		refused := len(find[Refuse](actions)) > 0
+		refused := len(find[Reject](actions)) > 0
 		if !refused {
 			b.end(id, Miss, ms)
-			b.end(id, OK, ms)
+			b.end(id, Succeeded, ms)
 		}
 		return refused
 	}
@@ -124,14 +124,14 @@
 	for range 30 {
 		id, _ := b.ask("high", fmt.Sprint("o", b.nextID), nil)
 		b.now += 20 * ms
-		b.end(id, OK, 20*ms)
+		b.end(id, Succeeded, 20*ms)
 	}
 	if !left(10*ms) || left(60*ms) {
 		t.Error("10 ms left must be refused, 60 ms not, where the quickest answers take 20 ms")
 	}
 	for range 3 {
 		id, _ := b.ask("high", fmt.Sprint("o", b.nextID), nil)
-		b.end(id, OK, 500*ms)
+		b.end(id, Succeeded, 500*ms)
 	}
 	if left(60 * ms) {
 		t.Error("a few slow answers count as the quickest")
--- a/internal/policy/brain.go
+++ b/internal/policy/brain.go
@@ -108,11 +108,11 @@
 
 // warmth is the share of its slots that a server has: a cold one takes them back until it is sure to be warm.
 func (r *Router) warmth(s *server) float64 {
-	if s.cold == 0 || r.now >= s.cold+r.set.WarmAfter {
+	if s.cold == 0 || r.now >= s.cold+r.set.SlowStartDuration {
 		return 1
 	}
-	age := max(0, float64(r.now-s.cold)/float64(r.set.WarmAfter))
-	return r.set.ColdFrom + (1-r.set.ColdFrom)*age
+	age := max(0, float64(r.now-s.cold)/float64(r.set.SlowStartDuration))
+	return r.set.SlowStartFloor + (1-r.set.SlowStartFloor)*age
 }
 
 // next maps a slot to cache servers by weighted rendezvous hashing: the one with the lowest score above after
@@ -120,17 +120,17 @@
 func (r *Router) next(slot uint64, after float64, q *request) (best *server, score float64) {
 	score = math.Inf(1)
 	for _, s := range r.servers {
-		if s.opinion.Keep < 1 && unit(mix(slot+s.hash)) >= s.opinion.Keep {
+		if s.opinion.KeptFraction < 1 && unit(mix(slot+s.hash)) >= s.opinion.KeptFraction {
 			continue // a bad server keeps part of its slots, the same ones at every router
 		}
 		// A zone that is cut off must not be found out server by server: each costs a connect that fails.
-		cut := r.set.Probes && s.Zone != r.set.Zone && r.unreached[s.Zone] >= cutOff
-		if s.silent && (r.set.Probes || s.breaker.Open(r.now)) || cut || q.avoids(s) || !r.takesKeys(s) {
+		cut := r.set.MayHealthCheck && s.Zone != r.set.Zone && r.unreached[s.Zone] >= cutOff
+		if s.silent && (r.set.MayHealthCheck || s.breaker.Open(r.now)) || cut || q.avoids(s) || !r.takesKeys(s) {
 			continue
 		}
 		weight := r.warmth(s)
-		if r.set.SizedUnits && s.Units > 0 {
-			weight *= s.Units
+		if r.set.WeightByCapacity && s.Capacity > 0 {
+			weight *= s.Capacity
 		}
 		if s.Zone != r.set.Zone {
 			weight *= r.reach.Weight()
@@ -150,36 +150,36 @@
 func (r *Router) saw(s *server, took time.Duration, failed bool) {
 	s.gauge.observe(r.now, took, failed)
 	if s != r.origin {
-		r.talk.Saw(&s.opinion, s.gauge.n, failed || took > s.gauge.target, r.rng.Float64())
+		r.talk.AttemptEnded(&s.opinion, s.gauge.n, failed || took > s.gauge.target, r.rng.Float64())
 	}
 	r.judge(s)
 }
 
 func (r *Router) judge(s *server) {
-	s.opinion.Judge(s.gauge.slowPart(r.now), r.pool.slowPart(r.now))
+	s.opinion.Update(s.gauge.slowPart(r.now), r.pool.slowPart(r.now))
 	r.bound()
 }
 
 // hear takes what another router met as if this one had met it: alone it meets most servers too seldom.
-func (r *Router) hear(e Heard) {
+func (r *Router) hear(e GossipReceived) {
 	news, _ := gossip.Decode(e.Data) // one that is malformed counts for nothing
 	for _, key := range news.Keys {
 		r.keys.Count(r.now, key, float64(len(r.servers)))
 	}
-	for _, n := range news.Notes {
+	for _, n := range news.Observations {
 		s := r.byMark[n.Server]
 		if s == nil || s == r.origin {
 			continue
 		}
 		if s.gauge.n < 2*enough { // else this router knows enough itself
-			s.gauge.add(r.now, float64(n.Seen), float64(n.Bad))
+			s.gauge.add(r.now, float64(n.Attempts), float64(n.Failures))
 		}
 		r.judge(s)
 		switch heard := r.now - s.heard; {
-		case n.Answered && s.silent && r.now-s.since > askEvery || !s.silent && n.Seen > n.Bad:
+		case n.Recovered && s.silent && r.now-s.since > askEvery || !s.silent && n.Attempts > n.Failures:
 			r.alive(s)
-		case n.Silent && !s.silent && heard > askEvery/2 &&
-			s.opinion.Witness(r.now, e.From, s.doubted > s.heard) && (s.doubted > s.heard || !r.over()):
+		case n.Unresponsive && !s.silent && heard > askEvery/2 &&
+			s.opinion.Corroborate(r.now, e.From, s.doubted > s.heard) && (s.doubted > s.heard || !r.over()):
 			r.silence(s)
 		}
 	}
@@ -189,8 +189,8 @@
 func (r *Router) count(key string) {
 	r.one = decay.Weight(r.all, r.one, r.now-r.allAt, window, countEnough*float64(len(r.servers)), countAge)
 	r.all, r.allAt = r.all+r.one, r.now
-	r.keys.Count(r.now, gossip.MarkOf(hash(key)), float64(len(r.servers)))
-	r.talk.Asked(gossip.MarkOf(hash(key)), r.heat(key)/max(1, r.takers), r.rng.Float64())
+	r.keys.Count(r.now, gossip.FingerprintOf(hash(key)), float64(len(r.servers)))
+	r.talk.KeyRequested(gossip.FingerprintOf(hash(key)), r.heat(key)/max(1, r.takers), r.rng.Float64())
 	r.tell()
 }
 
@@ -229,9 +229,9 @@
 	warmth := r.warmth(s)
 	mean := (r.served + servedPrior*r.one) * r.size(s)
 	asked := max(s.asked-r.one, r.heat(q.Key)*(r.all/r.takers+servedPrior*r.one)) + warmth*mean
-	late := (warmth - r.set.ColdFrom) / 2 * (1 - min(1, enough/float64(r.set.Routers)))
-	safe, lot := coldBudget*r.set.FallFactor*(warmth-late)*mean, r.rng.Float64()
-	if !r.keys.Met(gossip.MarkOf(hash(q.Key))) && safe < r.one {
+	late := (warmth - r.set.SlowStartFloor) / 2 * (1 - min(1, enough/float64(r.set.Nodes)))
+	safe, lot := coldBudget*r.set.OverloadFactor*(warmth-late)*mean, r.rng.Float64()
+	if !r.keys.Met(gossip.FingerprintOf(hash(q.Key))) && safe < r.one {
 		lot /= max(warmth, safe/r.one)
 	}
 	return lot*asked < safe
@@ -270,12 +270,12 @@
 	if e.Key == "" {
 		e.Key = strconv.FormatUint(e.ID, 10) // nothing to keep together
 	}
-	q := &request{Request: e, class: c, aim: min(r.now+c.Aim, e.Deadline)}
+	q := &request{Request: e, class: c, aim: min(r.now+c.LatencyObjective, e.Deadline)}
 	r.requests[e.ID] = q
 	r.count(e.Key)
-	q.worth = c.Worth / r.topWorth
+	q.worth = c.PriorityWeight / r.topWorth
 	if q.beyond = !r.shares.Within(r.now, e.Tenant); q.beyond {
-		q.worth *= r.set.OverShare
+		q.worth *= r.set.OverQuotaFraction
 	}
 	for !e.Write && q.bucket < bulk && q.worth <= leastWorth[q.bucket] {
 		q.bucket++
@@ -378,7 +378,7 @@
 
 // latest is when a request is no longer worth waiting with.
 func (r *Router) latest(q *request) Time {
-	if q.class.Late > 0 {
+	if q.class.LateFraction > 0 {
 		return q.Deadline
 	}
 	return q.aim
@@ -425,23 +425,23 @@
 	q.attempts = append(q.attempts, a)
 	q.open++
 	s.gauge.out = append(s.gauge.out, a)
-	r.act(Send{ID: q.ID, Server: s.ID, By: r.repeatBy(q)})
+	r.act(Send{ID: q.ID, Server: s.ID, WriteBy: r.repeatBy(q)})
 }
 
 // mayRepeat keeps the rule that no effect happens twice.
 func (r *Router) mayRepeat(q *request, s *server) bool {
-	if q.risk == nil || q.class.Effect == Safe {
+	if q.risk == nil || q.class.Effect == Idempotent {
 		return true
 	}
-	near := s.Zone == q.risk.srv.Zone && (q.class.Group == SameZone || s.Cell == q.risk.srv.Cell)
-	return q.class.Effect == Keyed && (near || q.class.Group == AllServers) && r.now <= r.repeatBy(q)
+	near := s.Zone == q.risk.srv.Zone && (q.class.DedupScope == SameZone || s.Cell == q.risk.srv.Cell)
+	return q.class.Effect == Deduplicated && (near || q.class.DedupScope == AllServers) && r.now <= r.repeatBy(q)
 }
 
 // refuse turns a request away where the rules allow to promise that a new try does no harm.
 func (r *Router) refuse(q *request) {
 	c := q.class
-	if q.risk == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == AllServers {
-		r.act(Refuse{ID: q.ID, RetryAfter: r.set.MaxRetryAfter})
+	if q.risk == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.DedupScope == AllServers {
+		r.act(Reject{ID: q.ID, RetryAfter: r.set.MaxRetryAfter})
 	} else {
 		r.act(Fail{q.ID})
 	}
@@ -467,9 +467,9 @@
 	q.open--
 	s.gauge.drop(a)
 	// Where idle connections of many routers cost more than new ones, none is held but to the origin.
-	dear := r.set.ConnectionPrice*float64(r.set.Routers)/100 > r.set.HandshakePrice
+	dear := r.set.ConnectionCost*float64(r.set.Nodes)/100 > r.set.HandshakeCost
 	if dear && s != r.origin && len(s.gauge.out) == 0 {
-		r.act(Close{s.ID})
+		r.act(CloseIdle{s.ID})
 	}
 	if e.Ended || q.ended {
 		r.end(q)
@@ -489,14 +489,14 @@
 		// several in a row do that no crowd made late.
 		switch crowd := e.Reason == TimedOut && r.pool.slowPart(r.now) > calm; {
 		case s == r.origin:
-		case r.set.Probes && !s.silent:
+		case r.set.MayHealthCheck && !s.silent:
 			r.probe(s)
-		case !r.set.Probes && !crowd && s.breaker.Failed(r.now) && !s.silent:
+		case !r.set.MayHealthCheck && !crowd && s.breaker.Failed(r.now) && !s.silent:
 			r.silence(s)
 		}
-	case OK, Errored, Rejected:
-		r.saw(s, e.Took, e.Reason != OK)
-		if e.Reason == OK && s != r.origin {
+	case Succeeded, Errored, Rejected:
+		r.saw(s, e.Took, e.Reason != Succeeded)
+		if e.Reason == Succeeded && s != r.origin {
 			if r.quickest += r.quickest / creep; r.quickest == 0 || e.Took < r.quickest {
 				r.quickest = e.Took
 			}
@@ -507,22 +507,22 @@
 			s.doubt = max(0, s.doubt-1)
 		}
 		fallthrough
-	case Miss, Spoilt: // says nothing of the load
+	case Miss, CorruptResponse: // says nothing of the load
 		r.alive(s)
 	}
 	if e.Reason == Miss {
 		s.doubt = 0
 	}
-	if q.risk == nil && slices.Contains([]Reason{Errored, TimedOut, Reset, Cancelled, Spoilt}, e.Reason) {
+	if q.risk == nil && slices.Contains([]Reason{Errored, TimedOut, Reset, Cancelled, CorruptResponse}, e.Reason) {
 		q.risk = a // it may have run
 	}
 	if s == r.origin {
-		if e.Reason != Moot {
+		if e.Reason != NeverSent {
 			how := admission.Timing{Write: q.Write, Took: e.Took, Full: e.Reason == Rejected,
 				Lost: e.Reason == TimedOut}
 			r.gate.Timed(r.now, how, s.gauge.target, len(s.gauge.out)+1)
 		}
-		r.land(q, e.Reason == OK)
+		r.land(q, e.Reason == Succeeded)
 	}
 	if q.ended || q.open > 0 {
 		return
@@ -533,11 +533,11 @@
 		q.missed = true
 		r.advance(q)
 	case cache && e.Reason == Rejected && (!r.takesKeys(s) ||
-		len(q.attempts) < 3 && s.opinion.Doubtful() && r.elsewhere(q, s)):
+		len(q.attempts) < 3 && s.opinion.IsSuspect() && r.elsewhere(q, s)):
 		r.advance(q) // it left, or others have room. Nothing was done, so it is no second attempt
-	case e.Reason == TimedOut || e.Reason == Moot || !r.budgets[q.class].Second(r.now):
+	case e.Reason == TimedOut || e.Reason == NeverSent || !r.budgets[q.class].Second(r.now):
 		r.giveUp(q)
-	case cache && e.Reason == Spoilt: // again where the object is: any server spoils an answer now and then
+	case cache && e.Reason == CorruptResponse: // again where the object is: any server spoils an answer now and then
 		if len(q.attempts) > 1 {
 			q.avoid = s
 		}
@@ -586,7 +586,7 @@
 	switch {
 	case reason != TimedOut && reason != NoConnection && reason != Reset: // turned away is a sign of life
 		if s.silent {
-			r.talk.Alive(s.opinion.Mark)
+			r.talk.Recovered(s.opinion.Fingerprint)
 		}
 		r.alive(s)
 	case reason == Reset && s.resets < maxResets: // connections break on a bad network too: ask on another
@@ -594,7 +594,7 @@
 		r.probe(s)
 	case s.silent || s.heard >= s.probeAt:
 	case s.doubted > s.heard:
-		r.talk.Silent(s.opinion.Mark)
+		r.talk.Unresponsive(s.opinion.Fingerprint)
 		r.silence(s)
 	default:
 		s.doubted = r.now
@@ -637,40 +637,40 @@
 			r.probe(s)
 		}
 	}
-	if r.set.CrossPrice > 0 && r.origin != nil {
+	if r.set.CrossZoneCost > 0 && r.origin != nil {
 		r.reach.Step(locality.Load{Home: r.homePart, Origin: r.origin.gauge.slowPart(r.now),
 			Near: r.home.slowPart(r.now), All: r.pool.slowPart(r.now), Waiting: r.line.Len()})
 	}
 	r.tell()
-	if r.set.MustAsk && r.calls.Due(r.now) {
+	if r.set.MustPoll && r.calls.Due(r.now) {
 		r.act(Subscribe{})
 	}
 }
 
 // list follows the server list. A failed call is made again after growing waits; the last list serves then.
-func (r *Router) list(e List) {
+func (r *Router) list(e EndpointUpdate) {
 	if !r.ticking {
 		r.ticking = true
 		r.calls.Start(r.now)
 		r.act(SetTimer{At: r.now + r.jitter(upkeepEvery), Token: housekeep})
 	}
 	switch e.Scope {
-	case Failed:
+	case PollFailed:
 		r.calls.Failed(r.now)
 		return
-	case Changes, Full:
-		r.calls.Listed()
+	case DeltaUpdate, FullUpdate:
+		r.calls.Succeeded()
 	}
 	for _, s := range r.servers {
-		s.listed = s.listed && e.Scope == Changes
+		s.listed = s.listed && e.Scope == DeltaUpdate
 	}
 	for _, l := range e.Servers {
 		s := r.server(l.ID)
-		if l.Started > s.Started && r.now < l.Started+r.set.WarmAfter {
-			s.cold, s.doubt = l.Started, 0
-			s.silent = s.silent && l.Started <= s.since
+		if l.StartedAt > s.StartedAt && r.now < l.StartedAt+r.set.SlowStartDuration {
+			s.cold, s.doubt = l.StartedAt, 0
+			s.silent = s.silent && l.StartedAt <= s.since
 		}
-		s.Server, s.listed = l, l.State != Dead
+		s.Server, s.listed = l, l.State != Removed
 		if s.gauge.pool != nil && l.Zone == r.set.Zone {
 			s.gauge.pool = &r.home
 		}
--- a/internal/policy/brain_test.go
+++ b/internal/policy/brain_test.go
@@ -14,17 +14,17 @@
 
 func testSettings() Settings {
 	return Settings{
-		Routers: 2, OriginKind: "origin", OverShare: 0.1, Probes: true, Cancels: true,
+		Nodes: 2, OriginKind: "origin", OverQuotaFraction: 0.1, MayHealthCheck: true, MayCancel: true,
 		MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, Tick: 5 * ms,
-		ColdFrom: 0.2, WarmAfter: 20 * time.Second, FallFactor: 3,
+		SlowStartFloor: 0.2, SlowStartDuration: 20 * time.Second, OverloadFactor: 3,
 		Classes: []Class{
-			{Name: "high", Worth: 10, Aim: 500 * ms},
-			{Name: "middle", Worth: 5, Aim: 500 * ms},
-			{Name: "low", Worth: 1, Aim: 500 * ms},
-			{Name: "late", Worth: 10, Aim: 500 * ms, Late: 0.3},
-			{Name: "keyed", Worth: 10, Aim: time.Second, Effect: Keyed, Window: 800 * ms},
-			{Name: "keyed-zone", Worth: 10, Aim: time.Second, Effect: Keyed, Group: SameZone, Window: 800 * ms},
-			{Name: "unsafe", Worth: 10, Aim: time.Second, Effect: Unsafe},
+			{Name: "high", PriorityWeight: 10, LatencyObjective: 500 * ms},
+			{Name: "middle", PriorityWeight: 5, LatencyObjective: 500 * ms},
+			{Name: "low", PriorityWeight: 1, LatencyObjective: 500 * ms},
+			{Name: "late", PriorityWeight: 10, LatencyObjective: 500 * ms, LateFraction: 0.3},
+			{Name: "keyed", PriorityWeight: 10, LatencyObjective: time.Second, Effect: Deduplicated, DedupWindow: 800 * ms},
+			{Name: "keyed-zone", PriorityWeight: 10, LatencyObjective: time.Second, Effect: Deduplicated, DedupScope: SameZone, DedupWindow: 800 * ms},
+			{Name: "unsafe", PriorityWeight: 10, LatencyObjective: time.Second, Effect: AtMostOnce},
 		},
 		Tenants: []Tenant{{Name: "t", Quota: 20}},
 	}
@@ -46,9 +46,9 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, r: r, now: 100 * time.Second, nextID: 1, sent: map[uint64]int{}}
-	list := List{Scope: Cached, Servers: []Server{{ID: "o", Kind: "origin", Zone: "a"}}}
+	list := EndpointUpdate{Scope: CachedList, Servers: []Server{{ID: "o", Kind: "origin", Zone: "a"}}}
 	for _, id := range servers {
-		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Zone: "a", Units: 1})
+		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Zone: "a", Capacity: 1})
 	}
 	b.do(list)
 	return b
@@ -74,7 +74,7 @@
 }
 
 func (b *bench) end(id uint64, reason Reason, took time.Duration) []Action {
-	ended := reason == OK
+	ended := reason == Succeeded
 	return b.do(Outcome{ID: id, Attempt: b.sent[id] - 1, Reason: reason, Took: took, Ended: ended})
 }
 
@@ -116,14 +116,14 @@
 func (b *bench) others(n int) {
 	for range n {
 		id, _ := b.ask("high", fmt.Sprint("other", b.nextID), nil)
-		b.end(id, OK, ms)
+		b.end(id, Succeeded, ms)
 	}
 }
 
 // learnt is a router whose origin answers in 50 ms when it is quiet.
 func learnt(t *testing.T, more ...string) *bench {
 	b := newBench(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
-	b.feed(80, 50*ms, OK)
+	b.feed(80, 50*ms, Succeeded)
 	return b
 }
 
@@ -138,7 +138,7 @@
 	if got := b.sentTo(b.end(id, Miss, ms)); got != "o" {
 		t.Fatalf("a miss went to %s, want the origin", got)
 	}
-	b.end(id, OK, 50*ms)
+	b.end(id, Succeeded, 50*ms)
 	if _, actions = b.ask("high", "k", nil); b.sentTo(actions) != first {
 		t.Fatal("the key moved without cause")
 	}
@@ -175,12 +175,12 @@
 	refused := func(b *bench, class string) (n int) {
 		for i := range 40 {
 			id, actions := b.ask(class, fmt.Sprint(class, "-", b.nextID, i), nil)
-			if len(find[Refuse](actions)) == 0 {
+			if len(find[Reject](actions)) == 0 {
 				actions = b.end(id, Miss, ms)
 			}
-			n += len(find[Refuse](actions))
+			n += len(find[Reject](actions))
 			if len(find[Send](actions)) == 1 {
-				b.do(Gone{id})
+				b.do(ClientDisconnected{id})
 				b.end(id, Cancelled, ms)
 			}
 		}
@@ -209,7 +209,7 @@
 						took = tt.took
 					}
 					if tt.slow >= 0 {
-						b.feed(1, took, OK)
+						b.feed(1, took, Succeeded)
 					}
 				}
 				if n := refused(b, class); n > 0 != want {
@@ -226,7 +226,7 @@
 func TestLearnsOnlyInQuietTimes(t *testing.T) {
 	b := learnt(t)
 	target := b.r.origin.gauge.target
-	b.feed(200, 900*ms, OK)
+	b.feed(200, 900*ms, Succeeded)
 	if got := b.r.origin.gauge.target; got > target*5/4 {
 		t.Errorf("a crowded origin moved the target from %v to %v", target, got)
 	}
@@ -258,7 +258,7 @@
 		t.Fatal("a read of a key being fetched did not wait")
 	}
 	want := []Send{{ID: second, Server: cache}, {ID: third, Server: cache}}
-	if got := find[Send](b.end(leader, OK, 50*ms)); !slices.Equal(got, want) {
+	if got := find[Send](b.end(leader, Succeeded, 50*ms)); !slices.Equal(got, want) {
 		t.Errorf("after the fetch landed %v, want %v", got, want)
 	}
 	// A fetch that fails hands over to one of those who wait.
@@ -285,10 +285,10 @@
 		if b.now = timers[0].At; b.now > 102*time.Second+3*time.Microsecond {
 			t.Errorf("%s: the timer is past the deadline", class)
 		}
-		if got := b.do(Timer{id}); len(find[Fail](got))+len(find[Refuse](got)) != 1 {
+		if got := b.do(TimerFired{id}); len(find[Fail](got))+len(find[Reject](got)) != 1 {
 			t.Errorf("%s: want one final answer, got %v", class, got)
 		}
-		if got := b.do(Timer{id}); len(got) != 0 {
+		if got := b.do(TimerFired{id}); len(got) != 0 {
 			t.Errorf("%s: answered twice: %v", class, got)
 		}
 	}
@@ -309,7 +309,7 @@
 		{"unsafe", Errored, 0, 0, "fail"},
 		{"unsafe", Rejected, 0, 1, ""},
 		{"unsafe", Reset, 0, 0, "fail"},
-		{"unsafe", Spoilt, 0, 0, "fail"},
+		{"unsafe", CorruptResponse, 0, 0, "fail"},
 		{"high", TimedOut, 0, 0, "refuse"},
 		{"unsafe", TimedOut, 0, 0, "fail"},
 	}
@@ -321,12 +321,12 @@
 			actions := b.end(id, tt.reason, tt.after)
 			for _, timer := range find[SetTimer](actions) {
 				b.now = timer.At
-				actions = append(actions, b.do(Timer{timer.Token})...)
+				actions = append(actions, b.do(TimerFired{timer.Token})...)
 			}
 			if n := len(find[Send](actions)); n != tt.sends {
 				t.Errorf("%d sends, want %d: %v", n, tt.sends, actions)
 			}
-			refused, failed := len(find[Refuse](actions)), len(find[Fail](actions))
+			refused, failed := len(find[Reject](actions)), len(find[Fail](actions))
 			if refused != map[bool]int{true: 1}[tt.final == "refuse"] ||
 				failed != map[bool]int{true: 1}[tt.final == "fail"] {
 				t.Errorf("refused %d failed %d, want %q", refused, failed, tt.final)
@@ -363,11 +363,11 @@
 		past, refused := 0, 0
 		for i, key := range keys {
 			id, actions := b.ask("low", key, nil)
-			refused += len(find[Refuse](actions))
+			refused += len(find[Reject](actions))
 			if sends := find[Send](actions); len(sends) > 0 && sends[0].Server == "o" {
 				past++
 			} else if len(sends) > 0 && i >= tt.inHand {
-				b.end(id, OK, tt.took)
+				b.end(id, Succeeded, tt.took)
 			}
 		}
 		if past > 0 != tt.past || refused > 0 != tt.refuse {
@@ -387,7 +387,7 @@
 		id, _ := b.ask("low", "k", nil)
 		put, _ := b.ask("unsafe", "w", write)
 		b.now += 450 * ms // the target is half the aim of 500 ms, the maximum twice that
-		if got := find[Cancel](b.do(Timer{Token: housekeep})); len(got) > 0 {
+		if got := find[Cancel](b.do(TimerFired{Token: housekeep})); len(got) > 0 {
 			t.Errorf("cancelled %v too early", got)
 		}
 		b.now += 100 * ms
@@ -395,7 +395,7 @@
 			b.r.origin.gauge.observe(b.now, 10*ms, test.busy && i%3 == 0)
 			b.r.pool.count(b.now, 10*ms, test.crowd && i%3 == 0)
 		}
-		got := find[Cancel](b.do(Timer{Token: housekeep}))
+		got := find[Cancel](b.do(TimerFired{Token: housekeep}))
 		if len(got) > 1 || len(got) > 0 == busy || len(got) > 0 && got[0].ID != id {
 			t.Fatalf("origin or servers busy %v: cancelled %v; read %d, write %d", busy, got, id, put)
 		}
@@ -413,16 +413,16 @@
 	b := newBench(t, testSettings(), "s1", "s2", "s3")
 	owner := b.owner("k")
 	id, _ := b.ask("low", "k", nil)
-	if to := b.sentTo(b.end(id, Spoilt, ms)); to != owner {
+	if to := b.sentTo(b.end(id, CorruptResponse, ms)); to != owner {
 		t.Errorf("asked %s again, want the owner %s", to, owner)
 	}
-	if to := b.sentTo(b.end(id, Spoilt, ms)); to == owner {
+	if to := b.sentTo(b.end(id, CorruptResponse, ms)); to == owner {
 		t.Error("asked the owner a third time")
 	}
 	b.now += ms
 	id, _ = b.ask("low", "k", nil)
 	actions := b.end(id, Reset, ms)
-	if b.sentTo(actions) == owner || len(find[Probe](actions)) != 1 || b.owner("k") != owner {
+	if b.sentTo(actions) == owner || len(find[HealthCheck](actions)) != 1 || b.owner("k") != owner {
 		t.Errorf("after a reset %v, owner %s", actions, b.owner("k"))
 	}
 	for _, tt := range []struct {
@@ -430,17 +430,17 @@
 		out   bool
 	}{{Reset, false}, {Reset, false}, {NoConnection, false}, {NoConnection, true}} {
 		b.now += ms
-		if b.do(Probed{Server: owner, Reason: tt.probe}); b.owner("k") == owner == tt.out {
+		if b.do(HealthChecked{Server: owner, Reason: tt.probe}); b.owner("k") == owner == tt.out {
 			t.Errorf("after a probe that ended as %d: out of the map %v, want %v", tt.probe, !tt.out, tt.out)
 		}
 	}
 }
 
 func TestNothingToDrainingOrGone(t *testing.T) {
-	for _, list := range []List{
-		{Scope: Changes, Servers: []Server{{ID: "s1", Kind: "cache", State: Draining}}},
-		{Scope: Changes, Servers: []Server{{ID: "s1", Kind: "cache", State: Dead}}},
-		{Scope: Full, Servers: []Server{{ID: "o", Kind: "origin"}, {ID: "s2", Kind: "cache"}}},
+	for _, list := range []EndpointUpdate{
+		{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", State: Draining}}},
+		{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", State: Removed}}},
+		{Scope: FullUpdate, Servers: []Server{{ID: "o", Kind: "origin"}, {ID: "s2", Kind: "cache"}}},
 	} {
 		b := newBench(t, testSettings(), "s1", "s2")
 		b.do(list)
@@ -449,12 +449,12 @@
 				t.Fatal("sent to a server that drains or is gone")
 			}
 		}
-		b.do(List{Scope: Changes, Servers: []Server{{ID: "s2", Kind: "cache", State: Dead}}})
+		b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s2", Kind: "cache", State: Removed}}})
 		if _, actions := b.ask("high", "x", nil); b.sentTo(actions) != "o" {
 			t.Error("without cache servers a read should go to the origin")
 		}
-		b.do(List{Scope: Full})
-		if _, actions := b.ask("high", "y", nil); len(find[Refuse](actions)) != 1 {
+		b.do(EndpointUpdate{Scope: FullUpdate})
+		if _, actions := b.ask("high", "y", nil); len(find[Reject](actions)) != 1 {
 			t.Errorf("without any server: %v, want a refusal", actions)
 		}
 	}
@@ -469,14 +469,14 @@
 				sent++
 			}
 			b.now += 5 * ms
-			b.end(id, OK, 5*ms)
+			b.end(id, Succeeded, 5*ms)
 		}
 		return sent
 	}
 	warm := cold(600)
 	b.now += upkeepEvery
-	b.do(Timer{housekeep})
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s3", Kind: "cache", Started: b.now, Units: 1}}})
+	b.do(TimerFired{housekeep})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s3", Kind: "cache", StartedAt: b.now, Capacity: 1}}})
 	if fresh := cold(600); fresh == 0 || fresh > warm*6/10 {
 		t.Errorf("a server that just started was sent %d, when warm %d", fresh, warm)
 	}
@@ -485,7 +485,7 @@
 		t.Errorf("a warm server was sent %d, want about %d", back, warm)
 	}
 	// One hot key must not push it over either: all reads of a key it owns come at once.
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s3", Kind: "cache", Started: b.now, Units: 1}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s3", Kind: "cache", StartedAt: b.now, Capacity: 1}}})
 	owned := ""
 	for i := 0; owned == "" && i < 1000; i++ {
 		if key := fmt.Sprint("o", i); b.owner(key) == "s3" {
@@ -506,10 +506,10 @@
 
 func TestManyRoutersTogetherSpareAColdServer(t *testing.T) {
 	set := testSettings()
-	set.Routers = 400
+	set.Nodes = 400
 	names := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
 	b := newBench(t, set, names...)
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s1", Kind: "cache", Started: b.now, Units: 1}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", StartedAt: b.now, Capacity: 1}}})
 	hot := "" // a key that s1 owns even when cold
 	for i := 0; hot == ""; i++ {
 		if key := fmt.Sprint("h", i); b.owner(key) == "s1" {
@@ -517,7 +517,7 @@
 		}
 	}
 	sent, offered := 0, 0
-	for seed := range uint64(set.Routers) {
+	for seed := range uint64(set.Nodes) {
 		b := newBench(t, set, names...)
 		b.r.rng = rand.New(rand.NewPCG(seed, 1))
 		for i := range 40 { // a popular key of s1 brings a third of all requests
@@ -527,9 +527,9 @@
 				key = hot
 			}
 			id, actions := b.ask("high", key, nil)
-			b.do(Outcome{ID: id, Reason: OK, Took: ms, Ended: true})
+			b.do(Outcome{ID: id, Reason: Succeeded, Took: ms, Ended: true})
 			if i == 20 {
-				b.do(List{Scope: Changes, Servers: []Server{{ID: "s1", Kind: "cache", Started: b.now, Units: 1}}})
+				b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", StartedAt: b.now, Capacity: 1}}})
 			}
 			if i > 20 && i <= 26 {
 				offered++
@@ -578,9 +578,9 @@
 	over, within := 0, 0
 	for i := range 60 {
 		_, actions := b.ask("high", fmt.Sprint("x", i), of)
-		over += len(find[Refuse](actions))
+		over += len(find[Reject](actions))
 		_, actions = b.ask("high", fmt.Sprint("y", i), nil)
-		within += len(find[Refuse](actions))
+		within += len(find[Reject](actions))
 	}
 	if over == 0 || within > 0 {
 		t.Errorf("refused %d beyond the share and %d within, want some and none", over, within)
@@ -607,7 +607,7 @@
 		if b.sent[id] == 0 || len(b.r.origin.gauge.out) == 0 {
 			continue
 		}
-		for _, next := range find[Send](b.end(id, OK, 50*ms)) {
+		for _, next := range find[Send](b.end(id, Succeeded, 50*ms)) {
 			if next.ID != within {
 				t.Errorf("request %d went before the write within its share, %d", next.ID, within)
 			}
@@ -623,9 +623,9 @@
 		probes []Reason
 		silent bool
 	}{
-		{"answered probe", []Reason{OK}, false},
+		{"answered probe", []Reason{Succeeded}, false},
 		{"turned away: the probe found a crowded process", []Reason{Rejected, Rejected}, false},
-		{"one failed probe of a crowded server", []Reason{TimedOut, OK}, false},
+		{"one failed probe of a crowded server", []Reason{TimedOut, Succeeded}, false},
 		{"two failed probes", []Reason{TimedOut, TimedOut}, true},
 	}
 	for _, tt := range tests {
@@ -634,17 +634,17 @@
 			for i := range 40 {
 				id, _ := b.ask("high", fmt.Sprint(i), nil)
 				b.now += 20 * ms
-				b.end(id, OK, 20*ms)
+				b.end(id, Succeeded, 20*ms)
 			}
 			id, actions := b.ask("high", "k", func(q *Request) { q.Deadline += time.Minute })
 			lost := b.sentTo(actions)
-			for b.now += 2 * time.Second; len(find[Probe](actions)) == 0; b.now += upkeepEvery {
-				actions = b.do(Timer{housekeep})
+			for b.now += 2 * time.Second; len(find[HealthCheck](actions)) == 0; b.now += upkeepEvery {
+				actions = b.do(TimerFired{housekeep})
 			}
 			actions = nil
 			for _, reason := range tt.probes {
 				b.now += 300 * ms
-				actions = append(actions, b.do(Probed{Server: lost, Reason: reason})...)
+				actions = append(actions, b.do(HealthChecked{Server: lost, Reason: reason})...)
 			}
 			if cancels := find[Cancel](actions); (len(cancels) == 1 && cancels[0].ID == id) != tt.silent {
 				t.Fatalf("cancelled %v, want so: %v", cancels, tt.silent)
@@ -656,7 +656,7 @@
 				t.Error("repeated on the silent server")
 			}
 			b.now += 3 * time.Second
-			b.do(Probed{Server: lost, Reason: OK})
+			b.do(HealthChecked{Server: lost, Reason: Succeeded})
 			if s := b.r.byID[lost]; s.silent || b.r.warmth(s) > 0.3 {
 				t.Error("after an answered probe the server should be back, and cold")
 			}
@@ -669,7 +669,7 @@
 	id, actions := b.ask("high", "k", nil)
 	first := b.sentTo(actions)
 	actions = b.end(id, NoConnection, 250*ms)
-	if b.sentTo(actions) == first || len(find[Probe](actions)) != 1 {
+	if b.sentTo(actions) == first || len(find[HealthCheck](actions)) != 1 {
 		t.Errorf("want the next server and a probe, got %v", actions)
 	}
 	if b.r.byID[first].silent {
@@ -679,17 +679,17 @@
 
 func TestListCallsBackOff(t *testing.T) {
 	set := testSettings()
-	set.MustAsk, set.DrainGrace = true, 2500*ms
+	set.MustPoll, set.DrainGrace = true, 2500*ms
 	b := newBench(t, set, "s1")
 	var gaps []time.Duration
 	last := b.now
 	for range 5 {
 		for n := 0; n == 0; b.now += upkeepEvery {
-			n = len(find[Subscribe](b.do(Timer{housekeep})))
+			n = len(find[Subscribe](b.do(TimerFired{housekeep})))
 		}
 		gaps = append(gaps, b.now-last)
 		last = b.now
-		b.do(List{Scope: Failed})
+		b.do(EndpointUpdate{Scope: PollFailed})
 	}
 	if gaps[4] < 2*gaps[1] {
 		t.Errorf("waits between calls %v do not grow", gaps)
@@ -698,10 +698,10 @@
 		t.Error("a failed call should leave the last list in force")
 	}
 	b.now += time.Minute
-	b.do(Timer{housekeep})
-	b.do(List{Scope: Changes})
+	b.do(TimerFired{housekeep})
+	b.do(EndpointUpdate{Scope: DeltaUpdate})
 	for range 400 {
-		if b.now += upkeepEvery; len(find[Subscribe](b.do(Timer{housekeep}))) > 0 {
+		if b.now += upkeepEvery; len(find[Subscribe](b.do(TimerFired{housekeep}))) > 0 {
 			t.Fatal("asked again though subscribed")
 		}
 	}
@@ -709,30 +709,30 @@
 
 func TestUnknownIsIgnored(t *testing.T) {
 	b := newBench(t, testSettings(), "s1")
-	for _, ev := range []Event{Outcome{ID: 99}, Gone{99}, Streaming{ID: 99}, Timer{99}, Probed{Server: "x"}} {
+	for _, ev := range []Event{Outcome{ID: 99}, ClientDisconnected{99}, ResponseStarted{ID: 99}, TimerFired{99}, HealthChecked{Server: "x"}} {
 		if got := b.do(ev); len(got) != 0 {
 			t.Errorf("%T: %v", ev, got)
 		}
 	}
 	id, _ := b.ask("high", "k", nil)
-	if got := b.do(Outcome{ID: id, Attempt: 7, Reason: OK}); len(got) != 0 {
+	if got := b.do(Outcome{ID: id, Attempt: 7, Reason: Succeeded}); len(got) != 0 {
 		t.Errorf("outcome of an attempt never made: %v", got)
 	}
 }
 
 func TestNewNamesTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Routers":     func(s *Settings) { s.Routers = 0 },
+		"Routers":     func(s *Settings) { s.Nodes = 0 },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"ColdFrom":    func(s *Settings) { s.ColdFrom = 2 },
-		"WarmAfter":   func(s *Settings) { s.WarmAfter = -1 },
-		"FallFactor":  func(s *Settings) { s.FallFactor = 0 },
+		"ColdFrom":    func(s *Settings) { s.SlowStartFloor = 2 },
+		"WarmAfter":   func(s *Settings) { s.SlowStartDuration = -1 },
+		"FallFactor":  func(s *Settings) { s.OverloadFactor = 0 },
 		"Classes":     func(s *Settings) { s.Classes = nil },
-		"Worth":       func(s *Settings) { s.Classes[0].Worth = -1 },
+		"Worth":       func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
 		"Quota":       func(s *Settings) { s.Tenants[0].Quota = -1 },
 
-		"ConnectionPrice": func(s *Settings) { s.ConnectionPrice = -1 },
-		"HandshakePrice":  func(s *Settings) { s.HandshakePrice = math.NaN() },
+		"ConnectionPrice": func(s *Settings) { s.ConnectionCost = -1 },
+		"HandshakePrice":  func(s *Settings) { s.HandshakeCost = math.NaN() },
 	} {
 		set := testSettings()
 		spoil(&set)
@@ -773,14 +773,14 @@
 func TestIdleConnectionsOfManyRoutersAreClosed(t *testing.T) {
 	for routers, want := range map[int]int{3: 0, 300: 1} {
 		set := testSettings()
-		set.Routers, set.ConnectionPrice, set.HandshakePrice = routers, 0.03, 0.03
+		set.Nodes, set.ConnectionCost, set.HandshakeCost = routers, 0.03, 0.03
 		b := newBench(t, set, "s1")
 		first, _ := b.ask("high", "k", nil)
 		second, _ := b.ask("high", "k", nil)
-		if got := find[Close](b.end(first, OK, ms)); len(got) != 0 {
+		if got := find[CloseIdle](b.end(first, Succeeded, ms)); len(got) != 0 {
 			t.Errorf("%d routers: closed with an attempt out: %v", routers, got)
 		}
-		if got := find[Close](b.end(second, OK, ms)); len(got) != want {
+		if got := find[CloseIdle](b.end(second, Succeeded, ms)); len(got) != want {
 			t.Errorf("%d routers: closes %v, want %d", routers, got, want)
 		}
 	}
@@ -788,7 +788,7 @@
 
 func TestSmallShareOfATenantIsNotTakenForExcess(t *testing.T) {
 	set := testSettings()
-	set.Routers = 40 // so the share is half a request a second here
+	set.Nodes = 40 // so the share is half a request a second here
 	b := newBench(t, set, "s1")
 	of := func(q *Request) { q.Tenant = "t" }
 	beyond := func(gap time.Duration) (n int) {
@@ -797,7 +797,7 @@
 			if b.r.requests[id].beyond {
 				n++
 			}
-			b.end(id, OK, 50*ms)
+			b.end(id, Succeeded, 50*ms)
 			b.now += gap
 		}
 		return n
@@ -820,7 +820,7 @@
 	}{"origin calm": {true, 4, true}, "one of four is full": {false, 1, true}, "two of four are full": {false, 2, true}, "all are full": {false, 4, false}} {
 		b := learnt(t, "s4")
 		if !test.calm {
-			b.feed(20, 300*ms, OK)
+			b.feed(20, 300*ms, Succeeded)
 		}
 		for _, budget := range b.r.budgets { // nothing saved up, where that is not the question
 			for !test.calm && budget.Second(b.now) {
@@ -854,7 +854,7 @@
 	b.now += time.Minute
 	for range 4 { // one fetch in two seconds
 		b.now += 2 * time.Second
-		b.feed(1, 900*ms, OK)
+		b.feed(1, 900*ms, Succeeded)
 	}
 	if target, _ := b.r.origin.gauge.utilisation(b.now); target < thresholds[degraded] {
 		t.Errorf("utilisation %.2f after four slow fetches in eight seconds, want past a threshold", target)
@@ -867,7 +867,7 @@
 
 func TestJamAtTheStartIsSeen(t *testing.T) {
 	b := newBench(t, testSettings(), "s1", "s2", "s3")
-	b.feed(12, 1500*ms, OK) // three times the shortest aim, from the first fetch on
+	b.feed(12, 1500*ms, Succeeded) // three times the shortest aim, from the first fetch on
 	if target, maximum := b.r.origin.gauge.utilisation(b.now); target < 0.9 || maximum < 0.9 {
 		t.Errorf("utilisation %.2f/%.2f of an origin that was jammed from the start", target, maximum)
 	}
@@ -876,7 +876,7 @@
 func TestPartsOfHotKeysCountAtColdServers(t *testing.T) {
 	b := newBench(t, testSettings(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 	var hot []string // keys that s1 does not own but is next for, when cold
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s1", Kind: "cache", Started: b.now, Units: 1}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", StartedAt: b.now, Capacity: 1}}})
 	for i := 0; len(hot) < 3; i++ {
 		slot := mix(hash(fmt.Sprint("h", i))%slots + 1)
 		_, at := b.r.next(slot, 0, &request{})
@@ -891,7 +891,7 @@
 		if b.sentTo(actions) == "s1" {
 			sent++
 		}
-		b.end(id, OK, 5*ms)
+		b.end(id, Succeeded, 5*ms)
 	}
 	// Spread evenly s1 would get an eighth, 75; it can do at least a fifth of that, and the rule allows thrice.
 	if sent > 45 {
@@ -902,7 +902,7 @@
 func TestServersThatLeftAreForgotten(t *testing.T) {
 	b := newBench(t, testSettings(), "s0")
 	for i := range 200 {
-		b.do(List{Scope: Full, Servers: []Server{{ID: "o", Kind: "origin"}, {ID: fmt.Sprint("s", i), Kind: "cache"}}})
+		b.do(EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: "o", Kind: "origin"}, {ID: fmt.Sprint("s", i), Kind: "cache"}}})
 	}
 	if n := len(b.r.servers); n != 2 || len(b.r.byID) != 2 {
 		t.Errorf("%d servers are held, want the two that are listed", n)
@@ -933,9 +933,9 @@
 	set := testSettings()
 	set.Zone = "a"
 	b := newBench(t, set, "s1", "s2")
-	far := List{Scope: Changes}
+	far := EndpointUpdate{Scope: DeltaUpdate}
 	for i := range 8 {
-		far.Servers = append(far.Servers, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Units: 1})
+		far.Servers = append(far.Servers, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Capacity: 1})
 	}
 	b.do(far)
 	toFar := func(n int, reason Reason) (sent int) {
@@ -951,7 +951,7 @@
 				}
 			}
 			if b.r.requests[id] != nil {
-				b.end(id, OK, 20*ms)
+				b.end(id, Succeeded, 20*ms)
 			}
 		}
 		return sent
@@ -959,8 +959,8 @@
 	if n := toFar(50, NoConnection); n > cutOff {
 		t.Errorf("%d attempts into a zone that is cut off, want %d", n, cutOff)
 	}
-	b.do(Probed{Server: "far3", Reason: OK}) // a sign of life from any of its servers
-	if n := toFar(50, OK); n == 0 {
+	b.do(HealthChecked{Server: "far3", Reason: Succeeded}) // a sign of life from any of its servers
+	if n := toFar(50, Succeeded); n == 0 {
 		t.Error("a zone that is back in reach is still left out")
 	}
 }
@@ -970,11 +970,11 @@
 	for i := range 600 { // a storm: clients ask again and again, one request in ten is answered
 		id, actions := b.ask("high", fmt.Sprint("k", i), nil)
 		if i%10 == 0 && len(find[Send](actions)) == 1 {
-			b.end(id, OK, 5*ms)
+			b.end(id, Succeeded, 5*ms)
 		}
-		b.do(Gone{id})
+		b.do(ClientDisconnected{id})
 	}
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s3", Kind: "cache", Started: b.now, Units: 1}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s3", Kind: "cache", StartedAt: b.now, Capacity: 1}}})
 	cold, taken := b.r.byID["s3"], 0
 	cold.asked = 0
 	for range 100 {
@@ -992,16 +992,16 @@
 func TestProbesOfASilentServerArePacedByTheNumberOfRouters(t *testing.T) {
 	for routers, want := range map[int][2]int{2: {15, 20}, 400: {4, 5}} {
 		set := testSettings()
-		set.Routers = routers
+		set.Nodes = routers
 		b := newBench(t, set, "s1", "s2")
 		b.r.silence(b.r.byID["s1"])
 		probes := 0
 		for range 80 { // twenty seconds
 			b.now += upkeepEvery
-			for _, p := range find[Probe](b.do(Timer{housekeep})) {
+			for _, p := range find[HealthCheck](b.do(TimerFired{housekeep})) {
 				if p.Server == "s1" {
 					probes++
-					b.do(Probed{Server: "s1", Reason: TimedOut})
+					b.do(HealthChecked{Server: "s1", Reason: TimedOut})
 				}
 			}
 		}
@@ -1027,7 +1027,7 @@
 			continue
 		}
 		b.now = set.At
-		for _, again := range find[SetTimer](b.do(Timer{Token: waits})) {
+		for _, again := range find[SetTimer](b.do(TimerFired{Token: waits})) {
 			if again.At <= b.now {
 				t.Fatalf("woken at %v, it waits for %v", b.now, again.At)
 			}
--- a/internal/policy/decay/tally.go
+++ b/internal/policy/decay/tally.go
@@ -35,7 +35,7 @@
 
 // Keys counts requests by key. Counts fade by making later ones weigh more.
 type Keys struct {
-	counts   map[gossip.Mark]float64
+	counts   map[gossip.Fingerprint]float64
 	all, one float64 // all counts, and what one request counts now
 	at       Time
 	sweepAt  Time // when keys that are no longer asked for are dropped next
@@ -43,9 +43,9 @@
 
 // Count counts a request for a key, in front of so many servers. Samples of other nodes count as own requests do: each
 // is told with the same chance, so the shares are those of the whole fleet.
-func (k *Keys) Count(now Time, key gossip.Mark, servers float64) {
+func (k *Keys) Count(now Time, key gossip.Fingerprint, servers float64) {
 	if k.counts == nil {
-		k.counts, k.one = map[gossip.Mark]float64{}, 1
+		k.counts, k.one = map[gossip.Fingerprint]float64{}, 1
 	}
 	k.one = Weight(k.all, k.one, now-k.at, window, enough*servers, age)
 	k.all, k.at = k.all+k.one, now
@@ -53,12 +53,12 @@
 }
 
 // Heat is the part of an average server's requests that other requests for the key bring.
-func (k *Keys) Heat(key gossip.Mark, servers float64) float64 {
+func (k *Keys) Heat(key gossip.Fingerprint, servers float64) float64 {
 	return max(0, k.counts[key]-k.one) / max(k.all+prior*servers*k.one, 1e-9) * servers
 }
 
 // Met tells whether the key was counted before the request in hand.
-func (k *Keys) Met(key gossip.Mark) bool { return k.counts[key] > 1.5*k.one }
+func (k *Keys) Met(key gossip.Fingerprint) bool { return k.counts[key] > 1.5*k.one }
 
 // Sweep drops keys that are no longer asked for and scales the counts back, now and then.
 func (k *Keys) Sweep(now Time) {
--- a/internal/policy/decay/tally_test.go
+++ b/internal/policy/decay/tally_test.go
@@ -16,7 +16,7 @@
 	run := func(d time.Duration, hot bool) {
 		for end := now + d; now < end; now += time.Second / 700 {
 			n++
-			key := gossip.Mark(n)
+			key := gossip.Fingerprint(n)
 			if hot && n%10 == 0 {
 				key = 0
 			}
@@ -43,7 +43,7 @@
 	most := 0
 	for i := range 200_000 {
 		now := Time(i) * 10 * time.Millisecond
-		k.Count(now, gossip.Mark(i), 200)
+		k.Count(now, gossip.Fingerprint(i), 200)
 		k.Sweep(now)
 		most = max(most, k.Len())
 	}
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -9,8 +9,8 @@
 
 func Example() {
 	r, err := policy.New(policy.Settings{
-		Routers: 1, OriginKind: "origin", MaxAttempts: 3, FallFactor: 3, MaxRetryAfter: time.Second,
-		Classes: []policy.Class{{Name: "read", Worth: 1, Aim: time.Second}},
+		Nodes: 1, OriginKind: "origin", MaxAttempts: 3, OverloadFactor: 3, MaxRetryAfter: time.Second,
+		Classes: []policy.Class{{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -24,20 +24,20 @@
 		}
 	}
 	now := time.Minute
-	show(now, policy.List{Scope: policy.Full, Servers: []policy.Server{
+	show(now, policy.EndpointUpdate{Scope: policy.FullUpdate, Servers: []policy.Server{
 		{ID: "cache-1", Kind: "cache"}, {ID: "ledger", Kind: "origin"}}})
 	// A request served.
 	show(now, policy.Request{ID: 1, Key: "item/1", Class: "read", Deadline: now + time.Second})
-	show(now, policy.Outcome{ID: 1, Reason: policy.OK, Took: time.Millisecond, Ended: true})
+	show(now, policy.Outcome{ID: 1, Reason: policy.Succeeded, Took: time.Millisecond, Ended: true})
 	// A miss fetched.
 	show(now, policy.Request{ID: 2, Key: "item/2", Class: "read", Deadline: now + time.Second})
 	show(now, policy.Outcome{ID: 2, Reason: policy.Miss, Took: time.Millisecond})
 	// A refusal: no server is left.
-	show(now, policy.List{Scope: policy.Full})
+	show(now, policy.EndpointUpdate{Scope: policy.FullUpdate})
 	show(now, policy.Request{ID: 3, Key: "item/3", Class: "read", Deadline: now + time.Second})
 	// Output:
-	// policy.Send {ID:1 Server:cache-1 By:0s}
-	// policy.Send {ID:2 Server:cache-1 By:0s}
-	// policy.Send {ID:2 Server:ledger By:0s}
-	// policy.Refuse {ID:3 RetryAfter:1s}
+	// policy.Send {ID:1 Server:cache-1 WriteBy:0s}
+	// policy.Send {ID:2 Server:cache-1 WriteBy:0s}
+	// policy.Send {ID:2 Server:ledger WriteBy:0s}
+	// policy.Reject {ID:3 RetryAfter:1s}
 }
--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Why is what a router makes of one key at this moment, for operators. It decides nothing and changes nothing.
-type Why struct {
-	Key     string      `json:"key"`
-	Heat    float64     `json:"heat"`    // part of an average server's requests that other requests for the key bring
-	Servers []WhyServer `json:"servers"` // in the order in which the key would go to them, then those that it would not go to
-	Origin  *WhyOrigin  `json:"origin,omitempty"`
+// Explanation is what a router makes of one key at this moment, for operators. It decides nothing and changes nothing.
+type Explanation struct {
+	Key     string              `json:"key"`
+	Heat    float64             `json:"heat"`    // part of an average server's requests that other requests for the key bring
+	Servers []ServerExplanation `json:"servers"` // in the order in which the key would go to them, then those that it would not go to
+	Origin  *OriginExplanation  `json:"origin,omitempty"`
 }
 
-// WhyServer is one cache server of a Why.
-type WhyServer struct {
+// ServerExplanation is one cache server of a Why.
+type ServerExplanation struct {
 	Server string   `json:"server"`
 	Zone   string   `json:"zone"`
 	Warmth float64  `json:"warmth"`     // share of its slots that it has as a cold one
@@ -21,8 +21,8 @@
 	Not    []string `json:"not,omitempty"`
 }
 
-// WhyOrigin is how the origin does.
-type WhyOrigin struct {
+// OriginExplanation is how the origin does.
+type OriginExplanation struct {
 	Slow    float64 `json:"slow_share"`
 	Target  float64 `json:"target_ms"` // over which an answer is slow, learned from quiet times
 	Out     int     `json:"out"`
@@ -31,11 +31,11 @@
 }
 
 // Explain tells where a key goes, and why not elsewhere.
-func (r *Router) Explain(now Time, key string) Why {
+func (r *Router) Explain(now Time, key string) Explanation {
 	was := r.now
 	r.now = now
 	defer func() { r.now = was }()
-	w := Why{Key: key, Heat: r.heat(key), Servers: []WhyServer{}}
+	w := Explanation{Key: key, Heat: r.heat(key), Servers: []ServerExplanation{}}
 	slot, q := mix(hash(key)%slots+1), &request{}
 	seen := map[*server]bool{}
 	for s, at := r.next(slot, 0, q); s != nil; s, at = r.next(slot, at, q) {
@@ -52,9 +52,9 @@
 			text  string
 		}{
 			{!s.listed, "not in the list"}, {s.listed && s.State != Live, "drains, or is gone"},
-			{s.silent && (r.set.Probes || s.breaker.Open(now)), "silent"},
-			{r.set.Probes && s.Zone != r.set.Zone && r.unreached[s.Zone] >= cutOff, "its zone does not answer"},
-			{s.opinion.Keep < 1 && unit(mix(slot+s.hash)) >= s.opinion.Keep, fmt.Sprintf("does badly and keeps %.2f of its keys, not this one", s.opinion.Keep)},
+			{s.silent && (r.set.MayHealthCheck || s.breaker.Open(now)), "silent"},
+			{r.set.MayHealthCheck && s.Zone != r.set.Zone && r.unreached[s.Zone] >= cutOff, "its zone does not answer"},
+			{s.opinion.KeptFraction < 1 && unit(mix(slot+s.hash)) >= s.opinion.KeptFraction, fmt.Sprintf("does badly and keeps %.2f of its keys, not this one", s.opinion.KeptFraction)},
 		} {
 			if reason.holds {
 				e.Not = append(e.Not, reason.text)
@@ -65,16 +65,16 @@
 	if o := r.origin; o != nil {
 		g := o.gauge
 		slow, _ := g.utilisation(now)
-		w.Origin = &WhyOrigin{Slow: slow, Target: g.target.Seconds() * 1000, Out: len(g.out), Most: r.gate.Limit(), Waiting: r.line.Len()}
+		w.Origin = &OriginExplanation{Slow: slow, Target: g.target.Seconds() * 1000, Out: len(g.out), Most: r.gate.Limit(), Waiting: r.line.Len()}
 	}
 	return w
 }
 
-func (r *Router) why(s *server) WhyServer {
+func (r *Router) why(s *server) ServerExplanation {
 	g, pool := s.gauge, r.pool // copies: what looks at them lets them fade
 	if g.pool != nil {
 		g.pool = &pool
 	}
 	slow, _ := g.utilisation(r.now)
-	return WhyServer{Server: s.ID, Zone: s.Zone, Warmth: r.warmth(s), Keeps: s.opinion.Keep, Slow: slow, Out: len(g.out)}
+	return ServerExplanation{Server: s.ID, Zone: s.Zone, Warmth: r.warmth(s), Keeps: s.opinion.KeptFraction, Slow: slow, Out: len(g.out)}
 }
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -15,7 +15,7 @@
 // step, or are lost.
 type fleet struct {
 	benches []*bench
-	waiting []Heard
+	waiting []GossipReceived
 	lost    float64
 	rng     *rand.Rand
 	told    int // bytes, by receiver
@@ -25,7 +25,7 @@
 func newFleet(t *testing.T, routers int, peers bool, lost float64, servers ...string) *fleet {
 	f := &fleet{lost: lost, rng: rand.New(rand.NewPCG(1, 1))}
 	set := testSettings()
-	set.Routers, set.Peers, set.DrainGrace = routers, peers, 2500*ms
+	set.Nodes, set.MayGossip, set.DrainGrace = routers, peers, 2500*ms
 	for i := range routers {
 		b := newBench(t, set, servers...)
 		b.r.rng = rand.New(rand.NewPCG(uint64(i), 7))
@@ -38,22 +38,22 @@
 func (f *fleet) take(from int, actions []Action, down func(server string) bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Tell:
-			f.waiting = append(f.waiting, Heard{From: from, Data: a.Data})
+		case Gossip:
+			f.waiting = append(f.waiting, GossipReceived{From: from, Data: a.Data})
 			f.told += len(a.Data) * (len(f.benches) - 1)
-		case Probe:
+		case HealthCheck:
 			f.probes++
-			reason := OK
+			reason := Succeeded
 			if down(a.Server) {
 				reason = NoConnection
 			}
-			f.take(from, f.benches[from].do(Probed{Server: a.Server, Reason: reason}), down)
+			f.take(from, f.benches[from].do(HealthChecked{Server: a.Server, Reason: reason}), down)
 		}
 	}
 }
 
 // turn is 10 ms of one router: messages arrive, and four times a second it looks around.
-func (f *fleet) turn(n, i int, heard []Heard, down func(server string) bool) {
+func (f *fleet) turn(n, i int, heard []GossipReceived, down func(server string) bool) {
 	b := f.benches[i]
 	b.now += 10 * ms
 	for _, h := range heard {
@@ -62,12 +62,12 @@
 		}
 	}
 	if (n+i)%25 == 0 {
-		f.take(i, b.do(Timer{Token: housekeep}), down)
+		f.take(i, b.do(TimerFired{Token: housekeep}), down)
 	}
 }
 
 // arrived is what was told since the last step.
-func (f *fleet) arrived() []Heard {
+func (f *fleet) arrived() []GossipReceived {
 	heard := f.waiting
 	f.waiting = nil
 	return heard
@@ -103,7 +103,7 @@
 			asked[sends[0].Server]++
 			reason, took := answer(sends[0].Server), 10*ms
 			if reason == TimedOut { // in this test: slow
-				reason, took = OK, 2*time.Second
+				reason, took = Succeeded, 2*time.Second
 			}
 			actions = b.end(id, reason, took)
 			f.take(i, actions, down)
@@ -133,7 +133,7 @@
 					if s == "s20" && !well {
 						return bad
 					}
-					return OK
+					return Succeeded
 				})
 				switch {
 				case n < 800: // eight seconds, as a server has six requests in one
@@ -178,7 +178,7 @@
 				if s == "s15" && down(n) {
 					return NoConnection
 				}
-				return OK
+				return Succeeded
 			})
 			if peers && n == 600 && silent() < 55 {
 				t.Errorf("after 3 s %d of 60 routers know that it is down", silent())
@@ -200,30 +200,30 @@
 // TestHearsayIsNotPassedOn: or it would go round for ever.
 func TestHearsayIsNotPassedOn(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.Peers = 3, true
+	set.Nodes, set.MayGossip = 3, true
 	b := newBench(t, set, "s1", "s2", "s3")
 	teller := newBench(t, set, "s1", "s2", "s3")
-	teller.r.byID["s1"].opinion.Judge(1, 0)
+	teller.r.byID["s1"].opinion.Update(1, 0)
 	for range 5 {
-		teller.r.talk.Saw(&teller.r.byID["s1"].opinion, 0, true, 0)
+		teller.r.talk.AttemptEnded(&teller.r.byID["s1"].opinion, 0, true, 0)
 	}
-	teller.r.talk.Silent(teller.r.byID["s2"].opinion.Mark)
-	data := teller.r.talk.Due(time.Hour, 0)
+	teller.r.talk.Unresponsive(teller.r.byID["s2"].opinion.Fingerprint)
+	data := teller.r.talk.NextDatagram(time.Hour, 0)
 	b.now += 5 * time.Second
-	actions := slices.Concat(b.do(Heard{1, data}), b.do(Heard{2, data}))
-	if !b.r.byID["s2"].silent || b.r.byID["s1"].opinion.Keep == 1 {
+	actions := slices.Concat(b.do(GossipReceived{1, data}), b.do(GossipReceived{2, data}))
+	if !b.r.byID["s2"].silent || b.r.byID["s1"].opinion.KeptFraction == 1 {
 		t.Fatal("nothing was believed")
 	}
 	for range 8 {
 		b.now += time.Second
-		actions = append(actions, b.do(Timer{Token: housekeep})...)
+		actions = append(actions, b.do(TimerFired{Token: housekeep})...)
 	}
-	if told := find[Tell](actions); len(told) != 0 {
+	if told := find[Gossip](actions); len(told) != 0 {
 		t.Errorf("told %v, which it only heard", told)
 	}
 	before := b.r.byID["s1"].gauge.n
 	for _, bad := range [][]byte{nil, {}, {1}, []byte("hello, world"), append([]byte{1}, data[1:]...), append(data, 1)} {
-		b.do(Heard{1, bad})
+		b.do(GossipReceived{1, bad})
 	}
 	if b.r.byID["s1"].gauge.n != before {
 		t.Error("a malformed message counted")
@@ -234,13 +234,13 @@
 // each has one call out at a time, and the list they hold serves meanwhile.
 func TestListCallsOfAFleetAreSpread(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.MustAsk, set.DrainGrace = 80, true, 2500*ms
+	set.Nodes, set.MustPoll, set.DrainGrace = 80, true, 2500*ms
 	var routers []*bench
-	for i := range set.Routers {
+	for i := range set.Nodes {
 		b := newBench(t, set)
 		b.r.rng = rand.New(rand.NewPCG(uint64(i), 3))
 		b.r.ticking = false
-		b.do(List{Scope: Cached, Servers: []Server{{ID: "s1", Kind: "cache", Zone: "a", Units: 1}}})
+		b.do(EndpointUpdate{Scope: CachedList, Servers: []Server{{ID: "s1", Kind: "cache", Zone: "a", Capacity: 1}}})
 		routers = append(routers, b)
 	}
 	calls := func(steps int) (total, most int) {
@@ -248,7 +248,7 @@
 			n := 0
 			for _, b := range routers {
 				b.now += upkeepEvery
-				n += len(find[Subscribe](b.do(Timer{housekeep})))
+				n += len(find[Subscribe](b.do(TimerFired{housekeep})))
 			}
 			total, most = total+n, max(most, n)
 		}
@@ -263,7 +263,7 @@
 			if _, actions := b.ask("high", "k", nil); b.sentTo(actions) != "s1" {
 				t.Fatal("the list that is held should serve")
 			}
-			b.do(List{Scope: Failed})
+			b.do(EndpointUpdate{Scope: PollFailed})
 		}
 	}
 }
@@ -277,12 +277,12 @@
 	for grace, pace := range map[time.Duration]time.Duration{2500 * ms: 5 * ms, 500 * ms: 4 * ms} {
 		for _, routers := range []int{1, 4, 80, 300, 1000} {
 			set := testSettings()
-			set.Routers, set.MustAsk = routers, true
-			set.MustAskIn, set.DrainGrace = 10*time.Second, grace
+			set.Nodes, set.MustPoll = routers, true
+			set.MaxPollInterval, set.DrainGrace = 10*time.Second, grace
 			b := newBench(t, set)
-			first, again := b.r.spread(), b.r.calls.First()
+			first, again := b.r.spread(), b.r.calls.FirstBackoff()
 			most := listTold + grace
-			if worst := polling.Silence + upkeepEvery + first + listCall; worst > most {
+			if worst := polling.WatchTimeout + upkeepEvery + first + listCall; worst > most {
 				t.Errorf("%d routers: the call after a silent watch is answered up to %v after a change", routers, worst)
 			}
 			for range 10 { // the waits grow
@@ -290,11 +290,11 @@
 			}
 			b.r.calls.Jitter = func(wait time.Duration) time.Duration { return wait } // the longest there is
 			failed := b.now
-			b.do(List{Scope: Failed})
-			for len(find[Subscribe](b.do(Timer{housekeep}))) == 0 {
+			b.do(EndpointUpdate{Scope: PollFailed})
+			for len(find[Subscribe](b.do(TimerFired{housekeep}))) == 0 {
 				b.now += upkeepEvery
 			}
-			if worst := polling.CallWithin + b.now - failed + listCall; worst > most {
+			if worst := polling.CallTimeout + b.now - failed + listCall; worst > most {
 				t.Errorf("%d routers: the call after one that failed is answered up to %v after the list is back", routers, worst)
 			}
 			if worst := first + listCall + again + upkeepEvery; worst > most+upkeepEvery {
@@ -332,7 +332,7 @@
 						at++
 					}
 				}
-				f.take(i, b.end(id, OK, 10*ms), well)
+				f.take(i, b.end(id, Succeeded, 10*ms), well)
 			}
 		}
 		share[peers] = float64(at) / float64(all)
@@ -346,11 +346,11 @@
 // TestSlowServersHotKeysAreSpreadSooner: what is a server's fair share goes by its size.
 func TestSlowServersHotKeysAreSpreadSooner(t *testing.T) {
 	set := testSettings()
-	set.SizedUnits = true
+	set.WeightByCapacity = true
 	b := newBench(t, set)
-	list := List{Scope: Full, Servers: []Server{{ID: "o", Kind: "origin"}}}
+	list := EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: "o", Kind: "origin"}}}
 	for i, id := range names(20) {
-		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Units: []float64{1, 9}[i%2]})
+		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Capacity: []float64{1, 9}[i%2]})
 	}
 	b.do(list)
 	b.others(400)
@@ -360,8 +360,8 @@
 		s, _ := b.r.next(mix(hash(key)%slots+1), 0, &request{})
 		for range 6 { // 0.15 to 0.25 of a mean server's share at the end; a small one's is 0.2, a large one's 1.8
 			id, actions := b.ask("high", key, nil)
-			if to[s.Units][key] = to[s.Units][key] || b.sentTo(actions) != s.ID; true {
-				b.end(id, OK, ms)
+			if to[s.Capacity][key] = to[s.Capacity][key] || b.sentTo(actions) != s.ID; true {
+				b.end(id, Succeeded, ms)
 			}
 		}
 	}
@@ -395,7 +395,7 @@
 					b.now = now
 					b.r.rng = rand.New(rand.NewPCG(uint64(i), 8))
 				}
-				b.do(List{Scope: Changes, Servers: []Server{{ID: owner, Kind: "cache", Zone: "a", Units: 1, Started: b.now}}})
+				b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: owner, Kind: "cache", Zone: "a", Capacity: 1, StartedAt: b.now}}})
 			}
 		}
 		heard := f.arrived()
@@ -411,7 +411,7 @@
 				sent[n]++
 			}
 			f.take(i, actions, well)
-			f.take(i, b.end(id, OK, 10*ms), well)
+			f.take(i, b.end(id, Succeeded, 10*ms), well)
 		}
 	}
 	set := f.benches[0].r.set
@@ -428,7 +428,7 @@
 		total += k
 	}
 	t.Logf("at most %d in 1.5 s, %d in 6 s; a warm server is asked %.0f in 1.5 s", most, total, fair)
-	if limit := set.FallFactor * set.ColdFrom * fair; float64(most) > limit || total == 0 {
+	if limit := set.OverloadFactor * set.SlowStartFloor * fair; float64(most) > limit || total == 0 {
 		t.Errorf("%d requests reached the cold server in 1.5 s, %.0f push it over; %d in all", most, limit, total)
 	}
 }
@@ -437,13 +437,13 @@
 // one in many of the requests for a key that the others tell of.
 func TestColdServersLotsGoByWhatAllKnow(t *testing.T) {
 	set := testSettings()
-	set.Routers = 300
+	set.Nodes = 300
 	b := newBench(t, set, names(50)...)
 	b.others(400)
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s20", Kind: "cache", Zone: "a", Units: 1, Started: b.now}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s20", Kind: "cache", Zone: "a", Capacity: 1, StartedAt: b.now}}})
 	for i := range 400 { // half of what the others tell
 		for _, key := range []string{"hot", fmt.Sprint("ordinary", i%200)} {
-			b.r.keys.Count(b.now, gossip.MarkOf(hash(key)), 50)
+			b.r.keys.Count(b.now, gossip.FingerprintOf(hash(key)), 50)
 		}
 	}
 	cold := b.r.byID["s20"]
@@ -464,16 +464,16 @@
 // over the time that the whole fleet would; where they cannot be told, those of the settings count.
 func TestFleetSize(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.Peers, set.DrainGrace = 60, true, 2500*ms
+	set.Nodes, set.MayGossip, set.DrainGrace = 60, true, 2500*ms
 	b := newBench(t, set, names(4)...)
-	probe, call := b.r.again(), b.r.calls.Spread
-	b.do(Fleet{Routers: 30})
-	if b.r.again() != probe/2 || b.r.calls.Spread >= call {
-		t.Errorf("half are there: a probe after %v, calls over %v; %v and %v with all", b.r.again(), b.r.calls.Spread, probe, call)
+	probe, call := b.r.again(), b.r.calls.SpreadOver
+	b.do(FleetSize{Nodes: 30})
+	if b.r.again() != probe/2 || b.r.calls.SpreadOver >= call {
+		t.Errorf("half are there: a probe after %v, calls over %v; %v and %v with all", b.r.again(), b.r.calls.SpreadOver, probe, call)
 	}
-	b.do(Fleet{})
-	if b.r.again() != probe || b.r.calls.Spread != call {
-		t.Errorf("not told: a probe after %v, calls over %v; want %v and %v", b.r.again(), b.r.calls.Spread, probe, call)
+	b.do(FleetSize{})
+	if b.r.again() != probe || b.r.calls.SpreadOver != call {
+		t.Errorf("not told: a probe after %v, calls over %v; want %v and %v", b.r.again(), b.r.calls.SpreadOver, probe, call)
 	}
 }
 
@@ -490,11 +490,11 @@
 		f.rng = rand.New(rand.NewPCG(9, 9))
 		if duty {
 			for i, b := range f.benches {
-				who := Another
+				who := AssignedElsewhere
 				if i == 7 {
-					who = Self
+					who = AssignedHere
 				}
-				b.do(Holder{Prober, who})
+				b.do(RoleAssigned{HealthChecker, who})
 			}
 		}
 		const from, until = 200, 2200
@@ -506,7 +506,7 @@
 				if s == "s20" && n >= from && n < until {
 					return NoConnection
 				}
-				return OK
+				return Succeeded
 			})
 			if n == until-1 {
 				r.probes = f.probes
@@ -549,13 +549,13 @@
 		var words []int // routers that said so, and when
 		have := make([]bool, routers)
 		for i, b := range f.benches {
-			b.r.set.MustAsk = true
-			b.do(List{Scope: Failed}) // the watch of each breaks
-			if who := Another; duty {
+			b.r.set.MustPoll = true
+			b.do(EndpointUpdate{Scope: PollFailed}) // the watch of each breaks
+			if who := AssignedElsewhere; duty {
 				if i == 7 {
-					who = Self
+					who = AssignedHere
 				}
-				b.do(Holder{Caller, who})
+				b.do(RoleAssigned{DiscoveryPoller, who})
 			}
 		}
 		for n := 0; ; n++ {
@@ -565,10 +565,10 @@
 				b.now += 10 * ms
 				var acts []Action
 				if heard > 0 && f.rng.Float64() >= lost {
-					acts = append(acts, b.do(Word{Caller})...)
+					acts = append(acts, b.do(RoleAnnouncement{DiscoveryPoller})...)
 				}
 				if (n+i)%25 == 0 {
-					acts = append(acts, b.do(Timer{Token: housekeep})...)
+					acts = append(acts, b.do(TimerFired{Token: housekeep})...)
 				}
 				for len(acts) > 0 {
 					a := acts[0]
@@ -577,12 +577,12 @@
 					case Subscribe:
 						if at < down {
 							r.failed++
-							acts = append(acts, b.do(List{Scope: Failed})...)
+							acts = append(acts, b.do(EndpointUpdate{Scope: PollFailed})...)
 						} else {
 							have[i] = true
-							acts = append(acts, b.do(List{Scope: Changes})...)
+							acts = append(acts, b.do(EndpointUpdate{Scope: DeltaUpdate})...)
 						}
-					case Spread:
+					case Announce:
 						words = append(words, i)
 					}
 				}
@@ -609,7 +609,7 @@
 func TestBadServersKeepTheirKeysPastTheBudget(t *testing.T) {
 	share := func(budget float64) (kept float64) {
 		set := testSettings()
-		set.ServersOut, set.Peers, set.Routers = budget, true, 3
+		set.MaxEjectedFraction, set.MayGossip, set.Nodes = budget, true, 3
 		b := newBench(t, set, names(12)...)
 		var out []Server
 		for _, id := range names(3) {
@@ -617,7 +617,7 @@
 			s.State = Draining
 			out = append(out, s)
 		}
-		b.do(List{Scope: Changes, Servers: out})
+		b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: out})
 		for range 40 {
 			b.now += 50 * ms
 			for i, id := range names(12) {
@@ -625,14 +625,14 @@
 			}
 		}
 		for _, id := range names(12)[3:7] {
-			kept += b.r.byID[id].opinion.Keep / 4
+			kept += b.r.byID[id].opinion.KeptFraction / 4
 		}
-		note := gossip.Ledger{}
-		note.Silent(b.r.byID["s20"].opinion.Mark)
-		word := note.Take()
+		note := gossip.Buffer{}
+		note.Unresponsive(b.r.byID["s20"].opinion.Fingerprint)
+		word := note.Encode()
 		b.now += time.Second
-		b.do(Heard{From: 1, Data: word})
-		b.do(Heard{From: 2, Data: word})
+		b.do(GossipReceived{From: 1, Data: word})
+		b.do(GossipReceived{From: 2, Data: word})
 		if over := budget > 0; b.r.byID["s20"].silent == over {
 			t.Errorf("budget %v: a server is taken out on the word of others: %v", budget, !over)
 		}
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -10,9 +10,9 @@
 // attempts, is tried by one request at a time, and takes its keys again when it answers. The other zone is not given up.
 func TestDeadServerWithoutProbes(t *testing.T) {
 	set := testSettings()
-	set.Probes, set.Zone = false, "a"
+	set.MayHealthCheck, set.Zone = false, "a"
 	b := newBench(t, set, "s1", "s2")
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "far", Kind: "cache", Zone: "b", Units: 1}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "far", Kind: "cache", Zone: "b", Capacity: 1}}})
 	dead, at := true, map[int]int{}
 	phase := func(n int, span time.Duration) {
 		for end := b.now + span; b.now < end; b.now += 20 * ms {
@@ -29,10 +29,10 @@
 						continue
 					}
 				}
-				actions = b.end(id, OK, 10*ms)
+				actions = b.end(id, Succeeded, 10*ms)
 			}
 			if b.nextID%12 == 0 {
-				b.do(Timer{Token: housekeep})
+				b.do(TimerFired{Token: housekeep})
 			}
 		}
 	}
--- a/internal/policy/list_test.go
+++ b/internal/policy/list_test.go
@@ -53,36 +53,36 @@
 		began := f.benches[0].now
 		have := make([]Time, routers)
 		for i, b := range f.benches {
-			b.r.set.MustAsk = true
-			b.do(List{Scope: Changes}) // it has what there is
+			b.r.set.MustPoll = true
+			b.do(EndpointUpdate{Scope: DeltaUpdate}) // it has what there is
 			switch {
 			case test.moved:
 				s.call(b.now, i)
 			case test.down > 0:
-				b.do(List{Scope: Failed})
+				b.do(EndpointUpdate{Scope: PollFailed})
 			}
 		}
 		for n, left := 0, routers; left > 0; n++ {
 			for i, b := range f.benches {
 				b.now += 10 * ms
 				var acts []Action
-				if test.silent && b.now-began == polling.Silence {
-					acts = append(acts, b.do(List{Scope: Failed})...)
+				if test.silent && b.now-began == polling.WatchTimeout {
+					acts = append(acts, b.do(EndpointUpdate{Scope: PollFailed})...)
 				}
 				if (n+i)%25 == 0 {
-					acts = append(acts, b.do(Timer{Token: housekeep})...)
+					acts = append(acts, b.do(TimerFired{Token: housekeep})...)
 				}
 				if a, out := s.answer[i]; out && b.now >= a.at {
 					delete(s.answer, i)
-					scope := Failed
+					scope := PollFailed
 					if a.ok {
-						scope = Changes
+						scope = DeltaUpdate
 						if have[i] == 0 {
 							have[i] = b.now
 							left--
 						}
 					}
-					acts = append(acts, b.do(List{Scope: scope})...)
+					acts = append(acts, b.do(EndpointUpdate{Scope: scope})...)
 				}
 				for range find[Subscribe](acts) {
 					s.call(b.now, i)
@@ -111,9 +111,9 @@
 	for i := range 400 {
 		b.now += 5 * ms
 		id, _ := b.ask("high", "k"+strconv.Itoa(i), nil)
-		b.end(id, OK, 10*ms)
+		b.end(id, Succeeded, 10*ms)
 	}
-	b.do(List{Scope: Changes, Servers: []Server{{ID: "s1", Kind: "cache", Zone: "a", Units: 1, Started: b.now}}})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", Zone: "a", Capacity: 1, StartedAt: b.now}}})
 	taken := func() (n int) {
 		cold := b.r.byID["s1"]
 		for range 4000 {
@@ -127,9 +127,9 @@
 	before := taken()
 	var gone []Server
 	for _, id := range names(8)[4:] {
-		gone = append(gone, Server{ID: id, Kind: "cache", Zone: "a", Units: 1, State: Dead})
+		gone = append(gone, Server{ID: id, Kind: "cache", Zone: "a", Capacity: 1, State: Removed})
 	}
-	b.do(List{Scope: Changes, Servers: gone})
+	b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: gone})
 	if after := taken(); before == 0 || after > before*5/4 {
 		t.Errorf("of 4000 lots it had %d, and %d once half of the others had left", before, after)
 	}
@@ -147,20 +147,20 @@
 		b := newBench(t, set, "s1", "s2")
 		began := b.now
 		id, actions := b.ask(test.class, "k", nil)
-		if sends := find[Send](actions); len(sends) != 1 || sends[0].By != 0 {
+		if sends := find[Send](actions); len(sends) != 1 || sends[0].WriteBy != 0 {
 			t.Fatalf("%s: %v first", name, sends)
 		}
 		b.now += 100 * ms
 		sends := find[Send](b.end(id, test.first, 100*ms))
 		for n := 0; len(sends) == 0 && n < 100; n++ {
 			b.now += 5 * ms
-			sends = find[Send](b.do(Timer{Token: id}))
+			sends = find[Send](b.do(TimerFired{Token: id}))
 		}
 		want := Time(0)
 		if test.bound {
 			want = began + 800*ms - 2*set.Tick
 		}
-		if len(sends) != 1 || sends[0].By != want {
+		if len(sends) != 1 || sends[0].WriteBy != want {
 			t.Errorf("%s: %v again, want it by %v", name, sends, want)
 		}
 	}
@@ -173,12 +173,12 @@
 		b := newBench(t, testSettings(), "s1", "s2")
 		for range 50 { // it does well
 			id, _ := b.ask("high", "k", nil)
-			b.end(id, OK, ms)
+			b.end(id, Succeeded, ms)
 		}
 		id, actions := b.ask("low", "k", nil)
 		first := b.sentTo(actions)
 		if left {
-			b.do(List{Scope: Changes, Servers: []Server{{ID: first, Kind: "cache", Zone: "a", Units: 1, State: Draining}}})
+			b.do(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: first, Kind: "cache", Zone: "a", Capacity: 1, State: Draining}}})
 		}
 		actions = b.end(id, Rejected, ms)
 		sends := find[Send](actions)
--- a/internal/policy/locality/reach.go
+++ b/internal/policy/locality/reach.go
@@ -2,22 +2,22 @@
 // are spread over them. It has no clock and no I/O; the module applies the weight.
 package locality
 
-// Reach is the weight of a server in another zone, 1 at most. A request that crosses zones has its price, so a key is
+// CrossZoneWeight is the weight of a server in another zone, 1 at most. A request that crosses zones has its price, so a key is
 // better held in each zone that asks for it; but each copy of its own takes memory, which makes misses, and a zone may have
 // more traffic than its servers can carry. So the weight falls while nothing is crowded, step by step, as each step moves
 // keys to servers that have yet to fetch them. It rises faster, as the servers of other zones still hold what is popular
 // there. The zero value weighs all alike.
-type Reach struct {
-	// Leave is the share of requests that may leave the server which their key has when all weigh alike, for one of the
+type CrossZoneWeight struct {
+	// AffinityBudget is the share of requests that may leave the server which their key has when all weigh alike, for one of the
 	// own zone. The design wants a key at one server; DefaultLeave keeps that, 1 lets each zone hold its own.
-	Leave float64
+	AffinityBudget float64
 
 	far float64 // 1 less the weight
 }
 
-// DefaultLeave leaves a key's server 0.85 of its first sends, as the design is judged by, beside what spread of hot keys,
+// DefaultAffinityBudget leaves a key's server 0.85 of its first sends, as the design is judged by, beside what spread of hot keys,
 // cold servers and crowds take of the rest: 0.09 to 0.11 on the quiet days of two deployments.
-const DefaultLeave = 0.04
+const DefaultAffinityBudget = 0.04
 
 // What a step changes, and where it stops. A step is taken four times a second.
 const (
@@ -39,10 +39,10 @@
 }
 
 // Weight is that of a server in another zone.
-func (r *Reach) Weight() float64 { return 1 - r.far }
+func (r *CrossZoneWeight) Weight() float64 { return 1 - r.far }
 
 // Step follows the load.
-func (r *Reach) Step(l Load) {
+func (r *CrossZoneWeight) Step(l Load) {
 	weight := r.Weight()
 	switch {
 	case l.Origin > calm || l.All > calm || l.Waiting > 0:
@@ -57,9 +57,9 @@
 
 // floor is the weight at which so many requests leave as may. By highest hash a server of the own zone wins what it had
 // and a part of the rest: with a share h of all weights at home, h/(h+(1-h)w) go there, and h did.
-func (r *Reach) floor(h float64) float64 {
-	if stay := 1 - h - r.Leave; h > 0 && stay > 0 {
-		return max(least, h*stay/((h+r.Leave)*(1-h)))
+func (r *CrossZoneWeight) floor(h float64) float64 {
+	if stay := 1 - h - r.AffinityBudget; h > 0 && stay > 0 {
+		return max(least, h*stay/((h+r.AffinityBudget)*(1-h)))
 	}
 	return least
 }
--- a/internal/policy/locality/reach_test.go
+++ b/internal/policy/locality/reach_test.go
@@ -21,7 +21,7 @@
 		"the own zone is a little slower than others":  {Load{Near: 0.1, All: 0.05}, true},
 		"other zones are slow, and few servers are ok": {Load{Near: 0, All: 0.15}, true},
 	} {
-		r := Reach{Leave: 1}
+		r := CrossZoneWeight{AffinityBudget: 1}
 		for range 20 {
 			r.Step(quiet)
 		}
@@ -37,7 +37,7 @@
 func TestReachIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1)
-		r := Reach{Leave: share.Draw(t, "leave")}
+		r := CrossZoneWeight{AffinityBudget: share.Draw(t, "leave")}
 		home := share.Draw(t, "home")
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
 			r.Step(Load{Home: home, Origin: share.Draw(t, "origin"), Near: share.Draw(t, "near"), All: share.Draw(t, "all"),
@@ -46,8 +46,8 @@
 			if w < least-1e-9 || w > 1 {
 				t.Fatalf("weight %v", w)
 			}
-			if left := home/(home+(1-home)*w) - home; left > r.Leave+1e-6 {
-				t.Fatalf("%v of the requests leave at weight %v with %v of the servers at home, %v may", left, w, home, r.Leave)
+			if left := home/(home+(1-home)*w) - home; left > r.AffinityBudget+1e-6 {
+				t.Fatalf("%v of the requests leave at weight %v with %v of the servers at home, %v may", left, w, home, r.AffinityBudget)
 			}
 		}
 		for range 16 { // 4 s
@@ -62,12 +62,12 @@
 // TestLeaveIsUsed: where all is quiet the budget is used, whatever the share of the own zone.
 func TestLeaveIsUsed(t *testing.T) {
 	for _, home := range []float64{0.1, 0.25, 0.5, 0.9} {
-		r := Reach{Leave: DefaultLeave}
+		r := CrossZoneWeight{AffinityBudget: DefaultAffinityBudget}
 		for range 200 {
 			r.Step(Load{Home: home})
 		}
-		if left := home/(home+(1-home)*r.Weight()) - home; left < 0.9*DefaultLeave {
-			t.Errorf("with %v of the servers at home %v of the requests leave, %v may", home, left, DefaultLeave)
+		if left := home/(home+(1-home)*r.Weight()) - home; left < 0.9*DefaultAffinityBudget {
+			t.Errorf("with %v of the servers at home %v of the requests leave, %v may", home, left, DefaultAffinityBudget)
 		}
 	}
 }
--- a/internal/policy/origin_test.go
+++ b/internal/policy/origin_test.go
@@ -34,14 +34,14 @@
 	put, _ := b.ask("low", "w1", write)
 	lone, _ := b.miss("low", "lone", nil)
 	for _, want := range []uint64{put, hot} {
-		sends := find[Send](b.end(first, OK, 50*ms))
+		sends := find[Send](b.end(first, Succeeded, 50*ms))
 		if len(sends) == 0 || sends[0].ID != want || sends[0].Server != "o" {
 			t.Fatalf("%v went on, want request %d", sends, want)
 		}
 		first = want
 	}
 	b.now += 400 * ms // the rest can't be answered within 500 ms
-	if got := find[Refuse](b.do(Timer{Token: lone})); len(got) != 1 || got[0].ID != lone {
+	if got := find[Reject](b.do(TimerFired{Token: lone})); len(got) != 1 || got[0].ID != lone {
 		t.Errorf("refused %v, want the lone fetch", got)
 	}
 	if b.r.line.Len() != 0 || b.r.flights["lone"] != nil {
@@ -57,9 +57,9 @@
 	leader, _ := b.miss("high", "k", nil)
 	b.now += 10 * ms
 	follower, _ := b.ask("high", "k", nil)
-	b.do(Gone{ID: leader}) // the follower asks the cache server for itself, or the value would not be stored there
+	b.do(ClientDisconnected{ID: leader}) // the follower asks the cache server for itself, or the value would not be stored there
 	b.end(follower, Miss, ms)
-	sends := find[Send](b.end(first, OK, 50*ms))
+	sends := find[Send](b.end(first, Succeeded, 50*ms))
 	if len(sends) != 1 || sends[0].ID != follower {
 		t.Errorf("%v went on, want the follower %d", sends, follower)
 	}
@@ -78,7 +78,7 @@
 		if i%20 == 0 && len(out) > 0 { // ten answers a second, of 200 writes a second, in their order
 			id := out[0]
 			took := b.now - b.r.requests[id].attempts[0].at
-			sends := find[Send](b.end(id, OK, took))
+			sends := find[Send](b.end(id, Succeeded, took))
 			out = out[1:]
 			for _, s := range sends {
 				out = append(out, s.ID)
@@ -98,11 +98,11 @@
 func TestReadsStayInTheirZone(t *testing.T) {
 	for _, price := range []float64{0, 0.13} {
 		set := testSettings()
-		set.Zone, set.CrossPrice, set.LeaveOwner = "a", price, 1
+		set.Zone, set.CrossZoneCost, set.AffinityBudget = "a", price, 1
 		b := newBench(t, set, "s1", "s2", "s3")
-		far := List{Scope: Changes}
+		far := EndpointUpdate{Scope: DeltaUpdate}
 		for i := range 3 {
-			far.Servers = append(far.Servers, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Units: 1})
+			far.Servers = append(far.Servers, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Capacity: 1})
 		}
 		b.do(far)
 		cross := func(span time.Duration, took time.Duration) (share float64) {
@@ -115,13 +115,13 @@
 						away++
 					}
 				}
-				b.end(id, OK, 10*ms)
+				b.end(id, Succeeded, 10*ms)
 				w, actions := b.ask("high", fmt.Sprint("w", b.nextID), write)
 				if len(find[Send](actions)) == 1 {
-					b.end(w, OK, took)
+					b.end(w, Succeeded, took)
 				}
 				if n%10 == 0 {
-					b.do(Timer{Token: housekeep})
+					b.do(TimerFired{Token: housekeep})
 				}
 			}
 			return float64(away) / float64(n)
@@ -156,7 +156,7 @@
 		if b.owner(fmt.Sprint("k", i, "x")) == s.ID && len(find[Send](actions)) == 1 && b.sentTo(actions) == "o" {
 			past++
 		}
-		b.feed(1, 50*ms, OK)
+		b.feed(1, 50*ms, Succeeded)
 	}
 	if past == 0 {
 		t.Error("no read went past a server with a fifth of its answers slow")
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -34,9 +34,9 @@
 		all  bool    // every server is bad: a crowd
 	}{
 		{"errors", func(b *bench, id uint64) { b.end(id, Errored, ms) }, []string{"s1"}, 0.3, false},
-		{"slow", func(b *bench, id uint64) { b.end(id, OK, 2*time.Second) }, []string{"s1"}, 0.3, false},
+		{"slow", func(b *bench, id uint64) { b.end(id, Succeeded, 2*time.Second) }, []string{"s1"}, 0.3, false},
 		{"moved on from", func(b *bench, id uint64) { b.end(id, Cancelled, time.Second) }, []string{"s1"}, 0.3, false},
-		{"a crowd", func(b *bench, id uint64) { b.end(id, OK, 2*time.Second) }, []string{"s1", "s2", "s3", "s4", "s5", "s6"}, 1, true},
+		{"a crowd", func(b *bench, id uint64) { b.end(id, Succeeded, 2*time.Second) }, []string{"s1", "s2", "s3", "s4", "s5", "s6"}, 1, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				if to := b.sentTo(actions); bad[to] {
 					test.hurt(b, id)
 				} else {
-					b.end(id, OK, ms)
+					b.end(id, Succeeded, ms)
 				}
 				b.now += 5 * ms
 			}
@@ -74,7 +74,7 @@
 			}
 			for range 12 { // nothing bad is seen any more
 				b.now += time.Second
-				b.do(Timer{Token: housekeep})
+				b.do(TimerFired{Token: housekeep})
 			}
 			if !test.all && owners()["s1"] < before["s1"]*9/10 {
 				t.Errorf("s1 has %d of its %d slots long after", owners()["s1"], before["s1"])
--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -16,7 +16,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		set := testSettings()
 		if seed%2 == 1 { // one router among many, with prices that make it close idle connections
-			set.Routers, set.ConnectionPrice, set.HandshakePrice = 400, 0.03, 0.03
+			set.Nodes, set.ConnectionCost, set.HandshakeCost = 400, 0.03, 0.03
 		}
 		b := newBench(t, set, "s1", "s2", "s3", "s4")
 		twin := newBench(t, set, "s1", "s2", "s3", "s4")
@@ -44,7 +44,7 @@
 						t.Fatalf("seed %d: %v breaks a rule: %+v after %v", seed, a, q, ev)
 					}
 					q.out, q.sends = q.out+1, q.sends+1
-				case Refuse:
+				case Reject:
 					q := requests[a.ID]
 					if q.ended || q.risky && (q.Class == "unsafe" || q.Class == "keyed-zone") {
 						t.Fatalf("seed %d: %v breaks a rule: %+v", seed, a, q)
@@ -67,7 +67,7 @@
 			timers = nil
 			for _, timer := range due {
 				if timer.At <= b.now {
-					step(Timer{timer.Token})
+					step(TimerFired{timer.Token})
 				} else {
 					timers = append(timers, timer)
 				}
@@ -84,19 +84,19 @@
 				if q.out == 0 || b.now < q.Deadline && rng.IntN(20) > 0 {
 					continue
 				}
-				reason := Reason(rng.IntN(int(Spoilt) + 1))
+				reason := Reason(rng.IntN(int(CorruptResponse) + 1))
 				if b.now >= q.Deadline {
 					reason = TimedOut
 				}
 				q.out--
-				q.ended = q.ended || reason == OK
+				q.ended = q.ended || reason == Succeeded
 				q.risky = q.risky || reason == Errored || reason == TimedOut || reason == Reset || reason == Cancelled ||
-					reason == Spoilt
+					reason == CorruptResponse
 				step(Outcome{ID: id, Attempt: q.sends - 1, Reason: reason, Took: 20 * ms, Ended: q.ended})
 			}
 			if n%500 == 499 {
 				draining = fmt.Sprint("s", 1+rng.IntN(4))
-				list := List{Scope: Full, Servers: []Server{{ID: "o", Kind: "origin"}}}
+				list := EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: "o", Kind: "origin"}}}
 				for i := 1; i <= 4; i++ {
 					s := Server{ID: fmt.Sprint("s", i), Kind: "cache"}
 					if s.ID == draining {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -64,7 +64,7 @@
 	refused bool    // a connect was refused while it was silent
 	doubt   int     // hits still wanted to show that it was only cut off; 0 without a doubt
 	asked   float64 // requests, or parts of those of hot keys, that it was a choice for; counted like keys
-	opinion gossip.Opinion
+	opinion gossip.Assessment
 	breaker circuitbreaker.Breaker // where a server may not be asked whether it is there
 	gauge   gauge
 }
@@ -127,16 +127,16 @@
 	served     float64                      // answers of a cache server, counted like all: each is one of all that took keys then
 	allAt      Time
 	quickest   time.Duration // answers of cache servers of late; 0 before the first
-	byMark     map[gossip.Mark]*server
-	talk       gossip.Talk   // with the other routers
-	pace       time.Duration // between two routers' probes of a server believed silent
-	sweepAt    Time          // when counts are scaled back next
-	calls      polling.Calls // for the list
-	who        [dutyCount]Who
+	byMark     map[gossip.Fingerprint]*server
+	talk       gossip.Sender    // with the other routers
+	pace       time.Duration    // between two routers' probes of a server believed silent
+	sweepAt    Time             // when counts are scaled back next
+	calls      polling.Schedule // for the list
+	who        [roleCount]Responsibility
 	ticking    bool
 	home       gauge   // of the cache servers of the own zone
 	homePart   float64 // their share of all servers' weights
-	reach      locality.Reach
+	reach      locality.CrossZoneWeight
 	gate       admission.Concurrency    // how much may be out at the origin
 	line       admission.Line[*request] // what waits for it
 	configured int                      // how many routers the settings say share the traffic
@@ -164,32 +164,32 @@
 
 // New makes a Router. The seed feeds its only random numbers: waits, lots and the phase of refusals.
 func New(set Settings, seed uint64) (*Router, error) {
-	r := &Router{set: set, configured: set.Routers, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*Class{},
-		shares: quota.New(max(1, set.Routers)), byID: map[string]*server{}, unreached: map[string]int{},
+	r := &Router{set: set, configured: set.Nodes, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*Class{},
+		shares: quota.New(max(1, set.Nodes)), byID: map[string]*server{}, unreached: map[string]int{},
 		requests: map[uint64]*request{}, flights: map[string]*flight{},
-		byMark: map[gossip.Mark]*server{}, talk: gossip.Talk{Mute: !set.Peers, Nodes: set.Routers},
-		one: 1, reach: locality.Reach{Leave: set.LeaveOwner}, gate: admission.Concurrency{Most: gateMost}, budgets: map[*Class]*admission.Budget{}}
+		byMark: map[gossip.Fingerprint]*server{}, talk: gossip.Sender{Disabled: !set.MayGossip, FleetSize: set.Nodes},
+		one: 1, reach: locality.CrossZoneWeight{AffinityBudget: set.AffinityBudget}, gate: admission.Concurrency{Most: gateMost}, budgets: map[*Class]*admission.Budget{}}
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		r.classes[c.Name] = c
-		r.topWorth = max(r.topWorth, c.Worth)
+		r.topWorth = max(r.topWorth, c.PriorityWeight)
 	}
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		r.budgets[c] = &admission.Budget{Share: secondShare, Least: secondLeast, Most: secondMost, Few: secondFew}
-		if c.Worth > criticalWorth*r.topWorth {
+		if c.PriorityWeight > criticalWorth*r.topWorth {
 			r.budgets[c].Share = secondCritical
 		}
 	}
 	r.pool.objectives = r.objectives()
 	r.pool.floor = time.Duration(float64(r.pool.limit) * poolFloor)
 	r.home.objectives, r.home.pool = r.pool.objectives, &r.pool
-	r.eject.Share = set.ServersOut
-	r.calls = polling.Calls{Spread: r.spread(), Most: r.patience(), Within: set.MustAskIn, Jitter: r.jitter}
-	if r.pace = pace; set.Peers {
+	r.eject.Share = set.MaxEjectedFraction
+	r.calls = polling.Schedule{SpreadOver: r.spread(), MaxBackoff: r.patience(), StaleAfter: set.MaxPollInterval, Jitter: r.jitter}
+	if r.pace = pace; set.MayGossip {
 		r.pace = paceTold
 	}
 	for b := range r.owed {
@@ -203,7 +203,7 @@
 
 // objectives are those of a router that has timed nothing yet.
 func (r *Router) objectives() *objectives {
-	limit := slices.MinFunc(r.set.Classes, func(a, b Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
+	limit := slices.MinFunc(r.set.Classes, func(a, b Class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) }).LatencyObjective
 	return &objectives{limit: limit, target: limit, max: 2 * limit}
 }
 
@@ -215,39 +215,39 @@
 		r.request(e)
 	case Outcome:
 		r.outcome(e)
-	case List:
+	case EndpointUpdate:
 		r.list(e)
-	case Streaming: // its answer is on the way: no longer a matter of waiting
+	case ResponseStarted: // its answer is on the way: no longer a matter of waiting
 		if a := r.attempt(e.ID, e.Attempt); a != nil {
 			a.srv.gauge.drop(a)
 		}
-	case Gone:
+	case ClientDisconnected:
 		if q := r.requests[e.ID]; q != nil {
 			r.end(q)
 		}
-	case Probed:
+	case HealthChecked:
 		if s := r.byID[e.Server]; s != nil {
 			r.probed(s, e.Reason)
 		}
-	case Heard:
+	case GossipReceived:
 		r.hear(e)
-	case Strain:
+	case LoadLevel:
 		r.strain = e.Level
-	case Holder:
+	case RoleAssigned:
 		r.hold(e)
-	case Fleet:
-		r.fleet(e.Routers)
-	case Word:
-		r.calls.Told(r.now) // the only duty that has something to say
-	case Timer:
+	case FleetSize:
+		r.fleet(e.Nodes)
+	case RoleAnnouncement:
+		r.calls.RecoveryAnnounced(r.now) // the only duty that has something to say
+	case TimerFired:
 		if e.Token == housekeep {
 			r.upkeep()
 		} else if q := r.requests[e.Token]; q != nil && q.parked && now >= q.wake {
 			r.unpark(q)
 		}
 	}
-	if r.calls.Tell() {
-		r.act(Spread{Caller})
+	if r.calls.TakeAnnouncement() {
+		r.act(Announce{DiscoveryPoller})
 	}
 	r.release()
 	return r.acts
@@ -264,9 +264,9 @@
 }
 
 func (r *Router) probe(s *server) {
-	if r.set.Probes && s.listed && !s.probing {
+	if r.set.MayHealthCheck && s.listed && !s.probing {
 		s.probing, s.probeAt = true, r.now
-		r.act(Probe{s.ID})
+		r.act(HealthCheck{s.ID})
 	}
 }
 
@@ -284,10 +284,10 @@
 // repeatBy is until when another attempt of a keyed request that may have run is dropped as a repeat; 0 is no bound. It has to be
 // written by then.
 func (r *Router) repeatBy(q *request) Time {
-	if q.risk == nil || q.class.Effect != Keyed {
+	if q.risk == nil || q.class.Effect != Deduplicated {
 		return 0
 	}
-	return q.risk.at + q.class.Window - 2*r.set.Tick
+	return q.risk.at + q.class.DedupWindow - 2*r.set.Tick
 }
 
 // jitter is full jitter: any moment up to a wait, so that routers which had the same news do not act on it together.
@@ -306,8 +306,8 @@
 // the call that brings it was answered, and upkeep got round to make it.
 func (r *Router) slack(news time.Duration) time.Duration {
 	told := listTold
-	if r.set.MustAskIn > 0 {
-		told = min(told, r.set.MustAskIn)
+	if r.set.MaxPollInterval > 0 {
+		told = min(told, r.set.MaxPollInterval)
 	}
 	return max(upkeepEvery, told+r.set.DrainGrace-news-listCall-upkeepEvery)
 }
@@ -315,30 +315,30 @@
 // spread is the time over which routers spread their first calls for the list: a watch that falls silent as a change is made is
 // found out a while later.
 func (r *Router) spread() time.Duration {
-	return min(listPace*time.Duration(r.set.Routers), r.slack(polling.Silence))
+	return min(listPace*time.Duration(r.set.Nodes), r.slack(polling.WatchTimeout))
 }
 
 // patience is the longest that a router waits after a call that failed: the list may be there again the moment after the call was
 // made, and it is given up late.
-func (r *Router) patience() time.Duration { return r.slack(polling.CallWithin) }
+func (r *Router) patience() time.Duration { return r.slack(polling.CallTimeout) }
 
 // fleet takes it how many routers share the traffic: what is divided by them, or spread over them, is so anew.
 func (r *Router) fleet(n int) {
 	if n <= 0 {
 		n = r.configured
 	}
-	r.set.Routers, r.talk.Nodes = n, n
-	r.calls.Spread = r.spread()
+	r.set.Nodes, r.talk.FleetSize = n, n
+	r.calls.SpreadOver = r.spread()
 	r.shares.Resize(n)
 }
 
 // hold takes it who has a duty from now on.
-func (r *Router) hold(e Holder) {
-	switch r.who[e.Duty] = e.Who; e.Duty {
-	case Caller:
-		r.calls.Held(r.now, e.Who)
-	case Prober:
-		r.talk.Prompt = e.Who == Self
+func (r *Router) hold(e RoleAssigned) {
+	switch r.who[e.Role] = e.Responsibility; e.Role {
+	case DiscoveryPoller:
+		r.calls.Assign(r.now, e.Responsibility)
+	case HealthChecker:
+		r.talk.IsHealthChecker = e.Responsibility == AssignedHere
 	}
 }
 
@@ -349,11 +349,11 @@
 // again is how long this router leaves a silent server alone between two probes. The pace is that of all routers together;
 // whose duty it is probes for all of them and tells at once.
 func (r *Router) again() time.Duration {
-	usual := max(askEvery, r.pace*time.Duration(r.set.Routers))
-	switch r.who[Prober] {
-	case Self:
+	usual := max(askEvery, r.pace*time.Duration(r.set.Nodes))
+	switch r.who[HealthChecker] {
+	case AssignedHere:
 		return upkeepEvery / 2 // at each look
-	case Another:
+	case AssignedElsewhere:
 		return away * usual
 	}
 	return usual
@@ -366,7 +366,7 @@
 		if s == r.origin || !s.listed || r.set.OriginKind != "" && s.Kind == r.set.OriginKind {
 			continue
 		}
-		e := outlier.Server{Size: r.size(s), Out: 1 - r.warmth(s), Wants: s.opinion.Wants(), Order: s.hash}
+		e := outlier.Server{Size: r.size(s), Out: 1 - r.warmth(s), Wants: s.opinion.EjectionFraction(), Order: s.hash}
 		if s.silent || s.State != Live {
 			e.Out = 1
 		}
@@ -388,7 +388,7 @@
 	short, i := r.eject.Grant(all, r.granted), 0
 	for _, s := range r.servers {
 		if i < len(all) && all[i].Order == s.hash {
-			s.opinion.Bound(r.granted[i])
+			s.opinion.LimitEjection(r.granted[i])
 			i++
 		}
 	}
@@ -439,7 +439,7 @@
 }
 
 // avoids tells whether a request is not to go to a server that would do for its key.
-func (q *request) avoids(s *server) bool { return s == q.avoid || q.turned && s.opinion.Doubtful() }
+func (q *request) avoids(s *server) bool { return s == q.avoid || q.turned && s.opinion.IsSuspect() }
 
 // elsewhere has a request go on past a server that turned it away, and past all that do as badly, if one is left.
 func (r *Router) elsewhere(q *request, s *server) bool {
@@ -454,7 +454,7 @@
 
 // movable tells whether an attempt may be called off for another one.
 func (a *attempt) movable(r *Router) bool {
-	return r.set.Cancels && !a.q.ended && a.q.class.Effect == Safe
+	return r.set.MayCancel && !a.q.ended && a.q.class.Effect == Idempotent
 }
 
 func (r *Router) cancel(a *attempt) {
@@ -489,8 +489,8 @@
 	if s == nil {
 		s = &server{hash: hash(id), heard: r.now}
 		s.gauge.objectives, s.gauge.pool = r.pool.objectives, &r.pool
-		s.opinion = gossip.NewOpinion(gossip.MarkOf(s.hash))
-		r.byID[id], r.byMark[s.opinion.Mark] = s, s
+		s.opinion = gossip.NewAssessment(gossip.FingerprintOf(s.hash))
+		r.byID[id], r.byMark[s.opinion.Fingerprint] = s, s
 		at, _ := slices.BinarySearchFunc(r.servers, id, func(s *server, id string) int {
 			return strings.Compare(s.ID, id)
 		})
@@ -506,10 +506,10 @@
 	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
 		if r.takesKeys(s) {
 			r.takers++
-			r.units += s.Units
+			r.units += s.Capacity
 			weight := 1.0
-			if r.set.SizedUnits && s.Units > 0 {
-				weight = s.Units
+			if r.set.WeightByCapacity && s.Capacity > 0 {
+				weight = s.Capacity
 			}
 			if all += weight; s.Zone == r.set.Zone {
 				home += weight
@@ -518,7 +518,7 @@
 		gone := !s.listed && !s.probing && len(s.gauge.out) == 0
 		if gone {
 			delete(r.byID, s.ID)
-			delete(r.byMark, s.opinion.Mark)
+			delete(r.byMark, s.opinion.Fingerprint)
 		}
 		return gone
 	})
@@ -528,22 +528,22 @@
 
 // heat is the part of an average server's requests that other requests for the key bring, at all routers.
 func (r *Router) heat(key string) float64 {
-	return r.keys.Heat(gossip.MarkOf(hash(key)), r.takers)
+	return r.keys.Heat(gossip.FingerprintOf(hash(key)), r.takers)
 }
 
 // tell gives the other routers what there is to tell, when it is time.
 func (r *Router) tell() {
-	if data := r.talk.Due(r.now, r.rng.Float64()); data != nil {
-		r.act(Tell{data})
+	if data := r.talk.NextDatagram(r.now, r.rng.Float64()); data != nil {
+		r.act(Gossip{data})
 	}
 }
 
 // size is that of a server against the mean, where the list states sizes.
 func (r *Router) size(s *server) float64 {
-	if !r.set.SizedUnits || s.Units <= 0 || r.units <= 0 {
+	if !r.set.WeightByCapacity || s.Capacity <= 0 || r.units <= 0 {
 		return 1
 	}
-	return s.Units / r.units
+	return s.Capacity / r.units
 }
 
 // forgetKeys drops keys that are no longer asked for and scales the counts back, now and then.
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -8,33 +8,33 @@
 // validate tells which field makes no sense.
 func (set *Settings) validate() error {
 	switch {
-	case set.Routers < 1:
+	case set.Nodes < 1:
 		return errors.New("policy: Settings.Routers must be at least 1")
 	case set.MaxAttempts < 1:
 		return errors.New("policy: Settings.MaxAttempts must be at least 1")
-	case !(set.ColdFrom >= 0 && set.ColdFrom <= 1):
+	case !(set.SlowStartFloor >= 0 && set.SlowStartFloor <= 1):
 		return errors.New("policy: Settings.ColdFrom must be from 0 to 1")
-	case set.WarmAfter < 0:
+	case set.SlowStartDuration < 0:
 		return errors.New("policy: Settings.WarmAfter is negative")
-	case !(set.FallFactor > 0):
+	case !(set.OverloadFactor > 0):
 		return errors.New("policy: Settings.FallFactor must be above 0")
-	case !(set.OverShare >= 0):
+	case !(set.OverQuotaFraction >= 0):
 		return errors.New("policy: Settings.OverShare is negative")
-	case set.MustAskIn < 0 || set.DrainGrace < 0:
+	case set.MaxPollInterval < 0 || set.DrainGrace < 0:
 		return errors.New("policy: Settings.MustAskIn or DrainGrace is negative")
 	case set.Tick < 0 || set.MaxRetryAfter < 0:
 		return errors.New("policy: Settings.Tick or MaxRetryAfter is negative")
-	case !(set.ConnectionPrice >= 0) || !(set.HandshakePrice >= 0) || !(set.CrossPrice >= 0):
+	case !(set.ConnectionCost >= 0) || !(set.HandshakeCost >= 0) || !(set.CrossZoneCost >= 0):
 		return errors.New("policy: Settings.ConnectionPrice, HandshakePrice or CrossPrice is negative")
-	case !(set.LeaveOwner >= 0 && set.LeaveOwner <= 1):
+	case !(set.AffinityBudget >= 0 && set.AffinityBudget <= 1):
 		return errors.New("policy: Settings.LeaveOwner must be from 0 to 1")
-	case !(set.ServersOut >= 0 && set.ServersOut <= 1):
+	case !(set.MaxEjectedFraction >= 0 && set.MaxEjectedFraction <= 1):
 		return errors.New("policy: Settings.ServersOut must be from 0 to 1")
 	case len(set.Classes) == 0:
 		return errors.New("policy: Settings.Classes is empty")
 	}
 	for _, c := range set.Classes {
-		if !(c.Worth >= 0) || c.Aim <= 0 || c.Window < 0 {
+		if !(c.PriorityWeight >= 0) || c.LatencyObjective <= 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("policy: Settings.Classes: %q: Worth, Aim or Window makes no sense", c.Name)
 		}
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -61,13 +61,13 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-var scopes = map[string]policy.ListScope{"delta": policy.Changes, "full": policy.Full, "cached": policy.Cached,
-	"failed": policy.Failed}
+var scopes = map[string]policy.EndpointScope{"delta": policy.DeltaUpdate, "full": policy.FullUpdate, "cached": policy.CachedList,
+	"failed": policy.PollFailed}
 
-var states = map[string]policy.ServerState{"live": policy.Live, "quiescing": policy.Draining, "dead": policy.Dead}
+var states = map[string]policy.ServerState{"live": policy.Live, "quiescing": policy.Draining, "dead": policy.Removed}
 
-var reasons = []policy.Reason{policy.Errored, policy.OK, policy.Rejected, policy.TimedOut, policy.NoConnection,
-	policy.Reset, policy.Cancelled, policy.Moot, policy.Miss}
+var reasons = []policy.Reason{policy.Errored, policy.Succeeded, policy.Rejected, policy.TimedOut, policy.NoConnection,
+	policy.Reset, policy.Cancelled, policy.NeverSent, policy.Miss}
 
 // ParseServers reads the entries of a CATALOG message.
 func ParseServers(records []Record) ([]policy.Server, error) {
@@ -81,7 +81,7 @@
 			return nil, errors.New("CATALOG: field records.server: empty")
 		}
 		servers[i] = policy.Server{ID: rec.Server, Zone: rec.Site, Kind: rec.Machine, Cell: rec.Cluster,
-			State: state, Units: rec.Units, Started: micros(rec.LastStart)}
+			State: state, Capacity: rec.Units, StartedAt: micros(rec.LastStart)}
 	}
 	return servers, nil
 }
@@ -98,27 +98,27 @@
 		return policy.Outcome{ID: m.ID, Attempt: m.SeqNo, Server: m.Server, Reason: reason,
 			Took: micros(m.Delay), Ended: m.Ended}, err
 	case "DEADLINE_HIT":
-		return policy.Timer{Token: m.KeyBack}, nil
+		return policy.TimerFired{Token: m.KeyBack}, nil
 	case "DROPPED":
-		return policy.Gone{ID: m.ID}, nil
+		return policy.ClientDisconnected{ID: m.ID}, nil
 	case "MESSAGE":
 		data, err := hex.DecodeString(m.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("MESSAGE: field bytes: %w", err)
 		}
-		return policy.Heard{From: m.SrcPeer, Data: data}, nil
+		return policy.GossipReceived{From: m.SrcPeer, Data: data}, nil
 	case "ESTABLISHED":
-		return policy.Streaming{ID: m.ID, Attempt: m.SeqNo}, nil
+		return policy.ResponseStarted{ID: m.ID, Attempt: m.SeqNo}, nil
 	case "HEALTH":
 		reason, err := m.reason()
-		return policy.Probed{Server: m.Server, Reason: reason}, err
+		return policy.HealthChecked{Server: m.Server, Reason: reason}, err
 	case "ANNOUNCE":
 		scope, err := config.Word(scopes, "scope", m.Scope)
 		if err != nil {
 			return nil, fmt.Errorf("ANNOUNCE: %w", err)
 		}
-		list := policy.List{Scope: scope}
-		if scope != policy.Failed {
+		list := policy.EndpointUpdate{Scope: scope}
+		if scope != policy.PollFailed {
 			servers, ok := banks[m.Bank]
 			if !ok {
 				return nil, fmt.Errorf("ANNOUNCE: field bank: no CATALOG %d", m.Bank)
@@ -167,22 +167,22 @@
 	switch a := a.(type) {
 	case policy.Send:
 		return Output{Type: "SEND", ID: &a.ID, Server: a.Server}, nil
-	case policy.Refuse:
+	case policy.Reject:
 		return Output{Type: "SAY_NO", ID: &a.ID, HoldOff: a.RetryAfter.Microseconds()}, nil
 	case policy.Fail:
 		return Output{Type: "FAIL", ID: &a.ID}, nil
 	case policy.Cancel:
 		return Output{Type: "REVOKE", ID: &a.ID, SeqNo: &a.Attempt}, nil
-	case policy.Probe:
+	case policy.HealthCheck:
 		return Output{Type: "PROBE", Server: a.Server}, nil
-	case policy.Close:
+	case policy.CloseIdle:
 		return Output{Type: "DISCONNECT", Server: a.Server}, nil
 	case policy.SetTimer:
 		at := a.At.Microseconds()
 		return Output{Type: "TIMER", Time: &at, KeyBack: &a.Token}, nil
 	case policy.Subscribe:
 		return Output{Type: "SUBSCRIBE", On: true}, nil
-	case policy.Tell: // without a peer it goes to all
+	case policy.Gossip: // without a peer it goes to all
 		return Output{Type: "SAY", Bytes: hex.EncodeToString(a.Data)}, nil
 	case policy.Log:
 		return Output{Type: "RECORD", ReasonText: a.Text}, nil
--- a/internal/supervisor/agent/agent.go
+++ b/internal/supervisor/agent/agent.go
@@ -21,7 +21,7 @@
 
 // Options are what an agent is made of.
 type Options struct {
-	Core    supervisor.Config
+	Config  supervisor.Config
 	Command func(instance int) (program string, args, env []string) // asked at each start
 	Listen  func(instance int) string                               // where clients come, host and port
 	Log     *slog.Logger
@@ -42,13 +42,13 @@
 
 // New opens the sockets; Serve starts the processes.
 func New(opt Options) (*Agent, error) {
-	core, err := supervisor.New(opt.Core)
+	core, err := supervisor.New(opt.Config)
 	if err != nil {
 		return nil, err
 	}
 	a := &Agent{opt: opt, core: core, running: map[int]*os.Process{}, done: make(chan struct{})}
 	a.Loop = eventloop.New(core, a.do)
-	for i := range opt.Core.Instances {
+	for i := range opt.Config.Instances {
 		f, err := handover.ListenFile(opt.Listen(i))
 		if err != nil {
 			return nil, err
@@ -60,7 +60,7 @@
 
 // Serve keeps the processes running until all were stopped (supervise.Stop).
 func (a *Agent) Serve() {
-	a.Tell(func() { a.Step(supervisor.Tick{}) })
+	a.Submit(func() { a.Step(supervisor.Tick{}) })
 	a.Run(a.done, tick, func() { a.Step(supervisor.Tick{}) })
 }
 
@@ -77,7 +77,7 @@
 
 // Signal sends a signal to all processes.
 func (a *Agent) Signal(s os.Signal) {
-	a.Tell(func() {
+	a.Submit(func() {
 		for _, p := range a.running {
 			p.Signal(s)
 		}
@@ -88,9 +88,9 @@
 	switch e := e.(type) {
 	case supervisor.Start:
 		a.start(e)
-	case supervisor.Term:
+	case supervisor.Terminate:
 		if p := a.running[e.Process]; p != nil && e.Replaced {
-			p.Signal(handover.Replaced)
+			p.Signal(handover.ReplacedSignal)
 		} else if p != nil {
 			p.Signal(syscall.SIGTERM)
 		}
@@ -98,19 +98,19 @@
 		if p := a.running[e.Process]; p != nil {
 			p.Kill()
 		}
-	case supervisor.Done:
+	case supervisor.Stopped:
 		close(a.done)
-	case supervisor.Note:
+	case supervisor.LogEvent:
 		level := slog.LevelInfo
 		switch e.Kind {
-		case supervisor.Crashed, supervisor.NotReady, supervisor.Overdue, supervisor.Halted, supervisor.BadAnswer, supervisor.Hangs:
+		case supervisor.LogCrashed, supervisor.LogNotReady, supervisor.LogTerminateTimeout, supervisor.LogHalted, supervisor.LogUnhealthy, supervisor.LogHung:
 			level = slog.LevelWarn
 		}
 		attrs := []slog.Attr{slog.String(logs.Event, "instance_"+e.Kind.String())}
 		if e.Instance >= 0 {
 			attrs = append(attrs, slog.Int("instance", e.Instance), slog.Int("process", e.Process))
 		}
-		if e.Kind == supervisor.Waits {
+		if e.Kind == supervisor.LogBackoff {
 			attrs = append(attrs, slog.Duration("wait", e.Wait))
 		}
 		a.opt.Log.LogAttrs(context.Background(), level, "supervised processes", attrs...)
@@ -126,13 +126,13 @@
 		cmd.Env, cmd.ExtraFiles, cmd.Stdout, cmd.Stderr = append(env, child.Env...), child.Files, os.Stdout, os.Stderr
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a ^C in the terminal is the supervisor's affair
 		err = cmd.Start()
-		child.Started()
+		child.CloseInherited()
 		if err == nil {
 			a.running[e.Process] = cmd.Process
 			go a.follow(e, cmd, child)
 			return
 		}
-		child.Drop()
+		child.Discard()
 	}
 	a.opt.Log.Error("a process cannot be started", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
 	go a.tell(supervisor.Exited{Process: e.Process})
@@ -143,11 +143,11 @@
 	heard := make(chan struct{})
 	go func() {
 		defer close(heard)
-		err := child.Listen(func() { a.tell(supervisor.Ready{Process: e.Process}) },
+		err := child.ReadNotifications(func() { a.tell(supervisor.Ready{Process: e.Process}) },
 			func(answers, failed int) {
-				a.Post(supervisor.Served{Process: e.Process, Answers: answers, Failed: failed})
+				a.Post(supervisor.ResponseCounts{Process: e.Process, Responses: answers, Failed: failed})
 			})
-		if errors.Is(err, handover.ErrNonsense) {
+		if errors.Is(err, handover.ErrMalformedNotification) {
 			a.opt.Log.Warn("a process said what makes no sense", logs.Event, "instance_nonsense", "instance", e.Instance, "process", e.Process)
 		}
 	}()
@@ -158,7 +158,7 @@
 	}
 	a.opt.Log.Info("a process ended", logs.Event, "instance_exit", "instance", e.Instance, "process", e.Process, "pid", cmd.Process.Pid,
 		"state", cmd.ProcessState.String())
-	a.Tell(func() { delete(a.running, e.Process) })
+	a.Submit(func() { delete(a.running, e.Process) })
 	a.tell(supervisor.Exited{Process: e.Process, Clean: err == nil})
 }
 
@@ -175,11 +175,11 @@
 	Listen string `json:"listen"`
 }
 
-// Register adds the operators' calls: instances, replace (with instance=N, or all), halt, resume and stop.
-func (a *Agent) Register(s *control.Server) {
+// RegisterCalls adds the operators' calls: instances, replace (with instance=N, or all), halt, resume and stop.
+func (a *Agent) RegisterCalls(s *control.Server) {
 	look := func(url.Values) (any, error) {
 		var o Overview
-		if a.Ask(func() {
+		if a.Call(func() {
 			var all []supervisor.Status
 			all, o.Halted = a.core.Statuses(a.Now())
 			for _, st := range all {
@@ -194,9 +194,9 @@
 		}
 		return o, nil
 	}
-	s.Look("instances", look)
+	s.HandleQuery("instances", look)
 	steer := func(name string, event func(url.Values) (supervisor.Event, error)) {
-		s.Steer(name, func(q url.Values) (any, error) {
+		s.HandleCommand(name, func(q url.Values) (any, error) {
 			ev, err := event(q)
 			if err != nil {
 				return nil, err
@@ -210,17 +210,17 @@
 	plain := func(ev supervisor.Event) func(url.Values) (supervisor.Event, error) {
 		return func(url.Values) (supervisor.Event, error) { return ev, nil }
 	}
-	steer("halt", plain(supervisor.Halt{}))
-	steer("resume", plain(supervisor.Resume{}))
-	steer("stop", plain(supervisor.Stop{}))
+	steer("halt", plain(supervisor.HaltRequested{}))
+	steer("resume", plain(supervisor.ResumeRequested{}))
+	steer("stop", plain(supervisor.StopRequested{}))
 	steer("replace", func(q url.Values) (supervisor.Event, error) {
 		if !q.Has("instance") {
-			return supervisor.Roll{}, nil
+			return supervisor.ReplaceAllRequested{}, nil
 		}
 		n, err := strconv.Atoi(q.Get("instance"))
-		if err != nil || n < 0 || n >= a.opt.Core.Instances {
+		if err != nil || n < 0 || n >= a.opt.Config.Instances {
 			return nil, errors.New("instance: there is none of that number")
 		}
-		return supervisor.Restart{Instance: n}, nil
+		return supervisor.ReplaceRequested{Instance: n}, nil
 	})
 }
--- a/internal/supervisor/core.go
+++ b/internal/supervisor/core.go
@@ -16,17 +16,17 @@
 
 // Config says how processes are kept.
 type Config struct {
-	Instances    int
-	AtOnce       int           // instances that are replaced at once
-	ReadyWithin  time.Duration // a process that is not ready by then is killed
-	Watch        time.Duration // a process that ends, or does badly, so soon after it was ready is no good
-	EndWithin    time.Duration // a process that was told to end is killed after that
-	Silent       time.Duration // a process that says how it goes and then nothing for so long hangs; 0: nobody looks
-	BackoffLeast time.Duration // before another start after a failed one; doubled with each failure in a row, with full jitter
-	BackoffMost  time.Duration
-	MaxFailed    float64 // share of a watched process's answers that may fail, past what fails at the others
-	LeastJudged  int     // answers from which that is judged
-	Seed         uint64
+	Instances         int
+	MaxConcurrent     int           // instances that are replaced at once
+	ReadyTimeout      time.Duration // a process that is not ready by then is killed
+	ObservationPeriod time.Duration // a process that ends, or does badly, so soon after it was ready is no good
+	TerminateTimeout  time.Duration // a process that was told to end is killed after that
+	HangTimeout       time.Duration // a process that says how it goes and then nothing for so long hangs; 0: nobody looks
+	MinBackoff        time.Duration // before another start after a failed one; doubled with each failure in a row, with full jitter
+	MaxBackoff        time.Duration
+	MaxFailureRate    float64 // share of a watched process's answers that may fail, past what fails at the others
+	MinSamples        int     // answers from which that is judged
+	Seed              uint64
 }
 
 // Validate tells which field makes no sense.
@@ -34,15 +34,15 @@
 	switch {
 	case c.Instances < 1 || c.Instances > 1000:
 		return errors.New("instances: must be from 1 to 1000")
-	case c.AtOnce < 1 || c.AtOnce > c.Instances:
+	case c.MaxConcurrent < 1 || c.MaxConcurrent > c.Instances:
 		return errors.New("at_once: must be from 1 to the number of instances")
-	case c.ReadyWithin <= 0 || c.EndWithin <= 0 || c.Watch < 0:
+	case c.ReadyTimeout <= 0 || c.TerminateTimeout <= 0 || c.ObservationPeriod < 0:
 		return errors.New("ready_within, end_within, watch: must be above 0")
-	case c.Silent != 0 && c.Silent < time.Second:
+	case c.HangTimeout != 0 && c.HangTimeout < time.Second:
 		return errors.New("silent: must be 1s at least, or 0")
-	case c.BackoffLeast <= 0 || c.BackoffMost < c.BackoffLeast:
+	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
 		return errors.New("backoff_least, backoff_most: must grow from above 0")
-	case !(c.MaxFailed >= 0 && c.MaxFailed <= 1):
+	case !(c.MaxFailureRate >= 0 && c.MaxFailureRate <= 1):
 		return errors.New("max_failed: must be from 0 to 1")
 	}
 	return nil
@@ -56,34 +56,34 @@
 	Tick struct{}
 	// Ready says that a process serves.
 	Ready struct{ Process int }
-	// Served counts answers of a process since the last such event.
-	Served struct{ Process, Answers, Failed int }
+	// ResponseCounts counts answers of a process since the last such event.
+	ResponseCounts struct{ Process, Responses, Failed int }
 	// Exited says that a process is gone, or could not be started. Clean: it ended by itself, with 0.
 	Exited struct {
 		Process int
 		Clean   bool
 	}
-	// Restart asks for one instance to be replaced, Roll for all in turn.
-	Restart struct{ Instance int }
-	// Roll asks for all instances to be replaced in turn.
-	Roll struct{}
-	// Halt stops replacing; what is under way is finished.
-	Halt struct{}
-	// Resume goes on after a halt.
-	Resume struct{}
-	// Stop ends all.
-	Stop struct{}
+	// ReplaceRequested asks for one instance to be replaced, Roll for all in turn.
+	ReplaceRequested struct{ Instance int }
+	// ReplaceAllRequested asks for all instances to be replaced in turn.
+	ReplaceAllRequested struct{}
+	// HaltRequested stops replacing; what is under way is finished.
+	HaltRequested struct{}
+	// ResumeRequested goes on after a halt.
+	ResumeRequested struct{}
+	// StopRequested ends all.
+	StopRequested struct{}
 )
 
-func (Tick) event()    {}
-func (Ready) event()   {}
-func (Served) event()  {}
-func (Exited) event()  {}
-func (Restart) event() {}
-func (Roll) event()    {}
-func (Halt) event()    {}
-func (Resume) event()  {}
-func (Stop) event()    {}
+func (Tick) event()                {}
+func (Ready) event()               {}
+func (ResponseCounts) event()      {}
+func (Exited) event()              {}
+func (ReplaceRequested) event()    {}
+func (ReplaceAllRequested) event() {}
+func (HaltRequested) event()       {}
+func (ResumeRequested) event()     {}
+func (StopRequested) event()       {}
 
 // Effect is what the core wants done: one of the types below it.
 type Effect interface{ effect() }
@@ -91,52 +91,52 @@
 type (
 	// Start starts a process of an instance.
 	Start struct{ Instance, Process int }
-	// Term tells a process to end. Replaced: another one takes what comes new from now on.
-	Term struct {
+	// Terminate tells a process to end. Replaced: another one takes what comes new from now on.
+	Terminate struct {
 		Process  int
 		Replaced bool
 	}
 	// Kill ends a process at once.
 	Kill struct{ Process int }
-	// Done says that all that was stopped is gone.
-	Done struct{}
-	// Note is for the log and the counters.
-	Note struct {
-		Kind              NoteKind
+	// Stopped says that all that was stopped is gone.
+	Stopped struct{}
+	// LogEvent is for the log and the counters.
+	LogEvent struct {
+		Kind              LogEventKind
 		Instance, Process int
 		Wait              time.Duration // Waits: before the next start
 	}
 )
 
-func (Start) effect() {}
-func (Term) effect()  {}
-func (Kill) effect()  {}
-func (Done) effect()  {}
-func (Note) effect()  {}
+func (Start) effect()     {}
+func (Terminate) effect() {}
+func (Kill) effect()      {}
+func (Stopped) effect()   {}
+func (LogEvent) effect()  {}
 
-// NoteKind is what happened.
-type NoteKind int
+// LogEventKind is what happened.
+type LogEventKind int
 
 // What is noted.
 const (
-	Started   NoteKind = iota
-	Serves             // it is ready
-	Replaced           // by its successor, and told to end
-	Ended              // as it was told
-	Left               // by itself, with 0: it went out by agreement, and is started again
-	Crashed            // by itself
-	NotReady           // in time: it is killed
-	Overdue            // it did not end in time: it is killed
-	Waits              // before the next start
-	Halted             // a successor was no good, or an operator said so
-	Resumed            // by an operator
-	Rolled             // all that was asked for is replaced
-	BadAnswer          // a watched process fails more than the others
-	Hangs              // it says nothing any more: it is replaced at once
-	Notes
+	LogStarted          LogEventKind = iota
+	LogServing                       // it is ready
+	LogReplaced                      // by its successor, and told to end
+	LogEnded                         // as it was told
+	LogDrained                       // by itself, with 0: it went out by agreement, and is started again
+	LogCrashed                       // by itself
+	LogNotReady                      // in time: it is killed
+	LogTerminateTimeout              // it did not end in time: it is killed
+	LogBackoff                       // before the next start
+	LogHalted                        // a successor was no good, or an operator said so
+	LogResumed                       // by an operator
+	LogAllReplaced                   // all that was asked for is replaced
+	LogUnhealthy                     // a watched process fails more than the others
+	LogHung                          // it says nothing any more: it is replaced at once
+	LogEventKinds
 )
 
-func (k NoteKind) String() string {
+func (k LogEventKind) String() string {
 	return [...]string{"started", "serves", "replaced", "ended", "left", "crashed", "not_ready", "overdue", "waits", "halted", "resumed", "rolled", "bad_answers", "hangs"}[k]
 }
 
@@ -196,7 +196,7 @@
 		if i, p := c.find(e.Process); p != nil && !p.ready && !p.killed && !p.told {
 			c.ready(now, i, p)
 		}
-	case Served:
+	case ResponseCounts:
 		if i, p := c.find(e.Process); p != nil {
 			c.served(now, i, p, e)
 		}
@@ -204,23 +204,23 @@
 		if i, p := c.find(e.Process); p != nil {
 			c.exited(now, i, p, e.Clean)
 		}
-	case Restart:
+	case ReplaceRequested:
 		if e.Instance >= 0 && e.Instance < len(c.all) && !c.stopping {
 			c.all[e.Instance].wanted, c.rolls = true, true
 		}
-	case Roll:
+	case ReplaceAllRequested:
 		for i := range c.all {
 			c.all[i].wanted = !c.stopping
 		}
 		c.rolls = !c.stopping
-	case Halt:
+	case HaltRequested:
 		c.halt(-1, 0)
-	case Resume:
+	case ResumeRequested:
 		if c.halted {
 			c.halted = false
-			c.note(Resumed, -1, 0)
+			c.note(LogResumed, -1, 0)
 		}
-	case Stop:
+	case StopRequested:
 		c.stop(now)
 	}
 	c.look(now)
@@ -229,8 +229,8 @@
 
 func (c *Core) do(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) note(kind NoteKind, instance, process int) {
-	c.do(Note{Kind: kind, Instance: instance, Process: process})
+func (c *Core) note(kind LogEventKind, instance, process int) {
+	c.do(LogEvent{Kind: kind, Instance: instance, Process: process})
 }
 
 func (c *Core) find(id int) (int, *process) {
@@ -249,7 +249,7 @@
 func (c *Core) halt(instance, process int) {
 	if !c.halted && !c.stopping {
 		c.halted = true
-		c.note(Halted, instance, process)
+		c.note(LogHalted, instance, process)
 	}
 }
 
@@ -257,7 +257,7 @@
 func (c *Core) term(now Time, p *process, replaced bool) {
 	if p != nil && !p.told {
 		p.told, p.toldAt = true, now
-		c.do(Term{p.id, replaced})
+		c.do(Terminate{p.id, replaced})
 	}
 }
 
@@ -273,33 +273,33 @@
 	c.lastID++
 	in.next = &process{id: c.lastID, started: now}
 	c.do(Start{i, c.lastID})
-	c.note(Started, i, c.lastID)
+	c.note(LogStarted, i, c.lastID)
 }
 
 // ready has a process serve in the place of the one before.
 func (c *Core) ready(now Time, i int, p *process) {
 	in := &c.all[i]
 	p.ready, p.readyAt = true, now
-	c.note(Serves, i, p.id)
+	c.note(LogServing, i, p.id)
 	if before := in.current; before != nil {
 		in.old = append(in.old, before)
 		in.watched = true
 		c.term(now, before, true)
-		c.note(Replaced, i, before.id)
+		c.note(LogReplaced, i, before.id)
 	}
 	in.current, in.next = p, nil
 }
 
 // served judges a process that replaced another, beside the instances that have not been replaced of late.
-func (c *Core) served(now Time, i int, p *process, e Served) {
-	p.answers, p.failed, p.heard = p.answers+float64(e.Answers), p.failed+float64(e.Failed), max(now, 1)
+func (c *Core) served(now Time, i int, p *process, e ResponseCounts) {
+	p.answers, p.failed, p.heard = p.answers+float64(e.Responses), p.failed+float64(e.Failed), max(now, 1)
 	in := &c.all[i]
-	if in.current != p || !in.watched || p.answers < float64(max(1, c.cfg.LeastJudged)) {
+	if in.current != p || !in.watched || p.answers < float64(max(1, c.cfg.MinSamples)) {
 		return
 	}
 	var others []float64
 	for j := range c.all {
-		if o := &c.all[j]; j != i && o.current != nil && !o.watched && o.current.answers >= float64(max(1, c.cfg.LeastJudged)) {
+		if o := &c.all[j]; j != i && o.current != nil && !o.watched && o.current.answers >= float64(max(1, c.cfg.MinSamples)) {
 			others = append(others, o.current.failed/o.current.answers)
 		}
 	}
@@ -307,9 +307,9 @@
 	if slices.Sort(others); len(others) > 0 {
 		usual = others[(len(others)-1)/2]
 	}
-	if p.failed/p.answers > usual+c.cfg.MaxFailed {
+	if p.failed/p.answers > usual+c.cfg.MaxFailureRate {
 		in.watched = false
-		c.note(BadAnswer, i, p.id)
+		c.note(LogUnhealthy, i, p.id)
 		c.halt(i, p.id)
 	}
 }
@@ -327,12 +327,12 @@
 		}
 	case p == in.current:
 		in.current = nil
-		switch soon := now-p.readyAt < c.cfg.Watch; {
+		switch soon := now-p.readyAt < c.cfg.ObservationPeriod; {
 		case p.told:
-			c.note(Ended, i, p.id)
+			c.note(LogEnded, i, p.id)
 		case clean && !soon:
 			in.fails, in.startAt = 0, now
-			c.note(Left, i, p.id)
+			c.note(LogDrained, i, p.id)
 		default:
 			if !soon {
 				in.fails = 0
@@ -345,7 +345,7 @@
 		in.watched = false
 	default:
 		in.old = slices.DeleteFunc(in.old, func(o *process) bool { return o == p })
-		c.note(Ended, i, p.id)
+		c.note(LogEnded, i, p.id)
 	}
 }
 
@@ -353,19 +353,19 @@
 func (c *Core) failed(now Time, i int, p *process) {
 	in := &c.all[i]
 	if !p.killed {
-		c.note(Crashed, i, p.id)
+		c.note(LogCrashed, i, p.id)
 	}
 	if c.stopping {
 		return
 	}
-	most := c.cfg.BackoffMost
+	most := c.cfg.MaxBackoff
 	if in.fails < 30 {
-		most = min(most, c.cfg.BackoffLeast<<in.fails)
+		most = min(most, c.cfg.MinBackoff<<in.fails)
 	}
 	in.fails++
-	wait := c.cfg.BackoffLeast/2 + time.Duration(c.rng.Int64N(int64(most)))
+	wait := c.cfg.MinBackoff/2 + time.Duration(c.rng.Int64N(int64(most)))
 	in.startAt = now + wait
-	c.do(Note{Kind: Waits, Instance: i, Wait: wait})
+	c.do(LogEvent{Kind: LogBackoff, Instance: i, Wait: wait})
 }
 
 func (c *Core) stop(now Time) {
@@ -383,8 +383,8 @@
 	left := 0
 	for i := range c.all {
 		in := &c.all[i]
-		if p := in.next; p != nil && !p.told && now-p.started >= c.cfg.ReadyWithin && !p.killed {
-			c.note(NotReady, i, p.id)
+		if p := in.next; p != nil && !p.told && now-p.started >= c.cfg.ReadyTimeout && !p.killed {
+			c.note(LogNotReady, i, p.id)
 			c.kill(p)
 		}
 		for _, p := range append([]*process{in.current, in.next}, in.old...) {
@@ -392,17 +392,17 @@
 				continue
 			}
 			left++
-			if p.told && !p.killed && now-p.toldAt >= c.cfg.EndWithin {
-				c.note(Overdue, i, p.id)
+			if p.told && !p.killed && now-p.toldAt >= c.cfg.TerminateTimeout {
+				c.note(LogTerminateTimeout, i, p.id)
 				c.kill(p)
 			}
 		}
-		if p := in.current; p != nil && now-p.readyAt >= c.cfg.Watch {
+		if p := in.current; p != nil && now-p.readyAt >= c.cfg.ObservationPeriod {
 			in.watched, in.fails = false, 0
 		}
-		if p := in.current; p != nil && !p.hangs && p.heard > 0 && c.cfg.Silent > 0 && now-p.heard >= c.cfg.Silent {
+		if p := in.current; p != nil && !p.hangs && p.heard > 0 && c.cfg.HangTimeout > 0 && now-p.heard >= c.cfg.HangTimeout {
 			p.hangs = true
-			c.note(Hangs, i, p.id)
+			c.note(LogHung, i, p.id)
 		}
 		if in.rolling && in.next == nil && !in.watched && len(in.old) == 0 {
 			in.rolling = false
@@ -411,7 +411,7 @@
 	if c.stopping {
 		if left == 0 && !c.done {
 			c.done = true
-			c.do(Done{})
+			c.do(Stopped{})
 		}
 		return
 	}
@@ -428,7 +428,7 @@
 		}
 	}
 	for i := range c.all {
-		if in := &c.all[i]; in.wanted && in.current != nil && !in.current.hangs && in.next == nil && !in.rolling && !c.halted && busy < c.cfg.AtOnce && now >= in.startAt {
+		if in := &c.all[i]; in.wanted && in.current != nil && !in.current.hangs && in.next == nil && !in.rolling && !c.halted && busy < c.cfg.MaxConcurrent && now >= in.startAt {
 			in.wanted, in.rolling = false, true
 			busy++
 			c.start(now, i)
@@ -436,7 +436,7 @@
 	}
 	if c.rolls && !slices.ContainsFunc(c.all, func(in instance) bool { return in.wanted || in.rolling }) && !c.halted {
 		c.rolls = false
-		c.note(Rolled, -1, 0)
+		c.note(LogAllReplaced, -1, 0)
 	}
 }
 
--- a/internal/supervisor/core_test.go
+++ b/internal/supervisor/core_test.go
@@ -8,8 +8,8 @@
 )
 
 func config(instances, atOnce int) Config {
-	return Config{Instances: instances, AtOnce: atOnce, ReadyWithin: 2 * time.Second, Watch: time.Second, EndWithin: 3 * time.Second, Silent: 5 * time.Second,
-		BackoffLeast: 100 * time.Millisecond, BackoffMost: 5 * time.Second, MaxFailed: 0.2, LeastJudged: 10, Seed: 1}
+	return Config{Instances: instances, MaxConcurrent: atOnce, ReadyTimeout: 2 * time.Second, ObservationPeriod: time.Second, TerminateTimeout: 3 * time.Second, HangTimeout: 5 * time.Second,
+		MinBackoff: 100 * time.Millisecond, MaxBackoff: 5 * time.Second, MaxFailureRate: 0.2, MinSamples: 10, Seed: 1}
 }
 
 // world plays the processes that a core wants: what each does is the test's.
@@ -18,7 +18,7 @@
 	c     *Core
 	now   Time
 	alive map[int]*played
-	notes map[NoteKind]int
+	notes map[LogEventKind]int
 	done  bool
 	most  int // instances without a process that serves, of those that had one, while no process crashed
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	w := &world{t: t, c: c, alive: map[int]*played{}, notes: map[NoteKind]int{}}
+	w := &world{t: t, c: c, alive: map[int]*played{}, notes: map[LogEventKind]int{}}
 	w.step(Tick{})
 	return w
 }
@@ -47,7 +47,7 @@
 				w.t.Fatalf("process %d is started twice", e.Process)
 			}
 			w.alive[e.Process] = &played{instance: e.Instance}
-		case Term:
+		case Terminate:
 			p := w.alive[e.Process]
 			if p == nil || p.ended {
 				w.t.Fatalf("process %d is told to end, and is not there or was told", e.Process)
@@ -61,9 +61,9 @@
 				w.t.Fatalf("process %d is killed, and is not there", e.Process)
 			}
 			w.alive[e.Process].killed = true
-		case Done:
+		case Stopped:
 			w.done = true
-		case Note:
+		case LogEvent:
 			w.notes[e.Kind]++
 		}
 	}
@@ -100,7 +100,7 @@
 			w.t.Fatalf("instance %d has %d processes that serve and %d that start", i, serve, start)
 		}
 	}
-	if replaced > w.c.cfg.AtOnce {
+	if replaced > w.c.cfg.MaxConcurrent {
 		w.t.Fatalf("%d are replaced at once", replaced)
 	}
 }
@@ -123,7 +123,7 @@
 			case !p.ready:
 				w.ready(id)
 			default:
-				w.step(Served{id, 0, 0})
+				w.step(ResponseCounts{id, 0, 0})
 			}
 		}
 		w.step(Tick{})
@@ -150,22 +150,22 @@
 		"is never ready":       {func(w *world, id int) { w.now += 2 * time.Second; w.step(Tick{}); w.exit(id, false) }, 0, true},
 		"ends soon after":      {func(w *world, id int) { w.ready(id); w.now += 300 * time.Millisecond; w.exit(id, false) }, 1, true},
 		"fails more than others": {func(w *world, id int) {
-			w.step(Served{w.process(1), 100, 5})
-			w.step(Served{w.process(2), 100, 8})
+			w.step(ResponseCounts{w.process(1), 100, 5})
+			w.step(ResponseCounts{w.process(2), 100, 8})
 			w.ready(id)
-			w.step(Served{id, 100, 40})
+			w.step(ResponseCounts{id, 100, 40})
 		}, 1, true},
 		"fails as the others do": {func(w *world, id int) {
-			w.step(Served{w.process(1), 100, 35})
-			w.step(Served{w.process(2), 100, 38})
+			w.step(ResponseCounts{w.process(1), 100, 35})
+			w.step(ResponseCounts{w.process(2), 100, 38})
 			w.ready(id)
-			w.step(Served{id, 100, 40})
+			w.step(ResponseCounts{id, 100, 40})
 		}, 3, false},
 	} {
 		w := newWorld(t, config(3, 1))
 		w.calm(2 * time.Second)
 		before := []int{w.process(0), w.process(1), w.process(2)}
-		w.step(Roll{})
+		w.step(ReplaceAllRequested{})
 		test.successor(w, w.c.lastID)
 		w.calm(10 * time.Second)
 		replaced := 0
@@ -177,14 +177,14 @@
 				t.Errorf("%s: instance %d does not serve", name, i)
 			}
 		}
-		if _, halted := w.c.Statuses(w.now); replaced != test.replaced || halted != test.halted || (w.notes[Rolled] > 0) == halted {
+		if _, halted := w.c.Statuses(w.now); replaced != test.replaced || halted != test.halted || (w.notes[LogAllReplaced] > 0) == halted {
 			t.Errorf("%s: %d replaced, want %d; halted %v, want %v; notes %v", name, replaced, test.replaced, halted, test.halted, w.notes)
 		}
 		if test.halted { // the way on
-			w.step(Resume{})
-			w.step(Roll{})
+			w.step(ResumeRequested{})
+			w.step(ReplaceAllRequested{})
 			w.calm(20 * time.Second)
-			if w.notes[Rolled] == 0 {
+			if w.notes[LogAllReplaced] == 0 {
 				t.Errorf("%s: it does not go on", name)
 			}
 		}
@@ -217,7 +217,7 @@
 	if s, _ := w.c.Statuses(w.now); s[0].Failures != 0 || s[0].State != "serves" {
 		t.Errorf("one that serves again: %+v", s)
 	}
-	w.step(Stop{})
+	w.step(StopRequested{})
 	w.calm(time.Second)
 	if !w.done || len(w.alive) > 0 {
 		t.Errorf("stopped: done %v, %d processes", w.done, len(w.alive))
@@ -228,14 +228,14 @@
 func TestOverdue(t *testing.T) {
 	w := newWorld(t, config(2, 1))
 	w.calm(2 * time.Second)
-	w.step(Restart{0})
+	w.step(ReplaceRequested{0})
 	w.ready(w.c.lastID)
 	for range 100 {
 		w.now += 50 * time.Millisecond
 		w.step(Tick{})
 	}
-	if w.notes[Overdue] != 1 {
-		t.Errorf("killed %d that were overdue", w.notes[Overdue])
+	if w.notes[LogTerminateTimeout] != 1 {
+		t.Errorf("killed %d that were overdue", w.notes[LogTerminateTimeout])
 	}
 }
 
@@ -245,22 +245,22 @@
 	w := newWorld(t, config(2, 1))
 	w.calm(2 * time.Second)
 	hung := w.process(0)
-	w.step(Halt{})
-	w.step(Served{hung, 10, 0})
-	w.now += w.c.cfg.Silent
-	w.step(Served{w.process(1), 10, 0}) // the other one goes on
+	w.step(HaltRequested{})
+	w.step(ResponseCounts{hung, 10, 0})
+	w.now += w.c.cfg.HangTimeout
+	w.step(ResponseCounts{w.process(1), 10, 0}) // the other one goes on
 	next := w.c.lastID
-	if w.notes[Hangs] != 1 || next == hung || w.alive[hung].ended {
-		t.Fatalf("%d hang, the last process is %d, the one that hangs was told to end before another serves: %v", w.notes[Hangs], next, w.alive[hung].ended)
+	if w.notes[LogHung] != 1 || next == hung || w.alive[hung].ended {
+		t.Fatalf("%d hang, the last process is %d, the one that hangs was told to end before another serves: %v", w.notes[LogHung], next, w.alive[hung].ended)
 	}
 	w.ready(next)
 	for range 100 { // it does not end
 		w.now += 50 * time.Millisecond
-		w.step(Served{w.process(1), 10, 0})
-		w.step(Served{next, 10, 0})
+		w.step(ResponseCounts{w.process(1), 10, 0})
+		w.step(ResponseCounts{next, 10, 0})
 	}
-	if !w.alive[hung].killed || w.process(0) != next || w.notes[Started] != 3 {
-		t.Errorf("killed %v, process %d serves, %d started", w.alive[hung].killed, w.process(0), w.notes[Started])
+	if !w.alive[hung].killed || w.process(0) != next || w.notes[LogStarted] != 3 {
+		t.Errorf("killed %v, process %d serves, %d started", w.alive[hung].killed, w.process(0), w.notes[LogStarted])
 	}
 }
 
@@ -292,29 +292,29 @@
 					w.exit(pick, rapid.Bool().Draw(t, "clean"))
 				}
 			case 4:
-				w.step(Roll{})
+				w.step(ReplaceAllRequested{})
 			case 5:
-				w.step(Restart{rapid.IntRange(-1, n).Draw(t, "instance")})
+				w.step(ReplaceRequested{rapid.IntRange(-1, n).Draw(t, "instance")})
 			case 6:
-				w.step(Halt{})
+				w.step(HaltRequested{})
 			case 7:
-				w.step(Resume{})
+				w.step(ResumeRequested{})
 			case 8:
-				w.step(Served{pick, rapid.IntRange(0, 50).Draw(t, "answers"), rapid.IntRange(0, 50).Draw(t, "failed")})
+				w.step(ResponseCounts{pick, rapid.IntRange(0, 50).Draw(t, "answers"), rapid.IntRange(0, 50).Draw(t, "failed")})
 			default:
 				w.step(Tick{})
 			}
 		}
-		w.step(Resume{})
+		w.step(ResumeRequested{})
 		w.calm(time.Minute)
-		w.step(Resume{}) // a start that failed at the end may have halted it
+		w.step(ResumeRequested{}) // a start that failed at the end may have halted it
 		w.calm(time.Minute)
 		for i := range n {
 			if w.process(i) == 0 || w.c.all[i].wanted || len(w.c.all[i].old) > 0 {
 				t.Fatalf("instance %d in the end: %+v", i, w.c.all[i])
 			}
 		}
-		w.step(Stop{})
+		w.step(StopRequested{})
 		w.calm(10 * time.Second)
 		if !w.done {
 			t.Fatalf("it does not stop")
--- a/internal/supervisor/handover/golden_test.go
+++ b/internal/supervisor/handover/golden_test.go
@@ -18,15 +18,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer child.Drop()
+	defer child.Discard()
 	p := &Parent{notify: child.Files[1]}
-	if err := p.Ready(); err != nil {
+	if err := p.ReportReady(); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Served(120, 7); err != nil {
+	if err := p.ReportResponses(120, 7); err != nil {
 		t.Fatal(err)
 	}
-	child.Started()
+	child.CloseInherited()
 	said, err := io.ReadAll(child.read)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	var lines golden.Lines
 	lines.Text("environment", strings.Join(child.Env, " "))
 	lines.Text("files", fmt.Sprint(len(child.Files)))
-	lines.Text("replaced", fmt.Sprint(int(Replaced)))
+	lines.Text("replaced", fmt.Sprint(int(ReplacedSignal)))
 	lines.Hex("notifications", said)
 	golden.Check(t, "handover.golden", lines.Bytes())
 
--- a/internal/supervisor/handover/handover.go
+++ b/internal/supervisor/handover/handover.go
@@ -25,8 +25,8 @@
 	firstFD = 3
 )
 
-// Replaced is the signal that tells a process to end as another one accepts connections at its socket from now on.
-const Replaced = syscall.SIGUSR2
+// ReplacedSignal is the signal that tells a process to end as another one accepts connections at its socket from now on.
+const ReplacedSignal = syscall.SIGUSR2
 
 // Parent is what a process has of the one that started it.
 type Parent struct {
@@ -68,16 +68,16 @@
 	return p, nil
 }
 
-// Ready says that this process serves.
-func (p *Parent) Ready() error { return p.say("ready") }
+// ReportReady says that this process serves.
+func (p *Parent) ReportReady() error { return p.say("ready") }
 
-// Served says how many answers this process gave since it last said so, and how many of them failed.
-func (p *Parent) Served(answers, failed int) error {
+// ReportResponses says how many answers this process gave since it last said so, and how many of them failed.
+func (p *Parent) ReportResponses(answers, failed int) error {
 	return p.say("served " + strconv.Itoa(answers) + " " + strconv.Itoa(failed))
 }
 
-// Watched tells whether somebody listens to what this process says.
-func (p *Parent) Watched() bool { return p.notify != nil }
+// IsSupervised tells whether somebody listens to what this process says.
+func (p *Parent) IsSupervised() bool { return p.notify != nil }
 
 // say writes a line, which goes into a pipe in one piece or not at all: one for which there is no room is lost. Its error says
 // that the supervisor is gone.
@@ -112,21 +112,21 @@
 		Env: []string{fdsVariable + "=1", pidVariable + "=", notifyVariable + "=" + strconv.Itoa(firstFD+1)}}, nil
 }
 
-// Started closes what is the process's alone.
-func (c *Child) Started() { c.Files[1].Close() }
+// CloseInherited closes what is the process's alone.
+func (c *Child) CloseInherited() { c.Files[1].Close() }
 
-// Drop closes what Listen would read.
-func (c *Child) Drop() { c.read.Close() }
+// Discard closes what Listen would read.
+func (c *Child) Discard() { c.read.Close() }
 
 // longestLine bounds what a process may say at once.
 const longestLine = 128
 
-// ErrNonsense says that a process said what means nothing.
-var ErrNonsense = errors.New("handover: no word of a process")
+// ErrMalformedNotification says that a process said what means nothing.
+var ErrMalformedNotification = errors.New("handover: no word of a process")
 
-// Listen hands over what the process says, until it ends or makes no sense.
-func (c *Child) Listen(ready func(), served func(answers, failed int)) error {
-	defer c.Drop()
+// ReadNotifications hands over what the process says, until it ends or makes no sense.
+func (c *Child) ReadNotifications(ready func(), served func(answers, failed int)) error {
+	defer c.Discard()
 	return listen(c.read, ready, served)
 }
 
@@ -142,11 +142,11 @@
 			answers, err := strconv.ParseUint(words[1], 10, 31)
 			failed, err2 := strconv.ParseUint(words[2], 10, 31)
 			if err != nil || err2 != nil || failed > answers {
-				return ErrNonsense
+				return ErrMalformedNotification
 			}
 			served(int(answers), int(failed))
 		default:
-			return ErrNonsense
+			return ErrMalformedNotification
 		}
 	}
 	return lines.Err()
--- a/internal/testbed/simulation/agree.go
+++ b/internal/testbed/simulation/agree.go
@@ -31,12 +31,12 @@
 	a := &agreements{n: n, life: n.life, born: w.now}
 	seed, date := w.plan.Seed*1000+uint64(n.index*100+n.life), uint64(epoch.UnixMilli()+(w.now+n.skew).Milliseconds())
 	var err error
-	if a.lease, err = lease.New(lease.Config{Self: n.index, Nodes: len(w.nodes), Fleet: 1, Duties: policy.DutyNames[:], Lease: dutyLease, Drift: 0.01,
+	if a.lease, err = lease.New(lease.Config{Self: n.index, Nodes: len(w.nodes), PeerListID: 1, Resources: policy.RoleNames[:], LeaseDuration: dutyLease, MaxClockDrift: 0.01,
 		Epoch: date, Seed: seed}); err != nil {
 		panic(err)
 	}
-	if a.members, err = membership.New(membership.Config{Self: n.index, Nodes: len(w.nodes), Fleet: 1, Life: date, Period: memberPeriod,
-		Wait: memberPeriod / 2, Ask: 1, Suspicion: 3, Seed: seed}); err != nil {
+	if a.members, err = membership.New(membership.Config{Self: n.index, Nodes: len(w.nodes), PeerListID: 1, Incarnation: date, ProbeInterval: memberPeriod,
+		ProbeTimeout: memberPeriod / 2, IndirectProbes: 1, SuspicionFactor: 3, Seed: seed}); err != nil {
 		panic(err)
 	}
 	a.tick(dutyLease/16, func() { a.duty(lease.Tick{}) })
@@ -62,24 +62,24 @@
 }
 
 func (a *agreements) duty(ev lease.Event) {
-	number := func(name string) policy.Duty { return policy.Duty(slices.Index(policy.DutyNames[:], name)) }
+	number := func(name string) policy.Role { return policy.Role(slices.Index(policy.RoleNames[:], name)) }
 	for _, e := range a.lease.Step(a.clock(), ev) {
 		switch e := e.(type) {
 		case lease.Send:
 			a.send(e.To, e.Data)
-		case lease.Held:
-			a.n.w.note("held", strconv.Itoa(a.n.index), e.Duty, strconv.FormatUint(e.Token, 10))
-		case lease.Holder:
-			who := policy.Another
+		case lease.Acquired:
+			a.n.w.note("held", strconv.Itoa(a.n.index), e.Resource, strconv.FormatUint(e.Token, 10))
+		case lease.HolderChanged:
+			who := policy.AssignedElsewhere
 			switch e.Node {
-			case lease.None:
-				who = policy.Nobody
+			case lease.NoNode:
+				who = policy.Unassigned
 			case a.n.index:
-				who = policy.Self
+				who = policy.AssignedHere
 			}
-			a.tell(policy.Holder{Duty: number(e.Duty), Who: who})
-		case lease.Said:
-			a.tell(policy.Word{Duty: number(e.Duty)})
+			a.tell(policy.RoleAssigned{Role: number(e.Resource), Responsibility: who})
+		case lease.Announced:
+			a.tell(policy.RoleAnnouncement{Role: number(e.Resource)})
 		}
 	}
 }
@@ -89,8 +89,8 @@
 		switch e := e.(type) {
 		case membership.Send:
 			a.send(e.To, e.Data)
-		case membership.Count:
-			a.tell(policy.Fleet{Routers: e.Nodes})
+		case membership.FleetSizeChanged:
+			a.tell(policy.FleetSize{Nodes: e.Nodes})
 		}
 	}
 }
@@ -106,18 +106,18 @@
 // leave tells the others that the process ends.
 func (a *agreements) leave() {
 	a.duty(lease.Resign{})
-	a.member(membership.Leave{})
+	a.member(membership.ShutdownStarted{})
 }
 
 // checkDuties looks whether two nodes would act under one duty.
 func (w *world) checkDuties() {
-	for _, duty := range policy.DutyNames {
-		holder := lease.None
+	for _, duty := range policy.RoleNames {
+		holder := lease.NoNode
 		for i, n := range w.nodes {
 			if !n.up || n.agree == nil {
 				continue
 			}
-			if _, ok := n.agree.lease.Holds(n.agree.clock(), duty); ok && holder != lease.None {
+			if _, ok := n.agree.lease.Holds(n.agree.clock(), duty); ok && holder != lease.NoNode {
 				w.broken(TwoHolders, "nodes %d and %d both have %s", holder, i, duty)
 			} else if ok {
 				holder = i
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -245,15 +245,15 @@
 	seed := p.Seed*1000 + uint64(n.index)*100 + n.starts
 	date := uint64((epoch.UnixMilli()) + (f.now + n.date).Milliseconds())
 	var err error
-	n.lease, err = lease.New(lease.Config{Self: n.index, Nodes: p.Nodes, Fleet: 1, Duties: fleetDuties, Lease: fleetLease, Drift: fleetDrift, Epoch: date, Seed: seed})
+	n.lease, err = lease.New(lease.Config{Self: n.index, Nodes: p.Nodes, PeerListID: 1, Resources: fleetDuties, LeaseDuration: fleetLease, MaxClockDrift: fleetDrift, Epoch: date, Seed: seed})
 	n.must(err)
-	n.rollout, err = rollout.New(rollout.Config{Self: n.index, Nodes: p.Nodes, Budget: n.budget, Beacon: 200 * time.Millisecond, Silent: time.Second, Lease: 2 * time.Second,
-		Return: 12 * time.Second, Lost: 10 * time.Minute, Watch: 500 * time.Millisecond, Drift: fleetDrift, Release: n.runs, MaxFailed: 0.2, MaxSlow: 0.5,
-		LeastJudged: 10, Start: date, Seed: seed})
+	n.rollout, err = rollout.New(rollout.Config{Self: n.index, Nodes: p.Nodes, Budget: n.budget, HeartbeatInterval: 200 * time.Millisecond, UnresponsiveAfter: time.Second, RequestTimeout: 2 * time.Second,
+		ReturnTimeout: 12 * time.Second, WriteOffAfter: 10 * time.Minute, ObservationPeriod: 500 * time.Millisecond, MaxClockDrift: fleetDrift, Release: n.runs, MaxFailureRate: 0.2, MaxSlowRate: 0.5,
+		MinSamples: 10, Incarnation: date, Seed: seed})
 	n.must(err)
-	n.members, err = membership.New(membership.Config{Self: n.index, Nodes: p.Nodes, Fleet: 1, Life: date, Period: fleetPeriod, Wait: 50 * time.Millisecond, Ask: 3, Suspicion: 2, Seed: seed})
+	n.members, err = membership.New(membership.Config{Self: n.index, Nodes: p.Nodes, PeerListID: 1, Incarnation: date, ProbeInterval: fleetPeriod, ProbeTimeout: 50 * time.Millisecond, IndirectProbes: 3, SuspicionFactor: 2, Seed: seed})
 	n.must(err)
-	n.doRollout(rollout.Up{})
+	n.doRollout(rollout.ServingStarted{})
 	n.tick(fleetLease/16, func() { n.doLease(lease.Tick{}) })
 	n.tick(50*time.Millisecond, func() { n.doRollout(rollout.Tick{}) })
 	n.tick(25*time.Millisecond, func() { n.doMembers(membership.Tick{}) })
@@ -271,13 +271,13 @@
 		switch e := e.(type) {
 		case lease.Send:
 			n.send(e.To, e.Data)
-		case lease.Held:
-			n.f.note("held", strconv.Itoa(n.index), e.Duty, strconv.FormatUint(e.Token, 10))
-			n.later(n.f.between(0, 200*time.Millisecond), func() { n.doLease(lease.Say{Duty: e.Duty}) })
+		case lease.Acquired:
+			n.f.note("held", strconv.Itoa(n.index), e.Resource, strconv.FormatUint(e.Token, 10))
+			n.later(n.f.between(0, 200*time.Millisecond), func() { n.doLease(lease.Announce{Resource: e.Resource}) })
 		case lease.Lost:
-			n.f.note("lost", strconv.Itoa(n.index), e.Duty)
-		case lease.Note:
-			n.f.note("duty-"+e.Kind.String(), strconv.Itoa(n.index), e.Duty, strconv.Itoa(e.Node), strconv.FormatUint(e.Token, 10), e.Why.String())
+			n.f.note("lost", strconv.Itoa(n.index), e.Resource)
+		case lease.LogEvent:
+			n.f.note("duty-"+e.Kind.String(), strconv.Itoa(n.index), e.Resource, strconv.Itoa(e.Node), strconv.FormatUint(e.Token, 10), e.Reason.String())
 		}
 	}
 }
@@ -287,18 +287,18 @@
 		switch e := e.(type) {
 		case rollout.Send:
 			n.send(e.To, e.Data)
-		case rollout.Go:
+		case rollout.DrainGranted:
 			n.f.note("may-go", strconv.Itoa(n.index))
 			if n.f.now < fleetFaultsOver && n.f.chance(n.f.plan.StopAtGo) {
 				n.stop(n.f.between(0, 6*time.Second))
 			}
 			n.later(n.f.between(0, n.f.plan.Lag), n.goOut)
-		case rollout.Note:
+		case rollout.LogEvent:
 			n.f.note(e.Kind.String(), strconv.Itoa(n.index), strconv.Itoa(e.Node), e.Reason.String())
 			switch {
-			case e.Kind == rollout.NoteFit && e.Node == n.index:
+			case e.Kind == rollout.LogNodeReady && e.Node == n.index:
 				n.out = false
-			case e.Kind == rollout.NoteHalted && e.Reason != rollout.ByOperator:
+			case e.Kind == rollout.LogHalted && e.Reason != rollout.ReasonOperator:
 				n.f.halted = true // what is out stays out for longer than the settings allow: operators are wanted
 			}
 		}
@@ -310,15 +310,15 @@
 		switch e := e.(type) {
 		case membership.Send:
 			n.send(e.To, e.Data)
-		case membership.Changed:
-			n.f.note("member", strconv.Itoa(n.index), strconv.Itoa(e.Node), e.Is.String())
+		case membership.StateChanged:
+			n.f.note("member", strconv.Itoa(n.index), strconv.Itoa(e.Node), e.To.String())
 		}
 	}
 }
 
 // goOut is the deed after the word that the node may go: it asks again, drains, ends, and comes back on what is installed.
 func (n *member) goOut() {
-	if n.leaving || !n.rollout.MayGo(n.clock()) {
+	if n.leaving || !n.rollout.MayDrain(n.clock()) {
 		return
 	}
 	n.f.note("goes", strconv.Itoa(n.index))
@@ -332,9 +332,9 @@
 		return
 	}
 	n.leaving = true
-	n.doRollout(rollout.Going{})
+	n.doRollout(rollout.ShutdownStarted{})
 	n.doLease(lease.Resign{})
-	n.doMembers(membership.Leave{})
+	n.doMembers(membership.ShutdownStarted{})
 	n.later(n.f.between(100*time.Millisecond, time.Second), func() {
 		n.die()
 		n.f.after(n.f.between(50*time.Millisecond, 3*time.Second), n.start)
@@ -424,12 +424,12 @@
 	n.later(n.f.between(0, n.f.plan.Lag), func() {
 		switch {
 		case n.leaving || len(data) == 0:
-		case data[0] == rollout.Mark:
-			n.doRollout(rollout.Heard{From: from, Data: data})
-		case data[0] == lease.Mark:
-			n.doLease(lease.Heard{From: from, Data: data})
-		case data[0] == membership.Mark:
-			n.doMembers(membership.Heard{From: from, Data: data})
+		case data[0] == rollout.Magic:
+			n.doRollout(rollout.MessageReceived{From: from, Data: data})
+		case data[0] == lease.Magic:
+			n.doLease(lease.MessageReceived{From: from, Data: data})
+		case data[0] == membership.Magic:
+			n.doMembers(membership.MessageReceived{From: from, Data: data})
 		}
 	})
 }
@@ -496,7 +496,7 @@
 		if n.up && !n.leaving && !n.stopped {
 			n.wants = true
 		}
-		tell(n, rollout.Leave{})
+		tell(n, rollout.DrainRequested{})
 	case FleetRoll:
 		if !n.up || n.leaving || n.stopped {
 			return // the operator would see that the order did not come through, and give it elsewhere
@@ -505,14 +505,14 @@
 		for _, o := range f.nodes {
 			o.release = release
 		}
-		tell(n, rollout.Roll{Release: release})
+		tell(n, rollout.ReleaseOrdered{Release: release})
 	case FleetHalt:
-		tell(n, rollout.Halt{})
+		tell(n, rollout.HaltRequested{})
 		f.halting++
 		f.after(e.For, func() {
 			if f.halting--; f.halting == 0 { // the operator sees to it that it is over, at every node
 				for _, o := range f.nodes {
-					tell(o, rollout.Resume{})
+					tell(o, rollout.ResumeRequested{})
 				}
 			}
 		})
@@ -521,7 +521,7 @@
 		f.budget = max(f.budget, budget)
 		for _, o := range f.nodes {
 			o.budget = budget
-			f.after(f.between(0, e.For), func() { tell(o, rollout.Budget{Nodes: budget}) })
+			f.after(f.between(0, e.For), func() { tell(o, rollout.BudgetChanged{Nodes: budget}) })
 		}
 	case FleetGone:
 		if f.plan.Nodes > 2 && !slices.ContainsFunc(f.nodes, func(n *member) bool { return n.gone }) {
@@ -561,7 +561,7 @@
 		f.broken(OverBudget, "%d nodes are out by agreement, %d may", out, f.budget)
 	}
 	for _, duty := range fleetDuties {
-		holder := lease.None
+		holder := lease.NoNode
 		for i, n := range f.nodes {
 			if !n.up || n.stopped || n.leaving {
 				continue
@@ -572,7 +572,7 @@
 			}
 			last, acted := f.acted[duty]
 			switch {
-			case holder != lease.None:
+			case holder != lease.NoNode:
 				f.broken(TwoHolders, "nodes %d and %d both have %s", holder, i, duty)
 			case token < f.tokens[duty] || token == f.tokens[duty] && acted && last != i:
 				f.broken(OldToken, "node %d has %s under %d, after %d had it under %d", i, duty, token, last, f.tokens[duty])
@@ -609,7 +609,7 @@
 			}
 		}
 		st := n.rollout.Status(n.clock())
-		if st.State != rollout.Fit.String() {
+		if st.State != rollout.Ready.String() {
 			f.broken(NotBack, "node %d is %s", n.index, st.State)
 		}
 		if gone > 0 || f.halted || st.Halted != "" {
@@ -618,7 +618,7 @@
 		if len(st.Out) > 0 {
 			f.broken(NotBack, "node %d counts out whom it should not: %+v", n.index, st)
 		}
-		if n.wants || n.runs != n.release && st.Wants {
+		if n.wants || n.runs != n.release && st.WantsDrain {
 			f.broken(NotBack, "node %d wanted out and never went: %+v", n.index, st)
 		}
 	}
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -147,9 +147,9 @@
 }
 
 // spread tells all others what the holder of a duty has to say.
-func (n *node) spread(duty policy.Duty) {
+func (n *node) spread(duty policy.Role) {
 	if n.agree != nil {
-		n.agree.duty(lease.Say{Duty: policy.DutyNames[duty]})
+		n.agree.duty(lease.Announce{Resource: policy.RoleNames[duty]})
 	}
 }
 
@@ -225,12 +225,12 @@
 		w.after(w.between(time.Millisecond, 30*time.Millisecond), func() {
 			switch {
 			case !o.up:
-			case o.agree != nil && text[0] == lease.Mark:
-				o.agree.duty(lease.Heard{From: n.index, Data: text})
-			case o.agree != nil && text[0] == membership.Mark:
-				o.agree.member(membership.Heard{From: n.index, Data: text})
+			case o.agree != nil && text[0] == lease.Magic:
+				o.agree.duty(lease.MessageReceived{From: n.index, Data: text})
+			case o.agree != nil && text[0] == membership.Magic:
+				o.agree.member(membership.MessageReceived{From: n.index, Data: text})
 			default:
-				o.core.Tell(policy.Heard{From: n.index, Data: text})
+				o.core.Tell(policy.GossipReceived{From: n.index, Data: text})
 				o.arm()
 			}
 		})
--- a/internal/testbed/simulation/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -78,16 +78,16 @@
 
 // Module is what the decision module of a node is told.
 func (p *Plan) Module(node int) policy.Settings {
-	set := policy.Settings{Routers: len(p.Spec.Nodes), Zone: p.Spec.Nodes[node].Zone, OriginKind: model.OriginID, MustAsk: true,
-		MustAskIn: 10 * time.Second, DrainGrace: p.Rules.DrainWithin.D(), Probes: p.Probes, Peers: !p.Mute, Cancels: p.Nodes.Cancel,
-		LeaveOwner: locality.DefaultLeave, MaxAttempts: p.Nodes.MaxAttempts, MaxRetryAfter: p.Nodes.RetryAfter.D(), Tick: 5 * time.Millisecond,
-		ColdFrom: 1, FallFactor: p.Rules.FallFactor}
+	set := policy.Settings{Nodes: len(p.Spec.Nodes), Zone: p.Spec.Nodes[node].Zone, OriginKind: model.OriginID, MustPoll: true,
+		MaxPollInterval: 10 * time.Second, DrainGrace: p.Rules.DrainWithin.D(), MayHealthCheck: p.Probes, MayGossip: !p.Mute, MayCancel: p.Nodes.Cancel,
+		AffinityBudget: locality.DefaultAffinityBudget, MaxAttempts: p.Nodes.MaxAttempts, MaxRetryAfter: p.Nodes.RetryAfter.D(), Tick: 5 * time.Millisecond,
+		SlowStartFloor: 1, OverloadFactor: p.Rules.FallFactor}
 	for _, b := range p.Spec.Boxes {
-		set.ColdFrom, set.WarmAfter = min(set.ColdFrom, b.Kind.ColdFrom), max(set.WarmAfter, b.Kind.WarmAfter)
+		set.SlowStartFloor, set.SlowStartDuration = min(set.SlowStartFloor, b.Kind.ColdFrom), max(set.SlowStartDuration, b.Kind.WarmAfter)
 	}
-	effects := map[string]policy.Effect{"idempotent": policy.Safe, "deduplicated": policy.Keyed, "at_most_once": policy.Unsafe}
+	effects := map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}
 	for _, c := range p.Class {
-		set.Classes = append(set.Classes, policy.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.D(), Late: c.Late, Effect: effects[c.Effect], Window: c.Window.D()})
+		set.Classes = append(set.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, LatencyObjective: c.Aim.D(), LateFraction: c.Late, Effect: effects[c.Effect], DedupWindow: c.Window.D()})
 	}
 	return set
 }
--- a/internal/testbed/simulation/servers.go
+++ b/internal/testbed/simulation/servers.go
@@ -307,7 +307,7 @@
 	life     int
 	near     *end // the node's
 	end      *end // discovery's
-	follower *discovery.Follower
+	follower *discovery.WatchState
 	report   func(discovery.List, error)
 	begun    bool
 	over     bool
@@ -323,7 +323,7 @@
 func (s source) Watch(after int64, report func(discovery.List, error)) (stop func()) {
 	w := s.n.w
 	w.lastAsk++
-	c := &call{w: w, id: w.lastAsk, n: s.n, life: s.life, report: report, follower: discovery.NewFollower(s.n.now(), polling.CallWithin)}
+	c := &call{w: w, id: w.lastAsk, n: s.n, life: s.life, report: report, follower: discovery.NewWatchState(s.n.now(), polling.CallTimeout)}
 	c.near, c.end = w.pipe(w.plan.Net.Discovery, w.plan.Net.Discovery)
 	c.near.data = c.received
 	c.near.ended = func(reset bool) {
@@ -331,7 +331,7 @@
 		if reset {
 			broke = errReset
 		}
-		c.take(nil, c.follower.Ended(broke))
+		c.take(nil, c.follower.ConnectionEnded(broke))
 	}
 	w.calls[c.id] = c
 	w.after(w.between(100*time.Microsecond, time.Millisecond), func() {
@@ -354,11 +354,11 @@
 
 // arm books the time at which the follower looks whether it has fallen silent.
 func (c *call) arm() {
-	c.w.at(c.n.simTime(c.follower.Next()), func() {
+	c.w.at(c.n.simTime(c.follower.Deadline()), func() {
 		if c.over || c.n.life != c.life {
 			return
 		}
-		if err := c.follower.Due(c.n.now()); err != nil {
+		if err := c.follower.CheckTimeout(c.n.now()); err != nil {
 			c.take(nil, err)
 			return
 		}
@@ -402,7 +402,7 @@
 		return
 	}
 	c.n.heard = c.w.now
-	lists, err := c.follower.Received(c.n.now(), b)
+	lists, err := c.follower.BytesReceived(c.n.now(), b)
 	c.take(lists, err)
 }
 
@@ -419,7 +419,7 @@
 		} else {
 			w.after(w.between(100*time.Microsecond, time.Millisecond), func() {
 				if !c.over && c.n.life == c.life {
-					c.take(nil, c.follower.Answered(c.n.now(), 503))
+					c.take(nil, c.follower.ResponseReceived(c.n.now(), 503))
 				}
 			})
 		}
@@ -428,7 +428,7 @@
 	if !c.begun {
 		c.begun = true
 		if !c.end.silent {
-			if err := c.follower.Answered(c.n.now(), 200); err != nil {
+			if err := c.follower.ResponseReceived(c.n.now(), 200); err != nil {
 				c.take(nil, err)
 				return
 			}
--- a/internal/upstream/end.go
+++ b/internal/upstream/end.go
@@ -33,17 +33,17 @@
 	name   string
 	reason policy.Reason
 }{
-	Served:    {"served", policy.OK},
+	Served:    {"served", policy.Succeeded},
 	Missed:    {"missed", policy.Miss},
 	Errored:   {"errored", policy.Errored},
 	Busy:      {"busy", policy.Rejected},
-	NotSent:   {"not_sent", policy.Moot},
+	NotSent:   {"not_sent", policy.NeverSent},
 	NoRoom:    {"no_room", policy.Rejected},
 	Drained:   {"drained", policy.Rejected}, // as the server itself would have answered
 	NoConnect: {"no_connect", policy.NoConnection},
 	CutShort:  {"cut_short", policy.NoConnection},
 	Broken:    {"broken", policy.Reset},
-	Garbage:   {"garbage", policy.Spoilt},
+	Garbage:   {"garbage", policy.CorruptResponse},
 	Unheld:    {"unheld", policy.Errored}, // it may have run, and again it would be as long
 	TimedOut:  {"timed_out", policy.TimedOut},
 	Cancelled: {"cancelled", policy.Cancelled},
