--- a/cmd/shelfproxy/run.go
+++ b/cmd/shelfproxy/run.go
@@ -67,10 +67,10 @@
 	parent           *handover.Parent       // a supervisor, if one started this process
 	told             rollout.ResponseCounts // to the supervisor
 	leave            chan struct{}
-	memory           admission.Memory
+	memory           admission.MemoryPressure
 	pressure         float64 // as the node was told
-	split            *admission.Split
-	targets, origins *upstream.Budget
+	split            *admission.DescriptorSplit
+	targets, origins *upstream.DescriptorBudget
 }
 
 func run(cfg *config.Config, file string) error {
@@ -167,36 +167,36 @@
 	// The collector keeps well under the limit on memory, past which the node is killed.
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 6 / 10)
 
-	classes := make([]string, len(cfg.Module.Classes))
-	for i, c := range cfg.Module.Classes {
+	classes := make([]string, len(cfg.Policy.Classes))
+	for i, c := range cfg.Policy.Classes {
 		classes[i] = c.Name
 	}
-	tenants := make([]string, len(cfg.Module.Tenants))
-	for i, t := range cfg.Module.Tenants {
+	tenants := make([]string, len(cfg.Policy.Tenants))
+	for i, t := range cfg.Policy.Tenants {
 		tenants[i] = t.Name
 	}
-	ends := make([]string, upstream.Ends())
+	ends := make([]string, upstream.NumOutcomes())
 	for i := range ends {
-		ends[i] = upstream.End(i).String()
+		ends[i] = upstream.Outcome(i).String()
 	}
-	count := counters.New(classes, request.Kinds(), ends)
+	count := counters.New(classes, request.ResponseKinds(), ends)
 
 	// Descriptors: a part is for discovery, the log and the runtime, the rest is divided, and divided anew by need.
 	sockets := float64(cfg.Sockets - 32)
-	start := [admission.Sides]int{admission.Clients: int(sockets * op.Listener.Share),
-		admission.Targets: int(sockets * op.Pools.TargetShare), admission.Origin: max(1, int(sockets*op.Pools.OriginShare))}
-	split := admission.SplitPolicy{Start: start, Step: max(1, cfg.Sockets/48), Hold: 2 * time.Second, Fade: 5 * time.Second}
+	start := [admission.NumSides]int{admission.Clients: int(sockets * op.Listener.Share),
+		admission.CacheServers: int(sockets * op.Pools.TargetShare), admission.Origin: max(1, int(sockets*op.Pools.OriginShare))}
+	split := admission.DescriptorSplitPolicy{Start: start, Step: max(1, cfg.Sockets/48), Hold: 2 * time.Second, Fade: 5 * time.Second}
 	for i, n := range start {
 		split.Floor[i] = max(1, n*2/5)
 	}
-	targets, origins := upstream.NewBudget(start[admission.Targets]), upstream.NewBudget(start[admission.Origin])
-	limits := upstream.Limits{Connect: cfg.Node.ConnectTimeout, Idle: cfg.Node.ConnIdle * 8 / 10,
-		Streams: cfg.Node.Streams, Conns: op.Pools.Connections, Waiting: op.Pools.Waiting}
-	if cfg.Module.HandshakeCost > 0 {
-		limits.Share = sharedFor
+	targets, origins := upstream.NewDescriptorBudget(start[admission.CacheServers]), upstream.NewDescriptorBudget(start[admission.Origin])
+	limits := upstream.Limits{ConnectTimeout: cfg.Node.ConnectTimeout, IdleTimeout: cfg.Node.ConnectionIdle * 8 / 10,
+		MaxStreams: cfg.Node.MaxStreams, MaxConnections: op.Pools.Connections, MaxQueued: op.Pools.Waiting}
+	if cfg.Policy.HandshakeCost > 0 {
+		limits.PipelineWithin = sharedFor
 	}
 	originLimits := limits
-	originLimits.Streams, originLimits.Conns = 1, cfg.Sockets // the budget bounds them
+	originLimits.MaxStreams, originLimits.MaxConnections = 1, cfg.Sockets // the budget bounds them
 
 	socket, err := openPeers(cfg, log, parent.Listener != nil, term)
 	if errors.Is(err, errStopped) {
@@ -206,7 +206,7 @@
 		logs.Component(log, "peers").Error("the node tells the others nothing and hears nothing", logs.Event, "peers_unavailable",
 			"error", err.Error())
 	}
-	module := cfg.Module
+	module := cfg.Policy
 	var tell func([]byte) error
 	if module.MayGossip = socket != nil; module.MayGossip {
 		tell = socket.Broadcast
@@ -217,15 +217,15 @@
 			duties.Announce(policy.RoleNames[duty])
 		}
 	}
-	long := upstream.NewRoom(cfg.MemoryMB<<20/longShare, max(leastValue, cfg.MemoryMB<<20/valueShare))
-	n, err := node.New(node.Options{Tell: tell, Spread: spread, Module: module, Seed: cfg.Seed, MaxOpen: cfg.Node.MaxOpen, MaxHeld: cfg.MemoryMB << 20 / heldShare, MaxWait: cfg.Node.LongestWait,
-		Known: cfg.Known, Source: source(cfg), Count: count, Log: logs.Component(log, "node"),
-		Upstream: func(s discovery.Server, isOrigin bool, report func(*upstream.Forward, upstream.Answer)) node.Upstream {
+	long := upstream.NewResponseMemory(cfg.MemoryMB<<20/longShare, max(leastValue, cfg.MemoryMB<<20/valueShare))
+	n, err := node.New(node.Options{Gossip: tell, Announce: spread, Policy: module, Seed: cfg.Seed, MaxOpenRequests: cfg.Node.MaxOpenRequests, MaxRequestBytes: cfg.MemoryMB << 20 / heldShare, MaxClientTimeout: cfg.Node.MaxDeadline,
+		InitialList: cfg.InitialList, Source: source(cfg), Counters: count, Log: logs.Component(log, "node"),
+		NewUpstream: func(s discovery.Server, isOrigin bool, report func(*upstream.Attempt, upstream.Response)) node.Upstream {
 			if isOrigin {
-				return upstream.NewPool(s.Addr, origin.Codec{Host: s.Addr, Room: long}, originLimits,
-					origins, report, func() { count.OriginOpened.Add(1) })
+				return upstream.NewPool(s.Addr, origin.Codec{Host: s.Addr, Memory: long}, originLimits,
+					origins, report, func() { count.OriginConnections.Add(1) })
 			}
-			return upstream.NewPool(s.Addr, resp.Codec{Room: long}, limits, targets, report, func() { count.Opened.Add(1) })
+			return upstream.NewPool(s.Addr, resp.Codec{Memory: long}, limits, targets, report, func() { count.UpstreamConnections.Add(1) })
 		}})
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -239,19 +239,19 @@
 	} else if op.Rollout.NodesOut > 0 {
 		logs.Component(log, "rollout").Warn("nodes may not send each other messages here: each goes when it is told", logs.Event, "rollout_off")
 	}
-	if socket != nil && len(op.Duties.Hold) > 0 {
+	if socket != nil && len(op.Leases.Hold) > 0 {
 		if duties, err = newDuties(cfg, socket, n, count, logs.Component(log, "duties")); err != nil {
 			return nil, fmt.Errorf("duties: %w", err)
 		}
-	} else if len(op.Duties.Hold) > 0 {
+	} else if len(op.Leases.Hold) > 0 {
 		logs.Component(log, "duties").Warn("nodes may not send each other messages here: each does for itself", logs.Event, "duties_off")
 	}
 	var members *memberAgent.Agent
-	if socket != nil && op.Members.On {
+	if socket != nil && op.Membership.On {
 		if members, err = newMembers(cfg, socket, n, count, logs.Component(log, "members")); err != nil {
 			return nil, fmt.Errorf("members: %w", err)
 		}
-	} else if op.Members.On {
+	} else if op.Membership.On {
 		logs.Component(log, "members").Warn("nodes may not send each other messages here: nobody looks who is there", logs.Event, "members_off")
 	}
 	if socket != nil {
@@ -264,7 +264,7 @@
 			case members != nil && len(data) > 0 && data[0] == membership.Magic:
 				members.Receive(from, data)
 			default:
-				n.Heard(from, data)
+				n.ReceiveGossip(from, data)
 			}
 		}
 		go listenToPeers(socket, heard, count, logs.Component(log, "peers"))
@@ -278,17 +278,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	front := listener.New(ln, n, classes, tenants, listener.Limits{Conns: start[admission.Clients],
-		Pipelined: min(op.Listener.Pipelined, max(leastPipelined, cfg.MemoryMB/pipelinedMB)), Value: 64 << 10, Write: op.Listener.Write.D(), Silent: op.Listener.Silent.D(),
-		Crowd: op.Listener.IdleCrowded.D(), Idle: op.Listener.Idle.D(), Owed: cfg.MemoryMB << 20 / 6}, count)
-	return &daemon{agent: agreement, duties: duties, members: members, socket: socket, parent: parent, leave: leave, memory: admission.Memory{Limit: int64(cfg.MemoryMB) << 20}, cfg: cfg, file: file, log: logs.Component(log, "daemon"), count: count, node: n, front: front,
-		split: admission.NewSplit(split), targets: targets, origins: origins}, nil
+	front := listener.New(ln, n, classes, tenants, listener.Limits{MaxConnections: start[admission.Clients],
+		MaxPipelined: min(op.Listener.Pipelined, max(leastPipelined, cfg.MemoryMB/pipelinedMB)), MaxValue: 64 << 10, WriteTimeout: op.Listener.Write.D(), FirstCommandTimeout: op.Listener.Silent.D(),
+		CrowdedIdleTimeout: op.Listener.IdleCrowded.D(), IdleTimeout: op.Listener.Idle.D(), MaxUnsentBytes: cfg.MemoryMB << 20 / 6}, count)
+	return &daemon{agent: agreement, duties: duties, members: members, socket: socket, parent: parent, leave: leave, memory: admission.MemoryPressure{Limit: int64(cfg.MemoryMB) << 20}, cfg: cfg, file: file, log: logs.Component(log, "daemon"), count: count, node: n, front: front,
+		split: admission.NewDescriptorSplit(split), targets: targets, origins: origins}, nil
 }
 
 // source is discovery, or the agent on this machine that lists are pushed to.
 func source(cfg *config.Config) *discovery.Client {
 	c := &discovery.Client{Addr: cfg.Discovery}
-	if !cfg.Module.MustPoll {
+	if !cfg.Policy.MustPoll {
 		c.CallTimeout = discovery.AgentCallTimeout
 	}
 	return c
@@ -298,7 +298,7 @@
 //
 // Beside a process that this one replaces the address is not free yet: it is taken once that one lets go of it.
 func openPeers(cfg *config.Config, log *slog.Logger, replaces bool, term <-chan os.Signal) (*peers.Socket, error) {
-	if !cfg.Tells() {
+	if !cfg.MayGossip() {
 		return nil, nil
 	}
 	if replaces {
@@ -341,15 +341,15 @@
 func newAgent(cfg *config.Config, socket *peers.Socket, count *counters.Counters, leave chan struct{}, log *slog.Logger) (*agent.Agent, error) {
 	counts := make([]*atomic.Int64, rollout.LogEventKinds)
 	for kind := range rollout.LogEventKinds {
-		counts[kind] = count.More("rollout_" + kind.String())
+		counts[kind] = count.Register("rollout_" + kind.String())
 	}
 	r := cfg.Operator.Rollout
-	core := r.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), cfg.Module.Zone, uint64(time.Now().UnixMilli()), cfg.Seed)
+	core := r.CoreConfig(cfg.Peers.Self(), len(cfg.Peers.Peers), cfg.Policy.Zone, uint64(time.Now().UnixMilli()), cfg.Seed)
 	return agent.New(agent.Options{Config: core, Send: socket.SendTo, Log: log,
 		DrainGranted: func() { leave <- struct{}{} },
 		ResponseCounts: func() rollout.ResponseCounts {
 			answers, failed := count.Total(int(request.Failed))
-			return rollout.ResponseCounts{Responses: answers, Failed: failed, Slow: int(count.Slow.Load())}
+			return rollout.ResponseCounts{Responses: answers, Failed: failed, Slow: int(count.ServedLate.Load())}
 		},
 		CountEvent: func(kind rollout.LogEventKind) { counts[kind].Add(1) }})
 }
@@ -358,10 +358,10 @@
 func newDuties(cfg *config.Config, socket *peers.Socket, n *node.Node, count *counters.Counters, log *slog.Logger) (*dutyAgent.Agent, error) {
 	counts := make([]*atomic.Int64, lease.LogEventKinds)
 	for kind := range lease.LogEventKinds {
-		counts[kind] = count.More("duty_" + kind.String())
+		counts[kind] = count.Register("duty_" + kind.String())
 	}
 	number := func(name string) policy.Role { return policy.Role(slices.Index(policy.RoleNames[:], name)) }
-	core := cfg.Operator.Duties.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), uint64(time.Now().UnixMilli()), cfg.Seed)
+	core := cfg.Operator.Leases.CoreConfig(cfg.Peers.Self(), len(cfg.Peers.Peers), uint64(time.Now().UnixMilli()), cfg.Seed)
 	return dutyAgent.New(dutyAgent.Options{Config: core, Send: socket.SendTo, Log: log,
 		HolderChanged: func(duty string, node int) {
 			who := policy.AssignedElsewhere
@@ -371,9 +371,9 @@
 			case lease.ThisNode:
 				who = policy.AssignedHere
 			}
-			n.Duty(policy.RoleAssigned{Role: number(duty), Responsibility: who})
+			n.NotifyRole(policy.RoleAssigned{Role: number(duty), Responsibility: who})
 		},
-		Announced:  func(duty string) { n.Duty(policy.RoleAnnouncement{Role: number(duty)}) },
+		Announced:  func(duty string) { n.NotifyRole(policy.RoleAnnouncement{Role: number(duty)}) },
 		CountEvent: func(kind lease.LogEventKind) { counts[kind].Add(1) }})
 }
 
@@ -381,10 +381,10 @@
 func newMembers(cfg *config.Config, socket *peers.Socket, n *node.Node, count *counters.Counters, log *slog.Logger) (*memberAgent.Agent, error) {
 	counts := make([]*atomic.Int64, memberAgent.EventKinds)
 	for note := range memberAgent.EventKinds {
-		counts[note] = count.More("member_" + note.String())
+		counts[note] = count.Register("member_" + note.String())
 	}
-	core := cfg.Operator.Members.Core(cfg.Peers.Self(), len(cfg.Peers.Peers), cfg.Operator.Duties.Fleet(len(cfg.Peers.Peers)), uint64(time.Now().UnixMilli()), cfg.Seed)
-	return memberAgent.New(memberAgent.Options{Config: core, Send: socket.SendTo, SetFleetSize: n.Fleet, Log: log,
+	core := cfg.Operator.Membership.CoreConfig(cfg.Peers.Self(), len(cfg.Peers.Peers), cfg.Operator.Leases.PeerListID(len(cfg.Peers.Peers)), uint64(time.Now().UnixMilli()), cfg.Seed)
+	return memberAgent.New(memberAgent.Options{Config: core, Send: socket.SendTo, SetFleetSize: n.SetFleetSize, Log: log,
 		CountEvent: func(note memberAgent.EventKind) { counts[note].Add(1) }})
 }
 
@@ -464,7 +464,7 @@
 func listenToPeers(socket *peers.Socket, heard func(int, []byte), count *counters.Counters, log *slog.Logger) {
 	var once sync.Once
 	err := socket.Receive(heard, func(from netip.AddrPort) {
-		count.PeersForeign.Add(1)
+		count.GossipForeign.Add(1)
 		once.Do(func() {
 			log.Warn("a datagram came that no node of this tier sent", logs.Event, "peer_foreign", "from", from.String())
 		})
@@ -510,24 +510,24 @@
 		d.log.Warn("memory is short: work of the lowest worth is refused", logs.Event, "memory_short", "limit_mb", d.cfg.MemoryMB)
 	}
 	d.pressure = level
-	d.node.Pressure(level)
+	d.node.SetMemoryPressure(level)
 }
 
 // divide moves descriptors to where they are needed.
 func (d *daemon) divide(now time.Duration) {
-	var uses [admission.Sides]admission.Use
-	for side, use := range map[admission.Side]func() (int, int64){admission.Clients: d.front.Use,
-		admission.Targets: d.targets.Use, admission.Origin: d.origins.Use} {
-		uses[side].InUse, uses[side].Refused = use()
+	var uses [admission.NumSides]admission.SideUsage
+	for side, use := range map[admission.Side]func() (int, int64){admission.Clients: d.front.Usage,
+		admission.CacheServers: d.targets.Usage, admission.Origin: d.origins.Usage} {
+		uses[side].InUse, uses[side].Exhausted = use()
 	}
-	if d.split.Look(now, uses) {
+	if d.split.Rebalance(now, uses) {
 		l := d.split.Limits()
-		d.count.Moves.Add(1)
-		d.front.SetPlaces(l[admission.Clients])
-		d.targets.Set(l[admission.Targets])
-		d.origins.Set(l[admission.Origin])
+		d.count.DescriptorRebalances.Add(1)
+		d.front.SetMaxConnections(l[admission.Clients])
+		d.targets.Resize(l[admission.CacheServers])
+		d.origins.Resize(l[admission.Origin])
 		d.log.Debug("descriptors are divided anew", logs.Event, "descriptors_moved", "clients", l[admission.Clients],
-			"targets", l[admission.Targets], "origin", l[admission.Origin])
+			"targets", l[admission.CacheServers], "origin", l[admission.Origin])
 	}
 }
 
@@ -549,12 +549,12 @@
 func (d *daemon) reload() {
 	cfg, err := config.Load(os.Getenv, d.file)
 	if err != nil {
-		d.count.ReloadsBad.Add(1)
+		d.count.ReloadsFailed.Add(1)
 		d.log.Error("reload: the running configuration stays", logs.Event, "reload_refused", "error", err.Error())
 		return
 	}
 	d.count.Reloads.Add(1)
-	for _, field := range d.cfg.Fixed(cfg) {
+	for _, field := range d.cfg.ChangedFixedFields(cfg) {
 		d.log.Warn("reload: a field changed that takes effect at the next start", logs.Event, "reload_waits", "field", field)
 	}
 	if r := cfg.Operator.Rollout; d.agent != nil && r != d.cfg.Operator.Rollout {
@@ -568,7 +568,7 @@
 	d.movePeers(cfg)
 	if d.cfg.Discovery != cfg.Discovery {
 		d.log.Info("reload: discovery moves", logs.Event, "discovery_moved", "from", d.cfg.Discovery, "to", cfg.Discovery)
-		d.node.Follow(source(cfg))
+		d.node.FollowDiscovery(source(cfg))
 		kept := *d.cfg
 		kept.Discovery = cfg.Discovery
 		d.cfg = &kept
@@ -579,7 +579,7 @@
 // before and the list after, so these may differ by one node.
 func (d *daemon) movePeers(cfg *config.Config) {
 	changed := d.cfg.Peers.CountChanges(cfg.Peers)
-	if changed == 0 && d.cfg.Operator.Duties.List == cfg.Operator.Duties.List || d.socket == nil {
+	if changed == 0 && d.cfg.Operator.Leases.List == cfg.Operator.Leases.List || d.socket == nil {
 		return
 	}
 	refused := ""
@@ -602,7 +602,7 @@
 	}
 	d.log.Info("reload: the list of peers changes", logs.Event, "peers_moved", "nodes", len(cfg.Peers.Peers), "changed", changed)
 	self, nodes := cfg.Peers.Self(), len(cfg.Peers.Peers)
-	list := cfg.Operator.Duties.Fleet(nodes)
+	list := cfg.Operator.Leases.PeerListID(nodes)
 	if d.duties != nil {
 		d.duties.UpdatePeers(lease.PeersChanged{Self: self, Nodes: nodes, PeerListID: list})
 	}
@@ -610,7 +610,7 @@
 		d.members.UpdatePeers(membership.PeersChanged{Self: self, Nodes: nodes, PeerListID: list})
 	}
 	kept, op := *d.cfg, *d.cfg.Operator
-	kept.Peers, op.Duties.List = cfg.Peers, cfg.Operator.Duties.List
+	kept.Peers, op.Leases.List = cfg.Peers, cfg.Operator.Leases.List
 	kept.Operator = &op
 	d.cfg = &kept
 }
@@ -619,7 +619,7 @@
 // closed when all that is owed is answered, or when there is no more time for it.
 func (d *daemon) shutDown() <-chan struct{} {
 	over := make(chan struct{})
-	grace, end := d.cfg.Ending()
+	grace, end := d.cfg.ShutdownTimes()
 	last := time.Now().Add(end)
 	go func() {
 		defer close(over)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,51 +12,51 @@
 
 const ms = time.Millisecond
 
-func table(places int) *Table {
-	return NewTable(DefaultTable(places, 2500*ms, time.Minute, 50*ms))
+func table(places int) *ConnectionTable {
+	return NewConnectionTable(DefaultConnectionPolicy(places, 2500*ms, time.Minute, 50*ms))
 }
 
 // request makes a connection ask and be answered.
-func request(t *Table, now Time, id uint64, kind Command) {
-	t.Asked(now, id, kind)
-	t.Answered(now+10*ms, id, 1)
+func request(t *ConnectionTable, now Time, id uint64, kind Command) {
+	t.CommandReceived(now, id, kind)
+	t.ResponsesWritten(now+10*ms, id, 1)
 }
 
 // Each stage keeps a connection for its own time while there is room.
 func TestPatienceByStage(t *testing.T) {
 	for name, test := range map[string]struct {
-		see  func(t *Table)
+		see  func(t *ConnectionTable)
 		want time.Duration // from time 0 on
 	}{
-		"fresh":          {func(t *Table) {}, 2500 * ms},
-		"half a command": {func(t *Table) { t.Began(time.Second, 1) }, 3500 * ms},
-		"greeted":        {func(t *Table) { request(t, 0, 1, Other) }, time.Minute + 10*ms},
-		"once":           {func(t *Table) { request(t, 0, 1, Request) }, time.Minute + 10*ms},
-		"rude":           {func(t *Table) { request(t, 0, 1, Senseless) }, 2010 * ms},
-		"rude, then polite": {func(t *Table) {
-			request(t, 0, 1, Senseless)
-			request(t, 20*ms, 1, Request)
+		"fresh":          {func(t *ConnectionTable) {}, 2500 * ms},
+		"half a command": {func(t *ConnectionTable) { t.PartialCommand(time.Second, 1) }, 3500 * ms},
+		"greeted":        {func(t *ConnectionTable) { request(t, 0, 1, CommandOther) }, time.Minute + 10*ms},
+		"once":           {func(t *ConnectionTable) { request(t, 0, 1, CommandRequest) }, time.Minute + 10*ms},
+		"rude":           {func(t *ConnectionTable) { request(t, 0, 1, CommandInvalid) }, 2010 * ms},
+		"rude, then polite": {func(t *ConnectionTable) {
+			request(t, 0, 1, CommandInvalid)
+			request(t, 20*ms, 1, CommandRequest)
 		}, time.Minute + 30*ms},
-		"half a command after one": {func(t *Table) {
-			request(t, 0, 1, Request)
-			t.Began(time.Second, 1)
-			t.Began(3*time.Second, 1) // more of it came
+		"half a command after one": {func(t *ConnectionTable) {
+			request(t, 0, 1, CommandRequest)
+			t.PartialCommand(time.Second, 1)
+			t.PartialCommand(3*time.Second, 1) // more of it came
 		}, 3500 * ms},
 	} {
 		tab := table(100)
-		tab.Open(0, 1)
+		tab.Accepted(0, 1)
 		test.see(tab)
-		at, ok := tab.Wake(0)
+		at, ok := tab.NextExpiry(0)
 		if d := at - test.want; !ok || d < -ms || d > ms {
 			t.Errorf("%s: given up at %s, want %s", name, at, test.want)
 		}
-		if got := tab.Due(at-ms, 10); len(got) != 0 {
+		if got := tab.ExpireIdle(at-ms, 10); len(got) != 0 {
 			t.Errorf("%s: given up too early", name)
 		}
-		if got := tab.Due(at, 10); !slices.Equal(got, []uint64{1}) {
+		if got := tab.ExpireIdle(at, 10); !slices.Equal(got, []uint64{1}) {
 			t.Errorf("%s: gives up %v", name, got)
 		}
-		if got := tab.Due(at+time.Hour, 10); len(got) != 0 {
+		if got := tab.ExpireIdle(at+time.Hour, 10); len(got) != 0 {
 			t.Errorf("%s: given up twice", name)
 		}
 	}
@@ -66,28 +66,28 @@
 func TestOpenRequestsKeepTheirPlace(t *testing.T) {
 	tab := table(4)
 	for id := range uint64(4) {
-		tab.Open(0, id)
-		tab.Asked(0, id, Request)
+		tab.Accepted(0, id)
+		tab.CommandReceived(0, id, CommandRequest)
 	}
-	if got := tab.Due(time.Hour, 10); len(got) != 0 {
+	if got := tab.ExpireIdle(time.Hour, 10); len(got) != 0 {
 		t.Errorf("gives up %v with requests out", got)
 	}
-	if ok, _, found := tab.Room(time.Hour); ok || found {
+	if ok, _, found := tab.Admit(time.Hour); ok || found {
 		t.Error("finds a victim among connections with requests out")
 	}
-	tab.Answered(time.Hour, 2, 1)
-	_, victim, found := tab.Room(time.Hour + ms)
+	tab.ResponsesWritten(time.Hour, 2, 1)
+	_, victim, found := tab.Admit(time.Hour + ms)
 	if !found || victim != 2 {
 		t.Fatalf("victim %d, %v", victim, found)
 	}
-	tab.Asked(time.Hour+2*ms, 2, Request) // it came as the connection was given up
-	tab.Answered(time.Hour+3*ms, 2, 1)
-	if _, _, again := tab.Room(time.Hour + 4*ms); again {
+	tab.CommandReceived(time.Hour+2*ms, 2, CommandRequest) // it came as the connection was given up
+	tab.ResponsesWritten(time.Hour+3*ms, 2, 1)
+	if _, _, again := tab.Admit(time.Hour + 4*ms); again {
 		t.Error("another is given up while room is on its way")
 	}
-	tab.Gone(time.Hour+5*ms, 2)
-	if ok, _, _ := tab.Room(time.Hour + 6*ms); !ok || tab.Used() != 3 {
-		t.Errorf("no room after one went; %d in use", tab.Used())
+	tab.Closed(time.Hour+5*ms, 2)
+	if ok, _, _ := tab.Admit(time.Hour + 6*ms); !ok || tab.Len() != 3 {
+		t.Errorf("no room after one went; %d in use", tab.Len())
 	}
 }
 
@@ -97,9 +97,9 @@
 	tab := table(200)
 	last := math.Inf(1)
 	for i := range uint64(200) {
-		tab.Open(0, i)
+		tab.Accepted(0, i)
 		now := 10 * time.Second // the drift is over
-		wait := float64(tab.patience(int(Once), tab.Pressure(now)))
+		wait := float64(tab.patience(int(StageOneRequest), tab.Crowding(now)))
 		if wait > last || wait < last*0.85 && !math.IsInf(last, 1) {
 			t.Errorf("with %d connections patience goes from %s to %s", i+1, time.Duration(last), time.Duration(wait))
 		}
@@ -110,13 +110,13 @@
 	}
 	fills := table(200)
 	for i := range uint64(30) {
-		fills.Open(0, i)
+		fills.Accepted(0, i)
 	}
 	if slow := table(200); true {
 		for i := range uint64(30) {
-			slow.Open(time.Duration(i)*100*ms, i)
+			slow.Accepted(time.Duration(i)*100*ms, i)
 		}
-		if a, b := fills.Pressure(0), slow.Pressure(2900*ms); a <= b {
+		if a, b := fills.Crowding(0), slow.Crowding(2900*ms); a <= b {
 			t.Errorf("a table that fills at once has pressure %.2f, one that fills slowly %.2f", a, b)
 		}
 	}
@@ -142,7 +142,7 @@
 		id := uint64(0)
 		for range 20 {
 			id++
-			tab.Open(0, id)
+			tab.Accepted(0, id)
 			regulars = append(regulars, client{id, time.Duration(id) * 7 * ms, 150 * ms}) // they are there before the crowd
 		}
 		lost, shut, opened := 0, 0, 0
@@ -150,17 +150,17 @@
 		gone := func(now Time, ids ...uint64) {
 			for _, id := range ids {
 				closed[id] = true
-				tab.Gone(now, id)
+				tab.Closed(now, id)
 			}
 		}
 		for now := Time(0); now < 10*time.Second; now += ms {
 			if now > time.Second && now%crowd.every == 0 {
 				opened++
-				if ok, victim, found := tab.Room(now); ok {
+				if ok, victim, found := tab.Admit(now); ok {
 					id++
-					tab.Open(now, id)
+					tab.Accepted(now, id)
 					if crowd.speak {
-						request(tab, now, id, Request)
+						request(tab, now, id, CommandRequest)
 					}
 				} else {
 					shut++
@@ -174,13 +174,13 @@
 					if closed[r.id] {
 						lost++
 						closed[r.id] = false
-						tab.Open(now, r.id)
+						tab.Accepted(now, r.id)
 					}
-					request(tab, now, r.id, Request)
+					request(tab, now, r.id, CommandRequest)
 					r.next += r.every
 				}
 			}
-			gone(now, tab.Due(now, 1000)...)
+			gone(now, tab.ExpireIdle(now, 1000)...)
 		}
 		t.Logf("%s: %d opened, %d found no place at once, %d reconnects of regulars in %d requests", name, opened, shut, lost, 20*10000/150)
 		if lost > 20 || crowd.speak && shut > opened/4 { // silent ones may wait
@@ -192,27 +192,27 @@
 // Clients that take none of their answers are cut off when too much is owed to all, the one stuck for longest first;
 // one that reads slowly stays.
 func TestStuckReaders(t *testing.T) {
-	p := DefaultTable(10, time.Second, time.Minute, 50*ms)
-	p.Bytes, p.Stuck = 1<<20, 250*ms
-	tab := NewTable(p)
+	p := DefaultConnectionPolicy(10, time.Second, time.Minute, 50*ms)
+	p.MaxUnsentBytes, p.StuckTimeout = 1<<20, 250*ms
+	tab := NewConnectionTable(p)
 	for id := range uint64(4) {
-		tab.Open(0, id)
-		tab.Asked(0, id, Request)
-		tab.Owes(time.Duration(id)*ms, id, 300<<10)
+		tab.Accepted(0, id)
+		tab.CommandReceived(0, id, CommandRequest)
+		tab.AddUnsentBytes(time.Duration(id)*ms, id, 300<<10)
 	}
-	if _, found := tab.Stuck(100 * ms); found {
+	if _, found := tab.NextStuck(100 * ms); found {
 		t.Error("cut off before it can be told stuck from slow")
 	}
-	tab.Owes(200*ms, 0, -100<<10) // it reads
-	id, found := tab.Stuck(300 * ms)
+	tab.AddUnsentBytes(200*ms, 0, -100<<10) // it reads
+	id, found := tab.NextStuck(300 * ms)
 	if !found || id != 1 {
 		t.Fatalf("cuts off %d, %v; want 1", id, found)
 	}
-	if id, found := tab.Stuck(300 * ms); found {
+	if id, found := tab.NextStuck(300 * ms); found {
 		t.Errorf("cuts off %d when no longer too much is owed", id)
 	}
-	tab.Gone(301*ms, 1)
-	tab.Gone(301*ms, 2)
+	tab.Closed(301*ms, 1)
+	tab.Closed(301*ms, 2)
 	if tab.owed != 500<<10 || len(tab.heavy) != 2 {
 		t.Errorf("%d bytes are owed to %d", tab.owed, len(tab.heavy))
 	}
@@ -245,41 +245,41 @@
 			}
 			switch rapid.IntRange(0, 6).Draw(r, "event") {
 			case 0:
-				if ok, victim, found := tab.Room(now); ok {
+				if ok, victim, found := tab.Admit(now); ok {
 					next++
-					tab.Open(now, next)
+					tab.Accepted(now, next)
 					open[next] = 0
 				} else if found {
 					give(victim)
 				}
 			case 1:
 				if id, ok := pick(); ok {
-					tab.Asked(now, id, Command(rapid.IntRange(0, 2).Draw(r, "kind")))
+					tab.CommandReceived(now, id, Command(rapid.IntRange(0, 2).Draw(r, "kind")))
 					open[id]++
 				}
 			case 2:
 				if id, ok := pick(); ok && open[id] > 0 {
 					n := rapid.IntRange(1, open[id]).Draw(r, "answers")
-					tab.Answered(now, id, n)
+					tab.ResponsesWritten(now, id, n)
 					open[id] -= n
 				}
 			case 3:
 				if id, ok := pick(); ok {
-					tab.Began(now, id)
+					tab.PartialCommand(now, id)
 				}
 			case 4, 5:
-				for _, id := range tab.Due(now, 3) {
+				for _, id := range tab.ExpireIdle(now, 3) {
 					give(id)
 				}
 			case 6:
 				if id, ok := pick(); ok {
-					tab.Gone(now, id)
+					tab.Closed(now, id)
 					delete(open, id)
 					delete(given, id)
 				}
 			}
-			if tab.Used() != len(open) || tab.leaving != len(given) {
-				r.Fatalf("%d used and %d leaving, want %d and %d", tab.Used(), tab.leaving, len(open), len(given))
+			if tab.Len() != len(open) || tab.leaving != len(given) {
+				r.Fatalf("%d used and %d leaving, want %d and %d", tab.Len(), tab.leaving, len(open), len(given))
 			}
 			queued := 0
 			for i := range tab.queues {
@@ -305,30 +305,30 @@
 // Descriptors go to the side that shows need, from one that does not use them; the sum stays, and when two sides are
 // in need the limits settle. The series is in the test's log.
 func TestSplit(t *testing.T) {
-	policy := SplitPolicy{Start: [Sides]int{176, 105, 35}, Floor: [Sides]int{64, 24, 8}, Step: 8, Hold: 2 * time.Second, Fade: 5 * time.Second}
-	s := NewSplit(policy)
-	sum := func(l [Sides]int) int { return l[0] + l[1] + l[2] }
+	policy := DescriptorSplitPolicy{Start: [NumSides]int{176, 105, 35}, Floor: [NumSides]int{64, 24, 8}, Step: 8, Hold: 2 * time.Second, Fade: 5 * time.Second}
+	s := NewDescriptorSplit(policy)
+	sum := func(l [NumSides]int) int { return l[0] + l[1] + l[2] }
 	var series []string
-	var turned [Sides]int64
-	turns, last := 0, [Sides]int{}
+	var turned [NumSides]int64
+	turns, last := 0, [NumSides]int{}
 	for i := range 240 { // a minute
 		now := time.Duration(i) * 250 * ms
-		want := [Sides]int{40, 30, 10}
+		want := [NumSides]int{40, 30, 10}
 		switch {
 		case i >= 40 && i < 120:
 			want[Clients] = 400 // more than there is
 		case i >= 120:
-			want[Targets], want[Origin] = 300, 200
+			want[CacheServers], want[Origin] = 300, 200
 		}
-		var uses [Sides]Use
+		var uses [NumSides]SideUsage
 		before := s.Limits()
-		for side := range Sides {
+		for side := range NumSides {
 			uses[side].InUse = min(want[side], before[side])
 			turned[side] += int64(want[side] - uses[side].InUse)
-			uses[side].Refused = turned[side]
+			uses[side].Exhausted = turned[side]
 		}
-		if s.Look(now, uses) {
-			for side := range Sides {
+		if s.Rebalance(now, uses) {
+			for side := range NumSides {
 				if d := s.Limits()[side] - before[side]; d*last[side] < 0 {
 					turns++
 				}
@@ -344,7 +344,7 @@
 		if sum(l) != sum(policy.Start) {
 			t.Fatalf("the sum goes from %d to %d", sum(policy.Start), sum(l))
 		}
-		for side := range Sides {
+		for side := range NumSides {
 			if l[side] < policy.Floor[side] {
 				t.Fatalf("side %d is at %d, under its floor", side, l[side])
 			}
@@ -355,14 +355,14 @@
 	}
 	t.Logf("clients, targets, origin every 5 s: %v", series)
 	l := s.Limits()
-	if turns > 6 || l[Targets] < 120 || l[Clients] > 120 {
+	if turns > 6 || l[CacheServers] < 120 || l[Clients] > 120 {
 		t.Errorf("%d times a side went back the other way, at the end %v", turns, l)
 	}
 }
 
 // A burst that is worked off is fine; a queue that stays behind has a rising share refused, and none a while later.
 func TestSojourn(t *testing.T) {
-	s := &Sojourn{Target: 5 * ms, Interval: 100 * ms}
+	s := &QueueDelay{Target: 5 * ms, Interval: 100 * ms}
 	feed := func(from, to Time, wait func(i int) time.Duration) {
 		i := 0
 		for now := from; now < to; now += 2 * ms {
@@ -388,7 +388,7 @@
 
 // Hundreds of commands of one connection wait behind each other; big items count for more; a full line takes no more.
 func TestIntake(t *testing.T) {
-	q := &Intake[string]{Quantum: 2, Line: 200}
+	q := &FairQueue[string]{Quantum: 2, MaxPerConnection: 200}
 	for i := range 250 {
 		if ok := q.Add(1, 1, fmt.Sprint("a", i)); ok != (i < 200) {
 			t.Fatalf("item %d of a line: taken %v", i, ok)
@@ -419,7 +419,7 @@
 // more turns than there are others.
 func TestIntakeKeepsOrderAndTurns(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		q := &Intake[int]{Quantum: rapid.IntRange(1, 4).Draw(r, "quantum"), Line: 20}
+		q := &FairQueue[int]{Quantum: rapid.IntRange(1, 4).Draw(r, "quantum"), MaxPerConnection: 20}
 		in, out := map[uint64]int{}, map[uint64]int{}
 		for range rapid.IntRange(1, 300).Draw(r, "steps") {
 			id := uint64(rapid.IntRange(0, 5).Draw(r, "id"))
@@ -459,13 +459,13 @@
 
 // However much fails, second attempts stay a share of the first ones; a node with few requests still gets some.
 func TestBudget(t *testing.T) {
-	b := &Budget{Share: 0.2, Least: 1, Most: 10}
+	b := &RetryBudget{Ratio: 0.2, MinPerSecond: 1, MaxSaved: 10}
 	second := 0
 	for i := range 10000 { // 1000 a second for 10 s, and all fail
 		now := time.Duration(i) * ms
-		b.First(now)
+		b.RecordAttempt(now)
 		for range 5 {
-			if b.Second(now) {
+			if b.AllowRetry(now) {
 				second++
 			}
 		}
@@ -473,11 +473,11 @@
 	if second < 1900 || second > 2100 {
 		t.Errorf("%d second attempts on 10000 first ones", second)
 	}
-	quiet := &Budget{Share: 0.2, Least: 1, Most: 10}
+	quiet := &RetryBudget{Ratio: 0.2, MinPerSecond: 1, MaxSaved: 10}
 	granted := 0
 	for i := range 100 { // one a second
-		quiet.First(time.Duration(i) * time.Second)
-		if quiet.Second(time.Duration(i) * time.Second) {
+		quiet.RecordAttempt(time.Duration(i) * time.Second)
+		if quiet.AllowRetry(time.Duration(i) * time.Second) {
 			granted++
 		}
 	}
@@ -490,12 +490,12 @@
 // second's requests each, one of 80 a second what it always had.
 func TestSavedSecondAttemptsFollowTheRate(t *testing.T) {
 	for _, test := range []struct{ rate, least, most int }{{1, 3, 3}, {18, 4, 8}, {80, 24, 30}, {1000, 30, 30}} {
-		b := &Budget{Share: 0.34, Least: 0.5, Most: 30, Few: 3}
+		b := &RetryBudget{Ratio: 0.34, MinPerSecond: 0.5, MaxSaved: 30, Burst: 3}
 		for i := range 60 * test.rate {
-			b.First(time.Minute * time.Duration(i) / time.Duration(60*test.rate))
+			b.RecordAttempt(time.Minute * time.Duration(i) / time.Duration(60*test.rate))
 		}
 		saved := 0
-		for b.Second(time.Minute) {
+		for b.AllowRetry(time.Minute) {
 			saved++
 		}
 		if saved < test.least || saved > test.most {
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Concurrency bounds how much is out at one server at a time by how long answers take, so that what waits for it waits
+// ConcurrencyLimiter bounds how much is out at one server at a time by how long answers take, so that what waits for it waits
 // where its order can still be chosen. It is the congestion control of a window: where answers take twice the time that
 // the server needs, half of what is out only queues, and half of the limit goes; then it comes back bit by bit while it is
 // what holds work up. What the server needs shows after each cut, when the queue has drained, or where next to nothing is
 // out: it may have become slower, and no limit makes it quicker.
-type Concurrency struct {
-	Most float64 // the limit at its start, and never above it
+type ConcurrencyLimiter struct {
+	Max float64 // the limit at its start, and never above it
 
 	limit float64
 	cutAt Time // when it was last cut
@@ -38,37 +38,37 @@
 )
 
 // Limit is how much may be out.
-func (c *Concurrency) Limit() int {
+func (c *ConcurrencyLimiter) Limit() int {
 	if c.limit == 0 {
-		c.limit = c.Most
+		c.limit = c.Max
 	}
 	return int(c.limit)
 }
 
-// Timing is how one piece of work went.
-type Timing struct {
-	Write bool // writes and reads take different times
-	Took  time.Duration
-	Full  bool // the server turned it away
-	Lost  bool // nothing came
+// LatencySample is how one piece of work went.
+type LatencySample struct {
+	IsWrite    bool // writes and reads take different times
+	Latency    time.Duration
+	IsRejected bool // the server turned it away
+	IsTimedOut bool // nothing came
 }
 
-// Timed takes how work went. A mean up to calm is no crowd in any case; out is how much was out, this one among it.
-func (c *Concurrency) Timed(now Time, t Timing, calm time.Duration, out int) {
+// Observe takes how work went. A mean up to calm is no crowd in any case; out is how much was out, this one among it.
+func (c *ConcurrencyLimiter) Observe(now Time, t LatencySample, calm time.Duration, out int) {
 	c.Limit()
-	if c.cutAt > 0 && now-t.Took < c.cutAt {
+	if c.cutAt > 0 && now-t.Latency < c.cutAt {
 		return // sent before the last cut: it tells nothing of it
 	}
 	b := &c.base[0]
-	if t.Write {
+	if t.IsWrite {
 		b = &c.base[1]
 	}
 	if b.n < few {
 		b.n++
 	}
-	took, full := t.Took, t.Full
+	took, full := t.Latency, t.IsRejected
 	crowd := max(calm, time.Duration(crowded*float64(b.least)))
-	if t.Lost && b.least > 0 {
+	if t.IsTimedOut && b.least > 0 {
 		// It may have been lost on its way, or with its connection, and its time is only for how long somebody waited. Half of
 		// those that a mean is of have to be lost before that is a crowd, where one would do by its time.
 		took = min(took, time.Duration(crowded*float64(crowd)))
@@ -95,6 +95,6 @@
 		c.limit, c.cutAt = max(1, min(c.limit, float64(out))*cut), now
 		c.base[0].n, c.base[1].n = 0, 0
 	case float64(out) >= c.limit-1:
-		c.limit = min(c.Most, c.limit+max(1/c.limit, growth))
+		c.limit = min(c.Max, c.limit+max(1/c.limit, growth))
 	}
 }
--- a/internal/admission/concurrency_test.go
+++ b/internal/admission/concurrency_test.go
@@ -25,7 +25,7 @@
 }
 
 // drive keeps as much out as the limit allows for a time and tells the mean answer time and the answers a second.
-func drive(c *Concurrency, s *queueServer, from, span Time, rng *rand.Rand) (mean time.Duration, rate float64) {
+func drive(c *ConcurrencyLimiter, s *queueServer, from, span Time, rng *rand.Rand) (mean time.Duration, rate float64) {
 	type out struct{ sent, done Time }
 	var outs []out
 	var sum time.Duration
@@ -39,7 +39,7 @@
 			}
 			n++
 			sum += o.done - o.sent
-			c.Timed(now, Timing{Took: o.done - o.sent}, 0, len(outs))
+			c.Observe(now, LatencySample{Latency: o.done - o.sent}, 0, len(outs))
 		}
 		outs = kept
 		for len(outs) < c.Limit() {
@@ -56,7 +56,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s := &queueServer{places: 4, free: make([]Time, 4)}
-		c := &Concurrency{Most: 64}
+		c := &ConcurrencyLimiter{Max: 64}
 		now := time.Second
 		for _, work := range []time.Duration{40, 160, 40} {
 			s.work = work * time.Millisecond
@@ -75,20 +75,20 @@
 }
 
 func TestLimitIsCutOnceForARound(t *testing.T) {
-	c := &Concurrency{Most: 64}
-	c.Timed(0, Timing{Took: 50 * time.Millisecond}, 0, 1)
-	c.Timed(time.Second, Timing{Full: true}, 0, 20) // turned away with 20 out
+	c := &ConcurrencyLimiter{Max: 64}
+	c.Observe(0, LatencySample{Latency: 50 * time.Millisecond}, 0, 1)
+	c.Observe(time.Second, LatencySample{IsRejected: true}, 0, 20) // turned away with 20 out
 	if got := c.Limit(); got != 10 {
 		t.Fatalf("limit %d after a cut with 20 out, want 10", got)
 	}
 	for range 30 { // sent before it was cut
-		c.Timed(1100*time.Millisecond, Timing{Took: time.Second}, 0, 20)
+		c.Observe(1100*time.Millisecond, LatencySample{Latency: time.Second}, 0, 20)
 	}
 	if got := c.Limit(); got != 10 {
 		t.Errorf("limit %d: what was sent before the cut counted", got)
 	}
 	for range 2000 { // however bad it gets, one may be out
-		c.Timed(now(&c.cutAt), Timing{Full: true}, 0, 1)
+		c.Observe(now(&c.cutAt), LatencySample{IsRejected: true}, 0, 1)
 	}
 	if got := c.Limit(); got != 1 {
 		t.Errorf("limit %d, want 1", got)
@@ -98,10 +98,10 @@
 func now(last *Time) Time { return *last + 10*time.Second }
 
 func TestLimitLeavesCalmAlone(t *testing.T) {
-	c := &Concurrency{Most: 64}
+	c := &ConcurrencyLimiter{Max: 64}
 	for i := range 1000 { // times differ widely, but none of it is over what is calm
 		took := time.Duration(10+i%7*30) * time.Millisecond
-		c.Timed(Time(i)*100*time.Millisecond, Timing{Write: i%5 == 0, Took: took}, 250*time.Millisecond, 3)
+		c.Observe(Time(i)*100*time.Millisecond, LatencySample{IsWrite: i%5 == 0, Latency: took}, 250*time.Millisecond, 3)
 	}
 	if got := c.Limit(); got != 64 {
 		t.Errorf("limit %d though answers were calm", got)
@@ -109,13 +109,13 @@
 }
 
 func TestLineGivesWhatIsWorthMost(t *testing.T) {
-	var l Line[string]
+	var l PriorityQueue[string]
 	l.Add("a", 1)
 	l.Add("b", 2)
 	l.Add("c", 1)
 	l.Add("d", 1)
 	l.Add("a", 1.5) // more wait for it
-	if !l.Drop("d") || l.Drop("d") || l.Has("d") || !l.Has("c") {
+	if !l.Remove("d") || l.Remove("d") || l.Contains("d") || !l.Contains("c") {
 		t.Error("what left still waits, or what waits does not")
 	}
 	for _, want := range []string{"a", "b", "c"} {
@@ -138,22 +138,22 @@
 func TestFewAnswersAreNoCrowd(t *testing.T) {
 	for _, test := range []struct {
 		calm time.Duration
-		bad  Timing
+		bad  LatencySample
 	}{
-		{0, Timing{Took: 236 * time.Millisecond, Lost: true}}, {30 * time.Millisecond, Timing{Took: 236 * time.Millisecond, Lost: true}},
-		{0, Timing{Took: 1300 * time.Millisecond}}, {100 * time.Millisecond, Timing{Took: 1300 * time.Millisecond}},
+		{0, LatencySample{Latency: 236 * time.Millisecond, IsTimedOut: true}}, {30 * time.Millisecond, LatencySample{Latency: 236 * time.Millisecond, IsTimedOut: true}},
+		{0, LatencySample{Latency: 1300 * time.Millisecond}}, {100 * time.Millisecond, LatencySample{Latency: 1300 * time.Millisecond}},
 	} {
 		calm := test.calm
-		c := &Concurrency{Most: 64}
+		c := &ConcurrencyLimiter{Max: 64}
 		now := time.Second
 		play := func(bad func(i int) bool) {
 			for i := range 200 {
-				timing := Timing{Took: 10 * time.Millisecond}
+				timing := LatencySample{Latency: 10 * time.Millisecond}
 				if bad(i) {
 					timing = test.bad
 				}
 				now += 300 * time.Millisecond
-				if c.Timed(now, timing, calm, 20); c.Limit() < 64 {
+				if c.Observe(now, timing, calm, 20); c.Limit() < 64 {
 					return
 				}
 			}
--- a/internal/admission/intake.go
+++ b/internal/admission/intake.go
@@ -1,11 +1,11 @@
 package admission
 
-// Intake takes work from many connections and gives it out in turn, so that hundreds of commands on one connection
+// FairQueue takes work from many connections and gives it out in turn, so that hundreds of commands on one connection
 // wait behind each other and not before everybody else's (deficit round robin; Shreedhar and Varghese, 1995). Each
 // connection has a line of its own, of bounded length.
-type Intake[T any] struct {
-	Quantum int // cost that a line may bring to the front in its turn
-	Line    int // items of a line; one more is not taken
+type FairQueue[T any] struct {
+	Quantum          int // cost that a line may bring to the front in its turn
+	MaxPerConnection int // items of a line; one more is not taken
 
 	lines  map[uint64]*line[T]
 	active []*line[T] // those with items, in turn, from first on
@@ -31,10 +31,10 @@
 }
 
 // Len is how many items wait.
-func (q *Intake[T]) Len() int { return q.total }
+func (q *FairQueue[T]) Len() int { return q.total }
 
 // Add puts an item of a cost of 1 or more into a connection's line; false where that is full.
-func (q *Intake[T]) Add(id uint64, cost int, v T) bool {
+func (q *FairQueue[T]) Add(id uint64, cost int, v T) bool {
 	l := q.lines[id]
 	if l == nil {
 		if q.lines == nil {
@@ -49,7 +49,7 @@
 		q.lines[id] = l
 		q.active = append(q.active, l)
 	}
-	if q.Line > 0 && len(l.items)-l.next >= q.Line {
+	if q.MaxPerConnection > 0 && len(l.items)-l.next >= q.MaxPerConnection {
 		return false
 	}
 	l.items = append(l.items, item[T]{v, max(1, cost)})
@@ -58,7 +58,7 @@
 }
 
 // Next takes the next item; false where none waits. id is the connection's.
-func (q *Intake[T]) Next() (v T, id uint64, ok bool) {
+func (q *FairQueue[T]) Next() (v T, id uint64, ok bool) {
 	for q.first < len(q.active) {
 		l := q.active[q.first]
 		if !l.fresh {
@@ -89,7 +89,7 @@
 }
 
 // pass ends the turn of the first line. The room that passed lines leave is used again once it is half of the list.
-func (q *Intake[T]) pass() {
+func (q *FairQueue[T]) pass() {
 	q.active[q.first] = nil
 	if q.first++; q.first*2 >= len(q.active) {
 		n := copy(q.active, q.active[q.first:])
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Line holds what waits for room, and gives out what is worth most first. Of equals it is the one that came last: in a crowd the
+// PriorityQueue holds what waits for room, and gives out what is worth most first. Of equals it is the one that came last: in a crowd the
 // others are too late anyway, and to serve in order would make all of them so.
-type Line[T comparable] struct {
+type PriorityQueue[T comparable] struct {
 	items []T
 	worth []float64
 }
 
 // Len is how many wait.
-func (l *Line[T]) Len() int { return len(l.items) }
+func (l *PriorityQueue[T]) Len() int { return len(l.items) }
 
 // Add adds worth to one that waits, or lets it wait.
-func (l *Line[T]) Add(item T, worth float64) {
+func (l *PriorityQueue[T]) Add(item T, worth float64) {
 	if i := slices.Index(l.items, item); i >= 0 {
 		l.worth[i] += worth
 		return
@@ -21,11 +21,11 @@
 	l.items, l.worth = append(l.items, item), append(l.worth, worth)
 }
 
-// Has tells whether one waits.
-func (l *Line[T]) Has(item T) bool { return slices.Contains(l.items, item) }
+// Contains tells whether one waits.
+func (l *PriorityQueue[T]) Contains(item T) bool { return slices.Contains(l.items, item) }
 
-// Drop takes one out and tells whether it waited.
-func (l *Line[T]) Drop(item T) bool {
+// Remove takes one out and tells whether it waited.
+func (l *PriorityQueue[T]) Remove(item T) bool {
 	i := slices.Index(l.items, item)
 	if i >= 0 {
 		l.items, l.worth = slices.Delete(l.items, i, i+1), slices.Delete(l.worth, i, i+1)
@@ -34,7 +34,7 @@
 }
 
 // Next takes out the one that is worth most.
-func (l *Line[T]) Next() (item T, ok bool) {
+func (l *PriorityQueue[T]) Next() (item T, ok bool) {
 	best := -1
 	for i, w := range l.worth {
 		if best < 0 || w >= l.worth[best] {
@@ -45,6 +45,6 @@
 		return item, false
 	}
 	item = l.items[best]
-	l.Drop(item)
+	l.Remove(item)
 	return item, true
 }
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Held bounds the bytes of the requests that a node has taken and not yet answered: what each came with, and what is
+// RequestMemory bounds the bytes of the requests that a node has taken and not yet answered: what each came with, and what is
 // kept for it. Values come with writes, which are worth most and never shed; so the last part is for them alone, and
 // past the bound a request is turned away at the door, before anything of it has run.
-type Held struct {
+type RequestMemory struct {
 	Limit int // bytes; 0 is no bound
 
 	used int
@@ -18,8 +18,8 @@
 // forWrites is one over the part of the bound that reads leave to writes.
 const forWrites = 4
 
-// Take counts a request with a value of so many bytes, if there is room for it.
-func (h *Held) Take(value int, write bool) bool {
+// Reserve counts a request with a value of so many bytes, if there is room for it.
+func (h *RequestMemory) Reserve(value int, write bool) bool {
 	limit := h.Limit
 	if !write {
 		limit -= limit / forWrites
@@ -31,12 +31,12 @@
 	return true
 }
 
-// Give takes back a request that was counted.
-func (h *Held) Give(value int) { h.used -= perRequest + value }
+// Release takes back a request that was counted.
+func (h *RequestMemory) Release(value int) { h.used -= perRequest + value }
 
-// Memory turns what the whole node uses of its limit into a share of the refusable work to refuse, from 0 to 1. It looks
+// MemoryPressure turns what the whole node uses of its limit into a share of the refusable work to refuse, from 0 to 1. It looks
 // a moment ahead, since what fills memory does so at a rate, and lets go slowly, as the collector gives back late.
-type Memory struct {
+type MemoryPressure struct {
 	Limit int64 // bytes, past which the node is killed
 
 	begun bool
@@ -54,7 +54,7 @@
 )
 
 // Observe takes what is used now and returns the level.
-func (m *Memory) Observe(now Time, used int64) float64 {
+func (m *MemoryPressure) Observe(now Time, used int64) float64 {
 	if m.Limit <= 0 {
 		return 0
 	}
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -8,25 +8,25 @@
 )
 
 func TestHeldKeepsRoomForWrites(t *testing.T) {
-	h := Held{Limit: 100 * perRequest}
+	h := RequestMemory{Limit: 100 * perRequest}
 	reads, writes := 0, 0
-	for h.Take(0, false) {
+	for h.Reserve(0, false) {
 		reads++
 	}
-	for h.Take(0, true) {
+	for h.Reserve(0, true) {
 		writes++
 	}
 	if reads != 75 || writes != 25 {
 		t.Errorf("%d reads and %d writes, want 75 and 25", reads, writes)
 	}
-	if h.Take(64<<10, true) {
+	if h.Reserve(64<<10, true) {
 		t.Error("a large value past the bound")
 	}
-	h.Give(0)
-	if h.Take(0, false) || !h.Take(0, true) {
+	h.Release(0)
+	if h.Reserve(0, false) || !h.Reserve(0, true) {
 		t.Error("one that went makes room for a write, and not for a read")
 	}
-	if free := (Held{}); !free.Take(1<<30, false) {
+	if free := (RequestMemory{}); !free.Reserve(1<<30, false) {
 		t.Error("no bound, and yet one was kept")
 	}
 }
@@ -34,13 +34,13 @@
 // TestHeldNeverDrifts: whatever is taken and given back, nothing is left in the end and the bound holds all the time.
 func TestHeldNeverDrifts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := Held{Limit: rapid.IntRange(1, 1<<20).Draw(t, "limit")}
+		h := RequestMemory{Limit: rapid.IntRange(1, 1<<20).Draw(t, "limit")}
 		var taken []int
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			if len(taken) > 0 && rapid.Bool().Draw(t, "give") {
-				h.Give(taken[0])
+				h.Release(taken[0])
 				taken = taken[1:]
-			} else if n := rapid.IntRange(0, 64<<10).Draw(t, "value"); h.Take(n, rapid.Bool().Draw(t, "write")) {
+			} else if n := rapid.IntRange(0, 64<<10).Draw(t, "value"); h.Reserve(n, rapid.Bool().Draw(t, "write")) {
 				taken = append(taken, n)
 			}
 			if h.used > h.Limit || h.used < 0 {
@@ -48,7 +48,7 @@
 			}
 		}
 		for _, n := range taken {
-			h.Give(n)
+			h.Release(n)
 		}
 		if h.used != 0 {
 			t.Fatalf("%d bytes are left of nothing", h.used)
@@ -72,7 +72,7 @@
 		"lets go slowly":     {[]int64{92, 92, 60, 60}, 0.7, 0.8},
 		"lets go in the end": {[]int64{92, 60, 60, 60, 60, 60, 60, 60, 60, 60}, 0, 0},
 	} {
-		m := Memory{Limit: 100 * mb}
+		m := MemoryPressure{Limit: 100 * mb}
 		got := 0.0
 		for i, used := range test.used {
 			got = m.Observe(time.Duration(i)*step, used*mb)
@@ -81,7 +81,7 @@
 			t.Errorf("%s: level %.2f, want %.2f to %.2f", name, got, test.low, test.top)
 		}
 	}
-	if (&Memory{}).Observe(0, 1<<40) != 0 {
+	if (&MemoryPressure{}).Observe(0, 1<<40) != 0 {
 		t.Error("a level without a limit")
 	}
 }
--- a/internal/admission/sojourn.go
+++ b/internal/admission/sojourn.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Sojourn tells when a queue is behind by how long things wait in it, not by how many there are: a burst that is
+// QueueDelay tells when a queue is behind by how long things wait in it, not by how many there are: a burst that is
 // worked off is none of its business, a queue whose shortest wait stays over the target is (CoDel; Nichols and
 // Jacobson, "Controlling Queue Delay", 2012). Where CoDel drops one packet after another, this answers with a share
 // of the work that should be refused, which rises while the queue stays behind and falls when it no longer is.
-type Sojourn struct {
+type QueueDelay struct {
 	Target   time.Duration // a wait that is fine
 	Interval time.Duration // over which the shortest wait counts; several service times
 
@@ -24,7 +24,7 @@
 )
 
 // Observe takes the wait of something that left the queue.
-func (s *Sojourn) Observe(now Time, wait time.Duration) {
+func (s *QueueDelay) Observe(now Time, wait time.Duration) {
 	s.pass(now)
 	if !s.any || wait < s.shortest {
 		s.shortest, s.any = wait, true
@@ -32,7 +32,7 @@
 }
 
 // pass ends the intervals that are over. One in which nothing left the queue says that it was empty.
-func (s *Sojourn) pass(now Time) {
+func (s *QueueDelay) pass(now Time) {
 	if !s.started {
 		s.begun, s.started = now, true
 		return
@@ -54,7 +54,7 @@
 }
 
 // Level is the share of the refusable work that should be refused, from 0 to 1.
-func (s *Sojourn) Level(now Time) float64 {
+func (s *QueueDelay) Level(now Time) float64 {
 	s.pass(now)
 	return s.level
 }
--- a/internal/admission/split.go
+++ b/internal/admission/split.go
@@ -10,67 +10,69 @@
 
 // The sides.
 const (
-	Clients Side = iota
-	Targets      // all cache servers together
+	Clients      Side = iota
+	CacheServers      // all cache servers together
 	Origin
-	Sides
+	NumSides
 )
 
-// Use is what a side shows at a look.
-type Use struct {
-	InUse   int
-	Refused int64 // how often there was none to be had, since the start
+// SideUsage is what a side shows at a look.
+type SideUsage struct {
+	InUse     int
+	Exhausted int64 // how often there was none to be had, since the start
 }
 
-// SplitPolicy says how descriptors are divided.
-type SplitPolicy struct {
-	Start, Floor [Sides]int
+// DescriptorSplitPolicy says how descriptors are divided.
+type DescriptorSplitPolicy struct {
+	Start, Floor [NumSides]int
 	Step         int           // moved at a time, at most
 	Hold         time.Duration // a side that was given some gives none away for so long
 	Fade         time.Duration // a peak of use counts 1/e after this long
 }
 
-// Split divides descriptors among the sides by the need that they show. What one side gets another gives, so the sum
+// DescriptorSplit divides descriptors among the sides by the need that they show. What one side gets another gives, so the sum
 // never changes; a side gives only what it has not used of late, and never below its floor. A side that has just been
 // given some keeps it for a while, so that two sides in need do not pass the same ones back and forth.
-type Split struct {
-	policy  SplitPolicy
-	limits  [Sides]int
-	peak    [Sides]float64
-	refused [Sides]int64
-	fed     [Sides]Time
+type DescriptorSplit struct {
+	policy  DescriptorSplitPolicy
+	limits  [NumSides]int
+	peak    [NumSides]float64
+	refused [NumSides]int64
+	fed     [NumSides]Time
 	at      Time
 	begun   bool
 }
 
-// NewSplit makes a split as the policy starts it.
-func NewSplit(p SplitPolicy) *Split { return &Split{policy: p, limits: p.Start} }
+// NewDescriptorSplit makes a split as the policy starts it.
+func NewDescriptorSplit(p DescriptorSplitPolicy) *DescriptorSplit {
+	return &DescriptorSplit{policy: p, limits: p.Start}
+}
 
 // Limits is what each side may have now.
-func (s *Split) Limits() [Sides]int { return s.limits }
+func (s *DescriptorSplit) Limits() [NumSides]int { return s.limits }
 
 // need is how much a side wants at the least: what it has used of late and a quarter, so that a move never takes
 // anything from under it.
-func (s *Split) need(i Side) int {
+func (s *DescriptorSplit) need(i Side) int {
 	return max(s.policy.Floor[i], int(math.Ceil(s.peak[i]*1.25))+2)
 }
 
-// Look takes what the sides show and moves some descriptors to the one most in need, if another can spare them. It is
+// Rebalance takes what the sides show and moves some descriptors to the one most in need, if another can spare them. It is
 // called at even intervals, a few times a second.
-func (s *Split) Look(now Time, uses [Sides]Use) (changed bool) {
+func (s *DescriptorSplit) Rebalance(now Time, uses [NumSides]SideUsage) (changed bool) {
 	fade := 1.0
 	if s.begun && s.policy.Fade > 0 {
 		fade = math.Exp(-float64(now-s.at) / float64(s.policy.Fade))
 	}
 	hungry, most := Side(-1), 0.0
-	for i := range Sides {
+	for i := range NumSides {
 		u := uses[i]
 		s.peak[i] = max(float64(u.InUse), s.peak[i]*fade)
-		short := float64(u.Refused - s.refused[i])
+		short := float64(u.Exhausted - s.refused[i])
 		if !s.begun {
 			short = 0
 		}
-		s.refused[i] = u.Refused
+		s.refused[i] = u.Exhausted
 		// One that was turned away weighs as much as a whole side in use.
 		want := short
 		if u.InUse*10 >= s.limits[i]*9 {
@@ -85,7 +87,7 @@
 		return false
 	}
 	donor, slack := Side(-1), 0
-	for i := range Sides {
+	for i := range NumSides {
 		if i == hungry || s.fed[i] > 0 && now-s.fed[i] < s.policy.Hold {
 			continue
 		}
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -10,12 +10,12 @@
 
 // The stages.
 const (
-	Fresh   Stage = iota // has said nothing yet
-	Partial              // has sent half a command, and is owed an answer once it is whole
-	Greeted              // has sent commands, but none that is a request: a check by a front, or a library's greeting
-	Once                 // has made one request
-	Rude                 // its last command made no sense
-	Regular              // makes requests in a rhythm
+	StageNew            Stage = iota // has said nothing yet
+	StagePartialCommand              // has sent half a command, and is owed an answer once it is whole
+	StageGreeted                     // has sent commands, but none that is a request: a check by a front, or a library's greeting
+	StageOneRequest                  // has made one request
+	StageInvalid                     // its last command made no sense
+	StageRegular                     // makes requests in a rhythm
 	stages
 )
 
@@ -23,39 +23,39 @@
 
 func (s Stage) String() string { return stageNames[s] }
 
-// Patience is how long a connection of a stage may stay idle: Long while there is room, Short in a table that is all
+// IdleTimeouts is how long a connection of a stage may stay idle: Long while there is room, Short in a table that is all
 // but full, and in between by how full it is.
-type Patience struct{ Long, Short time.Duration }
+type IdleTimeouts struct{ Long, Short time.Duration }
 
-// TablePolicy says what a Table does.
-type TablePolicy struct {
-	Places int // connections at a time
-	// Patience by stage. That of Regular is for a connection whose rhythm is no faster than its Short; a slower one is
+// ConnectionPolicy says what a Table does.
+type ConnectionPolicy struct {
+	MaxConnections int // connections at a time
+	// IdleTimeouts by stage. That of Regular is for a connection whose rhythm is no faster than its Short; a slower one is
 	// kept for Beats of its own intervals, up to Long.
-	Patience [stages]Patience
-	Beats    float64
+	IdleTimeouts [stages]IdleTimeouts
+	Beats        float64
 	// Low and High bound, as shares of the places, where patience shrinks: all of it up to Low, the least from High on.
 	Low, High float64
-	// Bytes is how much may be owed to all connections together; 0 is no bound. Past it those that took none of what
+	// MaxUnsentBytes is how much may be owed to all connections together; 0 is no bound. Past it those that took none of what
 	// they are owed for Stuck are given up, the one that has been stuck for longest first.
-	Bytes int
-	Stuck time.Duration
+	MaxUnsentBytes int
+	StuckTimeout   time.Duration
 	// Ahead is how far the drift of the table is looked ahead: a table that fills counts as fuller than it is.
 	Ahead time.Duration
 }
 
-// DefaultTable is the policy for a number of places, from four times of the operator: those of a silent connection, of
+// DefaultConnectionPolicy is the policy for a number of places, from four times of the operator: those of a silent connection, of
 // an idle one while there is room, and of an idle one in a crowd.
-func DefaultTable(places int, silent, idle, crowded time.Duration) TablePolicy {
+func DefaultConnectionPolicy(places int, silent, idle, crowded time.Duration) ConnectionPolicy {
 	short := min(crowded, idle)
-	return TablePolicy{Places: places, Beats: 4, Low: 0.1, High: 0.4, Ahead: 250 * time.Millisecond,
-		Patience: [stages]Patience{
-			Fresh:   {min(silent, idle), min(silent, time.Second)},
-			Partial: {min(silent, idle), min(silent, time.Second)},
-			Greeted: {idle, short},
-			Once:    {idle, short},
-			Rude:    {min(idle, 2*time.Second), short},
-			Regular: {idle, min(idle, max(short, 400*time.Millisecond))}, // a rhythm has its gaps
+	return ConnectionPolicy{MaxConnections: places, Beats: 4, Low: 0.1, High: 0.4, Ahead: 250 * time.Millisecond,
+		IdleTimeouts: [stages]IdleTimeouts{
+			StageNew:            {min(silent, idle), min(silent, time.Second)},
+			StagePartialCommand: {min(silent, idle), min(silent, time.Second)},
+			StageGreeted:        {idle, short},
+			StageOneRequest:     {idle, short},
+			StageInvalid:        {min(idle, 2*time.Second), short},
+			StageRegular:        {idle, min(idle, max(short, 400*time.Millisecond))}, // a rhythm has its gaps
 		}}
 }
 
@@ -65,11 +65,11 @@
 	fastest = 8 * time.Millisecond
 )
 
-// Table holds the connections of a listener. Connections of one stage and rhythm wait in the order in which they fell
+// ConnectionTable holds the connections of a listener. Connections of one stage and rhythm wait in the order in which they fell
 // idle, so the next to go is always at the head of one of a few queues: an event costs the same however many
 // connections there are, and nothing is ever swept.
-type Table struct {
-	policy  TablePolicy
+type ConnectionTable struct {
+	policy  ConnectionPolicy
 	entries map[uint64]*entry
 	queues  [int(stages) + rhythms]queue // by stage, the regular ones by rhythm
 	used    int
@@ -138,31 +138,31 @@
 	e.queue, e.prev, e.next = nil, nil, nil
 }
 
-// NewTable makes an empty table.
-func NewTable(p TablePolicy) *Table {
-	return &Table{policy: p, entries: map[uint64]*entry{}, heavy: map[uint64]*entry{}}
+// NewConnectionTable makes an empty table.
+func NewConnectionTable(p ConnectionPolicy) *ConnectionTable {
+	return &ConnectionTable{policy: p, entries: map[uint64]*entry{}, heavy: map[uint64]*entry{}}
 }
 
-// SetPlaces changes the number of places. A table with more connections than that is full until enough have gone.
-func (t *Table) SetPlaces(n int) { t.policy.Places = n }
+// SetCapacity changes the number of places. A table with more connections than that is full until enough have gone.
+func (t *ConnectionTable) SetCapacity(n int) { t.policy.MaxConnections = n }
 
-// Places is the number of places.
-func (t *Table) Places() int { return t.policy.Places }
+// Capacity is the number of places.
+func (t *ConnectionTable) Capacity() int { return t.policy.MaxConnections }
 
-// Used is how many connections there are, those given up and not gone yet too.
-func (t *Table) Used() int { return t.used }
+// Len is how many connections there are, those given up and not gone yet too.
+func (t *ConnectionTable) Len() int { return t.used }
 
-// Open takes a connection that was accepted.
-func (t *Table) Open(now Time, id uint64) {
+// Accepted takes a connection that was accepted.
+func (t *ConnectionTable) Accepted(now Time, id uint64) {
 	t.flow(now, 1)
-	e := &entry{id: id, since: now, stage: Fresh}
+	e := &entry{id: id, since: now, stage: StageNew}
 	t.entries[id] = e
 	t.used++
 	t.file(e)
 }
 
-// Began says that the first byte of a command came and the rest did not yet.
-func (t *Table) Began(now Time, id uint64) {
+// PartialCommand says that the first byte of a command came and the rest did not yet.
+func (t *ConnectionTable) PartialCommand(now Time, id uint64) {
 	e := t.entries[id]
 	if e == nil || e.partial {
 		return
@@ -179,13 +179,13 @@
 
 // The kinds of commands.
 const (
-	Request   Command = iota
-	Other             // answered by the listener itself
-	Senseless         // makes no sense, and is answered with an error
+	CommandRequest Command = iota
+	CommandOther           // answered by the listener itself
+	CommandInvalid         // makes no sense, and is answered with an error
 )
 
-// Asked says that a command came whole; an answer is owed for it.
-func (t *Table) Asked(now Time, id uint64, kind Command) {
+// CommandReceived says that a command came whole; an answer is owed for it.
+func (t *ConnectionTable) CommandReceived(now Time, id uint64, kind Command) {
 	e := t.entries[id]
 	if e == nil {
 		return
@@ -193,9 +193,9 @@
 	e.partial = false
 	e.open++
 	e.unlink()
-	e.rude = kind == Senseless
+	e.rude = kind == CommandInvalid
 	e.spoke = e.spoke || !e.rude
-	if kind != Request {
+	if kind != CommandRequest {
 		return
 	}
 	if e.requests++; e.requests > 1 {
@@ -208,8 +208,8 @@
 	e.lastAsked = now
 }
 
-// Answered says that so many answers were written.
-func (t *Table) Answered(now Time, id uint64, n int) {
+// ResponsesWritten says that so many answers were written.
+func (t *ConnectionTable) ResponsesWritten(now Time, id uint64, n int) {
 	e := t.entries[id]
 	if e == nil {
 		return
@@ -223,8 +223,8 @@
 // light is how much a connection may be owed without being looked at when there is too much of it.
 const light = 32 << 10
 
-// Owes says that so many bytes of answers became ready for a connection, or, below 0, were written to it.
-func (t *Table) Owes(now Time, id uint64, bytes int) {
+// AddUnsentBytes says that so many bytes of answers became ready for a connection, or, below 0, were written to it.
+func (t *ConnectionTable) AddUnsentBytes(now Time, id uint64, bytes int) {
 	e := t.entries[id]
 	if e == nil {
 		return
@@ -241,15 +241,15 @@
 	}
 }
 
-// Stuck gives up a connection that takes none of what it is owed while too much is owed to all together. It is to be
+// NextStuck gives up a connection that takes none of what it is owed while too much is owed to all together. It is to be
 // cut off: what it is owed will never be written.
-func (t *Table) Stuck(now Time) (id uint64, found bool) {
-	if t.policy.Bytes <= 0 || t.owed <= t.policy.Bytes {
+func (t *ConnectionTable) NextStuck(now Time) (id uint64, found bool) {
+	if t.policy.MaxUnsentBytes <= 0 || t.owed <= t.policy.MaxUnsentBytes {
 		return 0, false
 	}
 	// The more is owed, the less time there is: at twice the bound a quarter of the patience is left.
-	over := float64(t.policy.Bytes) / float64(t.owed)
-	patience := time.Duration(float64(t.policy.Stuck) * over * over)
+	over := float64(t.policy.MaxUnsentBytes) / float64(t.owed)
+	patience := time.Duration(float64(t.policy.StuckTimeout) * over * over)
 	var worst *entry
 	for _, e := range t.heavy {
 		if now-e.moved >= patience && (worst == nil || e.moved < worst.moved || e.moved == worst.moved && e.id < worst.id) {
@@ -268,8 +268,8 @@
 	return worst.id, true
 }
 
-// Gone says that a connection has ended.
-func (t *Table) Gone(now Time, id uint64) {
+// Closed says that a connection has ended.
+func (t *ConnectionTable) Closed(now Time, id uint64) {
 	e := t.entries[id]
 	if e == nil {
 		return
@@ -286,30 +286,30 @@
 }
 
 // file puts a connection without an open request where it belongs.
-func (t *Table) file(e *entry) {
+func (t *ConnectionTable) file(e *entry) {
 	e.unlink()
 	if e.given {
 		return
 	}
 	switch {
 	case e.partial:
-		e.stage = Partial
+		e.stage = StagePartialCommand
 	case e.rude:
-		e.stage = Rude
+		e.stage = StageInvalid
 	case e.requests > 1:
-		e.stage = Regular
+		e.stage = StageRegular
 	case e.requests == 1:
-		e.stage = Once
+		e.stage = StageOneRequest
 	case e.spoke:
-		e.stage = Greeted
+		e.stage = StageGreeted
 	default:
-		e.stage = Fresh
+		e.stage = StageNew
 	}
 	t.queues[t.index(e)].push(e)
 }
 
-func (t *Table) index(e *entry) int {
-	if e.stage != Regular {
+func (t *ConnectionTable) index(e *entry) int {
+	if e.stage != StageRegular {
 		return int(e.stage)
 	}
 	return int(stages) + rhythm(e.interval)
@@ -322,35 +322,35 @@
 }
 
 // flow follows how fast the table fills, in connections a second.
-func (t *Table) flow(now Time, change float64) {
+func (t *ConnectionTable) flow(now Time, change float64) {
 	const age = 0.5 // seconds
 	t.drift = t.drift*math.Exp(-(now-t.driftAt).Seconds()/age) + change/age
 	t.driftAt = now
 }
 
-// Pressure tells how crowded the table is: 0 while there is room, 1 when connections get the least patience.
-func (t *Table) Pressure(now Time) float64 {
+// Crowding tells how crowded the table is: 0 while there is room, 1 when connections get the least patience.
+func (t *ConnectionTable) Crowding(now Time) float64 {
 	p := t.policy
 	drift := t.drift * math.Exp(-(now-t.driftAt).Seconds()/0.5)
-	fill := (float64(t.used-t.leaving) + max(0, drift)*p.Ahead.Seconds()) / float64(max(1, p.Places))
+	fill := (float64(t.used-t.leaving) + max(0, drift)*p.Ahead.Seconds()) / float64(max(1, p.MaxConnections))
 	return min(1, max(0, (fill-p.Low)/(p.High-p.Low)))
 }
 
 // patience is how long the connections of a queue may stay idle. It shrinks by the same factor for each step of the
 // pressure.
-func (t *Table) patience(index int, pressure float64) time.Duration {
-	stage := Stage(min(index, int(Regular)))
-	p := t.policy.Patience[stage]
-	if stage == Regular {
+func (t *ConnectionTable) patience(index int, pressure float64) time.Duration {
+	stage := Stage(min(index, int(StageRegular)))
+	p := t.policy.IdleTimeouts[stage]
+	if stage == StageRegular {
 		own := time.Duration(t.policy.Beats * fastest.Seconds() * math.Exp2(float64(index-int(stages))) * float64(time.Second))
 		p.Short = min(p.Long, max(p.Short, own))
 	}
 	return time.Duration(math.Exp((1-pressure)*math.Log(float64(p.Long)) + pressure*math.Log(float64(max(p.Short, 1)))))
 }
 
-// Due gives up the connections whose time is over, at most so many at a time. Each is returned once; Gone is awaited.
-func (t *Table) Due(now Time, most int) (ids []uint64) {
-	pressure := t.Pressure(now)
+// ExpireIdle gives up the connections whose time is over, at most so many at a time. Each is returned once; Gone is awaited.
+func (t *ConnectionTable) ExpireIdle(now Time, most int) (ids []uint64) {
+	pressure := t.Crowding(now)
 	for i := range t.queues {
 		wait := t.patience(i, pressure)
 		for len(ids) < most {
@@ -364,7 +364,7 @@
 	return ids
 }
 
-func (t *Table) give(e *entry) uint64 {
+func (t *ConnectionTable) give(e *entry) uint64 {
 	e.unlink()
 	e.given = true
 	t.leaving++
@@ -372,17 +372,17 @@
 }
 
 // Stage is what a connection has shown.
-func (t *Table) Stage(id uint64) Stage {
+func (t *ConnectionTable) Stage(id uint64) Stage {
 	if e := t.entries[id]; e != nil {
 		return e.stage
 	}
-	return Fresh
+	return StageNew
 }
 
-// Wake is when Due is wanted next, if nothing else happens; never is 0 and false.
-func (t *Table) Wake(now Time) (Time, bool) {
+// NextExpiry is when Due is wanted next, if nothing else happens; never is 0 and false.
+func (t *ConnectionTable) NextExpiry(now Time) (Time, bool) {
 	at, any := Time(math.MaxInt64), false
-	pressure := t.Pressure(now)
+	pressure := t.Crowding(now)
 	for i := range t.queues {
 		if e := t.queues[i].head; e != nil {
 			at, any = min(at, e.since+t.patience(i, pressure)), true
@@ -394,10 +394,10 @@
 // young is how long a connection that has just been accepted is left alone even in a full table: it is about to speak.
 const young = 100 * time.Millisecond
 
-// Room tells whether one more connection may be accepted, and, where it may not, which one is given up for it: the
+// Admit tells whether one more connection may be accepted, and, where it may not, which one is given up for it: the
 // one that has used up most of its patience. There may be none that can go.
-func (t *Table) Room(now Time) (ok bool, victim uint64, found bool) {
-	if t.used < t.policy.Places {
+func (t *ConnectionTable) Admit(now Time) (ok bool, victim uint64, found bool) {
+	if t.used < t.policy.MaxConnections {
 		return true, 0, false
 	}
 	if t.leaving > 0 { // room is on its way
@@ -407,7 +407,7 @@
 	most := 0.0
 	for i := range t.queues {
 		e := t.queues[i].head
-		if e == nil || e.stage == Fresh && now-e.since < young {
+		if e == nil || e.stage == StageNew && now-e.since < young {
 			continue
 		}
 		if part := float64(now-e.since) / float64(t.patience(i, 1)); worst == nil || part > most {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,7 +24,7 @@
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   discovery.List
+	InitialList             discovery.List
 	Peers                   peers.Addresses // without an address for all, nothing is told
 	Settings
 	Operator *Operator
@@ -36,9 +36,9 @@
 // FileVariable is the variable that names the operator's file where the command line does not.
 const FileVariable = "SHELFPROXY_FILE"
 
-// Fixed names the fields in which another configuration differs and that a running node can't change. The seed and
+// ChangedFixedFields names the fields in which another configuration differs and that a running node can't change. The seed and
 // the list known are for the start alone.
-func (c *Config) Fixed(other *Config) (fields []string) {
+func (c *Config) ChangedFixedFields(other *Config) (fields []string) {
 	mine, theirs := c.Show(), other.Show()
 	for i, s := range mine {
 		switch {
@@ -103,19 +103,19 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Module.AffinityBudget, c.Module.MaxEjectedFraction = op.Zones.Leave, op.Rollout.ServersOut
-	if c.Tells() {
+	c.Policy.AffinityBudget, c.Policy.MaxEjectedFraction = op.Zones.Leave, op.Rollout.ServersOut
+	if c.MayGossip() {
 		if err := c.Peers.Validate(); err != nil {
 			return nil, err
 		}
 	}
-	if op.Rollout.NodesOut > 0 && c.Tells() && c.Peers.Self() < 0 {
+	if op.Rollout.NodesOut > 0 && c.MayGossip() && c.Peers.Self() < 0 {
 		return nil, fmt.Errorf("peer_listen: %q is not among the peers, and rollout.nodes_out wants an agreement with them", c.Peers.Listen)
 	}
-	if len(op.Duties.Hold) > 0 && c.Tells() && c.Peers.Self() < 0 {
+	if len(op.Leases.Hold) > 0 && c.MayGossip() && c.Peers.Self() < 0 {
 		return nil, fmt.Errorf("peer_listen: %q is not among the peers, and duties.hold wants an agreement with them", c.Peers.Listen)
 	}
-	if op.Members.On && c.Tells() && c.Peers.Self() < 0 {
+	if op.Membership.On && c.MayGossip() && c.Peers.Self() < 0 {
 		return nil, fmt.Errorf("peer_listen: %q is not among the peers, and members.on wants to be seen by them", c.Peers.Listen)
 	}
 	if c.seed == "" && v == nil {
@@ -129,9 +129,9 @@
 	return c, nil
 }
 
-// Tells says whether the node may send messages to others and knows where they are.
-func (c *Config) Tells() bool {
-	return c.Module.MayGossip && c.Peers.Broadcast != "" && c.Peers.Listen != ""
+// MayGossip says whether the node may send messages to others and knows where they are.
+func (c *Config) MayGossip() bool {
+	return c.Policy.MayGossip && c.Peers.Broadcast != "" && c.Peers.Listen != ""
 }
 
 // The platform's SIGKILL comes no sooner than this after SIGTERM and the longest deadline, of which no more than so much
@@ -142,12 +142,12 @@
 	killMargin  = 300 * time.Millisecond
 )
 
-// Ending is how long after SIGTERM a node goes on taking, and when its last answer is given: as the operator says, but
+// ShutdownTimes is how long after SIGTERM a node goes on taking, and when its last answer is given: as the operator says, but
 // before the platform kills it. What has been taken by then and is not answered would be lost.
-func (c *Config) Ending() (grace, last time.Duration) {
+func (c *Config) ShutdownTimes() (grace, last time.Duration) {
 	s := c.Operator.Shutdown
 	last = s.Last.D()
-	if wait := c.Node.LongestWait; wait > 0 {
+	if wait := c.Node.MaxDeadline; wait > 0 {
 		last = min(last, min(wait, killLongest)+killAfter-killMargin)
 	}
 	return min(s.Grace.D(), last*2/3), last // a third is left for what was taken last
@@ -208,7 +208,7 @@
 		c.Peers.Peers = append(c.Peers.Peers, string(p.GetStringBytes()))
 	}
 	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
-		if c.Known, err = discovery.Parse(known); err != nil {
+		if c.InitialList, err = discovery.Parse(known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 		c.from["known"] = path
@@ -225,7 +225,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.from["settings"] = path
-	if _, err = policy.New(c.Module, c.Seed); err != nil { // a reload must not accept what a start would not
+	if _, err = policy.New(c.Policy, c.Seed); err != nil { // a reload must not accept what a start would not
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -73,8 +73,8 @@
 		}
 	}
 	other := *c
-	other.Sockets, other.Discovery, other.Node.MaxOpen = 300, "127.0.0.1:9", 5
-	if f := fmt.Sprint(c.Fixed(&other)); f != "[limits.sockets settings.max_open]" {
+	other.Sockets, other.Discovery, other.Node.MaxOpenRequests = 300, "127.0.0.1:9", 5
+	if f := fmt.Sprint(c.ChangedFixedFields(&other)); f != "[limits.sockets settings.max_open]" {
 		t.Errorf("fields that a running node can't change: %s", f)
 	}
 }
@@ -90,7 +90,7 @@
 	if err != nil || c.Seed == d.Seed {
 		t.Errorf("two starts with the same random numbers: %v", err)
 	}
-	if c.Module.Zone != "room-b" || c.Node.LongestWait != 2*time.Second || c.Module.OverloadFactor != 3 {
+	if c.Policy.Zone != "room-b" || c.Node.MaxDeadline != 2*time.Second || c.Policy.OverloadFactor != 3 {
 		t.Errorf("settings %+v", c.Settings)
 	}
 }
@@ -124,18 +124,18 @@
 	for _, wait := range []time.Duration{200, 520, 1000, 2999, 3000, 6500, 60000} {
 		for _, last := range []time.Duration{500, 3400, 60000} {
 			c := Config{Operator: defaults()}
-			c.Node.LongestWait = wait * time.Millisecond
+			c.Node.MaxDeadline = wait * time.Millisecond
 			c.Operator.Shutdown.Last = tomlfile.Duration(last * time.Millisecond)
-			kill := min(c.Node.LongestWait, 3*time.Second) + 700*time.Millisecond
-			grace, end := c.Ending()
+			kill := min(c.Node.MaxDeadline, 3*time.Second) + 700*time.Millisecond
+			grace, end := c.ShutdownTimes()
 			if end > kill-200*time.Millisecond || end > last*time.Millisecond || grace >= end || grace <= 0 {
-				t.Errorf("longest wait %v, last %v: takes for %v and answers by %v; killed after %v", c.Node.LongestWait, last, grace, end, kill)
+				t.Errorf("longest wait %v, last %v: takes for %v and answers by %v; killed after %v", c.Node.MaxDeadline, last, grace, end, kill)
 			}
 		}
 	}
 	c := Config{Operator: defaults()}
-	c.Node.LongestWait = 6 * time.Second
-	if grace, end := c.Ending(); grace != 2200*time.Millisecond || end != 3400*time.Millisecond {
+	c.Node.MaxDeadline = 6 * time.Second
+	if grace, end := c.ShutdownTimes(); grace != 2200*time.Millisecond || end != 3400*time.Millisecond {
 		t.Errorf("by default takes for %v and answers by %v", grace, end)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -139,8 +139,8 @@
 		}
 		o := cfg.Operator
 		lines.Text("not shown", fmt.Sprint(o.Rollout.Beacon, o.Rollout.Silent, o.Rollout.Lease, o.Rollout.Return, o.Rollout.Lost, o.Rollout.Watch,
-			o.Rollout.LeastJudged, o.Rollout.Drift, o.Members.On, o.Members.Period, o.Members.Wait, o.Members.Ask, o.Members.Suspicion,
-			cfg.Peers.Listen, cfg.Peers.Broadcast, cfg.Module.MaxPollInterval, cfg.Module.DrainGrace, cfg.Module.OverQuotaFraction, cfg.Module.AffinityBudget, cfg.Module.MaxEjectedFraction))
+			o.Rollout.LeastJudged, o.Rollout.Drift, o.Membership.On, o.Membership.Period, o.Membership.Wait, o.Membership.Ask, o.Membership.Suspicion,
+			cfg.Peers.Listen, cfg.Peers.Broadcast, cfg.Policy.MaxPollInterval, cfg.Policy.DrainGrace, cfg.Policy.OverQuotaFraction, cfg.Policy.AffinityBudget, cfg.Policy.MaxEjectedFraction))
 	}
 	golden.Check(t, "configuration.golden", lines.Bytes())
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -35,14 +35,14 @@
 		Level  string `toml:"level"`  // debug, info, warn or error
 		Format string `toml:"format"` // auto, text or json; auto is text on a terminal
 	} `toml:"log"`
-	Listener Listener `toml:"listener"`
-	Pools    Pools    `toml:"pools"`
-	Shutdown Shutdown `toml:"shutdown"`
-	Zones    Zones    `toml:"zones"`
-	Rollout  Rollout  `toml:"rollout"`
-	Duties   Duties   `toml:"duties"`
-	Members  Members  `toml:"members"`
-	Service  *Service `toml:"service"` // in place of LB_CONFIG's settings
+	Listener   Listener   `toml:"listener"`
+	Pools      Pools      `toml:"pools"`
+	Shutdown   Shutdown   `toml:"shutdown"`
+	Zones      Zones      `toml:"zones"`
+	Rollout    Rollout    `toml:"rollout"`
+	Leases     Leases     `toml:"duties"`
+	Membership Membership `toml:"members"`
+	Service    *Service   `toml:"service"` // in place of LB_CONFIG's settings
 
 	file *tomlfile.File
 }
@@ -96,32 +96,34 @@
 	Drift       float64           `toml:"drift"`        // of two nodes' clocks against each other, at most
 }
 
-// Core is what the agreement's core is told, as node self of so many.
-func (r Rollout) Core(self, nodes int, zone string, start, seed uint64) rollout.Config {
+// CoreConfig is what the agreement's core is told, as node self of so many.
+func (r Rollout) CoreConfig(self, nodes int, zone string, start, seed uint64) rollout.Config {
 	return rollout.Config{Self: self, Nodes: nodes, Zone: zone, Budget: r.NodesOut, ZoneBudget: r.ZoneOut, HeartbeatInterval: r.Beacon.D(),
 		UnresponsiveAfter: r.Silent.D(), RequestTimeout: r.Lease.D(), ReturnTimeout: r.Return.D(), WriteOffAfter: r.Lost.D(), ObservationPeriod: r.Watch.D(), MaxClockDrift: r.Drift,
 		Release: r.Release, MaxFailureRate: r.MaxFailed, MaxSlowRate: r.MaxSlow, MinSamples: r.LeastJudged, Incarnation: start, Seed: seed}
 }
 
-// Duties are those that one node holds for all. They take effect where nodes may send each other messages.
-type Duties struct {
+// Leases are those that one node holds for all. They take effect where nodes may send each other messages.
+type Leases struct {
 	Hold  []string          `toml:"hold"`  // of prober and caller; none: each node does for itself
 	Lease tomlfile.Duration `toml:"lease"` // a holder that is not heard for so long has a successor
 	Drift float64           `toml:"drift"` // of two nodes' clocks against each other, at most
 	List  string            `toml:"list"`  // a name for the list of peers, the same at all nodes, another with each change
 }
 
-// Core is what the core of duties is told, as node self of so many.
-func (d Duties) Core(self, nodes int, epoch, seed uint64) lease.Config {
-	return lease.Config{Self: self, Nodes: nodes, PeerListID: d.Fleet(nodes), Resources: d.Hold, LeaseDuration: d.Lease.D(), MaxClockDrift: d.Drift, Epoch: epoch, Seed: seed}
+// CoreConfig is what the core of duties is told, as node self of so many.
+func (d Leases) CoreConfig(self, nodes int, epoch, seed uint64) lease.Config {
+	return lease.Config{Self: self, Nodes: nodes, PeerListID: d.PeerListID(nodes), Resources: d.Hold, LeaseDuration: d.Lease.D(), MaxClockDrift: d.Drift, Epoch: epoch, Seed: seed}
 }
 
-// Fleet is the number of a list of peers. Their addresses are not in it: each node may know the others under its own.
-func (d Duties) Fleet(nodes int) uint32 { return lease.HashName(fmt.Sprintf("%d/%s", nodes, d.List)) }
+// PeerListID is the number of a list of peers. Their addresses are not in it: each node may know the others under its own.
+func (d Leases) PeerListID(nodes int) uint32 {
+	return lease.HashName(fmt.Sprintf("%d/%s", nodes, d.List))
+}
 
-// Members says whether this node keeps track of which of its peers are there. It takes effect where nodes may send each other
+// Membership says whether this node keeps track of which of its peers are there. It takes effect where nodes may send each other
 // messages.
-type Members struct {
+type Membership struct {
 	On        bool              `toml:"on"`
 	Period    tomlfile.Duration `toml:"period"`    // between two probes of this node
 	Wait      tomlfile.Duration `toml:"wait"`      // for an answer, before others are asked to ask
@@ -129,8 +131,8 @@
 	Suspicion float64           `toml:"suspicion"` // periods, times the logarithm of the fleet, after which a suspect is dead
 }
 
-// Core is what the core of membership is told, as node self of so many.
-func (m Members) Core(self, nodes int, fleet uint32, life, seed uint64) membership.Config {
+// CoreConfig is what the core of membership is told, as node self of so many.
+func (m Membership) CoreConfig(self, nodes int, fleet uint32, life, seed uint64) membership.Config {
 	return membership.Config{Self: self, Nodes: nodes, PeerListID: fleet, Incarnation: life, ProbeInterval: m.Period.D(), ProbeTimeout: m.Wait.D(), IndirectProbes: m.Ask, SuspicionFactor: m.Suspicion, Seed: seed}
 }
 
@@ -184,8 +186,8 @@
 	o.Rollout = Rollout{Beacon: tomlfile.Duration(500 * time.Millisecond), Silent: tomlfile.Duration(3 * time.Second),
 		Lease: tomlfile.Duration(5 * time.Second), Return: tomlfile.Duration(time.Minute), Lost: tomlfile.Duration(10 * time.Minute),
 		Watch: tomlfile.Duration(10 * time.Second), MaxFailed: 0.2, MaxSlow: 0.5, LeastJudged: 20, Drift: 0.01}
-	o.Duties = Duties{Lease: tomlfile.Duration(3 * time.Second), Drift: 0.01}
-	o.Members = Members{Period: tomlfile.Duration(time.Second), Wait: tomlfile.Duration(200 * time.Millisecond), Ask: 3, Suspicion: 2}
+	o.Leases = Leases{Lease: tomlfile.Duration(3 * time.Second), Drift: 0.01}
+	o.Membership = Membership{Period: tomlfile.Duration(time.Second), Wait: tomlfile.Duration(200 * time.Millisecond), Ask: 3, Suspicion: 2}
 	o.Limits.MemoryMB, o.Limits.Sockets = 192, 1024
 	o.Log.Level, o.Log.Format = "info", "auto"
 	return o
@@ -262,21 +264,21 @@
 		}
 	}
 	if o.Rollout.NodesOut != 0 {
-		if err := o.Rollout.Core(0, 1, "", 0, 0).Validate(); err != nil {
+		if err := o.Rollout.CoreConfig(0, 1, "", 0, 0).Validate(); err != nil {
 			return o.file.Errorf("rollout", "%v", err)
 		}
 	}
-	for _, name := range o.Duties.Hold {
+	for _, name := range o.Leases.Hold {
 		if !slices.Contains(policy.RoleNames[:], name) {
 			return o.file.Errorf("duties.hold", "%q is none of %s", name, strings.Join(policy.RoleNames[:], ", "))
 		}
 	}
-	if len(o.Duties.Hold) > 0 {
-		if err := o.Duties.Core(0, 1, 0, 0).Validate(); err != nil {
+	if len(o.Leases.Hold) > 0 {
+		if err := o.Leases.CoreConfig(0, 1, 0, 0).Validate(); err != nil {
 			return o.file.Errorf("duties", "%v", err)
 		}
 	}
-	if err := o.Members.Core(0, 2, 0, 0, 0).Validate(); err != nil {
+	if err := o.Membership.CoreConfig(0, 2, 0, 0, 0).Validate(); err != nil {
 		return o.file.Errorf("members", "%v", err)
 	}
 	if s.Last < s.Grace {
@@ -290,12 +292,12 @@
 	in := o.Service
 	at := func(field string) string { return "service." + field }
 	set := Settings{
-		Module: policy.Settings{Nodes: in.Nodes, Zone: in.Zone, MustPoll: in.Subscribe, MayHealthCheck: in.Probes,
+		Policy: policy.Settings{Nodes: in.Nodes, Zone: in.Zone, MustPoll: in.Subscribe, MayHealthCheck: in.Probes,
 			MayCancel: in.Cancel, MaxAttempts: in.MaxAttempts, MaxRetryAfter: in.RetryAfter.D(), Tick: in.Tick.D(),
 			OriginKind: in.OriginKind, WeightByCapacity: in.SizedWeights, SlowStartFloor: in.Cold.From,
 			SlowStartDuration: in.Cold.WarmAfter.D(), OverloadFactor: in.Cold.Overload},
-		Node: Node{MaxOpen: in.MaxOpen, Streams: in.Streams, ConnectTimeout: in.ConnectTimeout.D(),
-			ConnIdle: in.ConnectionIdle.D()},
+		Node: Node{MaxOpenRequests: in.MaxOpen, MaxStreams: in.Streams, ConnectTimeout: in.ConnectTimeout.D(),
+			ConnectionIdle: in.ConnectionIdle.D()},
 	}
 	for _, f := range []struct {
 		field string
@@ -334,11 +336,11 @@
 		case !(c.Worth >= 0):
 			return set, o.file.Errorf(field("worth"), "must not be negative")
 		}
-		set.Module.Classes = append(set.Module.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, LatencyObjective: c.Aim.D(),
+		set.Policy.Classes = append(set.Policy.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, LatencyObjective: c.Aim.D(),
 			LateFraction: c.Late, Effect: effect, DedupScope: group, DedupWindow: c.Window.D()})
-		set.Node.LongestWait = max(set.Node.LongestWait, c.Deadline.D())
+		set.Node.MaxDeadline = max(set.Node.MaxDeadline, c.Deadline.D())
 	}
-	if _, err := policy.New(set.Module, 0); err != nil {
+	if _, err := policy.New(set.Policy, 0); err != nil {
 		return set, o.file.Errorf("service", "%v", err)
 	}
 	return set, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,17 +12,17 @@
 
 // Settings are what the deployment tells every node, in the simulator and on sockets.
 type Settings struct {
-	Module policy.Settings
+	Policy policy.Settings
 	Node   Node
 }
 
 // Node holds the settings that the sockets need and the module does not.
 type Node struct {
-	MaxOpen        int
-	Streams        int // forwards on one connection
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration
-	LongestWait    time.Duration // longest deadline of a class
+	MaxOpenRequests int
+	MaxStreams      int // forwards on one connection
+	ConnectTimeout  time.Duration
+	ConnectionIdle  time.Duration
+	MaxDeadline     time.Duration // longest deadline of a class
 }
 
 // setup holds the settings that the module and the node use; all others are skipped.
@@ -96,7 +96,7 @@
 		return Settings{}, err
 	}
 	node, err := in.node()
-	return Settings{Module: module, Node: node}, err
+	return Settings{Policy: module, Node: node}, err
 }
 
 func (in *setup) module() (policy.Settings, error) {
@@ -122,11 +122,11 @@
 		set.OriginKind = in.Machines[in.Family.OriginKind]
 	}
 	for _, l := range in.Lanes {
-		effect, err := Word(effects, "lanes.semantics", l.Semantics)
+		effect, err := ParseEnum(effects, "lanes.semantics", l.Semantics)
 		if err != nil {
 			return set, err
 		}
-		group, err := Word(groups, "lanes.key_scope", l.KeyScope)
+		group, err := ParseEnum(groups, "lanes.key_scope", l.KeyScope)
 		if err != nil {
 			return set, err
 		}
@@ -140,37 +140,37 @@
 }
 
 func (in *setup) node() (Node, error) {
-	n := Node{MaxOpen: 20000, Streams: 1, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second}
+	n := Node{MaxOpenRequests: 20000, MaxStreams: 1, ConnectTimeout: 250 * time.Millisecond, ConnectionIdle: 30 * time.Second}
 	for _, l := range in.Lanes {
-		n.LongestWait = max(n.LongestWait, micros(l.Deadline))
+		n.MaxDeadline = max(n.MaxDeadline, micros(l.Deadline))
 	}
 	if v := in.Limits.MaxOpen; v != nil {
-		n.MaxOpen = *v
+		n.MaxOpenRequests = *v
 	}
 	if v := in.Limits.Streams; v != nil {
-		n.Streams = *v
+		n.MaxStreams = *v
 	}
 	if v := in.Limits.Connect; v != nil {
 		n.ConnectTimeout = micros(*v)
 	}
 	if v := in.Limits.Idle; v != nil {
-		n.ConnIdle = micros(*v)
+		n.ConnectionIdle = micros(*v)
 	}
 	switch {
-	case n.MaxOpen < 1:
+	case n.MaxOpenRequests < 1:
 		return n, errors.New("field limits.max_open: must be at least 1")
-	case n.Streams < 1:
+	case n.MaxStreams < 1:
 		return n, errors.New("field limits.streams_per_conn: must be at least 1")
 	case n.ConnectTimeout <= 0:
 		return n, errors.New("field limits.connect_timeout: must be above 0")
-	case n.ConnIdle <= 0:
+	case n.ConnectionIdle <= 0:
 		return n, errors.New("field limits.conn_idle: must be above 0")
 	}
 	return n, nil
 }
 
-// Word looks up a word of the settings and names the field where it is not one.
-func Word[T any](words map[string]T, field, w string) (T, error) {
+// ParseEnum looks up a word of the settings and names the field where it is not one.
+func ParseEnum[T any](words map[string]T, field, w string) (T, error) {
 	v, ok := words[w]
 	if !ok {
 		return v, fmt.Errorf("field %s: unknown value %q", field, w)
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -32,7 +32,7 @@
 	own("limits.memory_mb", c.MemoryMB)
 	own("limits.sockets", c.Sockets)
 	own("peers", strings.Join(c.Peers.Peers, " "))
-	own("known", fmt.Sprintf("%d servers at version %d", len(c.Known.Servers), c.Known.Version))
+	own("known", fmt.Sprintf("%d servers at version %d", len(c.InitialList.Servers), c.InitialList.Version))
 
 	o := c.Operator
 	file := func(field string, v any) {
@@ -64,12 +64,12 @@
 	file("rollout.control", o.Rollout.Control)
 	file("rollout.max_failed", o.Rollout.MaxFailed)
 	file("rollout.max_slow", o.Rollout.MaxSlow)
-	file("duties.hold", strings.Join(o.Duties.Hold, " "))
-	file("duties.lease", o.Duties.Lease)
-	file("duties.drift", o.Duties.Drift)
-	file("duties.list", o.Duties.List)
+	file("duties.hold", strings.Join(o.Leases.Hold, " "))
+	file("duties.lease", o.Leases.Lease)
+	file("duties.drift", o.Leases.Drift)
+	file("duties.list", o.Leases.List)
 
-	m, n := c.Module, c.Node
+	m, n := c.Policy, c.Node
 	set := func(field string, v any) { add("settings."+field, v, c.from["settings"]) }
 	set("nodes", m.Nodes)
 	set("zone", m.Zone)
@@ -78,11 +78,11 @@
 	set("cancel", m.MayCancel)
 	set("max_attempts", m.MaxAttempts)
 	set("max_retry_after", m.MaxRetryAfter)
-	set("max_open", n.MaxOpen)
-	set("streams_per_connection", n.Streams)
+	set("max_open", n.MaxOpenRequests)
+	set("streams_per_connection", n.MaxStreams)
 	set("connect_timeout", n.ConnectTimeout)
-	set("connection_idle", n.ConnIdle)
-	set("longest_wait", n.LongestWait)
+	set("connection_idle", n.ConnectionIdle)
+	set("longest_wait", n.MaxDeadline)
 	set("origin_kind", m.OriginKind)
 	set("sized_weights", m.WeightByCapacity)
 	set("tick", m.Tick)
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -9,25 +9,25 @@
 
 // Counters may be used from any goroutine.
 type Counters struct {
-	Accepted, AcceptFailed, WriteFailed                                 atomic.Int64 // the clients' connections
-	Silent, Idle, Evicted, Stuck                                        atomic.Int64 // closed by the node: said nothing, had no more to say, for room, took no answers
-	Malformed, BadFraming, Duplicate                                    atomic.Int64 // commands that are no request
-	Opened, OriginOpened                                                atomic.Int64 // connections to servers
-	Moves                                                               atomic.Int64 // descriptors that were moved from one use to another, in times
-	Probes, Watches, Lists, WatchesBroken, WatchesGarbage, ListsRefused atomic.Int64
-	PeersTold, PeersHeard, PeersForeign, PeersDropped                   atomic.Int64 // datagrams: sent, taken, from elsewhere or too long, lost here
-	Reloads, ReloadsBad                                                 atomic.Int64 // configurations read again, and those that were no good
-	NoMemory                                                            atomic.Int64 // flows turned away at the door, as those taken hold too much
-	Late                                                                atomic.Int64 // answers of servers that came after their flow's end
-	Gone                                                                atomic.Int64 // flows whose client left first
-	Slow                                                                atomic.Int64 // flows served after their class's aim
-	classes                                                             []string
-	answers                                                             []string
-	ends                                                                []string
-	in, sent                                                            []atomic.Int64 // by class
-	answered                                                            []atomic.Int64 // by class and answer
-	ended                                                               []atomic.Int64 // by class and end
-	more                                                                []named        // of parts that are switched on
+	Accepted, AcceptFailed, WriteFailed                                          atomic.Int64 // the clients' connections
+	ClosedSilent, ClosedIdle, ClosedForCapacity, ClosedStuck                     atomic.Int64 // closed by the node: said nothing, had no more to say, for room, took no answers
+	Malformed, BadFraming, Duplicate                                             atomic.Int64 // commands that are no request
+	UpstreamConnections, OriginConnections                                       atomic.Int64 // connections to servers
+	DescriptorRebalances                                                         atomic.Int64 // descriptors that were moved from one use to another, in times
+	HealthChecks, Watches, Lists, WatchesBroken, WatchesMalformed, ListsRejected atomic.Int64
+	GossipSent, GossipReceived, GossipForeign, GossipDropped                     atomic.Int64 // datagrams: sent, taken, from elsewhere or too long, lost here
+	Reloads, ReloadsFailed                                                       atomic.Int64 // configurations read again, and those that were no good
+	RejectedForMemory                                                            atomic.Int64 // flows turned away at the door, as those taken hold too much
+	LateResponses                                                                atomic.Int64 // answers of servers that came after their flow's end
+	ClientsDisconnected                                                          atomic.Int64 // flows whose client left first
+	ServedLate                                                                   atomic.Int64 // flows served after their class's aim
+	classes                                                                      []string
+	answers                                                                      []string
+	ends                                                                         []string
+	in, sent                                                                     []atomic.Int64 // by class
+	answered                                                                     []atomic.Int64 // by class and answer
+	ended                                                                        []atomic.Int64 // by class and end
+	more                                                                         []named        // of parts that are switched on
 }
 
 type named struct {
@@ -35,8 +35,8 @@
 	n    *atomic.Int64
 }
 
-// More adds a counter of a part that an operator switched on. It must be called before any other goroutine uses c.
-func (c *Counters) More(name string) *atomic.Int64 {
+// Register adds a counter of a part that an operator switched on. It must be called before any other goroutine uses c.
+func (c *Counters) Register(name string) *atomic.Int64 {
 	c.more = append(c.more, named{name, new(atomic.Int64)})
 	return c.more[len(c.more)-1].n
 }
@@ -60,17 +60,17 @@
 		ended: make([]atomic.Int64, n*len(ends))}
 }
 
-// In counts a flow that was taken.
-func (c *Counters) In(class int) { c.in[class].Add(1) }
+// RequestReceived counts a flow that was taken.
+func (c *Counters) RequestReceived(class int) { c.in[class].Add(1) }
 
-// Sent counts a forward.
-func (c *Counters) Sent(class int) { c.sent[class].Add(1) }
+// AttemptSent counts a forward.
+func (c *Counters) AttemptSent(class int) { c.sent[class].Add(1) }
 
-// Answered counts a final answer.
-func (c *Counters) Answered(class, answer int) { c.answered[class*len(c.answers)+answer].Add(1) }
+// RequestAnswered counts a final answer.
+func (c *Counters) RequestAnswered(class, answer int) { c.answered[class*len(c.answers)+answer].Add(1) }
 
-// Ended counts the end of a forward.
-func (c *Counters) Ended(class, end int) { c.ended[class*len(c.ends)+end].Add(1) }
+// AttemptEnded counts the end of a forward.
+func (c *Counters) AttemptEnded(class, end int) { c.ended[class*len(c.ends)+end].Add(1) }
 
 // String is all counters, one name and figure a line.
 func (c *Counters) String() string {
@@ -85,32 +85,32 @@
 	line(&c.Accepted, "listener_accepted")
 	line(&c.AcceptFailed, "listener_accept_failed")
 	line(&c.WriteFailed, "listener_write_failed")
-	line(&c.Silent, "listener_closed_silent")
-	line(&c.Idle, "listener_closed_idle")
-	line(&c.Evicted, "listener_closed_for_room")
-	line(&c.Stuck, "listener_closed_stuck")
+	line(&c.ClosedSilent, "listener_closed_silent")
+	line(&c.ClosedIdle, "listener_closed_idle")
+	line(&c.ClosedForCapacity, "listener_closed_for_room")
+	line(&c.ClosedStuck, "listener_closed_stuck")
 	line(&c.Malformed, "commands_malformed")
 	line(&c.BadFraming, "commands_bad_framing")
 	line(&c.Duplicate, "commands_duplicate")
-	line(&c.Opened, "target_connections_opened")
-	line(&c.OriginOpened, "origin_connections_opened")
-	line(&c.Moves, "descriptors_moved")
-	line(&c.Probes, "probes_sent")
+	line(&c.UpstreamConnections, "target_connections_opened")
+	line(&c.OriginConnections, "origin_connections_opened")
+	line(&c.DescriptorRebalances, "descriptors_moved")
+	line(&c.HealthChecks, "probes_sent")
 	line(&c.Watches, "discovery_watches")
 	line(&c.WatchesBroken, "discovery_watches_broken")
-	line(&c.WatchesGarbage, "discovery_watches_garbage")
+	line(&c.WatchesMalformed, "discovery_watches_garbage")
 	line(&c.Lists, "discovery_lists")
-	line(&c.ListsRefused, "discovery_lists_refused")
-	line(&c.PeersTold, "peers_told")
-	line(&c.PeersHeard, "peers_heard")
-	line(&c.PeersForeign, "peers_foreign")
-	line(&c.PeersDropped, "peers_dropped")
+	line(&c.ListsRejected, "discovery_lists_refused")
+	line(&c.GossipSent, "peers_told")
+	line(&c.GossipReceived, "peers_heard")
+	line(&c.GossipForeign, "peers_foreign")
+	line(&c.GossipDropped, "peers_dropped")
 	line(&c.Reloads, "reloads")
-	line(&c.ReloadsBad, "reloads_bad")
-	line(&c.NoMemory, "flows_without_memory")
-	line(&c.Late, "answers_late")
-	line(&c.Gone, "flows_client_left")
-	line(&c.Slow, "flows_served_late")
+	line(&c.ReloadsFailed, "reloads_bad")
+	line(&c.RejectedForMemory, "flows_without_memory")
+	line(&c.LateResponses, "answers_late")
+	line(&c.ClientsDisconnected, "flows_client_left")
+	line(&c.ServedLate, "flows_served_late")
 	for _, m := range c.more {
 		line(m.n, "%s", m.name)
 	}
--- a/internal/listener/core_test.go
+++ b/internal/listener/core_test.go
@@ -18,8 +18,8 @@
 func TestCoreInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		limits := Limits{Conns: 4, Pipelined: 3, Value: 100, Write: time.Second, Owed: 100 << 10, Silent: 2 * time.Second, Crowd: 50 * time.Millisecond, Idle: 5 * time.Second}
-		l := NewCore(now, []string{"read"}, nil, limits, counters.New([]string{"read"}, request.Kinds(), nil))
+		limits := Limits{MaxConnections: 4, MaxPipelined: 3, MaxValue: 100, WriteTimeout: time.Second, MaxUnsentBytes: 100 << 10, FirstCommandTimeout: 2 * time.Second, CrowdedIdleTimeout: 50 * time.Millisecond, IdleTimeout: 5 * time.Second}
+		l := NewCore(now, []string{"read"}, nil, limits, counters.New([]string{"read"}, request.ResponseKinds(), nil))
 		type client struct {
 			c       *Conn
 			sent    []string // ids of commands, or "?" for one that makes no sense, whose answers have not come
@@ -31,8 +31,8 @@
 		}
 		type open struct {
 			of   *client
-			slot *Slot
-			flow *request.Flow
+			slot *ResponseSlot
+			flow *request.Request
 			gone bool
 		}
 		var clients []*client
@@ -50,48 +50,48 @@
 		carry := func(fx Effects) {
 			for _, e := range fx {
 				switch e.Kind {
-				case Take:
-					flows[string(e.Flow.ID)] = &open{of: of(e.Conn), flow: e.Flow}
-				case Gone:
-					o := flows[string(e.Flow.ID)]
-					if o == nil || o.gone || replied[string(e.Flow.ID)] {
-						t.Fatalf("%s: its client left, and it was told %v, answered %v", e.Flow.ID, o != nil && o.gone, replied[string(e.Flow.ID)])
+				case HandleRequest:
+					flows[string(e.Request.ID)] = &open{of: of(e.Conn), flow: e.Request}
+				case ClientDisconnected:
+					o := flows[string(e.Request.ID)]
+					if o == nil || o.gone || replied[string(e.Request.ID)] {
+						t.Fatalf("%s: its client left, and it was told %v, answered %v", e.Request.ID, o != nil && o.gone, replied[string(e.Request.ID)])
 					}
 					o.gone = true
-					if !e.Flow.Cancelled() {
-						t.Fatalf("%s: its client left, and the flow does not know", e.Flow.ID)
+					if !e.Request.IsCancelled() {
+						t.Fatalf("%s: its client left, and the flow does not know", e.Request.ID)
 					}
-				case Linger:
+				case HalfClose:
 					of(e.Conn).ended = true
-				case Shut:
-					if e.Conn.Lingers() {
+				case CloseConnection:
+					if e.Conn.IsLingering() {
 						t.Fatal("it is closed, and lingers")
 					}
 					of(e.Conn).ended = true
-				case Read:
+				case ResumeReading:
 					of(e.Conn).reading = true
 				}
 			}
 		}
-		l.Reply = func(c *Conn, s *Slot, r request.Response) {
+		l.Reply = func(c *Conn, s *ResponseSlot, r request.Response) {
 			var fx Effects
-			l.Answer(now, c, s, r, &fx)
+			l.Respond(now, c, s, r, &fx)
 			carry(fx)
 		}
 		// feed moves what a client sent to the core, as far as it takes it.
 		feed := func(k *client) {
-			for !k.c.Closed() && (k.reading || !k.c.Paused() && len(k.text) > 0) {
+			for !k.c.IsClosed() && (k.reading || !k.c.IsPaused() && len(k.text) > 0) {
 				var fx Effects
 				if k.reading {
 					k.reading = false
-					l.Continue(now, k.c, &fx)
+					l.Resume(now, k.c, &fx)
 				} else {
-					n := copy(k.c.Space(), k.text)
+					n := copy(k.c.ReadBuffer(), k.text)
 					k.text = k.text[n:]
-					l.Received(now, k.c, n, &fx)
+					l.BytesReceived(now, k.c, n, &fx)
 				}
 				carry(fx)
-				if n := len(k.c.slots); n > limits.Pipelined+1 {
+				if n := len(k.c.slots); n > limits.MaxPipelined+1 {
 					t.Fatalf("%d commands wait for answers", n)
 				}
 			}
@@ -124,19 +124,19 @@
 			}
 		}
 		pump := func(k *client, good bool) {
-			if k.writing && !k.c.Closed() {
+			if k.writing && !k.c.IsClosed() {
 				k.writing = false
 				if good {
 					read(k)
 				}
 				var fx Effects
-				l.Wrote(now, k.c, good, &fx)
+				l.WriteCompleted(now, k.c, good, &fx)
 				carry(fx)
 			}
-			if k.c.Closed() || k.writing {
+			if k.c.IsClosed() || k.writing {
 				return
 			}
-			answers, size := l.Pull(k.c, nil)
+			answers, size := l.NextToWrite(k.c, nil)
 			if size == 0 {
 				return
 			}
@@ -154,7 +154,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"comes": func(t *rapid.T) {
 				var fx Effects
-				if l.Room(now, &fx) && len(clients) < 8 {
+				if l.HasCapacity(now, &fx) && len(clients) < 8 {
 					clients = append(clients, &client{c: l.Accepted(now)})
 				}
 				carry(fx)
@@ -184,7 +184,7 @@
 						continue
 					}
 					replied[id] = true
-					r := request.Response{Kind: request.Kind(rapid.IntRange(0, 2).Draw(t, "kind"))}
+					r := request.Response{Kind: request.ResponseKind(rapid.IntRange(0, 2).Draw(t, "kind"))}
 					if r.Kind == request.Served {
 						r.Value = []byte("for-" + id)
 					}
@@ -200,14 +200,14 @@
 			"leaves": func(t *rapid.T) {
 				if k := pick(); k != nil && rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 					var fx Effects
-					l.Ended(now, k.c, &fx)
+					l.ConnectionEnded(now, k.c, &fx)
 					carry(fx)
 				}
 			},
 			"sweeps": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 				var fx Effects
-				l.Sweep(now, &fx)
+				l.ExpireIdle(now, &fx)
 				carry(fx)
 			},
 		})
@@ -234,9 +234,9 @@
 		carry(fx)
 		now = now.Add(linger) // those that linger end by themselves
 		fx = nil
-		l.Sweep(now, &fx)
+		l.ExpireIdle(now, &fx)
 		carry(fx)
-		if used, _ := l.Use(); used != 0 || len(l.conns) != 0 {
+		if used, _ := l.Usage(); used != 0 || len(l.conns) != 0 {
 			t.Fatalf("%d connections are held in the end", used)
 		}
 	})
@@ -249,15 +249,15 @@
 	for late, taken := range map[time.Duration]bool{linger - time.Nanosecond: true, linger: false} {
 		for _, cut := range []int{0, 1, 30, len(command) - 1} {
 			now := time.Unix(1000, 0)
-			l := NewCore(now, []string{"read"}, nil, Limits{Conns: 64, Pipelined: 3, Value: 100, Silent: time.Minute, Crowd: time.Minute, Idle: time.Minute},
-				counters.New([]string{"read"}, request.Kinds(), nil))
-			l.Reply = func(c *Conn, s *Slot, r request.Response) {
+			l := NewCore(now, []string{"read"}, nil, Limits{MaxConnections: 64, MaxPipelined: 3, MaxValue: 100, FirstCommandTimeout: time.Minute, CrowdedIdleTimeout: time.Minute, IdleTimeout: time.Minute},
+				counters.New([]string{"read"}, request.ResponseKinds(), nil))
+			l.Reply = func(c *Conn, s *ResponseSlot, r request.Response) {
 				var fx Effects
-				l.Answer(now, c, s, r, &fx)
+				l.Respond(now, c, s, r, &fx)
 			}
 			var fx Effects
 			put := func(c *Conn, text string) {
-				l.Received(now, c, copy(c.Space(), text), &fx)
+				l.BytesReceived(now, c, copy(c.ReadBuffer(), text), &fx)
 			}
 			rests, c := l.Accepted(now), l.Accepted(now)
 			if cut > 0 {
@@ -267,22 +267,22 @@
 			if cut == 0 { // it comes now, with nothing yet
 				c = l.Accepted(now)
 			}
-			if !rests.Closed() || c.Closed() {
-				t.Fatalf("cut at %d: the one that rests has ended: %v; the one with a part: %v", cut, rests.Closed(), c.Closed())
+			if !rests.IsClosed() || c.IsClosed() {
+				t.Fatalf("cut at %d: the one that rests has ended: %v; the one with a part: %v", cut, rests.IsClosed(), c.IsClosed())
 			}
 			now = now.Add(late)
-			l.Sweep(now, &fx)
+			l.ExpireIdle(now, &fx)
 			fx = nil
 			put(c, command[cut:])
-			if got := len(fx) > 0 && fx[0].Kind == Take; got != taken {
+			if got := len(fx) > 0 && fx[0].Kind == HandleRequest; got != taken {
 				t.Errorf("cut at %d, the rest after %v: taken %v", cut, late, got)
 			}
 			if !taken {
 				continue
 			}
-			fx[0].Flow.Reply(request.Response{Kind: request.Failed})
-			l.Pull(c, nil)
-			if l.Wrote(now, c, true, &fx); !c.Closed() || !c.Lingers() {
+			fx[0].Request.Reply(request.Response{Kind: request.Failed})
+			l.NextToWrite(c, nil)
+			if l.WriteCompleted(now, c, true, &fx); !c.IsClosed() || !c.IsLingering() {
 				t.Errorf("cut at %d: it goes on behind its answer", cut)
 			}
 		}
--- a/internal/listener/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -14,13 +14,13 @@
 // TestGoldenCommands: what clients send, the request that is made of it, and the bytes of every answer, INFO's among them.
 func TestGoldenCommands(t *testing.T) {
 	now := time.Unix(1000, 0)
-	limits := Limits{Conns: 4, Pipelined: 64, Value: 10, Write: time.Second, Owed: 100 << 10, Silent: 2 * time.Second, Crowd: 50 * time.Millisecond, Idle: 5 * time.Second}
-	count := counters.New([]string{"read", "sign"}, request.Kinds(), []string{"end_a", "end_b"})
-	count.More("part_event").Add(3)
+	limits := Limits{MaxConnections: 4, MaxPipelined: 64, MaxValue: 10, WriteTimeout: time.Second, MaxUnsentBytes: 100 << 10, FirstCommandTimeout: 2 * time.Second, CrowdedIdleTimeout: 50 * time.Millisecond, IdleTimeout: 5 * time.Second}
+	count := counters.New([]string{"read", "sign"}, request.ResponseKinds(), []string{"end_a", "end_b"})
+	count.Register("part_event").Add(3)
 	core := NewCore(now, []string{"read", "sign"}, []string{"school"}, limits, count)
-	answers := []request.Response{{Kind: request.Served, Value: []byte("val\r\nue")}, {Kind: request.Refused}, {Kind: request.Refused, RetryAfter: 250 * time.Millisecond},
+	answers := []request.Response{{Kind: request.Served, Value: []byte("val\r\nue")}, {Kind: request.Rejected}, {Kind: request.Rejected, RetryAfter: 250 * time.Millisecond},
 		{Kind: request.Failed}, {Kind: request.Invalid, Text: "duplicate id"}}
-	core.Reply = func(*Conn, *Slot, request.Response) {}
+	core.Reply = func(*Conn, *ResponseSlot, request.Response) {}
 	var lines golden.Lines
 	given := 0
 	for _, command := range []string{
@@ -32,19 +32,19 @@
 		"*1\r\n$x\r\n", "INFO\r\n", "QUIT\r\n"} {
 		var fx Effects
 		conn := core.Accepted(now)
-		core.Received(now, conn, copy(conn.Space(), command), &fx)
+		core.BytesReceived(now, conn, copy(conn.ReadBuffer(), command), &fx)
 		for i := 0; i < len(fx); i++ {
-			if fx[i].Kind != Take {
+			if fx[i].Kind != HandleRequest {
 				continue
 			}
-			f := fx[i].Flow
-			lines.Text("request", fmt.Sprintf("key %q, id %q, class %s, tenant %q, extras %q, write %v, value %q, wait %v", f.Key, f.ID, f.Class, f.Tenant, f.Extras, f.Write, f.Value, f.Wait))
-			core.Answer(now, conn, conn.slots[0], answers[given%len(answers)], &fx)
+			f := fx[i].Request
+			lines.Text("request", fmt.Sprintf("key %q, id %q, class %s, tenant %q, extras %q, write %v, value %q, wait %v", f.Key, f.ID, f.Class, f.Tenant, f.Parameters, f.IsWrite, f.Value, f.ClientTimeout))
+			core.Respond(now, conn, conn.slots[0], answers[given%len(answers)], &fx)
 			given++
 		}
-		out, _ := core.Pull(conn, nil)
+		out, _ := core.NextToWrite(conn, nil)
 		lines.Text(fmt.Sprintf("%q", command), fmt.Sprintf("%q", bytes.Join(out, nil)))
-		core.Ended(now, conn, &fx)
+		core.ConnectionEnded(now, conn, &fx)
 	}
 	golden.Check(t, "commands.golden", lines.Bytes())
 }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -22,7 +22,7 @@
 // Listener accepts clients and serves them until it is closed.
 type Listener struct {
 	ln    net.Listener
-	sink  request.Sink
+	sink  request.Handler
 	count *counters.Counters
 	write time.Duration
 
@@ -80,8 +80,8 @@
 }
 
 // New starts nothing yet; Serve does. See NewCore for classes and tenants.
-func New(ln net.Listener, sink request.Sink, classes, tenants []string, limits Limits, count *counters.Counters) *Listener {
-	l := &Listener{ln: ln, sink: sink, count: count, write: limits.Write, core: NewCore(time.Now(), classes, tenants, limits, count)}
+func New(ln net.Listener, sink request.Handler, classes, tenants []string, limits Limits, count *counters.Counters) *Listener {
+	l := &Listener{ln: ln, sink: sink, count: count, write: limits.WriteTimeout, core: NewCore(time.Now(), classes, tenants, limits, count)}
 	l.core.Reply = l.reply
 	l.room.L = &l.mu
 	return l
@@ -100,23 +100,23 @@
 func (l *Listener) carry(fx Effects) {
 	for i := range fx {
 		switch e := &fx[i]; e.Kind {
-		case Take:
-			l.sink.Take(e.Flow) // may wait
-		case Gone:
-			l.sink.Gone(e.Flow)
-		case Write:
+		case HandleRequest:
+			l.sink.Handle(e.Request) // may wait
+		case ClientDisconnected:
+			l.sink.ClientDisconnected(e.Request)
+		case WriteResponses:
 			word(e.Conn.Socket.(*socket).wake)
-		case Read:
+		case ResumeReading:
 			e.Conn.Socket.(*socket).goOn()
-		case Linger:
+		case HalfClose:
 			s := e.Conn.Socket.(*socket)
 			s.endSending()
 			word(s.wake)
-		case Shut:
+		case CloseConnection:
 			s := e.Conn.Socket.(*socket)
 			s.net.Close()
 			word(s.wake)
-		case Room:
+		case CapacityAvailable:
 			l.room.Broadcast()
 		}
 	}
@@ -156,7 +156,7 @@
 		l.mu.Lock()
 		for {
 			var fx Effects
-			ok := l.core.Room(time.Now(), &fx)
+			ok := l.core.HasCapacity(time.Now(), &fx)
 			if len(fx) > 0 {
 				l.mu.Unlock()
 				l.carry(fx)
@@ -172,16 +172,16 @@
 	}
 }
 
-// Use is how many connections there are, and how often one more had to wait for a place.
-func (l *Listener) Use() (used int, refused int64) {
+// Usage is how many connections there are, and how often one more had to wait for a place.
+func (l *Listener) Usage() (used int, refused int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.core.Use()
+	return l.core.Usage()
 }
 
-// SetPlaces changes how many connections there may be.
-func (l *Listener) SetPlaces(n int) {
-	l.call(func(_ time.Time, fx *Effects) { l.core.SetPlaces(n, fx) })
+// SetMaxConnections changes how many connections there may be.
+func (l *Listener) SetMaxConnections(n int) {
+	l.call(func(_ time.Time, fx *Effects) { l.core.SetMaxConnections(n, fx) })
 }
 
 // sweep has the core look at its connections until the listener is closed and the last of them has ended.
@@ -190,8 +190,8 @@
 		time.Sleep(wait)
 		over := false
 		l.call(func(now time.Time, fx *Effects) {
-			wait = l.core.Sweep(now, fx)
-			used, _ := l.core.Use()
+			wait = l.core.ExpireIdle(now, fx)
+			used, _ := l.core.Usage()
 			over = l.draining && used == 0
 		})
 		if over {
@@ -232,7 +232,7 @@
 		if held {
 			left = s.hold()
 		} else {
-			n, err = s.net.Read(c.Space())
+			n, err = s.net.Read(c.ReadBuffer())
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // of a hold that was over by itself
 			s.net.SetReadDeadline(time.Time{})
@@ -242,15 +242,15 @@
 		l.mu.Lock()
 		switch now := time.Now(); {
 		case left || err != nil && n == 0:
-			l.core.Ended(now, c, &fx)
-		case c.Closed(): // what comes is thrown away
+			l.core.ConnectionEnded(now, c, &fx)
+		case c.IsClosed(): // what comes is thrown away
 		case n > 0:
-			l.core.Received(now, c, n, &fx)
+			l.core.BytesReceived(now, c, n, &fx)
 		case held:
-			l.core.Continue(now, c, &fx)
+			l.core.Resume(now, c, &fx)
 		}
-		over := c.Closed() && !c.Lingers()
-		held = !c.Closed() && c.Paused()
+		over := c.IsClosed() && !c.IsLingering()
+		held = !c.IsClosed() && c.IsPaused()
 		l.mu.Unlock()
 		l.carry(fx)
 		clear(fx) // they hold on to what was read
@@ -261,11 +261,11 @@
 }
 
 // reply passes a final answer to the core.
-func (l *Listener) reply(c *Conn, slot *Slot, r request.Response) {
+func (l *Listener) reply(c *Conn, slot *ResponseSlot, r request.Response) {
 	var some [2]Effect
 	fx := Effects(some[:0])
 	l.mu.Lock()
-	l.core.Answer(time.Now(), c, slot, r, &fx)
+	l.core.Respond(time.Now(), c, slot, r, &fx)
 	l.mu.Unlock()
 	l.carry(fx)
 }
@@ -279,8 +279,8 @@
 	for range s.wake {
 		for {
 			l.mu.Lock()
-			next, size := l.core.Pull(c, out[:0])
-			over := c.Closed()
+			next, size := l.core.NextToWrite(c, out[:0])
+			over := c.IsClosed()
 			l.mu.Unlock()
 			if over {
 				return
@@ -304,7 +304,7 @@
 			clear(out) // they hold on to what was read
 			fx = fx[:0]
 			l.mu.Lock()
-			l.core.Wrote(time.Now(), c, err == nil, &fx)
+			l.core.WriteCompleted(time.Now(), c, err == nil, &fx)
 			l.mu.Unlock()
 			l.carry(fx)
 			clear(fx)
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -15,8 +15,8 @@
 // echo serves each request with its id.
 type echo struct{}
 
-func (echo) Take(f *request.Flow) { f.Reply(request.Response{Kind: request.Served, Value: f.ID}) }
-func (echo) Gone(*request.Flow)   {}
+func (echo) Handle(f *request.Request)           { f.Reply(request.Response{Kind: request.Served, Value: f.ID}) }
+func (echo) ClientDisconnected(*request.Request) {}
 
 // TestQueueIsAcceptedAtTheEnd: connections that the system has taken, and the listener not yet, as it closes are accepted, and what
 // was sent on them is answered; then they end in order.
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := New(ln, echo{}, []string{"read"}, nil, Limits{Conns: 64, Pipelined: 3, Value: 100, Write: time.Second, Silent: time.Second, Crowd: time.Second, Idle: time.Second},
-		counters.New([]string{"read"}, request.Kinds(), nil))
+	l := New(ln, echo{}, []string{"read"}, nil, Limits{MaxConnections: 64, MaxPipelined: 3, MaxValue: 100, WriteTimeout: time.Second, FirstCommandTimeout: time.Second, CrowdedIdleTimeout: time.Second, IdleTimeout: time.Second},
+		counters.New([]string{"read"}, request.ResponseKinds(), nil))
 	var all []net.Conn
 	for i := range 20 {
 		c, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -21,20 +21,20 @@
 	probeTimeout = 500 * time.Millisecond
 )
 
-// Owner is what a core asks of whoever owns it.
-type Owner struct {
+// Environment is what a core asks of whoever owns it.
+type Environment struct {
 	Now func() time.Time // the clock; it must not go back
-	// Report takes the end of a forward from a pool, and has Landed called with it, not before the pool's call is over.
-	Report func(*upstream.Forward, upstream.Answer)
-	// List has f called soon, before anything else that waits: a send decided on after a change must know of it.
-	List func(f func())
+	// ReportOutcome takes the end of a forward from a pool, and has Landed called with it, not before the pool's call is over.
+	ReportOutcome func(*upstream.Attempt, upstream.Response)
+	// PostListUpdate has f called soon, before anything else that waits: a send decided on after a change must know of it.
+	PostListUpdate func(f func())
 }
 
 // Core owns the module and everything it decides on: flows, their deadlines, what is out for each, and the list. It has
 // no clock, goroutines or sockets of its own, and is not safe for concurrent use.
 type Core struct {
 	opt     Options
-	own     Owner
+	own     Environment
 	router  *policy.Router
 	start   time.Time // the module's clock is Unix time at the start, monotonic from there on
 	timers  timers
@@ -43,12 +43,12 @@
 
 	classes map[string]int
 	flows   map[uint64]*state
-	byFlow  map[*request.Flow]*state
+	byFlow  map[*request.Request]*state
 	ids     map[string]bool // of flows that are owed an answer
 	nextID  uint64
 	servers map[string]*server
 	open    int
-	taken   admission.Held
+	taken   admission.RequestMemory
 	lastAt  time.Time // when set, no flow is answered later
 	closing bool
 	idle    chan struct{} // closed when nothing is owed any more
@@ -62,10 +62,10 @@
 
 // state is a flow as the node keeps it until nothing of it is out.
 type state struct {
-	*request.Flow
+	*request.Request
 	id       uint64
 	class    int
-	forwards []*upstream.Forward // nil once it has ended
+	forwards []*upstream.Attempt // nil once it has ended
 	out      int
 	answered bool
 	deadline time.Time
@@ -77,43 +77,43 @@
 	discovery.Server
 	up     Upstream
 	out    int // forwards
-	probes []*upstream.Forward
+	probes []*upstream.Attempt
 }
 
 // NewCore makes a core. Begin is its first call.
-func NewCore(opt Options, own Owner) (*Core, error) {
-	router, err := policy.New(opt.Module, opt.Seed)
+func NewCore(opt Options, own Environment) (*Core, error) {
+	router, err := policy.New(opt.Policy, opt.Seed)
 	if err != nil {
 		return nil, err
 	}
 	n := &Core{opt: opt, own: own, router: router, idle: make(chan struct{}), start: own.Now(), classes: map[string]int{},
-		flows: map[uint64]*state{}, byFlow: map[*request.Flow]*state{}, ids: map[string]bool{}, servers: map[string]*server{}}
-	n.taken.Limit = opt.MaxHeld
-	for i, c := range opt.Module.Classes {
+		flows: map[uint64]*state{}, byFlow: map[*request.Request]*state{}, ids: map[string]bool{}, servers: map[string]*server{}}
+	n.taken.Limit = opt.MaxRequestBytes
+	for i, c := range opt.Policy.Classes {
 		n.classes[c.Name] = i
 	}
 	return n, nil
 }
 
-// Begin takes the list that is known and, where lists are pushed, begins to follow them.
-func (n *Core) Begin() {
-	n.held.SetVersion(n.opt.Known.Version)
-	n.list(n.opt.Known, policy.CachedList)
+// Start takes the list that is known and, where lists are pushed, begins to follow them.
+func (n *Core) Start() {
+	n.held.SetVersion(n.opt.InitialList.Version)
+	n.list(n.opt.InitialList, policy.CachedList)
 	if n.pushed() {
 		n.subscribe()
 	}
 	n.settle()
 }
 
-// End stops the watch.
-func (n *Core) End() {
+// Stop stops the watch.
+func (n *Core) Stop() {
 	if n.stopWatch != nil {
 		n.stopWatch()
 	}
 }
 
-// Tell gives the module an event that comes from outside.
-func (n *Core) Tell(ev policy.Event) {
+// NotifyPolicy gives the module an event that comes from outside.
+func (n *Core) NotifyPolicy(ev policy.Event) {
 	n.tell(ev)
 	n.settle()
 }
@@ -123,8 +123,8 @@
 	return n.router.Explain(n.moduleTime(n.own.Now()), key)
 }
 
-// Idle is closed when a core that drains owes nothing any more.
-func (n *Core) Idle() <-chan struct{} { return n.idle }
+// Drained is closed when a core that drains owes nothing any more.
+func (n *Core) Drained() <-chan struct{} { return n.idle }
 
 // Drain makes the core answer everything it has taken by a time.
 func (n *Core) Drain(by time.Time) {
@@ -136,23 +136,23 @@
 	n.checkIdle()
 }
 
-// Open is how many flows are owed an answer.
-func (n *Core) Open() int { return n.open }
+// OpenRequests is how many flows are owed an answer.
+func (n *Core) OpenRequests() int { return n.open }
 
-// Held is how much the core still holds: flows, of which some are answered and still out, request ids and timers. It is
+// Retained is how much the core still holds: flows, of which some are answered and still out, request ids and timers. It is
 // nothing but the module's own timer when nothing is out.
-func (n *Core) Held() (flows, ids, timers int) { return len(n.flows), len(n.ids), len(n.timers) }
+func (n *Core) Retained() (flows, ids, timers int) { return len(n.flows), len(n.ids), len(n.timers) }
 
-// Next is when Due is wanted next.
-func (n *Core) Next() (at time.Time, ok bool) {
+// NextTimer is when Due is wanted next.
+func (n *Core) NextTimer() (at time.Time, ok bool) {
 	if len(n.timers) == 0 {
 		return time.Time{}, false
 	}
 	return n.timers[0].at, true
 }
 
-// Due does what is due by now.
-func (n *Core) Due() {
+// HandleTimers does what is due by now.
+func (n *Core) HandleTimers() {
 	now := n.own.Now()
 	for len(n.timers) > 0 && !n.timers[0].at.After(now) {
 		heap.Pop(&n.timers).(*timed).run()
@@ -160,11 +160,11 @@
 	}
 }
 
-// Strain tells the module what share to refuse of what it may, where that changed.
-func (n *Core) Strain(level float64) {
+// SetLoadLevel tells the module what share to refuse of what it may, where that changed.
+func (n *Core) SetLoadLevel(level float64) {
 	if d := level - n.level; d >= strainStep || d <= -strainStep || d != 0 && level == 0 {
 		n.level = level
-		n.Tell(policy.LoadLevel{Level: level})
+		n.NotifyPolicy(policy.LoadLevel{Level: level})
 	}
 }
 
@@ -206,7 +206,7 @@
 	case policy.Send:
 		n.send(a)
 	case policy.Reject:
-		n.answer(n.flows[a.ID], request.Response{Kind: request.Refused, RetryAfter: a.RetryAfter})
+		n.answer(n.flows[a.ID], request.Response{Kind: request.Rejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		n.answer(n.flows[a.ID], request.Response{Kind: request.Failed})
 	case policy.Cancel:
@@ -224,17 +224,17 @@
 	case policy.Subscribe:
 		n.subscribe()
 	case policy.Gossip:
-		if n.opt.Tell == nil {
+		if n.opt.Gossip == nil {
 			return
 		}
-		if err := n.opt.Tell(a.Data); err != nil {
-			n.opt.Count.PeersDropped.Add(1)
+		if err := n.opt.Gossip(a.Data); err != nil {
+			n.opt.Counters.GossipDropped.Add(1)
 		} else {
-			n.opt.Count.PeersTold.Add(1)
+			n.opt.Counters.GossipSent.Add(1)
 		}
 	case policy.Announce:
-		if n.opt.Spread != nil {
-			n.opt.Spread(a.Role)
+		if n.opt.Announce != nil {
+			n.opt.Announce(a.Role)
 		}
 	case policy.Log:
 		n.opt.Log.Info(a.Text, logs.Event, "module")
@@ -243,37 +243,37 @@
 	}
 }
 
-// Take takes a request. One whose client has left already is none.
-func (n *Core) Take(f *request.Flow) {
-	if f.Cancelled() { // while it waited
+// HandleRequest takes a request. One whose client has left already is none.
+func (n *Core) HandleRequest(f *request.Request) {
+	if f.IsCancelled() { // while it waited
 		return
 	}
 	n.take(f)
 	n.settle()
 }
 
-func (n *Core) take(f *request.Flow) {
+func (n *Core) take(f *request.Request) {
 	class := n.classes[f.Class]
 	if n.ids[string(f.ID)] {
-		n.opt.Count.Duplicate.Add(1)
+		n.opt.Counters.Duplicate.Add(1)
 		f.Reply(request.Response{Kind: request.Invalid, Text: "request id is in use"})
 		return
 	}
-	n.opt.Count.In(class)
+	n.opt.Counters.RequestReceived(class)
 	n.nextID++
-	wait := f.Wait
-	if n.opt.MaxWait > 0 {
-		wait = min(wait, n.opt.MaxWait)
+	wait := f.ClientTimeout
+	if n.opt.MaxClientTimeout > 0 {
+		wait = min(wait, n.opt.MaxClientTimeout)
 	}
-	s := &state{Flow: f, id: n.nextID, class: class, deadline: f.Taken.Add(max(wait-transit, time.Millisecond))}
+	s := &state{Request: f, id: n.nextID, class: class, deadline: f.ReceivedAt.Add(max(wait-transit, time.Millisecond))}
 	n.flows[s.id], n.byFlow[f], n.ids[string(f.ID)] = s, s, true
 	n.open++
-	s.counted = n.taken.Take(len(f.Value), f.Write)
+	s.counted = n.taken.Reserve(len(f.Value), f.IsWrite)
 	if !s.counted {
-		n.opt.Count.NoMemory.Add(1)
+		n.opt.Counters.RejectedForMemory.Add(1)
 	}
-	if n.open > n.opt.MaxOpen || !s.counted { // nothing of it has run
-		n.answer(s, request.Response{Kind: request.Refused})
+	if n.open > n.opt.MaxOpenRequests || !s.counted { // nothing of it has run
+		n.answer(s, request.Response{Kind: request.Rejected})
 		return
 	}
 	if n.closing && s.deadline.After(n.lastAt) {
@@ -281,19 +281,19 @@
 	}
 	s.expiry = n.at(s.deadline, func() { n.expire(s) })
 	n.tell(policy.Request{ID: s.id, Key: string(f.Key), Class: f.Class, Tenant: f.Tenant,
-		Deadline: n.moduleTime(s.deadline), Write: f.Write})
+		Deadline: n.moduleTime(s.deadline), Write: f.IsWrite})
 }
 
-// Gone says that the client of a flow that is owed an answer has left.
-func (n *Core) Gone(f *request.Flow) {
+// ClientDisconnected says that the client of a flow that is owed an answer has left.
+func (n *Core) ClientDisconnected(f *request.Request) {
 	n.gone(f)
 	n.settle()
 }
 
-func (n *Core) gone(f *request.Flow) {
+func (n *Core) gone(f *request.Request) {
 	f.Cancel()
 	if s := n.byFlow[f]; s != nil && !s.answered {
-		n.opt.Count.Gone.Add(1)
+		n.opt.Counters.ClientsDisconnected.Add(1)
 		n.over(s)
 		n.withdraw(s)
 		n.tell(policy.ClientDisconnected{ID: s.id})
@@ -318,7 +318,7 @@
 func (n *Core) over(s *state) {
 	s.answered = true
 	if s.counted {
-		n.taken.Give(len(s.Value))
+		n.taken.Release(len(s.Value))
 	}
 	delete(n.ids, string(s.ID))
 	n.open--
@@ -340,9 +340,9 @@
 	if s == nil || s.answered {
 		return
 	}
-	n.opt.Count.Answered(s.class, int(r.Kind))
-	if r.Kind == request.Served && n.own.Now().Sub(s.Taken) > n.opt.Module.Classes[s.class].LatencyObjective {
-		n.opt.Count.Slow.Add(1)
+	n.opt.Counters.RequestAnswered(s.class, int(r.Kind))
+	if r.Kind == request.Served && n.own.Now().Sub(s.ReceivedAt) > n.opt.Policy.Classes[s.class].LatencyObjective {
+		n.opt.Counters.ServedLate.Add(1)
 	}
 	s.Reply(r)
 	n.over(s)
@@ -353,7 +353,7 @@
 func (n *Core) forget(s *state) {
 	if s != nil && s.answered && s.out == 0 {
 		delete(n.flows, s.id)
-		delete(n.byFlow, s.Flow)
+		delete(n.byFlow, s.Request)
 		n.drop(s.expiry)
 	}
 }
@@ -383,16 +383,16 @@
 	if s == nil {
 		return
 	}
-	f := &upstream.Forward{Flow: s.Flow, Attempt: len(s.forwards), Server: a.Server, Sent: n.own.Now(),
-		Deadline: s.deadline, Fresh: n.opt.Module.Classes[s.class].Effect == policy.AtMostOnce}
+	f := &upstream.Attempt{Request: s.Request, Number: len(s.forwards), Server: a.Server, SentAt: n.own.Now(),
+		Deadline: s.deadline, NeedsNewConnection: n.opt.Policy.Classes[s.class].Effect == policy.AtMostOnce}
 	if a.WriteBy > 0 {
-		f.By = n.systemTime(a.WriteBy)
+		f.WriteBy = n.systemTime(a.WriteBy)
 	}
 	s.forwards = append(s.forwards, f)
 	s.out++
-	n.opt.Count.Sent(s.class)
+	n.opt.Counters.AttemptSent(s.class)
 	end, ok := upstream.NotSent, false
-	if srv != nil && !s.answered && !s.Cancelled() && n.own.Now().Before(s.deadline) {
+	if srv != nil && !s.answered && !s.IsCancelled() && n.own.Now().Before(s.deadline) {
 		end, ok = srv.up.Send(f)
 	}
 	if srv != nil {
@@ -404,7 +404,7 @@
 }
 
 // giveUp ends a forward from the node's side.
-func (n *Core) giveUp(s *state, f *upstream.Forward, end upstream.End) {
+func (n *Core) giveUp(s *state, f *upstream.Attempt, end upstream.Outcome) {
 	if srv := n.servers[f.Server]; srv != nil && !srv.up.Abandon(f) && end == upstream.TimedOut {
 		end = upstream.NotSent // it waited for a connection all the time
 	}
@@ -412,28 +412,28 @@
 }
 
 // ended queues the outcome of a forward; settle tells it.
-func (n *Core) ended(s *state, f *upstream.Forward, end upstream.End) {
-	s.forwards[f.Attempt] = nil
+func (n *Core) ended(s *state, f *upstream.Attempt, end upstream.Outcome) {
+	s.forwards[f.Number] = nil
 	s.out--
 	if srv := n.servers[f.Server]; srv != nil {
 		srv.out--
 	}
-	n.opt.Count.Ended(s.class, int(end))
-	n.backlog = append(n.backlog, policy.Outcome{ID: s.id, Attempt: f.Attempt, Server: f.Server,
-		Reason: end.Reason(), Took: n.own.Now().Sub(f.Sent)})
+	n.opt.Counters.AttemptEnded(s.class, int(end))
+	n.backlog = append(n.backlog, policy.Outcome{ID: s.id, Attempt: f.Number, Server: f.Server,
+		Reason: end.Reason(), Took: n.own.Now().Sub(f.SentAt)})
 }
 
 // reported takes the answer of a pool.
-func (n *Core) reported(f *upstream.Forward, a upstream.Answer) {
-	s := n.byFlow[f.Flow]
-	if s == nil || f.Attempt >= len(s.forwards) || s.forwards[f.Attempt] != f {
-		n.opt.Count.Late.Add(1) // given up before
+func (n *Core) reported(f *upstream.Attempt, a upstream.Response) {
+	s := n.byFlow[f.Request]
+	if s == nil || f.Number >= len(s.forwards) || s.forwards[f.Number] != f {
+		n.opt.Counters.LateResponses.Add(1) // given up before
 		return
 	}
-	if a.End == upstream.Served {
+	if a.Outcome == upstream.Served {
 		n.answer(s, request.Response{Kind: request.Served, Value: a.Value})
 	}
-	n.ended(s, f, a.End)
+	n.ended(s, f, a.Outcome)
 }
 
 func (n *Core) probe(id string) {
@@ -441,9 +441,9 @@
 	if srv == nil {
 		return
 	}
-	n.opt.Count.Probes.Add(1)
+	n.opt.Counters.HealthChecks.Add(1)
 	now := n.own.Now()
-	f := &upstream.Forward{Server: id, Sent: now, Deadline: now.Add(probeTimeout)}
+	f := &upstream.Attempt{Server: id, SentAt: now, Deadline: now.Add(probeTimeout)}
 	srv.probes = append(srv.probes, f)
 	if end, ok := srv.up.Send(f); !ok {
 		n.probed(srv, f, end)
@@ -458,7 +458,7 @@
 }
 
 // probed queues the result of a probe, unless it is known already.
-func (n *Core) probed(srv *server, f *upstream.Forward, end upstream.End) bool {
+func (n *Core) probed(srv *server, f *upstream.Attempt, end upstream.Outcome) bool {
 	for i, p := range srv.probes {
 		if p == f {
 			srv.probes = append(srv.probes[:i], srv.probes[i+1:]...)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -15,16 +15,16 @@
 // held stands in for the pool to one server: it keeps what it is given, of which nothing is written until take.
 type held struct {
 	core    *Core
-	waiting []*upstream.Forward
-	out     []*upstream.Forward
+	waiting []*upstream.Attempt
+	out     []*upstream.Attempt
 }
 
-func (h *held) Send(f *upstream.Forward) (upstream.End, bool) {
+func (h *held) Send(f *upstream.Attempt) (upstream.Outcome, bool) {
 	h.waiting = append(h.waiting, f)
 	return 0, true
 }
-func (h *held) Abandon(f *upstream.Forward) bool { return !h.Withdraw(f) }
-func (h *held) Withdraw(f *upstream.Forward) bool {
+func (h *held) Abandon(f *upstream.Attempt) bool { return !h.Withdraw(f) }
+func (h *held) Withdraw(f *upstream.Attempt) bool {
 	for i, w := range h.waiting {
 		if w == f {
 			h.waiting = append(h.waiting[:i], h.waiting[i+1:]...)
@@ -34,7 +34,7 @@
 	return false
 }
 func (h *held) CloseIdle()                              {}
-func (h *held) Update(string, bool) []*upstream.Forward { return nil }
+func (h *held) Update(string, bool) []*upstream.Attempt { return nil }
 
 // take writes what waits.
 func (h *held) take() (n int) {
@@ -44,10 +44,10 @@
 }
 
 // end ends the oldest forward that is out.
-func (h *held) end(e upstream.End) {
+func (h *held) end(e upstream.Outcome) {
 	f := h.out[0]
 	h.out = h.out[1:]
-	h.core.Landed(f, upstream.Answer{End: e, Value: []byte("v")})
+	h.core.AttemptEnded(f, upstream.Response{Outcome: e, Value: []byte("v")})
 }
 
 // bench is a core with one cache server and an origin, on a clock of its own.
@@ -62,26 +62,26 @@
 	b := &bench{now: time.Unix(1000, 0), box: &held{}, origin: &held{}}
 	class := policy.Class{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, LateFraction: 0.5}
 	put := policy.Class{Name: "put", PriorityWeight: 5, LatencyObjective: time.Second, LateFraction: 0.5, Effect: policy.AtMostOnce}
-	ends := make([]string, upstream.Ends())
-	opt := Options{Module: policy.Settings{Nodes: 1, Classes: []policy.Class{class, put}, OriginKind: "origin", MaxAttempts: 6,
-		OverloadFactor: 3, SlowStartFloor: 0.2, SlowStartDuration: time.Second, MayHealthCheck: true, MustPoll: true, Tick: time.Millisecond}, MaxOpen: 1000,
-		Count: counters.New([]string{"read", "put"}, request.Kinds(), ends), Log: slog.New(slog.DiscardHandler),
-		Known: discovery.List{Version: 1, IsFull: true, Servers: []discovery.Server{{ID: "s", Addr: "h:1", Kind: "box", Weight: 1},
+	ends := make([]string, upstream.NumOutcomes())
+	opt := Options{Policy: policy.Settings{Nodes: 1, Classes: []policy.Class{class, put}, OriginKind: "origin", MaxAttempts: 6,
+		OverloadFactor: 3, SlowStartFloor: 0.2, SlowStartDuration: time.Second, MayHealthCheck: true, MustPoll: true, Tick: time.Millisecond}, MaxOpenRequests: 1000,
+		Counters: counters.New([]string{"read", "put"}, request.ResponseKinds(), ends), Log: slog.New(slog.DiscardHandler),
+		InitialList: discovery.List{Version: 1, IsFull: true, Servers: []discovery.Server{{ID: "s", Addr: "h:1", Kind: "box", Weight: 1},
 			{ID: "o", Addr: "h:2", Kind: "origin", Weight: 1}}},
 		Source: silentSource{},
-		Upstream: func(s discovery.Server, origin bool, _ func(*upstream.Forward, upstream.Answer)) Upstream {
+		NewUpstream: func(s discovery.Server, origin bool, _ func(*upstream.Attempt, upstream.Response)) Upstream {
 			if origin {
 				return b.origin
 			}
 			return b.box
 		}}
 	var err error
-	b.core, err = NewCore(opt, Owner{Now: func() time.Time { return b.now }, List: func(f func()) { f() }})
+	b.core, err = NewCore(opt, Environment{Now: func() time.Time { return b.now }, PostListUpdate: func(f func()) { f() }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.box.core, b.origin.core = b.core, b.core
-	b.core.Begin()
+	b.core.Start()
 	return b
 }
 
@@ -89,17 +89,17 @@
 
 func (silentSource) Watch(int64, func(discovery.List, error)) func() { return func() {} }
 
-func (b *bench) ask(id, class string, write bool) *request.Flow {
-	f := &request.Flow{Key: []byte("k"), ID: []byte(id), Class: class, Write: write, Taken: b.now, Wait: 3 * time.Second,
+func (b *bench) ask(id, class string, write bool) *request.Request {
+	f := &request.Request{Key: []byte("k"), ID: []byte(id), Class: class, IsWrite: write, ReceivedAt: b.now, ClientTimeout: 3 * time.Second,
 		Reply: func(request.Response) { b.replies++ }}
-	b.core.Take(f)
+	b.core.HandleRequest(f)
 	return f
 }
 
 // pass lets time pass, with all that is due in it.
 func (b *bench) pass(d time.Duration) {
 	for end := b.now.Add(d); ; {
-		at, ok := b.core.Next()
+		at, ok := b.core.NextTimer()
 		if !ok || at.After(end) {
 			b.now = end
 			return
@@ -107,7 +107,7 @@
 		if at.After(b.now) {
 			b.now = at
 		}
-		b.core.Due()
+		b.core.HandleTimers()
 	}
 }
 
@@ -121,28 +121,28 @@
 		b.origin.take()
 	}
 	for name, test := range map[string]struct {
-		prepare func(b *bench) *request.Flow
+		prepare func(b *bench) *request.Request
 		after   func(b *bench)
 	}{
-		"for the loop": {func(b *bench) *request.Flow {
-			f := &request.Flow{Key: []byte("k"), ID: []byte("id"), Class: "read", Wait: time.Second, Taken: b.now}
+		"for the loop": {func(b *bench) *request.Request {
+			f := &request.Request{Key: []byte("k"), ID: []byte("id"), Class: "read", ClientTimeout: time.Second, ReceivedAt: b.now}
 			f.Cancel()
-			b.core.Take(f)
+			b.core.HandleRequest(f)
 			return f
 		}, nil},
-		"for a connection to the cache server": {func(b *bench) *request.Flow { return b.ask("id", "read", false) }, nil},
-		"for a connection to the origin": {func(b *bench) *request.Flow {
+		"for a connection to the cache server": {func(b *bench) *request.Request { return b.ask("id", "read", false) }, nil},
+		"for a connection to the origin": {func(b *bench) *request.Request {
 			f := b.ask("id", "read", false)
 			b.box.take()
 			b.box.end(upstream.Missed)
 			return f
 		}, nil},
-		"between a miss and its fetch": {func(b *bench) *request.Flow {
+		"between a miss and its fetch": {func(b *bench) *request.Request {
 			f := b.ask("id", "read", false)
 			b.box.take()
 			return f
 		}, func(b *bench) { b.box.end(upstream.Missed) }},
-		"between a miss and its fetch, seen by the listener alone": {func(b *bench) *request.Flow {
+		"between a miss and its fetch, seen by the listener alone": {func(b *bench) *request.Request {
 			f := b.ask("id", "read", false)
 			b.box.take()
 			f.Cancel()
@@ -151,7 +151,7 @@
 			}
 			return f
 		}, nil},
-		"in the origin's line": {func(b *bench) *request.Flow {
+		"in the origin's line": {func(b *bench) *request.Request {
 			busy(b)
 			return b.ask("id", "put", true)
 		}, func(b *bench) {
@@ -159,25 +159,25 @@
 				b.origin.end(upstream.Served)
 			}
 		}},
-		"for another's fetch": {func(b *bench) *request.Flow {
+		"for another's fetch": {func(b *bench) *request.Request {
 			b.ask("first", "read", false)
 			b.box.take()
 			b.box.end(upstream.Missed)
 			b.origin.take()
 			return b.ask("id", "read", false)
 		}, func(b *bench) { b.origin.end(upstream.Served) }},
-		"in a back-off": {func(b *bench) *request.Flow {
+		"in a back-off": {func(b *bench) *request.Request {
 			f := b.ask("id", "read", false)
 			b.box.take()
 			b.box.end(upstream.Missed)
 			b.origin.take()
-			b.origin.end(upstream.Busy)
+			b.origin.end(upstream.ServerBusy)
 			return f
 		}, nil},
 	} {
 		b := newBench(t)
 		f := test.prepare(b)
-		b.core.Gone(f)
+		b.core.ClientDisconnected(f)
 		sent := len(b.box.waiting) + len(b.origin.waiting)
 		if test.after != nil {
 			test.after(b)
@@ -199,7 +199,7 @@
 	b.box.take()
 	b.box.end(upstream.Missed)
 	b.ask("second", "read", false)
-	b.core.Gone(first)
+	b.core.ClientDisconnected(first)
 	if n := b.box.take(); n != 1 {
 		t.Fatalf("%d ask the cache server", n)
 	}
@@ -207,7 +207,7 @@
 	if n := b.origin.take(); n != 1 {
 		t.Fatalf("%d fetches", n)
 	}
-	if id := string(b.origin.out[0].Flow.ID); id != "second" {
+	if id := string(b.origin.out[0].Request.ID); id != "second" {
 		t.Errorf("it is fetched for %s", id)
 	}
 	b.origin.end(upstream.Served)
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -23,23 +23,23 @@
 type intake struct {
 	mu     sync.Mutex
 	room   sync.Cond
-	queue  admission.Intake[arrival]
+	queue  admission.FairQueue[arrival]
 	closed bool
 	ready  chan struct{} // holds one word while something waits
 
 	start  time.Time
-	behind admission.Sojourn // the loop's
-	memory float64           // share of what may be refused that should be, for want of memory
+	behind admission.QueueDelay // the loop's
+	memory float64              // share of what may be refused that should be, for want of memory
 }
 
 type arrival struct {
-	*request.Flow
+	*request.Request
 	at time.Time
 }
 
 func newIntake() intake {
-	return intake{queue: admission.Intake[arrival]{Quantum: quantum, Line: lineLength}, ready: make(chan struct{}, 1), start: time.Now(),
-		behind: admission.Sojourn{Target: waitTarget, Interval: waitSpan}}
+	return intake{queue: admission.FairQueue[arrival]{Quantum: quantum, MaxPerConnection: lineLength}, ready: make(chan struct{}, 1), start: time.Now(),
+		behind: admission.QueueDelay{Target: waitTarget, Interval: waitSpan}}
 }
 
 func (in *intake) close() {
@@ -49,11 +49,11 @@
 	in.mu.Unlock()
 }
 
-// Take is called by listeners with a request that was read whole. It waits while the connection has many in line.
-func (n *Node) Take(f *request.Flow) {
+// Handle is called by listeners with a request that was read whole. It waits while the connection has many in line.
+func (n *Node) Handle(f *request.Request) {
 	in := &n.in
 	in.mu.Lock()
-	for !in.closed && !in.queue.Add(f.Conn, 1+len(f.Value)/costUnit, arrival{f, time.Now()}) {
+	for !in.closed && !in.queue.Add(f.ConnectionID, 1+len(f.Value)/costUnit, arrival{f, time.Now()}) {
 		in.room.Wait()
 	}
 	in.mu.Unlock()
@@ -80,7 +80,7 @@
 			return
 		}
 		n.strain(a.at)
-		n.core.Take(a.Flow)
+		n.core.HandleRequest(a.Request)
 		if i == atOnce && more {
 			in.wake()
 			return
@@ -93,13 +93,13 @@
 	in := &n.in
 	now := time.Now()
 	in.behind.Observe(now.Sub(in.start), now.Sub(since))
-	n.core.Strain(max(in.behind.Level(now.Sub(in.start)), in.memory))
+	n.core.SetLoadLevel(max(in.behind.Level(now.Sub(in.start)), in.memory))
 }
 
-// Pressure tells the loop how short the node is of memory, from 0 to 1.
-func (n *Node) Pressure(level float64) {
+// SetMemoryPressure tells the loop how short the node is of memory, from 0 to 1.
+func (n *Node) SetMemoryPressure(level float64) {
 	n.post(n.queue, func() {
 		n.in.memory = level
-		n.core.Strain(max(n.in.behind.Level(time.Since(n.in.start)), level))
+		n.core.SetLoadLevel(max(n.in.behind.Level(time.Since(n.in.start)), level))
 	})
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -28,8 +28,8 @@
 		s := n.servers[d.ID]
 		if s == nil {
 			s = &server{Server: d}
-			origin := n.opt.Module.OriginKind != "" && d.Kind == n.opt.Module.OriginKind
-			s.up = n.opt.Upstream(d, origin, n.own.Report)
+			origin := n.opt.Policy.OriginKind != "" && d.Kind == n.opt.Policy.OriginKind
+			s.up = n.opt.NewUpstream(d, origin, n.own.ReportOutcome)
 			n.servers[d.ID] = s
 		}
 		addr := d.Addr
@@ -89,20 +89,20 @@
 // leave updates a server's pool.
 func (n *Core) leave(s *server, addr string, left bool) {
 	for _, f := range s.up.Update(addr, left) {
-		n.landed(f, upstream.Answer{End: upstream.Drained})
+		n.landed(f, upstream.Response{Outcome: upstream.ServerDraining})
 	}
 }
 
-// Landed takes the end of a forward from its pool.
-func (n *Core) Landed(f *upstream.Forward, a upstream.Answer) {
+// AttemptEnded takes the end of a forward from its pool.
+func (n *Core) AttemptEnded(f *upstream.Attempt, a upstream.Response) {
 	n.landed(f, a)
 	n.settle()
 }
 
-func (n *Core) landed(f *upstream.Forward, a upstream.Answer) {
-	if f.Flow == nil {
+func (n *Core) landed(f *upstream.Attempt, a upstream.Response) {
+	if f.Request == nil {
 		if srv := n.servers[f.Server]; srv != nil {
-			n.probed(srv, f, a.End)
+			n.probed(srv, f, a.Outcome)
 		}
 		return
 	}
@@ -115,7 +115,7 @@
 
 // pushed says that the list is sent to this node unasked. On sockets that is an agent on its machine, which has to be
 // listened to: the module, which is told of lists and asks for none there, knows nothing of it.
-func (n *Core) pushed() bool { return !n.opt.Module.MustPoll }
+func (n *Core) pushed() bool { return !n.opt.Policy.MustPoll }
 
 // subscribe starts a watch. While a healthy one runs there is nothing to ask for.
 func (n *Core) subscribe() {
@@ -125,20 +125,20 @@
 	if n.stopWatch != nil {
 		n.stopWatch()
 	}
-	n.opt.Count.Watches.Add(1)
+	n.opt.Counters.Watches.Add(1)
 	n.watch++
 	number := n.watch
 	n.stopWatch = n.opt.Source.Watch(n.held.Version(), func(l discovery.List, err error) {
-		n.own.List(func() {
+		n.own.PostListUpdate(func() {
 			n.watched(number, l, err)
 			n.settle()
 		})
 	})
 }
 
-// Follow moves the watch to another source, which knows the same list under the same versions: discovery is one
+// FollowDiscovery moves the watch to another source, which knows the same list under the same versions: discovery is one
 // service, whatever its address. What the old watch still reports is dropped.
-func (n *Core) Follow(source discovery.Source) {
+func (n *Core) FollowDiscovery(source discovery.Source) {
 	n.opt.Source, n.healthy = source, false
 	n.subscribe()
 }
@@ -159,11 +159,11 @@
 	case err != nil:
 		switch {
 		case refused:
-			n.opt.Count.ListsRefused.Add(1)
+			n.opt.Counters.ListsRejected.Add(1)
 		case errors.Is(err, discovery.ErrMalformed):
-			n.opt.Count.WatchesGarbage.Add(1)
+			n.opt.Counters.WatchesMalformed.Add(1)
 		default:
-			n.opt.Count.WatchesBroken.Add(1)
+			n.opt.Counters.WatchesBroken.Add(1)
 		}
 		n.opt.Log.Warn("the watch on discovery ended; the list held before stays", logs.Event, "watch_ended",
 			"error", err.Error(), "held", n.held.Version(), "came", l.Version)
@@ -174,7 +174,7 @@
 			n.tell(policy.EndpointUpdate{Scope: policy.PollFailed})
 		}
 	default:
-		n.opt.Count.Lists.Add(1)
+		n.opt.Counters.Lists.Add(1)
 		n.healthy = true
 		scope := policy.DeltaUpdate
 		if l.IsFull {
--- a/internal/policy/brain.go
+++ b/internal/policy/brain.go
@@ -125,7 +125,8 @@
 		}
 		// A zone that is cut off must not be found out server by server: each costs a connect that fails.
 		cut := r.set.MayHealthCheck && s.Zone != r.set.Zone && r.unreached[s.Zone] >= cutOff
-		if s.silent && (r.set.MayHealthCheck || s.breaker.Open(r.now)) || cut || q.avoids(s) || !r.takesKeys(s) {
+		if s.silent && (r.set.MayHealthCheck || s.breaker.Open(r.now)) || cut || q.avoids(s) ||
+			!r.takesKeys(s) {
 			continue
 		}
 		weight := r.warmth(s)
@@ -280,7 +281,7 @@
 	for !e.Write && q.bucket < bulk && q.worth <= leastWorth[q.bucket] {
 		q.bucket++
 	}
-	r.budgets[c].First(r.now)
+	r.budgets[c].RecordAttempt(r.now)
 	// A node that is behind refuses a share of what it may. What has less time left than the quickest answers
 	// of late took would only fail later.
 	behind := r.strain > 0 && q.bucket != critical && r.lot(q.bucket, r.strain*float64(q.bucket))
@@ -303,7 +304,7 @@
 		// Single-flight: after a flush every reader of a popular key misses at once.
 		f := r.flights[q.Key]
 		f.waiting = append(f.waiting, q)
-		if r.line.Has(f.leader) { // what many wait for goes first
+		if r.line.Contains(f.leader) { // what many wait for goes first
 			r.line.Add(f.leader, q.worth)
 		}
 		r.park(q, r.latest(q))
@@ -407,7 +408,7 @@
 }
 
 func (r *Router) unpark(q *request) {
-	if q.parked = false; r.line.Has(q) || r.now >= r.latest(q) {
+	if q.parked = false; r.line.Contains(q) || r.now >= r.latest(q) {
 		r.giveUp(q)
 	} else {
 		r.advance(q)
@@ -434,7 +435,8 @@
 		return true
 	}
 	near := s.Zone == q.risk.srv.Zone && (q.class.DedupScope == SameZone || s.Cell == q.risk.srv.Cell)
-	return q.class.Effect == Deduplicated && (near || q.class.DedupScope == AllServers) && r.now <= r.repeatBy(q)
+	inScope := near || q.class.DedupScope == AllServers
+	return q.class.Effect == Deduplicated && inScope && r.now <= r.repeatBy(q)
 }
 
 // refuse turns a request away where the rules allow to promise that a new try does no harm.
@@ -513,14 +515,15 @@
 	if e.Reason == Miss {
 		s.doubt = 0
 	}
-	if q.risk == nil && slices.Contains([]Reason{Errored, TimedOut, Reset, Cancelled, CorruptResponse}, e.Reason) {
+	mayHaveRun := []Reason{Errored, TimedOut, Reset, Cancelled, CorruptResponse}
+	if q.risk == nil && slices.Contains(mayHaveRun, e.Reason) {
 		q.risk = a // it may have run
 	}
 	if s == r.origin {
 		if e.Reason != NeverSent {
-			how := admission.Timing{Write: q.Write, Took: e.Took, Full: e.Reason == Rejected,
-				Lost: e.Reason == TimedOut}
-			r.gate.Timed(r.now, how, s.gauge.target, len(s.gauge.out)+1)
+			how := admission.LatencySample{IsWrite: q.Write, Latency: e.Took,
+				IsRejected: e.Reason == Rejected, IsTimedOut: e.Reason == TimedOut}
+			r.gate.Observe(r.now, how, s.gauge.target, len(s.gauge.out)+1)
 		}
 		r.land(q, e.Reason == Succeeded)
 	}
@@ -535,9 +538,9 @@
 	case cache && e.Reason == Rejected && (!r.takesKeys(s) ||
 		len(q.attempts) < 3 && s.opinion.IsSuspect() && r.elsewhere(q, s)):
 		r.advance(q) // it left, or others have room. Nothing was done, so it is no second attempt
-	case e.Reason == TimedOut || e.Reason == NeverSent || !r.budgets[q.class].Second(r.now):
+	case e.Reason == TimedOut || e.Reason == NeverSent || !r.budgets[q.class].AllowRetry(r.now):
 		r.giveUp(q)
-	case cache && e.Reason == CorruptResponse: // again where the object is: any server spoils an answer now and then
+	case cache && e.Reason == CorruptResponse: // again where the object is: any server does so now and then
 		if len(q.attempts) > 1 {
 			q.avoid = s
 		}
@@ -613,7 +616,7 @@
 		patience *= 2
 	}
 	for _, a := range s.gauge.out[:min(len(s.gauge.out), moveMost)] {
-		if a.movable(r) && !a.q.Write && r.now-a.at > patience && r.budgets[a.q.class].Second(r.now) {
+		if a.movable(r) && !a.q.Write && r.now-a.at > patience && r.budgets[a.q.class].AllowRetry(r.now) {
 			a.q.missed = true
 			r.cancel(a)
 		}
--- a/internal/policy/brain_test.go
+++ b/internal/policy/brain_test.go
@@ -823,7 +823,7 @@
 			b.feed(20, 300*ms, Succeeded)
 		}
 		for _, budget := range b.r.budgets { // nothing saved up, where that is not the question
-			for !test.calm && budget.Second(b.now) {
+			for !test.calm && budget.AllowRetry(b.now) {
 			}
 		}
 		id, actions := b.ask("high", "k", nil)
--- a/internal/policy/origin_test.go
+++ b/internal/policy/origin_test.go
@@ -21,7 +21,7 @@
 // any more is refused, and those who waited for its fetch go on.
 func TestLineForTheOrigin(t *testing.T) {
 	b := learnt(t)
-	b.r.gate = admission.Concurrency{Most: 1}
+	b.r.gate = admission.ConcurrencyLimiter{Max: 1}
 	first, _ := b.ask("high", "w0", write)
 	b.now += 10 * ms
 	hot, actions := b.miss("low", "hot", nil)
@@ -52,7 +52,7 @@
 // TestNextInLineTakesOver: the client of a fetch in line leaves, or its time ends, and one that waited for it fetches.
 func TestNextInLineTakesOver(t *testing.T) {
 	b := learnt(t)
-	b.r.gate = admission.Concurrency{Most: 1}
+	b.r.gate = admission.ConcurrencyLimiter{Max: 1}
 	first, _ := b.ask("high", "w0", write)
 	leader, _ := b.miss("high", "k", nil)
 	b.now += 10 * ms
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -117,14 +117,14 @@
 	pool       gauge // of all cache servers
 	requests   map[uint64]*request
 	flights    map[string]*flight
-	budgets    map[*Class]*admission.Budget // of second attempts
-	strain     float64                      // share of what may be refused that should be, as the node is behind
-	owed       [bulk + 1]float64            // refusals due by bucket, spread evenly
-	takers     float64                      // cache servers that are listed for work, silent ones too
-	units      float64                      // their mean size
-	keys       decay.Keys                   // requests by key, of this router and samples of the others'
-	all, one   float64                      // requests of this router, and what one counts now; see count
-	served     float64                      // answers of a cache server, counted like all: each is one of all that took keys then
+	budgets    map[*Class]*admission.RetryBudget // of second attempts
+	strain     float64                           // share of what may be refused that should be, as the node is behind
+	owed       [bulk + 1]float64                 // refusals due by bucket, spread evenly
+	takers     float64                           // cache servers that are listed for work, silent ones too
+	units      float64                           // their mean size
+	keys       decay.Keys                        // requests by key, of this router and samples of the others'
+	all, one   float64                           // requests of this router, and what one counts now; see count
+	served     float64                           // answers of a cache server, counted like all: each is one of all that took keys then
 	allAt      Time
 	quickest   time.Duration // answers of cache servers of late; 0 before the first
 	byMark     map[gossip.Fingerprint]*server
@@ -137,13 +137,13 @@
 	home       gauge   // of the cache servers of the own zone
 	homePart   float64 // their share of all servers' weights
 	reach      locality.CrossZoneWeight
-	gate       admission.Concurrency    // how much may be out at the origin
-	line       admission.Line[*request] // what waits for it
-	configured int                      // how many routers the settings say share the traffic
-	eject      outlier.Budget           // of cache servers that are left out, or lose keys, by this router's judgment
-	wants      []outlier.Server         // reused
-	granted    []float64                // reused
-	short      bool                     // it was not enough of late
+	gate       admission.ConcurrencyLimiter      // how much may be out at the origin
+	line       admission.PriorityQueue[*request] // what waits for it
+	configured int                               // how many routers the settings say share the traffic
+	eject      outlier.Budget                    // of cache servers that are left out, or lose keys, by this router's judgment
+	wants      []outlier.Server                  // reused
+	granted    []float64                         // reused
+	short      bool                              // it was not enough of late
 }
 
 // gateMost is what may be out at the origin before anything is known of it.
@@ -168,7 +168,7 @@
 		shares: quota.New(max(1, set.Nodes)), byID: map[string]*server{}, unreached: map[string]int{},
 		requests: map[uint64]*request{}, flights: map[string]*flight{},
 		byMark: map[gossip.Fingerprint]*server{}, talk: gossip.Sender{Disabled: !set.MayGossip, FleetSize: set.Nodes},
-		one: 1, reach: locality.CrossZoneWeight{AffinityBudget: set.AffinityBudget}, gate: admission.Concurrency{Most: gateMost}, budgets: map[*Class]*admission.Budget{}}
+		one: 1, reach: locality.CrossZoneWeight{AffinityBudget: set.AffinityBudget}, gate: admission.ConcurrencyLimiter{Max: gateMost}, budgets: map[*Class]*admission.RetryBudget{}}
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
@@ -179,9 +179,9 @@
 	}
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		r.budgets[c] = &admission.Budget{Share: secondShare, Least: secondLeast, Most: secondMost, Few: secondFew}
+		r.budgets[c] = &admission.RetryBudget{Ratio: secondShare, MinPerSecond: secondLeast, MaxSaved: secondMost, Burst: secondFew}
 		if c.PriorityWeight > criticalWorth*r.topWorth {
-			r.budgets[c].Share = secondCritical
+			r.budgets[c].Ratio = secondCritical
 		}
 	}
 	r.pool.objectives = r.objectives()
@@ -273,7 +273,7 @@
 // end forgets a request once it has ended and nothing of it is out.
 func (r *Router) end(q *request) {
 	q.ended, q.parked = true, false
-	if r.line.Drop(q) { // those that wait for its fetch need another one
+	if r.line.Remove(q) { // those that wait for its fetch need another one
 		r.land(q, false)
 	}
 	if q.open == 0 {
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			err = fmt.Errorf("CONFIGURE: field setup: %w", err)
 		} else {
-			routers[name], err = policy.New(set.Module, m.Nonce)
+			routers[name], err = policy.New(set.Policy, m.Nonce)
 		}
 		if err != nil {
 			return []Output{{Type: "BAIL_OUT", ReasonText: err.Error()}}, nil
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -73,7 +73,7 @@
 func ParseServers(records []Record) ([]policy.Server, error) {
 	servers := make([]policy.Server, len(records))
 	for i, rec := range records {
-		state, err := config.Word(states, "records.health", rec.Health)
+		state, err := config.ParseEnum(states, "records.health", rec.Health)
 		if err != nil {
 			return nil, fmt.Errorf("CATALOG: %w", err)
 		}
@@ -113,7 +113,7 @@
 		reason, err := m.reason()
 		return policy.HealthChecked{Server: m.Server, Reason: reason}, err
 	case "ANNOUNCE":
-		scope, err := config.Word(scopes, "scope", m.Scope)
+		scope, err := config.ParseEnum(scopes, "scope", m.Scope)
 		if err != nil {
 			return nil, fmt.Errorf("ANNOUNCE: %w", err)
 		}
--- a/internal/testbed/simulation/agree.go
+++ b/internal/testbed/simulation/agree.go
@@ -56,7 +56,7 @@
 // tell hands the module what the agreements came to, in the loop's turn.
 func (a *agreements) tell(ev policy.Event) {
 	a.n.later(a.n.lag(), func() {
-		a.n.core.Tell(ev)
+		a.n.core.NotifyPolicy(ev)
 		a.n.arm()
 	})
 }
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -35,7 +35,7 @@
 	front  *listener.Core
 	pools  []*pool
 	conns  []*frontConn // open, in the order in which they came
-	long   *upstream.Room
+	long   *upstream.ResponseMemory
 	due    Time // when the core is looked at next; 0 is not booked
 	listAt Time // when the last news of the list is taken
 	heard  Time // when discovery last said something
@@ -92,13 +92,13 @@
 	for _, c := range p.Class {
 		names = append(names, c.Name)
 	}
-	ends := make([]string, upstream.Ends())
+	ends := make([]string, upstream.NumOutcomes())
 	for i := range ends {
-		ends[i] = upstream.End(i).String()
+		ends[i] = upstream.Outcome(i).String()
 	}
-	n.count = counters.New(names, request.Kinds(), ends)
-	n.long = upstream.NewRoom(p.Nodes.MemoryMB<<20/8, p.Nodes.MemoryMB<<20/32)
-	targets, origins := upstream.NewBudget(p.Nodes.Sockets/3), upstream.NewBudget(max(1, p.Nodes.Sockets/10))
+	n.count = counters.New(names, request.ResponseKinds(), ends)
+	n.long = upstream.NewResponseMemory(p.Nodes.MemoryMB<<20/8, p.Nodes.MemoryMB<<20/32)
+	targets, origins := upstream.NewDescriptorBudget(p.Nodes.Sockets/3), upstream.NewDescriptorBudget(max(1, p.Nodes.Sockets/10))
 	v, err := fastjson.ParseBytes(wireformat.List(w.portal.List(), func(slot int) string { return address(slot, n.index) }, unixMs))
 	if err != nil {
 		panic(err)
@@ -107,38 +107,38 @@
 	if err != nil {
 		panic(err)
 	}
-	limits := upstream.Limits{Connect: p.Nodes.ConnectTimeout.D(), Idle: p.Nodes.ConnectionIdle.D() * 8 / 10, Streams: p.Nodes.Streams, Conns: 16,
-		Waiting: 64, Share: p.Net.Share}
+	limits := upstream.Limits{ConnectTimeout: p.Nodes.ConnectTimeout.D(), IdleTimeout: p.Nodes.ConnectionIdle.D() * 8 / 10, MaxStreams: p.Nodes.Streams, MaxConnections: 16,
+		MaxQueued: 64, PipelineWithin: p.Net.Share}
 	originLimits := limits
-	originLimits.Streams, originLimits.Conns = 1, p.Nodes.Sockets
+	originLimits.MaxStreams, originLimits.MaxConnections = 1, p.Nodes.Sockets
 	module := p.Module(n.index)
 	life := n.life
-	n.core, err = nodecore.NewCore(nodecore.Options{Module: module, Seed: p.Seed*1000 + uint64(n.index*100+n.life), MaxOpen: p.Nodes.MaxOpen,
-		MaxHeld: p.Nodes.MemoryMB << 20 / 4, MaxWait: p.longestWait(), Known: known, Source: source{n, n.life}, Count: n.count,
-		Log: slog.New(slog.DiscardHandler), Tell: n.tell, Spread: n.spread,
-		Upstream: func(s discovery.Server, isOrigin bool, report func(*upstream.Forward, upstream.Answer)) nodecore.Upstream {
-			u := &pool{n: n, life: life, id: s.ID, report: report, wrote: map[*upstream.Forward]*serverConn{}}
+	n.core, err = nodecore.NewCore(nodecore.Options{Policy: module, Seed: p.Seed*1000 + uint64(n.index*100+n.life), MaxOpenRequests: p.Nodes.MaxOpen,
+		MaxRequestBytes: p.Nodes.MemoryMB << 20 / 4, MaxClientTimeout: p.longestWait(), InitialList: known, Source: source{n, n.life}, Counters: n.count,
+		Log: slog.New(slog.DiscardHandler), Gossip: n.tell, Announce: n.spread,
+		NewUpstream: func(s discovery.Server, isOrigin bool, report func(*upstream.Attempt, upstream.Response)) nodecore.Upstream {
+			u := &pool{n: n, life: life, id: s.ID, report: report, wrote: map[*upstream.Attempt]*serverConn{}}
 			if isOrigin {
-				u.codec = origin.Codec{Host: s.Addr, Room: n.long}
+				u.codec = origin.Codec{Host: s.Addr, Memory: n.long}
 				u.core = upstream.NewCore(s.Addr, u.codec, originLimits, origins)
 			} else {
-				u.codec = resp.Codec{Room: n.long}
+				u.codec = resp.Codec{Memory: n.long}
 				u.core = upstream.NewCore(s.Addr, u.codec, limits, targets)
 			}
 			n.pools = append(n.pools, u)
 			return u
-		}}, nodecore.Owner{Now: n.now, Report: n.landed, List: n.list})
+		}}, nodecore.Environment{Now: n.now, ReportOutcome: n.landed, PostListUpdate: n.list})
 	if err != nil {
 		panic(err)
 	}
-	n.front = listener.NewCore(n.now(), names, nil, listener.Limits{Conns: p.Nodes.Sockets / 2, Pipelined: 8, Value: 64 << 10, Write: 10 * time.Second,
-		Silent: 2500 * time.Millisecond, Idle: time.Minute, Crowd: 50 * time.Millisecond, Owed: p.Nodes.MemoryMB << 20 / 6}, n.count)
-	n.front.Reply = func(c *listener.Conn, s *listener.Slot, r request.Response) {
+	n.front = listener.NewCore(n.now(), names, nil, listener.Limits{MaxConnections: p.Nodes.Sockets / 2, MaxPipelined: 8, MaxValue: 64 << 10, WriteTimeout: 10 * time.Second,
+		FirstCommandTimeout: 2500 * time.Millisecond, IdleTimeout: time.Minute, CrowdedIdleTimeout: 50 * time.Millisecond, MaxUnsentBytes: p.Nodes.MemoryMB << 20 / 6}, n.count)
+	n.front.Reply = func(c *listener.Conn, s *listener.ResponseSlot, r request.Response) {
 		var fx listener.Effects
-		n.front.Answer(n.now(), c, s, r, &fx)
+		n.front.Respond(n.now(), c, s, r, &fx)
 		n.carry(fx)
 	}
-	n.core.Begin()
+	n.core.Start()
 	n.arm()
 	n.sweep()
 	if n.agree = nil; p.Agree {
@@ -155,7 +155,7 @@
 
 // arm books the next look at the core.
 func (n *node) arm() {
-	at, ok := n.core.Next()
+	at, ok := n.core.NextTimer()
 	if !ok {
 		return
 	}
@@ -168,22 +168,22 @@
 		if n.due == t {
 			n.due = 0
 		}
-		n.core.Due()
+		n.core.HandleTimers()
 		n.arm()
 	})
 }
 
 func (n *node) sweep() {
 	var fx listener.Effects
-	next := n.front.Sweep(n.now(), &fx)
+	next := n.front.ExpireIdle(n.now(), &fx)
 	n.carry(fx)
 	n.later(next, n.sweep)
 }
 
 // landed takes the end of a forward from a pool, in the loop's turn.
-func (n *node) landed(f *upstream.Forward, a upstream.Answer) {
+func (n *node) landed(f *upstream.Attempt, a upstream.Response) {
 	n.later(n.lag(), func() {
-		n.core.Landed(f, a)
+		n.core.AttemptEnded(f, a)
 		n.arm()
 	})
 }
@@ -230,7 +230,7 @@
 			case o.agree != nil && text[0] == membership.Magic:
 				o.agree.member(membership.MessageReceived{From: n.index, Data: text})
 			default:
-				o.core.Tell(policy.GossipReceived{From: n.index, Data: text})
+				o.core.NotifyPolicy(policy.GossipReceived{From: n.index, Data: text})
 				o.arm()
 			}
 		})
@@ -259,7 +259,7 @@
 	}
 	n.conns = append(n.conns, c)
 	var fx listener.Effects
-	n.front.Room(n.now(), &fx)
+	n.front.HasCapacity(n.now(), &fx)
 	n.carry(fx)
 	return near
 }
@@ -278,16 +278,16 @@
 	if c.eof { // whatever it sent before: nobody waits for the answers
 		c.inbox = nil
 	}
-	for len(c.inbox) > 0 && !c.core.Closed() && !c.core.Paused() {
+	for len(c.inbox) > 0 && !c.core.IsClosed() && !c.core.IsPaused() {
 		var fx listener.Effects
-		k := copy(c.core.Space(), c.inbox)
+		k := copy(c.core.ReadBuffer(), c.inbox)
 		c.inbox = c.inbox[k:]
-		c.n.front.Received(c.n.now(), c.core, k, &fx)
+		c.n.front.BytesReceived(c.n.now(), c.core, k, &fx)
 		c.n.carry(fx)
 	}
-	if c.eof && !c.core.Closed() {
+	if c.eof && !c.core.IsClosed() {
 		var fx listener.Effects
-		c.n.front.Ended(c.n.now(), c.core, &fx)
+		c.n.front.ConnectionEnded(c.n.now(), c.core, &fx)
 		c.n.carry(fx)
 	}
 }
@@ -296,31 +296,31 @@
 func (n *node) carry(fx listener.Effects) {
 	for _, e := range fx {
 		switch e.Kind {
-		case listener.Take:
-			n.w.clients.taken(n.index, string(e.Flow.ID), e.Flow.Class)
-			n.core.Take(e.Flow)
+		case listener.HandleRequest:
+			n.w.clients.taken(n.index, string(e.Request.ID), e.Request.Class)
+			n.core.HandleRequest(e.Request)
 			n.arm()
-		case listener.Gone:
-			n.core.Gone(e.Flow)
+		case listener.ClientDisconnected:
+			n.core.ClientDisconnected(e.Request)
 			n.arm()
-		case listener.Write:
+		case listener.WriteResponses:
 			c := e.Conn.Socket.(*frontConn)
 			n.later(n.lag(), c.write)
-		case listener.Read:
+		case listener.ResumeReading:
 			c := e.Conn.Socket.(*frontConn)
 			var more listener.Effects
-			n.front.Continue(n.now(), c.core, &more)
+			n.front.Resume(n.now(), c.core, &more)
 			n.carry(more)
 			c.wake()
-		case listener.Linger: // nothing is lost on a stream of this network: what comes after the end comes to nobody
+		case listener.HalfClose: // nothing is lost on a stream of this network: what comes after the end comes to nobody
 			c := e.Conn.Socket.(*frontConn)
 			c.end.close()
 			n.later(n.lag(), func() {
 				var fx listener.Effects
-				n.front.Ended(n.now(), c.core, &fx)
+				n.front.ConnectionEnded(n.now(), c.core, &fx)
 				n.carry(fx)
 			})
-		case listener.Shut:
+		case listener.CloseConnection:
 			c := e.Conn.Socket.(*frontConn)
 			c.end.close()
 			for i, o := range n.conns {
@@ -335,10 +335,10 @@
 
 // write moves answers to the client.
 func (c *frontConn) write() {
-	if c.writing || c.core.Closed() {
+	if c.writing || c.core.IsClosed() {
 		return
 	}
-	out, size := c.n.front.Pull(c.core, nil)
+	out, size := c.n.front.NextToWrite(c.core, nil)
 	if size == 0 {
 		return
 	}
@@ -349,13 +349,13 @@
 	}
 	c.n.later(c.n.lag(), func() {
 		c.writing = false
-		if c.core.Closed() {
+		if c.core.IsClosed() {
 			return
 		}
 		good := !c.end.dead
 		c.end.write(all)
 		var fx listener.Effects
-		c.n.front.Wrote(c.n.now(), c.core, good, &fx)
+		c.n.front.WriteCompleted(c.n.now(), c.core, good, &fx)
 		c.n.carry(fx)
 	})
 }
@@ -419,14 +419,14 @@
 			n.ending(n.w.now+last-grace+unsent, f.Away)
 		})
 	case ReloadNode:
-		n.core.Follow(source{n, n.life})
+		n.core.FollowDiscovery(source{n, n.life})
 		n.arm()
 	}
 }
 
 // ending waits until nothing is owed, and ends the process.
 func (n *node) ending(latest Time, away time.Duration) {
-	if n.core.Open() == 0 && len(n.conns) == 0 || n.w.now >= latest {
+	if n.core.OpenRequests() == 0 && len(n.conns) == 0 || n.w.now >= latest {
 		n.die()
 		n.w.after(away, n.start)
 		return
@@ -447,7 +447,7 @@
 			s.end.reset()
 		}
 	}
-	n.core.End() // a kernel hangs up what a process leaves open
+	n.core.Stop() // a kernel hangs up what a process leaves open
 	n.conns, n.pools = nil, nil
 }
 
@@ -463,16 +463,16 @@
 	if quiet := n.w.now - n.heard; quiet > deafFor && n.w.plan.toldWithin() > 0 {
 		n.w.broken(Deaf, "node %d has heard nothing of discovery for %.1f s", n.index, quiet.Seconds())
 	}
-	flows, ids, _ := n.core.Held()
-	if flows > 0 || ids > 0 || n.core.Open() > 0 {
-		n.w.broken(Leak, "node %d holds %d flows and %d ids, %d open", n.index, flows, ids, n.core.Open())
+	flows, ids, _ := n.core.Retained()
+	if flows > 0 || ids > 0 || n.core.OpenRequests() > 0 {
+		n.w.broken(Leak, "node %d holds %d flows and %d ids, %d open", n.index, flows, ids, n.core.OpenRequests())
 	}
 	for _, p := range n.pools {
-		if k := p.core.Waits() + p.core.Pending(); k > 0 {
+		if k := p.core.Queued() + p.core.InFlight(); k > 0 {
 			n.w.broken(Leak, "node %d holds %d forwards for %s", n.index, k, p.id)
 		}
 	}
-	if left, all := n.long.Left(), n.w.plan.Nodes.MemoryMB<<20/8; left != all {
+	if left, all := n.long.Available(), n.w.plan.Nodes.MemoryMB<<20/8; left != all {
 		n.w.broken(Leak, "node %d has not given back %d bytes of long answers", n.index, all-left)
 	}
 }
--- a/internal/testbed/simulation/pool.go
+++ b/internal/testbed/simulation/pool.go
@@ -14,10 +14,10 @@
 	id     string
 	codec  upstream.Codec
 	core   *upstream.Core
-	report func(*upstream.Forward, upstream.Answer)
+	report func(*upstream.Attempt, upstream.Response)
 	due    Time
 	socks  []*sock
-	wrote  map[*upstream.Forward]*serverConn // forwards whose request went out whole, and where
+	wrote  map[*upstream.Attempt]*serverConn // forwards whose request went out whole, and where
 }
 
 // sock is a connection to a server.
@@ -36,14 +36,14 @@
 func (p *pool) now() time.Time { return p.n.now() }
 
 // Send, Abandon, CloseIdle and Update are what the loop calls.
-func (p *pool) Send(f *upstream.Forward) (upstream.End, bool) {
+func (p *pool) Send(f *upstream.Attempt) (upstream.Outcome, bool) {
 	var fx upstream.Effects
 	end, ok := p.core.Send(p.now(), f, &fx)
 	p.carry(fx)
 	return end, ok
 }
 
-func (p *pool) Abandon(f *upstream.Forward) bool {
+func (p *pool) Abandon(f *upstream.Attempt) bool {
 	var fx upstream.Effects
 	written := p.core.Abandon(p.now(), f, &fx)
 	p.carry(fx)
@@ -53,7 +53,7 @@
 	return written
 }
 
-func (p *pool) Withdraw(f *upstream.Forward) bool {
+func (p *pool) Withdraw(f *upstream.Attempt) bool {
 	var fx upstream.Effects
 	done := p.core.Withdraw(p.now(), f, &fx)
 	p.carry(fx)
@@ -69,7 +69,7 @@
 	p.carry(fx)
 }
 
-func (p *pool) Update(addr string, left bool) []*upstream.Forward {
+func (p *pool) Update(addr string, left bool) []*upstream.Attempt {
 	var fx upstream.Effects
 	drained := p.core.Update(p.now(), addr, left, &fx)
 	p.carry(fx)
@@ -80,15 +80,15 @@
 }
 
 // claims checks what is said of a forward that never ran: its request must not have come whole to its server.
-func (p *pool) claims(f *upstream.Forward, what string) {
-	if c := p.wrote[f]; c != nil && f.Flow != nil && c.came[string(f.Flow.ID)] {
-		p.n.w.broken(NeverRan, "%s at %s is %s, and came whole", f.Flow.ID, p.id, what)
+func (p *pool) claims(f *upstream.Attempt, what string) {
+	if c := p.wrote[f]; c != nil && f.Request != nil && c.came[string(f.Request.ID)] {
+		p.n.w.broken(NeverRan, "%s at %s is %s, and came whole", f.Request.ID, p.id, what)
 	}
 }
 
 // arm books the next look at the core.
 func (p *pool) arm() {
-	at := p.core.Next()
+	at := p.core.NextTimer()
 	if at.IsZero() {
 		return
 	}
@@ -103,7 +103,7 @@
 			p.due = 0
 		}
 		var fx upstream.Effects
-		p.core.Due(p.now(), &fx)
+		p.core.HandleTimers(p.now(), &fx)
 		p.carry(fx)
 	})
 }
@@ -116,14 +116,14 @@
 		case upstream.Write:
 			s := e.Conn.Socket.(*sock)
 			p.n.later(p.n.lag(), s.pull)
-		case upstream.Shut:
+		case upstream.CloseConnection:
 			e.Conn.Socket.(*sock).shut()
-		case upstream.Report:
-			switch a := e.Answer; a.End {
-			case upstream.NoRoom, upstream.Drained, upstream.NoConnect, upstream.CutShort, upstream.NotSent:
-				p.claims(e.Forward, a.End.String())
+		case upstream.ReportOutcome:
+			switch a := e.Response; a.Outcome {
+			case upstream.PoolExhausted, upstream.ServerDraining, upstream.ConnectFailed, upstream.WriteInterrupted, upstream.NotSent:
+				p.claims(e.Attempt, a.Outcome.String())
 			}
-			p.report(e.Forward, e.Answer)
+			p.report(e.Attempt, e.Response)
 		}
 	}
 	p.arm()
@@ -143,11 +143,11 @@
 		switch {
 		case trip >= limit || state == 1 || w.strikes(w.plan.Net.RefuseNew): // shut
 			w.note("refused", strconv.Itoa(slot))
-			p.core.Dialed(p.now(), c, false, &fx)
+			p.core.DialCompleted(p.now(), c, false, &fx)
 		case state == 2: // silent: it never comes up
 			p.n.later(limit-min(trip, limit), func() {
 				var fx upstream.Effects
-				p.core.Dialed(p.now(), c, false, &fx)
+				p.core.DialCompleted(p.now(), c, false, &fx)
 				p.carry(fx)
 			})
 			return
@@ -165,7 +165,7 @@
 			}
 			c.Socket = s
 			p.socks = append(p.socks, s)
-			p.core.Dialed(p.now(), c, true, &fx)
+			p.core.DialCompleted(p.now(), c, true, &fx)
 		}
 		p.carry(fx)
 	})
@@ -183,13 +183,13 @@
 	s.reading = false
 	p := s.p
 	var fx upstream.Effects
-	for len(s.inbox) > 0 && !s.conn.Closed() {
-		k := copy(s.conn.Decoder.Space(), s.inbox)
+	for len(s.inbox) > 0 && !s.conn.IsClosed() {
+		k := copy(s.conn.Decoder.ReadBuffer(), s.inbox)
 		s.inbox = s.inbox[k:]
-		p.core.Received(p.now(), s.conn, k, &fx)
+		p.core.BytesReceived(p.now(), s.conn, k, &fx)
 	}
-	if s.eof && !s.conn.Closed() {
-		p.core.Ended(p.now(), s.conn, !s.reset, &fx)
+	if s.eof && !s.conn.IsClosed() {
+		p.core.ConnectionEnded(p.now(), s.conn, !s.reset, &fx)
 	}
 	p.carry(fx)
 }
@@ -198,13 +198,13 @@
 func (s *sock) pull() {
 	p, w := s.p, s.p.n.w
 	var fx upstream.Effects
-	stale := s.conn.Quiet() && (len(s.inbox) > 0 || s.eof)
-	f := p.core.Pull(p.now(), s.conn, stale, &fx)
+	stale := s.conn.IsIdle() && (len(s.inbox) > 0 || s.eof)
+	f := p.core.NextToWrite(p.now(), s.conn, stale, &fx)
 	p.carry(fx)
 	if f == nil {
 		return
 	}
-	b := p.codec.Append(nil, f, p.now())
+	b := p.codec.AppendRequest(nil, f, p.now())
 	s.writing = true
 	p.n.later(p.n.lag(), func() {
 		s.writing = false
@@ -223,7 +223,7 @@
 			p.wrote[f] = s.server
 		}
 		var fx upstream.Effects
-		p.core.Wrote(p.now(), s.conn, whole, good, &fx)
+		p.core.WriteCompleted(p.now(), s.conn, whole, good, &fx)
 		p.carry(fx)
 		s.pull()
 	})
--- a/internal/testbed/simulation/servers.go
+++ b/internal/testbed/simulation/servers.go
@@ -282,7 +282,7 @@
 func (c *serverConn) behind(more []byte) {
 	c.w.after(c.w.between(0, 5*time.Millisecond), func() {
 		s := c.sock
-		if c.end.dead || c.end.silent || s.end.dead || len(c.slots) > 0 || s.writing || s.conn.Pending() > 0 || s.p.n.life != s.p.life {
+		if c.end.dead || c.end.silent || s.end.dead || len(c.slots) > 0 || s.writing || s.conn.InFlight() > 0 || s.p.n.life != s.p.life {
 			return
 		}
 		c.w.note("behind", strconv.FormatUint(uint64(c.id), 10))
--- a/internal/upstream/core_test.go
+++ b/internal/upstream/core_test.go
@@ -12,48 +12,48 @@
 // line is a protocol of single bytes: a request is its id, its answer 'a' for a value, 'm' for a miss, '!' for garbage.
 type line struct{}
 
-func (line) Append(b []byte, f *Forward, _ time.Time) []byte { return append(b, 'q') }
-func (line) NewDecoder() Decoder                             { return &lineDecoder{} }
+func (line) AppendRequest(b []byte, f *Attempt, _ time.Time) []byte { return append(b, 'q') }
+func (line) NewDecoder() Decoder                                    { return &lineDecoder{} }
 
 type lineDecoder struct {
 	in   [1]byte
 	have []byte
 }
 
-func (d *lineDecoder) Space() []byte { return d.in[:] }
-func (d *lineDecoder) Took(n int)    { d.have = append(d.have, d.in[:n]...) }
-func (d *lineDecoder) Buffered() int { return len(d.have) }
-func (d *lineDecoder) Drop()         {}
-func (d *lineDecoder) Next(bool) (Answer, bool, error) {
+func (d *lineDecoder) ReadBuffer() []byte { return d.in[:] }
+func (d *lineDecoder) BytesRead(n int)    { d.have = append(d.have, d.in[:n]...) }
+func (d *lineDecoder) Buffered() int      { return len(d.have) }
+func (d *lineDecoder) Release()           {}
+func (d *lineDecoder) NextResponse(bool) (Response, bool, error) {
 	if len(d.have) == 0 {
-		return Answer{}, false, nil
+		return Response{}, false, nil
 	}
 	b := d.have[0]
 	d.have = d.have[1:]
 	switch b {
 	case 'a':
-		return Answer{End: Served, Value: []byte("v")}, true, nil
+		return Response{Outcome: Served, Value: []byte("v")}, true, nil
 	case 'm':
-		return Answer{End: Missed}, true, nil
+		return Response{Outcome: Missed}, true, nil
 	}
-	return Answer{}, false, ErrGarbage
+	return Response{}, false, ErrMalformedResponse
 }
 
 // TestAnsweredBeforeItIsWritten: a connection whose answer overtakes the word that its request is written carries the next forward;
 // none is opened for it.
 func TestAnsweredBeforeItIsWritten(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 4, Waiting: 4}, NewBudget(4))
-	first, next := &Forward{Flow: &request.Flow{}, Sent: now}, &Forward{Flow: &request.Flow{}, Sent: now}
+	p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 4, MaxQueued: 4}, NewDescriptorBudget(4))
+	first, next := &Attempt{Request: &request.Request{}, SentAt: now}, &Attempt{Request: &request.Request{}, SentAt: now}
 	var fx Effects
 	p.Send(now, first, &fx)
 	c := fx[0].Conn
-	p.Dialed(now, c, true, &fx)
-	if p.Pull(now, c, false, &fx) != first {
+	p.DialCompleted(now, c, true, &fx)
+	if p.NextToWrite(now, c, false, &fx) != first {
 		t.Fatal("it is not written")
 	}
-	c.Decoder.Space()[0] = 'a'
-	p.Received(now, c, 1, &fx)
+	c.Decoder.ReadBuffer()[0] = 'a'
+	p.BytesReceived(now, c, 1, &fx)
 	fx = nil
 	p.Send(now, next, &fx)
 	for _, e := range fx {
@@ -61,11 +61,11 @@
 			t.Error("another connection is opened")
 		}
 	}
-	if p.Pull(now, c, false, &fx) != nil {
+	if p.NextToWrite(now, c, false, &fx) != nil {
 		t.Error("the next is written into the one before")
 	}
-	p.Wrote(now, c, true, true, &fx)
-	if p.Pull(now, c, false, &fx) != next {
+	p.WriteCompleted(now, c, true, true, &fx)
+	if p.NextToWrite(now, c, false, &fx) != next {
 		t.Error("the next is not written")
 	}
 }
@@ -76,22 +76,22 @@
 func TestCoreInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 4
-		budget := NewBudget(rapid.IntRange(0, 3).Draw(t, "budget"))
-		total, _ := budget.Use()
-		limits := Limits{Connect: time.Second, Idle: 3 * time.Second, Streams: rapid.IntRange(1, 3).Draw(t, "streams"), Conns: most,
-			Waiting: 3, Share: time.Duration(rapid.IntRange(0, 1).Draw(t, "share")) * time.Second}
+		budget := NewDescriptorBudget(rapid.IntRange(0, 3).Draw(t, "budget"))
+		total, _ := budget.Usage()
+		limits := Limits{ConnectTimeout: time.Second, IdleTimeout: 3 * time.Second, MaxStreams: rapid.IntRange(1, 3).Draw(t, "streams"), MaxConnections: most,
+			MaxQueued: 3, PipelineWithin: time.Duration(rapid.IntRange(0, 1).Draw(t, "share")) * time.Second}
 		p := NewCore("s", line{}, limits, budget)
 		now := time.Unix(1000, 0)
-		var all []*Forward
-		ends := map[*Forward]int{}
-		whole := map[*Forward]bool{}
+		var all []*Attempt
+		ends := map[*Attempt]int{}
+		whole := map[*Attempt]bool{}
 		var dialing, conns []*Conn
-		writing := map[*Conn]*Forward{}
+		writing := map[*Conn]*Attempt{}
 		left := false
-		check := func(f *Forward, end End) {
+		check := func(f *Attempt, end Outcome) {
 			ends[f]++
 			switch end {
-			case NoConnect, CutShort, NoRoom, Drained, NotSent:
+			case ConnectFailed, WriteInterrupted, PoolExhausted, ServerDraining, NotSent:
 				if whole[f] {
 					t.Fatalf("a forward that was written whole ends as %v", end)
 				}
@@ -102,18 +102,18 @@
 				switch e.Kind {
 				case Dial:
 					dialing = append(dialing, e.Conn)
-				case Report:
-					if e.Forward.given {
+				case ReportOutcome:
+					if e.Attempt.given {
 						t.Fatal("a forward that was given up is reported")
 					}
-					check(e.Forward, e.Answer.End)
+					check(e.Attempt, e.Response.Outcome)
 				}
 			}
 		}
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
-				f := &Forward{Flow: &request.Flow{}, Sent: now, Deadline: now.Add(time.Minute), Fresh: rapid.IntRange(0, 4).Draw(t, "fresh") == 0}
+				f := &Attempt{Request: &request.Request{}, SentAt: now, Deadline: now.Add(time.Minute), NeedsNewConnection: rapid.IntRange(0, 4).Draw(t, "fresh") == 0}
 				all = append(all, f)
 				var fx Effects
 				if end, ok := p.Send(now, f, &fx); !ok {
@@ -130,7 +130,7 @@
 				dialing = append(dialing[:i], dialing[i+1:]...)
 				up := rapid.IntRange(0, 3).Draw(t, "up") > 0
 				var fx Effects
-				if p.Dialed(now, c, up, &fx); up {
+				if p.DialCompleted(now, c, up, &fx); up {
 					conns = append(conns, c)
 				}
 				carry(fx)
@@ -144,13 +144,13 @@
 					return
 				}
 				var fx Effects
-				f := p.Pull(now, c, rapid.IntRange(0, 9).Draw(t, "stale") == 0, &fx)
+				f := p.NextToWrite(now, c, rapid.IntRange(0, 9).Draw(t, "stale") == 0, &fx)
 				carry(fx)
 				if f == nil {
 					return
 				}
-				if left || f.given || ends[f] > 0 || c.closed || f.Flow.Cancelled() {
-					t.Fatalf("written though left %v, given up %v, ended %d times, closed %v, client gone %v", left, f.given, ends[f], c.closed, f.Flow.Cancelled())
+				if left || f.given || ends[f] > 0 || c.closed || f.Request.IsCancelled() {
+					t.Fatalf("written though left %v, given up %v, ended %d times, closed %v, client gone %v", left, f.given, ends[f], c.closed, f.Request.IsCancelled())
 				}
 				writing[c] = f
 			},
@@ -162,7 +162,7 @@
 						good = false
 					}
 					var fx Effects
-					p.Wrote(now, c, whole[f], good, &fx)
+					p.WriteCompleted(now, c, whole[f], good, &fx)
 					carry(fx)
 					return
 				}
@@ -178,15 +178,15 @@
 				if len(c.pending) > 0 && writing[c] == c.pending[0] {
 					whole[c.pending[0]] = true // who answers has read it
 				}
-				c.Decoder.Space()[0] = "aaam!"[rapid.IntRange(0, 4).Draw(t, "byte")]
+				c.Decoder.ReadBuffer()[0] = "aaam!"[rapid.IntRange(0, 4).Draw(t, "byte")]
 				var fx Effects
-				p.Received(now, c, 1, &fx)
+				p.BytesReceived(now, c, 1, &fx)
 				carry(fx)
 			},
 			"ended": func(t *rapid.T) {
 				if len(conns) > 0 {
 					var fx Effects
-					p.Ended(now, conns[pick(len(conns))], rapid.Bool().Draw(t, "in order"), &fx)
+					p.ConnectionEnded(now, conns[pick(len(conns))], rapid.Bool().Draw(t, "in order"), &fx)
 					carry(fx)
 				}
 			},
@@ -210,7 +210,7 @@
 					return
 				}
 				f := all[pick(len(all))]
-				f.Flow.Cancel()
+				f.Request.Cancel()
 				if ends[f] > 0 || rapid.Bool().Draw(t, "the node has not heard of it") {
 					return
 				}
@@ -224,16 +224,16 @@
 				left = rapid.IntRange(0, 3).Draw(t, "left") == 0
 				var fx Effects
 				for _, f := range p.Update(now, "s", left, &fx) {
-					check(f, Drained)
+					check(f, ServerDraining)
 				}
 				carry(fx)
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 				var fx Effects
-				p.Due(now, &fx)
+				p.HandleTimers(now, &fx)
 				carry(fx)
-				if next := p.Next(); !next.IsZero() && !next.After(now) {
+				if next := p.NextTimer(); !next.IsZero() && !next.After(now) {
 					t.Fatalf("due at %v, and it is %v", next, now)
 				}
 			},
@@ -243,8 +243,8 @@
 						t.Fatalf("a forward ended %d times", ends[f])
 					}
 				}
-				if p.Conns() > most || len(p.waiting) > limits.Waiting+p.dialing {
-					t.Fatalf("%d connections, %d wait", p.Conns(), len(p.waiting))
+				if p.Connections() > most || len(p.waiting) > limits.MaxQueued+p.dialing {
+					t.Fatalf("%d connections, %d wait", p.Connections(), len(p.waiting))
 				}
 			},
 		})
@@ -253,23 +253,23 @@
 			for _, c := range dialing {
 				dialing = dialing[1:]
 				var fx Effects
-				p.Dialed(now, c, false, &fx)
+				p.DialCompleted(now, c, false, &fx)
 				carry(fx)
 			}
 			for c := range writing {
 				delete(writing, c)
 				var fx Effects
-				p.Wrote(now, c, true, false, &fx)
+				p.WriteCompleted(now, c, true, false, &fx)
 				carry(fx)
 			}
 		}
 		left = true
 		var fx Effects
 		for _, f := range p.Update(now, "s", true, &fx) {
-			check(f, Drained)
+			check(f, ServerDraining)
 		}
 		for _, c := range conns {
-			p.Ended(now, c, rapid.Bool().Draw(t, "in order"), &fx)
+			p.ConnectionEnded(now, c, rapid.Bool().Draw(t, "in order"), &fx)
 		}
 		carry(fx)
 		for i, f := range all {
@@ -277,8 +277,8 @@
 				t.Fatalf("forward %d of %d ended %d times", i, len(all), ends[f])
 			}
 		}
-		if used, _ := budget.Use(); used != total || p.Conns() != 0 {
-			t.Fatalf("%d descriptors are not given back, %d connections are left", used-total, p.Conns())
+		if used, _ := budget.Usage(); used != total || p.Connections() != 0 {
+			t.Fatalf("%d descriptors are not given back, %d connections are left", used-total, p.Connections())
 		}
 	})
 }
--- a/internal/upstream/decoder_fuzz_test.go
+++ b/internal/upstream/decoder_fuzz_test.go
@@ -20,16 +20,16 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8, http bool) {
 		const all = 1 << 20
-		room := upstream.NewRoom(all, 128<<10)
-		codec := upstream.Codec(resp.Codec{Room: room})
+		room := upstream.NewResponseMemory(all, 128<<10)
+		codec := upstream.Codec(resp.Codec{Memory: room})
 		if http {
-			codec = origin.Codec{Room: room}
+			codec = origin.Codec{Memory: room}
 		}
 		play := func(piece int) (out []string) {
 			d := codec.NewDecoder()
 			defer func() {
-				if d.Drop(); room.Left() != all {
-					t.Fatalf("%d bytes of the room are not given back", all-room.Left())
+				if d.Release(); room.Available() != all {
+					t.Fatalf("%d bytes of the room are not given back", all-room.Available())
 				}
 			}()
 			take := func(ended bool) bool {
@@ -37,7 +37,7 @@
 					if d.Buffered() == 0 {
 						return true
 					}
-					a, ok, err := d.Next(ended)
+					a, ok, err := d.NextResponse(ended)
 					if err != nil {
 						out = append(out, err.Error())
 						return false
@@ -45,8 +45,8 @@
 					if !ok {
 						return true
 					}
-					out = append(out, fmt.Sprintf("%v %q %q %v", a.End, a.Value, a.Load, a.Close))
-					if a.Close { // what follows is nothing to anybody
+					out = append(out, fmt.Sprintf("%v %q %q %v", a.Outcome, a.Value, a.LoadReport, a.ConnectionClose))
+					if a.ConnectionClose { // what follows is nothing to anybody
 						return false
 					}
 				}
@@ -54,12 +54,12 @@
 				return false
 			}
 			for rest := text; len(rest) > 0; {
-				n := copy(d.Space(), rest[:min(piece, len(rest))])
+				n := copy(d.ReadBuffer(), rest[:min(piece, len(rest))])
 				if n == 0 {
 					t.Fatal("no space")
 				}
 				rest = rest[n:]
-				if d.Took(n); !take(false) {
+				if d.BytesRead(n); !take(false) {
 					return out
 				}
 			}
--- a/internal/upstream/gone_test.go
+++ b/internal/upstream/gone_test.go
@@ -21,35 +21,35 @@
 			if wait.first {
 				conns = 1
 			}
-			p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 2, Conns: conns, Waiting: 4}, NewBudget(4))
+			p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 2, MaxConnections: conns, MaxQueued: 4}, NewDescriptorBudget(4))
 			var fx Effects
 			var c *Conn
 			if wait.first {
-				p.Send(now, &Forward{Flow: &request.Flow{}, Sent: now}, &fx)
+				p.Send(now, &Attempt{Request: &request.Request{}, SentAt: now}, &fx)
 				c = fx[0].Conn
-				p.Dialed(now, c, true, &fx)
-				p.Pull(now, c, false, &fx)
-				p.Wrote(now, c, true, true, &fx)
+				p.DialCompleted(now, c, true, &fx)
+				p.NextToWrite(now, c, false, &fx)
+				p.WriteCompleted(now, c, true, true, &fx)
 			}
-			gone, next := &Forward{Flow: &request.Flow{}, Sent: now, Fresh: wait.fresh}, &Forward{Flow: &request.Flow{}, Sent: now}
+			gone, next := &Attempt{Request: &request.Request{}, SentAt: now, NeedsNewConnection: wait.fresh}, &Attempt{Request: &request.Request{}, SentAt: now}
 			p.Send(now, gone, &fx)
-			gone.Flow.Cancel()
+			gone.Request.Cancel()
 			if heard && !p.Withdraw(now, gone, &fx) {
 				t.Errorf("%s: it can't be taken back", name)
 			}
 			if c == nil {
 				c = fx[0].Conn
-				p.Dialed(now, c, true, &fx)
+				p.DialCompleted(now, c, true, &fx)
 			}
 			fx = nil
-			if f := p.Pull(now, c, false, &fx); f != nil {
+			if f := p.NextToWrite(now, c, false, &fx); f != nil {
 				t.Fatalf("%s, heard %v: it is written", name, heard)
 			}
-			if reported := len(fx) > 0 && fx[len(fx)-1].Kind == Report; reported == heard {
+			if reported := len(fx) > 0 && fx[len(fx)-1].Kind == ReportOutcome; reported == heard {
 				t.Errorf("%s, heard %v: reported %v", name, heard, reported)
 			}
 			p.Send(now, next, &fx)
-			if f := p.Pull(now, c, false, &fx); f != next {
+			if f := p.NextToWrite(now, c, false, &fx); f != next {
 				t.Errorf("%s, heard %v: the connection does not carry the next one", name, heard)
 			}
 		}
@@ -59,13 +59,13 @@
 // TestNotTakenBackOnceItMayHaveRun: a forward of which a byte may be out is no longer withdrawn.
 func TestNotTakenBackOnceItMayHaveRun(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 4, Waiting: 4}, NewBudget(4))
-	f := &Forward{Flow: &request.Flow{}, Sent: now}
+	p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 4, MaxQueued: 4}, NewDescriptorBudget(4))
+	f := &Attempt{Request: &request.Request{}, SentAt: now}
 	var fx Effects
 	p.Send(now, f, &fx)
-	p.Dialed(now, fx[0].Conn, true, &fx)
-	p.Pull(now, fx[0].Conn, false, &fx)
-	f.Flow.Cancel()
+	p.DialCompleted(now, fx[0].Conn, true, &fx)
+	p.NextToWrite(now, fx[0].Conn, false, &fx)
+	f.Request.Cancel()
 	if p.Withdraw(now, f, &fx) {
 		t.Error("it is taken back")
 	}
@@ -76,20 +76,20 @@
 func TestRepeatIsWrittenInItsTime(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for late, want := range map[time.Duration]bool{0: true, time.Nanosecond: false} {
-		p := NewCore("s", line{}, Limits{Connect: time.Second, Idle: time.Minute, Streams: 1, Conns: 1, Waiting: 4}, NewBudget(4))
-		repeat := &Forward{Flow: &request.Flow{}, Sent: start, Deadline: start.Add(time.Hour), By: start.Add(400 * time.Millisecond)}
-		next := &Forward{Flow: &request.Flow{}, Sent: start, Deadline: start.Add(time.Hour)}
-		if repeat.writeBy() != repeat.By || next.writeBy() != next.Deadline {
+		p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 1, MaxQueued: 4}, NewDescriptorBudget(4))
+		repeat := &Attempt{Request: &request.Request{}, SentAt: start, Deadline: start.Add(time.Hour), WriteBy: start.Add(400 * time.Millisecond)}
+		next := &Attempt{Request: &request.Request{}, SentAt: start, Deadline: start.Add(time.Hour)}
+		if repeat.writeBy() != repeat.WriteBy || next.writeBy() != next.Deadline {
 			t.Error("what has not left is given up at another time")
 		}
 		var fx Effects
 		p.Send(start, repeat, &fx)
 		c := fx[0].Conn
 		p.Send(start, next, &fx)
-		now := repeat.By.Add(late)
-		p.Dialed(now, c, true, &fx)
+		now := repeat.WriteBy.Add(late)
+		p.DialCompleted(now, c, true, &fx)
 		fx = nil
-		f := p.Pull(now, c, false, &fx)
+		f := p.NextToWrite(now, c, false, &fx)
 		if written := f == repeat; written != want {
 			t.Errorf("%v late: written %v", late, written)
 		}
@@ -97,10 +97,10 @@
 			continue
 		}
 		if f == nil {
-			f = p.Pull(now, c, false, &fx)
+			f = p.NextToWrite(now, c, false, &fx)
 		}
 		if !slices.ContainsFunc(fx, func(e Effect) bool {
-			return e.Kind == Report && e.Forward == repeat && e.Answer.End == NotSent
+			return e.Kind == ReportOutcome && e.Attempt == repeat && e.Response.Outcome == NotSent
 		}) {
 			t.Errorf("%v late: it is not reported: %+v", late, fx)
 		}
--- a/internal/upstream/growth_test.go
+++ b/internal/upstream/growth_test.go
@@ -67,14 +67,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newServer(t)
-			ended := make(chan upstream.End, 8)
-			p := upstream.NewPool(s.addr, resp.Codec{}, upstream.Limits{Connect: 10 * time.Second, Idle: time.Minute,
-				Streams: 32, Conns: 8, Waiting: 8, Share: test.share}, upstream.NewBudget(8),
-				func(_ *upstream.Forward, a upstream.Answer) { ended <- a.End }, func() {})
+			ended := make(chan upstream.Outcome, 8)
+			p := upstream.NewPool(s.addr, resp.Codec{}, upstream.Limits{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Minute,
+				MaxStreams: 32, MaxConnections: 8, MaxQueued: 8, PipelineWithin: test.share}, upstream.NewDescriptorBudget(8),
+				func(_ *upstream.Attempt, a upstream.Response) { ended <- a.Outcome }, func() {})
 			t.Cleanup(func() { p.Update(s.addr, true) })
 			send := func(key string) {
-				f := &upstream.Forward{Flow: &request.Flow{Key: []byte(key), ID: []byte(key)}, Sent: time.Now(),
-					Deadline: time.Now().Add(time.Minute), Fresh: test.fresh}
+				f := &upstream.Attempt{Request: &request.Request{Key: []byte(key), ID: []byte(key)}, SentAt: time.Now(),
+					Deadline: time.Now().Add(time.Minute), NeedsNewConnection: test.fresh}
 				if end, ok := p.Send(f); !ok {
 					t.Fatalf("%s ended at once: %v", key, end)
 				}
--- a/internal/upstream/origin/golden_test.go
+++ b/internal/upstream/origin/golden_test.go
@@ -13,18 +13,18 @@
 // TestGoldenRequests: the HTTP/1.1 requests that the origin gets.
 func TestGoldenRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
-	read := &request.Flow{Key: []byte("anna b/c"), ID: []byte("id-1"), Extras: []byte("c=view,d=3000,t=x")}
-	write := &request.Flow{Key: []byte("anna"), ID: []byte("id-2"), Extras: []byte("d=3000,k=77,c=sign"), Write: true, Value: []byte("a\r\nb")}
+	read := &request.Request{Key: []byte("anna b/c"), ID: []byte("id-1"), Parameters: []byte("c=view,d=3000,t=x")}
+	write := &request.Request{Key: []byte("anna"), ID: []byte("id-2"), Parameters: []byte("d=3000,k=77,c=sign"), IsWrite: true, Value: []byte("a\r\nb")}
 	var lines golden.Lines
 	for _, test := range []struct {
 		name string
-		f    upstream.Forward
+		f    upstream.Attempt
 	}{
-		{"get", upstream.Forward{Flow: read, Deadline: now.Add(1234567 * time.Microsecond)}},
-		{"put", upstream.Forward{Flow: write, Deadline: now.Add(2 * time.Second)}},
-		{"probe", upstream.Forward{Deadline: now}},
+		{"get", upstream.Attempt{Request: read, Deadline: now.Add(1234567 * time.Microsecond)}},
+		{"put", upstream.Attempt{Request: write, Deadline: now.Add(2 * time.Second)}},
+		{"probe", upstream.Attempt{Deadline: now}},
 	} {
-		lines.Text(test.name, fmt.Sprintf("%q", Codec{Host: "127.0.0.1:9000"}.Append(nil, &test.f, now)))
+		lines.Text(test.name, fmt.Sprintf("%q", Codec{Host: "127.0.0.1:9000"}.AppendRequest(nil, &test.f, now)))
 	}
 	golden.Check(t, "requests.golden", lines.Bytes())
 }
@@ -41,11 +41,11 @@
 		"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nX-Not-Run: 1\r\n\r\n",
 		"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", "SSH-2.0", "HTTP/1.1 101 Switch\r\n\r\n"} {
 		for _, ended := range []bool{false, true} {
-			d := Codec{Room: upstream.NewRoom(1<<20, 64<<10)}.NewDecoder()
-			d.Took(copy(d.Space(), text))
-			a, whole, err := d.Next(ended)
+			d := Codec{Memory: upstream.NewResponseMemory(1<<20, 64<<10)}.NewDecoder()
+			d.BytesRead(copy(d.ReadBuffer(), text))
+			a, whole, err := d.NextResponse(ended)
 			lines.Text(fmt.Sprintf("%q, connection ended %v", text, ended), fmt.Sprintf("whole %v, %s, value %q, load %q, close %v, error %v",
-				whole, a.End, a.Value, a.Load, a.Close, err != nil))
+				whole, a.Outcome, a.Value, a.LoadReport, a.ConnectionClose, err != nil))
 		}
 	}
 	golden.Check(t, "answers.golden", lines.Bytes())
