--- a/internal/upstream/origin/origin.go
+++ b/internal/upstream/origin/origin.go
@@ -21,20 +21,20 @@
 
 // Codec writes the origin's requests and reads its responses. Its connections carry one request at a time.
 type Codec struct {
-	Host string
-	Room *upstream.Room
+	Host   string
+	Memory *upstream.ResponseMemory
 }
 
-// Append appends the HTTP request of a forward, with the time that is left as d: the origin is asked after a cache server, and
+// AppendRequest appends the HTTP request of a forward, with the time that is left as d: the origin is asked after a cache server, and
 // what that took is gone from the time that the client gave.
-func (c Codec) Append(b []byte, f *upstream.Forward, now time.Time) []byte {
+func (c Codec) AppendRequest(b []byte, f *upstream.Attempt, now time.Time) []byte {
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/alive"}, Host: c.Host,
 		Header: http.Header{"User-Agent": {""}}}
-	if q := f.Flow; q != nil {
+	if q := f.Request; q != nil {
 		req.URL.Path = "/" + string(q.Key)
 		req.Header["X-Request-Id"] = []string{string(q.ID)}
-		req.Header["X-Extras"] = []string{string(q.ExtrasWithin(f.Deadline.Sub(now)))}
-		if q.Write {
+		req.Header["X-Extras"] = []string{string(q.ParametersWithTimeout(f.Deadline.Sub(now)))}
+		if q.IsWrite {
 			req.Method = http.MethodPut
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(q.Value)), int64(len(q.Value))
 		}
@@ -47,7 +47,7 @@
 }
 
 // NewDecoder returns a decoder of the responses on a connection.
-func (c Codec) NewDecoder() upstream.Decoder { return &decoder{room: c.Room} }
+func (c Codec) NewDecoder() upstream.Decoder { return &decoder{room: c.Memory} }
 
 const (
 	chunk = 4 << 10
@@ -56,7 +56,7 @@
 
 // decoder keeps what came of one response and has net/http's codec read it, anew with each part that comes.
 type decoder struct {
-	room *upstream.Room
+	room *upstream.ResponseMemory
 	took int // of it
 	buf  []byte
 	end  int
@@ -67,9 +67,9 @@
 
 func (d *decoder) Buffered() int { return d.end }
 
-func (d *decoder) Took(n int) { d.end += n }
+func (d *decoder) BytesRead(n int) { d.end += n }
 
-func (d *decoder) Space() []byte {
+func (d *decoder) ReadBuffer() []byte {
 	if d.end == len(d.buf) || d.want > len(d.buf) {
 		bigger := make([]byte, max(chunk, 2*len(d.buf), d.want))
 		copy(bigger, d.buf)
@@ -80,13 +80,13 @@
 
 var proto = []byte("HTTP/1.")
 
-func (d *decoder) Next(ended bool) (upstream.Answer, bool, error) {
+func (d *decoder) NextResponse(ended bool) (upstream.Response, bool, error) {
 	all := d.buf[:d.end]
 	if n := min(len(all), len(proto)); !bytes.Equal(all[:n], proto[:n]) {
-		return upstream.Answer{}, false, upstream.ErrGarbage
+		return upstream.Response{}, false, upstream.ErrMalformedResponse
 	}
 	if !ended && d.end < d.want {
-		return upstream.Answer{}, false, nil
+		return upstream.Response{}, false, nil
 	}
 	d.want = 0
 	d.in.Reset(all)
@@ -97,18 +97,18 @@
 	}
 	a, err := d.response(ended)
 	switch {
-	case errors.Is(err, errMore) && d.end < maxHeader+2*d.room.Most(): // a body may be chunked
+	case errors.Is(err, errMore) && d.end < maxHeader+2*d.room.MaxResponse(): // a body may be chunked
 		if need := max(d.want, d.end) - d.took; need > short {
-			if !d.room.Take(need) {
-				return upstream.Answer{}, false, upstream.ErrNoRoom
+			if !d.room.Reserve(need) {
+				return upstream.Response{}, false, upstream.ErrResponseTooLarge
 			}
 			d.took += need
 		}
-		return upstream.Answer{}, false, nil
+		return upstream.Response{}, false, nil
 	case err != nil:
-		return upstream.Answer{}, false, upstream.ErrGarbage
+		return upstream.Response{}, false, upstream.ErrMalformedResponse
 	}
-	d.Drop()
+	d.Release()
 	rest := d.in.Len() + d.rd.Buffered()
 	copy(d.buf, all[len(all)-rest:])
 	if d.end = rest; rest == 0 && len(d.buf) > chunk {
@@ -117,8 +117,8 @@
 	return a, true, nil
 }
 
-func (d *decoder) Drop() {
-	d.room.Give(d.took)
+func (d *decoder) Release() {
+	d.room.Release(d.took)
 	d.took, d.want = 0, 0
 }
 
@@ -135,43 +135,43 @@
 }
 
 // response reads one response, with the 1xx answers that may come ahead of it.
-func (d *decoder) response(ended bool) (upstream.Answer, error) {
+func (d *decoder) response(ended bool) (upstream.Response, error) {
 	var resp *http.Response
 	// 1xx answers come ahead of the one that counts; after 101 the connection would speak another protocol. The codec takes half a
 	// line at the end for a whole one, so each header is read once all of it is there.
 	for n := 0; resp == nil || resp.StatusCode < 200; n++ {
 		if resp != nil && (n > maxInterim || resp.StatusCode == http.StatusSwitchingProtocols) {
-			return upstream.Answer{}, upstream.ErrGarbage
+			return upstream.Response{}, upstream.ErrMalformedResponse
 		}
 		rest := d.buf[d.end-d.in.Len()-d.rd.Buffered() : d.end]
 		if !bytes.Contains(rest, []byte("\n\r\n")) && !bytes.Contains(rest, []byte("\n\n")) {
-			return upstream.Answer{}, errMore
+			return upstream.Response{}, errMore
 		}
 		var err error
 		if resp, err = http.ReadResponse(d.rd, nil); err != nil {
-			return upstream.Answer{}, more(err)
+			return upstream.Response{}, more(err)
 		}
 	}
 	defer resp.Body.Close()
 	body, err := d.body(resp, ended)
 	if err != nil {
-		return upstream.Answer{}, err
+		return upstream.Response{}, err
 	}
-	a := upstream.Answer{End: upstream.Errored, Load: []byte(resp.Header.Get("X-Load")), Close: resp.Close}
+	a := upstream.Response{Outcome: upstream.Errored, LoadReport: []byte(resp.Header.Get("X-Load")), ConnectionClose: resp.Close}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		a.End, a.Value = upstream.Served, body
+		a.Outcome, a.Value = upstream.Served, body
 	case resp.Header.Get("X-Not-Run") == "1":
-		a.End = upstream.Busy
+		a.Outcome = upstream.ServerBusy
 	}
 	return a, nil
 }
 
 // body reads the body into a buffer of its own, as the answer outlives the decoder's.
 func (d *decoder) body(resp *http.Response, ended bool) ([]byte, error) {
-	most := d.room.Most()
+	most := d.room.MaxResponse()
 	if resp.ContentLength > int64(most) {
-		return nil, upstream.ErrGarbage
+		return nil, upstream.ErrMalformedResponse
 	}
 	if n := resp.ContentLength; n >= 0 {
 		if have := d.in.Len() + d.rd.Buffered(); int64(have) < n {
@@ -185,7 +185,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(most)+1))
 	switch {
 	case len(body) > most:
-		return nil, upstream.ErrGarbage
+		return nil, upstream.ErrMalformedResponse
 	case err != nil:
 		return nil, more(err)
 	case len(resp.TransferEncoding) == 0 && !ended: // its end is that of the connection
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,7 +14,7 @@
 type Pool struct {
 	codec  Codec
 	dialIn time.Duration
-	report func(*Forward, Answer)
+	report func(*Attempt, Response)
 	opened func()
 
 	mu    sync.Mutex
@@ -32,13 +32,13 @@
 
 // NewPool makes a pool. report is called from the pool's goroutines, once for each forward that ends by
 // itself; opened for each new connection.
-func NewPool(addr string, codec Codec, limits Limits, budget *Budget, report func(*Forward, Answer),
+func NewPool(addr string, codec Codec, limits Limits, budget *DescriptorBudget, report func(*Attempt, Response),
 	opened func()) *Pool {
-	return &Pool{codec: codec, dialIn: limits.Connect, report: report, opened: opened, core: NewCore(addr, codec, limits, budget)}
+	return &Pool{codec: codec, dialIn: limits.ConnectTimeout, report: report, opened: opened, core: NewCore(addr, codec, limits, budget)}
 }
 
 // Send starts a forward. When it returns false the forward has ended already, as the End says.
-func (p *Pool) Send(f *Forward) (End, bool) {
+func (p *Pool) Send(f *Attempt) (Outcome, bool) {
 	var some [2]Effect
 	fx := Effects(some[:0])
 	p.mu.Lock()
@@ -51,7 +51,7 @@
 
 // Abandon gives a forward up and tells whether any of it may have been written. Its connection is closed,
 // which tells the server, unless others wait for answers on it: those must not be killed.
-func (p *Pool) Abandon(f *Forward) (written bool) {
+func (p *Pool) Abandon(f *Attempt) (written bool) {
 	var fx Effects
 	p.mu.Lock()
 	written = p.core.Abandon(time.Now(), f, &fx)
@@ -62,7 +62,7 @@
 }
 
 // Withdraw gives up a forward of which nothing was written, and tells whether it did: it has ended then, and is not reported.
-func (p *Pool) Withdraw(f *Forward) bool {
+func (p *Pool) Withdraw(f *Attempt) bool {
 	var fx Effects
 	p.mu.Lock()
 	done := p.core.Withdraw(time.Now(), f, &fx)
@@ -83,7 +83,7 @@
 
 // Update says where the server is now and whether it takes new work. Forwards of which nothing was written to a server
 // that left are returned: they end as Drained.
-func (p *Pool) Update(addr string, left bool) (drained []*Forward) {
+func (p *Pool) Update(addr string, left bool) (drained []*Attempt) {
 	var fx Effects
 	p.mu.Lock()
 	drained = p.core.Update(time.Now(), addr, left, &fx)
@@ -96,7 +96,7 @@
 // arm sets the timer where the core wants to be called sooner than it goes off. One that goes off too soon is set anew:
 // what most calls move is the end of an idle connection, to later.
 func (p *Pool) arm() {
-	at := p.core.Next()
+	at := p.core.NextTimer()
 	if at.IsZero() || !p.armed.IsZero() && !at.Before(p.armed) {
 		return
 	}
@@ -112,7 +112,7 @@
 	var fx Effects
 	p.mu.Lock()
 	p.armed = time.Time{}
-	p.core.Due(time.Now(), &fx)
+	p.core.HandleTimers(time.Now(), &fx)
 	p.arm()
 	p.mu.Unlock()
 	p.carry(fx, false)
@@ -126,11 +126,11 @@
 			go p.dial(e.Conn, e.Addr)
 		case Write:
 			word(e.Conn)
-		case Shut:
+		case CloseConnection:
 			e.Conn.Socket.(*socket).net.Close()
 			word(e.Conn)
-		case Report:
-			if f, a := e.Forward, e.Answer; loop {
+		case ReportOutcome:
+			if f, a := e.Attempt, e.Response; loop {
 				go p.report(f, a)
 			} else {
 				p.report(f, a)
@@ -157,7 +157,7 @@
 	}
 	var fx Effects
 	p.mu.Lock()
-	p.core.Dialed(time.Now(), c, err == nil, &fx)
+	p.core.DialCompleted(time.Now(), c, err == nil, &fx)
 	p.arm()
 	p.mu.Unlock()
 	if s != nil {
@@ -168,9 +168,9 @@
 }
 
 // pull takes the next forward to write; open is false where the connection has ended.
-func (p *Pool) pull(c *Conn, s *socket, fx *Effects) (f *Forward, open bool) {
-	stale := c.Quiet() && stale(s.raw)
-	f = p.core.Pull(time.Now(), c, stale, fx)
+func (p *Pool) pull(c *Conn, s *socket, fx *Effects) (f *Attempt, open bool) {
+	stale := c.IsIdle() && stale(s.raw)
+	f = p.core.NextToWrite(time.Now(), c, stale, fx)
 	return f, !c.closed
 }
 
@@ -185,12 +185,12 @@
 		p.mu.Unlock()
 		p.carry(fx, false)
 		for open && f != nil {
-			buf = p.codec.Append(buf[:0], f, time.Now())
+			buf = p.codec.AppendRequest(buf[:0], f, time.Now())
 			s.net.SetWriteDeadline(f.writeBy())
 			n, err := s.net.Write(buf)
 			fx = fx[:0]
 			p.mu.Lock()
-			p.core.Wrote(time.Now(), c, n == len(buf), err == nil, &fx)
+			p.core.WriteCompleted(time.Now(), c, n == len(buf), err == nil, &fx)
 			f, open = p.pull(c, s, &fx)
 			p.arm()
 			p.mu.Unlock()
@@ -212,7 +212,7 @@
 func (p *Pool) read(c *Conn, s *socket) {
 	var fx Effects
 	p.mu.Lock()
-	space := c.Decoder.Space()
+	space := c.Decoder.ReadBuffer()
 	p.mu.Unlock()
 	for over := false; !over; {
 		n, err := s.net.Read(space)
@@ -220,13 +220,13 @@
 		p.mu.Lock()
 		now := time.Now()
 		if n > 0 {
-			p.core.Received(now, c, n, &fx)
+			p.core.BytesReceived(now, c, n, &fx)
 		}
 		if err != nil {
-			p.core.Ended(now, c, errors.Is(err, io.EOF), &fx)
+			p.core.ConnectionEnded(now, c, errors.Is(err, io.EOF), &fx)
 		}
 		if over = c.closed; !over {
-			space = c.Decoder.Space()
+			space = c.Decoder.ReadBuffer()
 		}
 		p.arm()
 		p.mu.Unlock()
--- a/internal/upstream/resp/resp.go
+++ b/internal/upstream/resp/resp.go
@@ -34,12 +34,12 @@
 	if eol < 0 {
 		// A line that can't end well is given up at once, as the rest of it may never come.
 		if len(line) < len(b) || len(line) == maxLine || len(b) > 0 && !wellBegun(line) {
-			return reply{}, 0, upstream.ErrGarbage
+			return reply{}, 0, upstream.ErrMalformedResponse
 		}
 		return reply{}, 0, nil
 	}
 	if eol < 2 || b[eol-1] != '\r' || !wellBegun(line[:eol]) {
-		return reply{}, 0, upstream.ErrGarbage
+		return reply{}, 0, upstream.ErrMalformedResponse
 	}
 	v, at := reply{kind: b[0], data: b[1 : eol-1]}, eol+1
 	switch v.kind {
@@ -47,11 +47,11 @@
 		return v, at, nil
 	case '$', '*':
 	default:
-		return reply{}, 0, upstream.ErrGarbage
+		return reply{}, 0, upstream.ErrMalformedResponse
 	}
 	n, err := strconv.Atoi(string(v.data))
 	if err != nil || n < -1 || v.kind == '$' && n > most || v.kind == '*' && (n > maxItems || depth > 0) {
-		return reply{}, 0, upstream.ErrGarbage
+		return reply{}, 0, upstream.ErrMalformedResponse
 	}
 	if v.data = nil; n < 0 {
 		v.null = true
@@ -62,7 +62,7 @@
 			return reply{}, -(at + n + 2), nil
 		}
 		if b[at+n] != '\r' || b[at+n+1] != '\n' {
-			return reply{}, 0, upstream.ErrGarbage
+			return reply{}, 0, upstream.ErrMalformedResponse
 		}
 		v.data = b[at : at+n : at+n]
 		return v, at + n + 2, nil
