--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -38,20 +38,20 @@
 				return err
 			}
 			var nodes []clients.Node
-			plan.Load.Shares = nil
+			plan.Workload.NodeWeights = nil
 			for _, addr := range to {
 				if _, _, err := net.SplitHostPort(addr); err != nil {
 					return fmt.Errorf("--to: %q is no host and port", addr)
 				}
 				nodes = append(nodes, clients.Node{Addr: addr})
-				plan.Load.Shares = append(plan.Load.Shares, 1)
+				plan.Workload.NodeWeights = append(plan.Workload.NodeWeights, 1)
 			}
 			if rate > 0 {
-				plan.Load.Shapes[0].Rate = rate
+				plan.Workload.Processes[0].Rate = rate
 			}
 			opt := clients.Options{Nodes: nodes, Closed: closed}
 			var classes []string
-			for _, c := range plan.Class {
+			for _, c := range plan.Classes {
 				classes = append(classes, c.Name)
 			}
 			if replay != "" {
@@ -66,7 +66,7 @@
 			}
 			var failed error
 			if recordTo != "" {
-				w, err := trace.Create(recordTo, trace.Meta{Classes: classes, Nodes: len(nodes), From: "testbed load " + args[0], Began: time.Now().UTC()})
+				w, err := trace.Create(recordTo, trace.Meta{Classes: classes, Nodes: len(nodes), From: "testbed load " + args[0], StartedAt: time.Now().UTC()})
 				if err != nil {
 					return exit.With(exitFailed, err)
 				}
@@ -166,7 +166,7 @@
 	anon.Flags().StringVar(&salt, "salt", "", "goes into every hash")
 	root.AddCommand(cut, scale, anon,
 		&cobra.Command{Use: "info FILE", Short: "Say what a trace holds", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			i, err := trace.Look(args[0])
+			i, err := trace.Inspect(args[0])
 			if err != nil {
 				return exit.With(exitFailed, err)
 			}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -118,7 +118,7 @@
 				p := s.Draw(seed)
 				w := cmd.OutOrStdout()
 				fmt.Fprintf(w, "%s is good: %s\nseed %d draws %d nodes, %d boxes, up to %.0f requests a second for %s\n", a, s.About, seed,
-					len(p.Spec.Nodes), len(p.Spec.Boxes), p.Peak(), p.Length)
+					len(p.Spec.Nodes), len(p.Spec.CacheServers), p.Peak(), p.Length)
 				for _, f := range p.Spec.Faults {
 					fmt.Fprintf(w, "  %6.1f s  %s for %.1f s\n", f.At.Seconds(), f.Kind, f.For.Seconds())
 				}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -59,7 +59,7 @@
 	var s shared
 	var program, dir string
 	var restarts int
-	var roll demo.Roll
+	var roll demo.Rollout
 	cmd := &cobra.Command{Use: "demo [SCENARIO]", Short: "Play a scenario whole: emulated portal, real nodes, a light load and a summary",
 		Example: "  testbed demo\n  testbed demo rush --seed 7\n  testbed demo calm --restarts 1 --node bin/shelfproxy\n" +
 			"  testbed demo roll --roll 4 --roll-lost 0.1",
@@ -92,13 +92,13 @@
 			}
 			fmt.Fprintf(out, "playing %s with seed %d\n", plan.Name, plan.Seed)
 			r, err := demo.Run(cmd.Context(), demo.Options{Plan: plan, Program: program, Dir: dir, Log: logs.New(os.Stderr, logging),
-				Out: out, Live: live, Every: every, Restarts: restarts, Roll: rollOf(&roll)})
+				Out: out, Live: live, Every: every, Restarts: restarts, Rollout: rollOf(&roll)})
 			if err != nil {
 				return exit.With(exitFailed, err)
 			}
 			r.Write(out)
 			switch {
-			case !r.Kept():
+			case !r.IsClean():
 				return exit.With(exitRules, errors.New("a rule was broken"))
 			case r.Interrupted:
 				return context.Canceled
@@ -110,18 +110,18 @@
 	f.StringVar(&program, "node", "", "the node's program; found beside this one, or built, where it is not given")
 	f.StringVar(&dir, "dir", "", "folder for configurations and logs; a temporary one where it is not given")
 	f.IntVar(&roll.Budget, "roll", 0, "have the fleet go to another release by its own agreement, with so many nodes out at once")
-	f.Float64Var(&roll.Faults.Lost, "roll-lost", 0, "share of the datagrams between nodes that is lost meanwhile, and the same share that comes twice")
+	f.Float64Var(&roll.Faults.Dropped, "roll-lost", 0, "share of the datagrams between nodes that is lost meanwhile, and the same share that comes twice")
 	f.DurationVar(&roll.Stall, "roll-stall", 0, "stop the first node that goes out for so long, at that moment")
 	f.IntVar(&restarts, "restarts", 0, "how often every node is restarted in turn")
 	return cmd
 }
 
 // rollOf completes the roll that the flags ask for, if they do.
-func rollOf(r *demo.Roll) *demo.Roll {
+func rollOf(r *demo.Rollout) *demo.Rollout {
 	if r.Budget == 0 {
 		return nil
 	}
-	r.Faults.Twice, r.Faults.Delay, r.After = r.Faults.Lost, 20*time.Millisecond, 2*time.Second
+	r.Faults.Duplicated, r.Faults.Delay, r.After = r.Faults.Dropped, 20*time.Millisecond, 2*time.Second
 	return r
 }
 
@@ -164,7 +164,7 @@
 				return exit.With(exitFailed, err)
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "emulating %s with seed %d: %d boxes\n", plan.Name, plan.Seed, len(plan.Spec.Boxes))
+			fmt.Fprintf(out, "emulating %s with seed %d: %d boxes\n", plan.Name, plan.Seed, len(plan.Spec.CacheServers))
 			for _, c := range configs {
 				fmt.Fprintf(out, "LB_CONFIG=%s shelfproxy   # listens at %s\n", c.Path, c.Listen)
 			}
--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -36,20 +36,20 @@
 	Used func() bool
 }
 
-// Watcher is told what clients see; its methods must not wait for long.
-type Watcher interface {
-	// Taken: the last byte of a request is about to be written to a node; wait is how long its client waits from now.
-	Taken(id, class string, node int, wait time.Duration)
-	// Answered: the last byte of a final answer was read.
-	Answered(id string, kind invariants.Final, value []byte)
-	// Ended: the node ended the connection with the answer owed, and may, if unread, never have read the request.
-	Ended(id string, unread bool)
+// Observer is told what clients see; its methods must not wait for long.
+type Observer interface {
+	// RequestSent: the last byte of a request is about to be written to a node; wait is how long its client waits from now.
+	RequestSent(id, class string, node int, wait time.Duration)
+	// RequestAnswered: the last byte of a final answer was read.
+	RequestAnswered(id string, kind invariants.Final, value []byte)
+	// ConnectionEnded: the node ended the connection with the answer owed, and may, if unread, never have read the request.
+	ConnectionEnded(id string, unread bool)
 }
 
 // Options say how a load is sent.
 type Options struct {
-	Nodes   []Node
-	Watcher Watcher // may be nil
+	Nodes    []Node
+	Observer Observer // may be nil
 	// Closed, if above 0, sends the same requests in a closed loop instead: so many clients, each of which sends its
 	// next request when it has the last answer. It is there to show what that hides.
 	Closed int
@@ -57,22 +57,22 @@
 	Source func() (workload.Arrival, bool)
 	// Record, if set, gets every request as it is taken in hand.
 	Record func(workload.Arrival)
-	// Most bounds the requests that are out at a time; one more makes the run invalid. 0 is 50,000.
-	Most int
+	// MaxInFlight bounds the requests that are out at a time; one more makes the run invalid. 0 is 50,000.
+	MaxInFlight int
 }
 
 // Class is what a class of requests came to.
 type Class struct {
-	Name                                string
-	Due, Served, InAim, Refused, Failed int64
-	Lost, Unsent                        int64 // without an answer; for which no node could be reached
+	Name                                                 string
+	Scheduled, Served, WithinObjective, Rejected, Failed int64
+	Unanswered, Unsent                                   int64 // without an answer; for which no node could be reached
 	// Latency is of those served, in microseconds from when they were due; Service from when they were sent, which
 	// leaves out what they waited for their turn.
 	Latency, Service *hdrhistogram.Histogram
 }
 
-// Load is a load that runs, or has run.
-type Load struct {
+// Clients is a load that runs, or has run.
+type Clients struct {
 	plan  *scenario.Plan
 	opt   Options
 	start time.Time
@@ -85,12 +85,12 @@
 }
 
 // New makes a load of a plan.
-func New(plan *scenario.Plan, opt Options) *Load {
-	if opt.Most == 0 {
-		opt.Most = 50000
+func New(plan *scenario.Plan, opt Options) *Clients {
+	if opt.MaxInFlight == 0 {
+		opt.MaxInFlight = 50000
 	}
-	l := &Load{plan: plan, opt: opt, idle: make([][]*conn, len(opt.Nodes)), gen: newGenerator(plan.Length)}
-	for _, c := range plan.Class {
+	l := &Clients{plan: plan, opt: opt, idle: make([][]*conn, len(opt.Nodes)), gen: newGenerator(plan.Length)}
+	for _, c := range plan.Classes {
 		l.classes = append(l.classes, Class{Name: c.Name, Latency: histogram(), Service: histogram()})
 	}
 	return l
@@ -107,7 +107,7 @@
 
 // Run sends the load until its end or that of the context, and returns when every request has an answer or its time
 // is over.
-func (l *Load) Run(ctx context.Context) {
+func (l *Clients) Run(ctx context.Context) {
 	l.start = time.Now()
 	l.gen.begin()
 	next := l.requests()
@@ -122,10 +122,10 @@
 }
 
 // requests gives out the requests of the schedule.
-func (l *Load) requests() func() (request, bool) {
+func (l *Clients) requests() func() (request, bool) {
 	source := l.opt.Source
 	if source == nil {
-		source = workload.New(l.plan.Load).Next
+		source = workload.New(l.plan.Workload).Next
 	}
 	run := strconv.FormatUint(rand.Uint64()>>32, 16)
 	n := 0
@@ -140,18 +140,18 @@
 }
 
 // openLoop sends each request when it is due, whatever became of those before.
-func (l *Load) openLoop(ctx context.Context, next func() (request, bool)) {
+func (l *Clients) openLoop(ctx context.Context, next func() (request, bool)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for q, ok := next(); ok; q, ok = next() {
-		timer.Reset(time.Until(l.start.Add(q.Due)))
+		timer.Reset(time.Until(l.start.Add(q.At)))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		if !l.gen.sends(time.Since(l.start)-q.Due, l.opt.Most) {
-			l.count(q, func(c *Class) { c.Due++; c.Unsent++ })
+		if !l.gen.sends(time.Since(l.start)-q.At, l.opt.MaxInFlight) {
+			l.count(q, func(c *Class) { c.Scheduled++; c.Unsent++ })
 			continue
 		}
 		l.wg.Go(func() {
@@ -162,7 +162,7 @@
 }
 
 // closedLoop sends each request when the client before has its answer.
-func (l *Load) closedLoop(ctx context.Context, next func() (request, bool)) {
+func (l *Clients) closedLoop(ctx context.Context, next func() (request, bool)) {
 	if l.plan.Peak() <= 0 {
 		return
 	}
@@ -174,7 +174,7 @@
 				mu.Lock()
 				q, ok := next()
 				for !ok && l.opt.Source == nil { // a loop that is faster than the schedule begins another
-					l.plan.Load.Seed++
+					l.plan.Workload.Seed++
 					next = l.requests()
 					q, ok = next()
 				}
@@ -182,8 +182,8 @@
 				if !ok {
 					return
 				}
-				q.Due = time.Since(l.start) // that is the point: it is due when there is time for it
-				l.gen.sends(0, l.opt.Most)
+				q.At = time.Since(l.start) // that is the point: it is due when there is time for it
+				l.gen.sends(0, l.opt.MaxInFlight)
 				l.serve(q)
 				l.gen.done()
 			}
@@ -197,7 +197,7 @@
 }
 
 // pick is the node that the front gives a client: the one drawn, or the next that is in use.
-func (l *Load) pick(drawn int) (int, bool) {
+func (l *Clients) pick(drawn int) (int, bool) {
 	for i := range l.opt.Nodes {
 		n := (drawn + i) % len(l.opt.Nodes)
 		if used := l.opt.Nodes[n].Used; used == nil || used() {
@@ -231,8 +231,8 @@
 // crossing is how long a connection must have been idle for its close to pass for one between requests.
 const crossing = time.Second
 
-func (l *Load) serve(q request) {
-	l.count(q, func(c *Class) { c.Due++ })
+func (l *Clients) serve(q request) {
+	l.count(q, func(c *Class) { c.Scheduled++ })
 	for i := range 3 {
 		if i > 0 {
 			q.id += "r" // every try has an id of its own
@@ -245,23 +245,23 @@
 }
 
 // try sends a request once. It is false where the node never read it and it may go out again.
-func (l *Load) try(q request) (over bool) {
+func (l *Clients) try(q request) (over bool) {
 	n, ok := l.pick(q.Node)
 	if !ok {
 		time.Sleep(50 * time.Millisecond)
 		return false
 	}
-	class := l.plan.Class[q.Class]
+	class := l.plan.Classes[q.Class]
 	c, err := l.conn(n)
 	if err != nil {
 		time.Sleep(50 * time.Millisecond) // a front takes a moment to notice
 		return false
 	}
-	if w := l.opt.Watcher; w != nil {
-		w.Taken(q.id, class.Name, n, class.Deadline.D())
+	if w := l.opt.Observer; w != nil {
+		w.RequestSent(q.id, class.Name, n, class.Deadline.D())
 	}
 	sent := time.Now()
-	c.SetDeadline(sent.Add(class.Deadline.D() + l.plan.Rules.Grace.D() + 500*time.Millisecond))
+	c.SetDeadline(sent.Add(class.Deadline.D() + l.plan.Invariants.Grace.D() + 500*time.Millisecond))
 	_, err = c.Write(q.words(class))
 	var kind invariants.Final
 	var value []byte
@@ -272,11 +272,11 @@
 		c.Close()
 		return l.ended(q, c, sent, err)
 	}
-	if w := l.opt.Watcher; w != nil {
-		w.Answered(q.id, kind, value)
+	if w := l.opt.Observer; w != nil {
+		w.RequestAnswered(q.id, kind, value)
 	}
 	c.used = time.Now()
-	took, service := c.used.Sub(l.start)-q.Due, c.used.Sub(sent)
+	took, service := c.used.Sub(l.start)-q.At, c.used.Sub(sent)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle[n] = append(l.idle[n], c)
@@ -284,14 +284,14 @@
 	switch kind {
 	case invariants.Served:
 		k.Served++
-		if took <= class.Aim.D() {
-			k.InAim++
+		if took <= class.LatencyObjective.D() {
+			k.WithinObjective++
 		}
 		record(k.Latency, took)
 		record(k.Service, service)
-		l.gen.served(q.Due, took)
-	case invariants.Refused:
-		k.Refused++
+		l.gen.served(q.At, took)
+	case invariants.Rejected:
+		k.Rejected++
 	case invariants.Failed:
 		k.Failed++
 	}
@@ -299,31 +299,31 @@
 }
 
 // ended deals with a connection that ended, or stayed silent, with an answer owed on it.
-func (l *Load) ended(q request, c *conn, sent time.Time, err error) (over bool) {
+func (l *Clients) ended(q request, c *conn, sent time.Time, err error) (over bool) {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() { // the rules find it at the deadline
-		l.count(q, func(k *Class) { k.Lost++ })
+		l.count(q, func(k *Class) { k.Unanswered++ })
 		return true
 	}
 	unread := !c.used.IsZero() && sent.Sub(c.used) > crossing || c.stopping()
-	if w := l.opt.Watcher; w != nil {
-		w.Ended(q.id, unread)
+	if w := l.opt.Observer; w != nil {
+		w.ConnectionEnded(q.id, unread)
 	}
 	if unread {
 		return false
 	}
-	l.count(q, func(k *Class) { k.Lost++ })
+	l.count(q, func(k *Class) { k.Unanswered++ })
 	return true
 }
 
-func (l *Load) count(q request, f func(*Class)) {
+func (l *Clients) count(q request, f func(*Class)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.classes[q.Class])
 }
 
 // conn takes the connection to a node that was used last, or opens one.
-func (l *Load) conn(n int) (*conn, error) {
+func (l *Clients) conn(n int) (*conn, error) {
 	for {
 		l.mu.Lock()
 		k := len(l.idle[n])
@@ -350,7 +350,7 @@
 	return &conn{Conn: nc, rd: bufio.NewReader(nc), stopping: stopping}, nil
 }
 
-func (l *Load) closeIdle() {
+func (l *Clients) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for n, conns := range l.idle {
@@ -364,8 +364,8 @@
 // words is the command of a request.
 func (q request) words(class scenario.Class) []byte {
 	extras := fmt.Sprintf("c=%s,d=%d", class.Name, class.Deadline.D().Milliseconds())
-	if q.Once != "" {
-		extras += ",k=" + q.Once
+	if q.IdempotencyKey != "" {
+		extras += ",k=" + q.IdempotencyKey
 	}
 	b := redcon.AppendArray(nil, map[bool]int{false: 4, true: 5}[class.Write])
 	b = redcon.AppendBulkString(b, map[bool]string{false: "CACHE.GET", true: "CACHE.SET"}[class.Write])
@@ -412,13 +412,13 @@
 		}
 		return invariants.Served, b[:n], nil
 	case strings.HasPrefix(line, "-BUSY"):
-		return invariants.Refused, nil, nil
+		return invariants.Rejected, nil, nil
 	}
 	return invariants.Failed, nil, nil
 }
 
 // Classes is what the load came to so far.
-func (l *Load) Classes() (classes []Class) {
+func (l *Clients) Classes() (classes []Class) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.classes {
@@ -429,7 +429,7 @@
 }
 
 // Generator is how the generator itself did.
-func (l *Load) Generator() Generator {
+func (l *Clients) Generator() Generator {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gen.report()
--- a/internal/testbed/clients/clients_test.go
+++ b/internal/testbed/clients/clients_test.go
@@ -49,7 +49,7 @@
 	return ln.Addr().String()
 }
 
-func run(t *testing.T, text string, opt Options) (*Load, Generator) {
+func run(t *testing.T, text string, opt Options) (*Clients, Generator) {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -81,7 +81,7 @@
 	t.Parallel()
 	open, g := run(t, text, Options{Nodes: []Node{{Addr: server(t, time.Second, 2*time.Second)}}})
 	closed, _ := run(t, text, Options{Nodes: []Node{{Addr: server(t, time.Second, 2*time.Second)}}, Closed: 4})
-	ms := func(l *Load, q float64) int64 { return l.Classes()[0].Latency.ValueAtQuantile(q) / 1000 }
+	ms := func(l *Clients, q float64) int64 { return l.Classes()[0].Latency.ValueAtQuantile(q) / 1000 }
 	t.Logf("p90, p99 and max: open loop %d, %d, %d ms; closed loop %d, %d, %d ms", ms(open, 90), ms(open, 99), ms(open, 100),
 		ms(closed, 90), ms(closed, 99), ms(closed, 100))
 	if ms(open, 99) < 1500 || ms(closed, 99) > ms(open, 99)/3 || ms(closed, 100) < 1500 {
@@ -98,11 +98,11 @@
 // A generator that can't keep its schedule says so and why.
 func TestAGeneratorThatFellBehindSaysSo(t *testing.T) {
 	t.Parallel()
-	l, g := run(t, strings.Replace(text, `"4s"`, `"1s"`, 1), Options{Most: 3, Nodes: []Node{{Addr: server(t, 0, 800*time.Millisecond)}}})
+	l, g := run(t, strings.Replace(text, `"4s"`, `"1s"`, 1), Options{MaxInFlight: 3, Nodes: []Node{{Addr: server(t, 0, 800*time.Millisecond)}}})
 	if why := strings.Join(g.Invalid(), "; "); !strings.Contains(why, "were not sent, as 3 were out") {
 		t.Errorf("with room for 3 requests: %v", why)
 	}
-	if c := l.Classes()[0]; c.Unsent != g.Overflow || c.Due != c.Served+c.Unsent {
+	if c := l.Classes()[0]; c.Unsent != g.Overflow || c.Scheduled != c.Served+c.Unsent {
 		t.Errorf("%+v with %d not sent", c, g.Overflow)
 	}
 	for want, change := range map[string]func(g *Generator){
--- a/internal/testbed/clients/generator.go
+++ b/internal/testbed/clients/generator.go
@@ -25,7 +25,7 @@
 	Sent, Late   int64
 	Overflow     int64                   // not sent, as too many were out
 	Lag          *hdrhistogram.Histogram // microseconds from when a request was due to when it was taken in hand
-	MostOut      int
+	MaxInFlight  int
 	CPU, Elapsed time.Duration
 	Pauses       time.Duration // of the collector
 	Seconds      []Second      // the time line, by when requests were due
@@ -47,7 +47,7 @@
 		reasons = append(reasons, fmt.Sprintf("one request was sent %s late", worst.Round(time.Millisecond)))
 	}
 	if g.Overflow > 0 {
-		reasons = append(reasons, fmt.Sprintf("%d requests were not sent, as %d were out", g.Overflow, g.MostOut))
+		reasons = append(reasons, fmt.Sprintf("%d requests were not sent, as %d were out", g.Overflow, g.MaxInFlight))
 	}
 	if room := g.Elapsed * time.Duration(runtime.GOMAXPROCS(0)); room > 0 && float64(g.CPU) > busyShare*float64(room) {
 		reasons = append(reasons, fmt.Sprintf("the generator used %s of processor in %s", g.CPU.Round(time.Millisecond), g.Elapsed.Round(time.Millisecond)))
@@ -109,7 +109,7 @@
 	}
 	g.out++
 	g.g.Sent++
-	g.g.MostOut = max(g.g.MostOut, g.out)
+	g.g.MaxInFlight = max(g.g.MaxInFlight, g.out)
 	record(g.g.Lag, late)
 	if late > lateSend {
 		g.g.Late++
--- a/internal/testbed/clients/write.go
+++ b/internal/testbed/clients/write.go
@@ -24,7 +24,7 @@
 	t := tablewriter.NewWriter(w)
 	t.Header("class", "due", "served", "in aim", "refused", "failed", "lost", "p50 ms", "p90 ms", "p99 ms", "max ms", "p99 of service")
 	for _, c := range classes {
-		t.Append(c.Name, c.Due, c.Served, c.InAim, c.Refused, c.Failed, c.Lost+c.Unsent, Millis(c.Latency, 50), Millis(c.Latency, 90),
+		t.Append(c.Name, c.Scheduled, c.Served, c.WithinObjective, c.Rejected, c.Failed, c.Unanswered+c.Unsent, Millis(c.Latency, 50), Millis(c.Latency, 90),
 			Millis(c.Latency, 99), Millis(c.Latency, 100), Millis(c.Service, 99))
 	}
 	t.Render()
@@ -45,7 +45,7 @@
 	}
 	t.Render()
 	fmt.Fprintf(w, "generator: %d sent, %d over %s late, lag p99 %s ms, max %s ms, %d out at most, %.2f s of processor in %.1f s, collector %.1f ms\n",
-		g.Sent, g.Late, lateSend, Millis(g.Lag, 99), Millis(g.Lag, 100), g.MostOut, g.CPU.Seconds(), g.Elapsed.Seconds(), g.Pauses.Seconds()*1000)
+		g.Sent, g.Late, lateSend, Millis(g.Lag, 99), Millis(g.Lag, 100), g.MaxInFlight, g.CPU.Seconds(), g.Elapsed.Seconds(), g.Pauses.Seconds()*1000)
 	for _, why := range g.Invalid() {
 		fmt.Fprintln(w, "not valid:", why)
 	}
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -36,24 +36,24 @@
 	// Restarts, if above 0, is how often every node is restarted in turn during the load.
 	Restarts int
 	NodeArgs []string
-	Roll     *Roll // if set, the fleet goes to another release by its own agreement
+	Rollout  *Rollout // if set, the fleet goes to another release by its own agreement
 }
 
 // watcher tells the rules of the emulator what clients see.
 type watcher struct{ em *emulator.Emulator }
 
-func (w watcher) Taken(id, class string, node int, wait time.Duration) {
+func (w watcher) RequestSent(id, class string, node int, wait time.Duration) {
 	due := w.em.Now() + wait
-	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.Taken(now, id, class, node, due) })
+	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.RequestSent(now, id, class, node, due) })
 }
 
-func (w watcher) Answered(id string, kind invariants.Final, value []byte) {
-	madeFor := wireformat.MadeFor(value)
-	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.Answered(now, id, kind, madeFor) })
+func (w watcher) RequestAnswered(id string, kind invariants.Final, value []byte) {
+	madeFor := wireformat.RequestOfValue(value)
+	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.RequestAnswered(now, id, kind, madeFor) })
 }
 
-func (w watcher) Ended(id string, unread bool) {
-	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.Ended(now, id, unread) })
+func (w watcher) ConnectionEnded(id string, unread bool) {
+	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.ConnectionEnded(now, id, unread) })
 }
 
 // NodeResult is what a node used.
@@ -72,11 +72,11 @@
 	Nodes       []NodeResult
 	Took        time.Duration
 	Ends        []error // nodes that did not end as they should have
-	Roll        *RollResult
+	Rollout     *RolloutResult
 }
 
-// Kept tells whether everything went as it must.
-func (r *Result) Kept() bool { return len(r.Summary.Broken) == 0 && len(r.Ends) == 0 }
+// IsClean tells whether everything went as it must.
+func (r *Result) IsClean() bool { return len(r.Summary.Broken) == 0 && len(r.Ends) == 0 }
 
 // startWithin and stopWithin bound how long nodes may take to come up and to end.
 const (
@@ -111,10 +111,10 @@
 			return nil, err
 		}
 	}
-	var between *faultproxy.Relay
-	if opt.Roll != nil {
+	var between *faultproxy.Proxy
+	if opt.Rollout != nil {
 		var err error
-		if between, err = faultproxy.New(len(opt.Plan.Spec.Nodes), opt.Roll.Faults, opt.Plan.Seed); err != nil {
+		if between, err = faultproxy.New(len(opt.Plan.Spec.Nodes), opt.Rollout.Faults, opt.Plan.Seed); err != nil {
 			return nil, err
 		}
 		defer between.Close()
@@ -150,7 +150,7 @@
 	for i, p := range places {
 		starting.Go(func() error {
 			args := opt.NodeArgs
-			if opt.Roll != nil {
+			if opt.Rollout != nil {
 				var err error
 				if args, err = rolling.args(i, rollFrom); err != nil {
 					return err
@@ -169,7 +169,7 @@
 	for _, p := range places {
 		front = append(front, clients.Node{Addr: p.Listen, Process: func() func() bool { return p.process().Stopping }, Used: p.used.Load})
 	}
-	load := clients.New(opt.Plan, clients.Options{Nodes: front, Watcher: watcher{em}})
+	load := clients.New(opt.Plan, clients.Options{Nodes: front, Observer: watcher{em}})
 	var over sync.WaitGroup
 	done := make(chan struct{})
 	over.Go(func() { watch(opt, em, load, done) })
@@ -177,7 +177,7 @@
 	if opt.Restarts > 0 {
 		over.Go(func() { restartErr = restart(ctx, opt, em, places, program, done) })
 	}
-	if opt.Roll != nil {
+	if opt.Rollout != nil {
 		over.Go(func() { restartErr = rolling.run(ctx, program, done) })
 	}
 	load.Run(ctx)
@@ -193,16 +193,16 @@
 		u.CPU += p.cpu
 		r.Nodes = append(r.Nodes, NodeResult{p.Name, p.Zone, u})
 	}
-	if opt.Roll != nil {
-		r.Roll = &rolling.result
-		r.Roll.Datagrams, r.Roll.Bytes = between.Carried()
-		if r.Roll.Most > opt.Roll.Budget {
-			r.Ends = append(r.Ends, fmt.Errorf("%d nodes were out at once by agreement, %d may be", r.Roll.Most, opt.Roll.Budget))
+	if opt.Rollout != nil {
+		r.Rollout = &rolling.result
+		r.Rollout.Datagrams, r.Rollout.Bytes = between.Carried()
+		if r.Rollout.Most > opt.Rollout.Budget {
+			r.Ends = append(r.Ends, fmt.Errorf("%d nodes were out at once by agreement, %d may be", r.Rollout.Most, opt.Rollout.Budget))
 		}
 	}
 	r.Ends = append(r.Ends, stopAll(places)...)
 	// What was taken in the last moment shows by its deadline, when the clients have given up on it.
-	em.Do(func(now time.Duration, _ *model.Portal, check *invariants.Checker) { check.Tick(now) })
+	em.Do(func(now time.Duration, _ *model.System, check *invariants.Checker) { check.Advance(now) })
 	r.Classes, r.Generator = load.Classes(), load.Generator()
 	r.Summary = em.Summary()
 	r.Took = time.Since(began)
@@ -261,7 +261,7 @@
 			if err := old.Stop(stopWithin); err != nil {
 				return err
 			}
-			em.Tell(func(_ time.Duration, check *invariants.Checker) { check.Restarted(p.Number) })
+			em.Tell(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(p.Number) })
 			if err := em.WriteConfig(p.NodeConfig); err != nil {
 				return err
 			}
--- a/internal/testbed/demo/roll.go
+++ b/internal/testbed/demo/roll.go
@@ -19,17 +19,17 @@
 	"shelfproxy/internal/testbed/invariants"
 )
 
-// Roll has the whole fleet go to another release by its own agreement, under the load, while the datagrams between its nodes
+// Rollout has the whole fleet go to another release by its own agreement, under the load, while the datagrams between its nodes
 // meet faults.
-type Roll struct {
+type Rollout struct {
 	Budget int // nodes out at once
 	Faults faultproxy.Faults
 	Stall  time.Duration // the first node that may go is stopped for so long at that moment
 	After  time.Duration // into the load
 }
 
-// RollResult is what a roll came to.
-type RollResult struct {
+// RolloutResult is what a roll came to.
+type RolloutResult struct {
 	Most       int           // nodes out at once by agreement
 	Took       time.Duration // from the order until every node ran the next release and was fit
 	Done       int           // nodes that did
@@ -47,14 +47,14 @@
 	opt    Options
 	em     *emulator.Emulator
 	places []*place
-	relay  *faultproxy.Relay
-	result RollResult
+	relay  *faultproxy.Proxy
+	result RolloutResult
 	out    []time.Time // when a node went, by its number; zero while it is in
 	on     []string    // release that its process was started with
 	seen   []int64     // of its log
 }
 
-func newRolling(opt Options, em *emulator.Emulator, net *faultproxy.Relay) *rolling {
+func newRolling(opt Options, em *emulator.Emulator, net *faultproxy.Proxy) *rolling {
 	n := len(opt.Plan.Spec.Nodes)
 	r := &rolling{opt: opt, em: em, relay: net, out: make([]time.Time, n), on: make([]string, n), seen: make([]int64, n)}
 	for i := range r.on {
@@ -64,7 +64,7 @@
 }
 
 // peers is what the emulator's configurations say of the other nodes.
-func peersOf(net *faultproxy.Relay) func(int) (string, []string, string) {
+func peersOf(net *faultproxy.Proxy) func(int) (string, []string, string) {
 	if net == nil {
 		return nil
 	}
@@ -77,7 +77,7 @@
 func (r *rolling) args(i int, release string) ([]string, error) {
 	path := filepath.Join(r.opt.Dir, fmt.Sprintf("n%d.toml", i))
 	text := fmt.Sprintf("[log]\nlevel = \"debug\"\n[rollout]\nnodes_out = %d\nrelease = %q\ncontrol = %q\nbeacon = \"250ms\"\nsilent = \"2s\"\nlease = \"2s\"\nwatch = \"1s\"\nleast_judged = 50\n",
-		r.opt.Roll.Budget, release, r.socket(i))
+		r.opt.Rollout.Budget, release, r.socket(i))
 	return append([]string{"--file", path}, r.opt.NodeArgs...), os.WriteFile(path, []byte(text), 0o600)
 }
 
@@ -102,7 +102,7 @@
 
 // run orders the roll and plays the supervisor of all nodes until all run the next release, or the load is over.
 func (r *rolling) run(ctx context.Context, program string, done <-chan struct{}) error {
-	roll := r.opt.Roll
+	roll := r.opt.Rollout
 	select {
 	case <-time.After(roll.After):
 	case <-done:
@@ -125,7 +125,7 @@
 				switch {
 				case strings.Contains(line, `"event":"rollout_leaves"`):
 					r.out[i] = time.Now()
-					p.process().Leaves()
+					p.process().ExpectExit()
 					p.leaving = time.Now()
 					if !stalled {
 						stalled = true
@@ -193,7 +193,7 @@
 	}
 	p.used.Store(false)
 	p.cpu += p.process().Usage().CPU
-	r.em.Tell(func(_ time.Duration, check *invariants.Checker) { check.Restarted(p.Number) })
+	r.em.Tell(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(p.Number) })
 	if err := r.em.WriteConfig(p.NodeConfig); err != nil {
 		return err
 	}
--- a/internal/testbed/demo/show.go
+++ b/internal/testbed/demo/show.go
@@ -18,7 +18,7 @@
 const syscallTerm = syscall.SIGTERM
 
 // watch shows the run while it goes on: a table in place on a terminal, else a line now and then.
-func watch(opt Options, em *emulator.Emulator, load *clients.Load, done <-chan struct{}) {
+func watch(opt Options, em *emulator.Emulator, load *clients.Clients, done <-chan struct{}) {
 	tick := time.NewTicker(opt.Every)
 	defer tick.Stop()
 	drawn := 0
@@ -31,8 +31,8 @@
 		var now time.Duration
 		var servers []model.ServerState
 		var broken int
-		if !em.Do(func(t time.Duration, p *model.Portal, c *invariants.Checker) {
-			now, servers, broken = t, p.Servers(), len(c.Broken())
+		if !em.Do(func(t time.Duration, p *model.System, c *invariants.Checker) {
+			now, servers, broken = t, p.Servers(), len(c.Violations())
 		}) {
 			return
 		}
@@ -56,10 +56,10 @@
 func headline(now, length time.Duration, classes []clients.Class, servers []model.ServerState, broken int) string {
 	var sum clients.Class
 	for _, c := range classes {
-		sum.Due += c.Due
+		sum.Scheduled += c.Scheduled
 		sum.Served += c.Served
-		sum.Refused += c.Refused
-		sum.Failed += c.Failed + c.Lost + c.Unsent
+		sum.Rejected += c.Rejected
+		sum.Failed += c.Failed + c.Unanswered + c.Unsent
 	}
 	up, draining, down := 0, 0, 0
 	origin := ""
@@ -67,7 +67,7 @@
 		switch {
 		case s.ID == model.OriginID:
 			origin = fmt.Sprintf("origin %d in work, %d waiting", s.Running, s.Waiting)
-		case s.Dead || s.Silent:
+		case s.Dead || s.Unresponsive:
 			down++
 		case s.State == model.Draining:
 			draining++
@@ -76,7 +76,7 @@
 		}
 	}
 	return fmt.Sprintf("%5.1f s of %.0f: %d due, %d served, %d refused, %d failed | boxes: %d up, %d draining, %d down or silent | %s | rules broken: %d",
-		now.Seconds(), length.Seconds(), sum.Due, sum.Served, sum.Refused, sum.Failed, up, draining, down, origin, broken)
+		now.Seconds(), length.Seconds(), sum.Scheduled, sum.Served, sum.Rejected, sum.Failed, up, draining, down, origin, broken)
 }
 
 func serverTable(servers []model.ServerState) string {
@@ -88,10 +88,10 @@
 		switch {
 		case s.Dead:
 			state = "dead"
-		case s.Silent:
+		case s.Unresponsive:
 			state = "silent"
 		}
-		t.Append(s.ID, s.Kind, s.Zone, state, fmt.Sprintf("%.0f%%", s.Warmth*100), s.Running, s.Waiting, s.Conns, s.Copies)
+		t.Append(s.ID, s.Kind, s.Zone, state, fmt.Sprintf("%.0f%%", s.SlowStart*100), s.Running, s.Waiting, s.Conns, s.Copies)
 	}
 	t.Render()
 	return b.String()
@@ -103,9 +103,9 @@
 		fmt.Fprintln(w, "interrupted; this is what was seen until then")
 	}
 	fmt.Fprintf(w, "\nscenario %s, seed %d: %d nodes, %d boxes, up to %.0f requests a second for %s\n", r.Plan.Name, r.Plan.Seed, len(r.Plan.Spec.Nodes),
-		len(r.Plan.Spec.Boxes), r.Plan.Peak(), r.Plan.Length)
+		len(r.Plan.Spec.CacheServers), r.Plan.Peak(), r.Plan.Length)
 	clients.WriteClasses(w, r.Classes)
-	taken := max(1, r.Summary.Rules.Taken)
+	taken := max(1, r.Summary.Rules.Requests)
 	t := tablewriter.NewWriter(w)
 	t.Header("node", "room", "CPU s", "memory MB", "descriptors")
 	cpu := time.Duration(0)
@@ -119,7 +119,7 @@
 		cpu.Seconds()*1000/float64(taken), float64(s.Requests)/float64(taken), s.Probes, s.Calls)
 	fmt.Fprintf(w, "rig: sends late by p99 %s ms, max %s ms; emulator late by p99 %.1f ms, max %.1f ms; event log %016x\n",
 		clients.Millis(r.Generator.Lag, 99), clients.Millis(r.Generator.Lag, 100), s.LateP99.Seconds()*1000, s.LateMax.Seconds()*1000, s.Events)
-	if o := r.Roll; o != nil {
+	if o := r.Rollout; o != nil {
 		fmt.Fprintf(w, "roll: %d of %d nodes on the next release after %.1f s, %d out at once at most, a node out for %.1f s at most; %d datagrams, %d bytes between nodes; halted: %v\n",
 			o.Done, len(r.Nodes), o.Took.Seconds(), o.Most, o.Slowest.Seconds(), o.Datagrams, o.Bytes, o.HaltedOnce)
 	}
@@ -132,9 +132,9 @@
 	for _, v := range s.Broken {
 		fmt.Fprintln(w, v)
 	}
-	if r.Kept() {
-		fmt.Fprintf(w, "rules kept: %d requests taken and %d answered, %d attempts, %d lists told\n", s.Rules.Taken, s.Rules.Answered,
-			s.Rules.Attempts, s.Rules.Told)
+	if r.IsClean() {
+		fmt.Fprintf(w, "rules kept: %d requests taken and %d answered, %d attempts, %d lists told\n", s.Rules.Requests, s.Rules.Answered,
+			s.Rules.Attempts, s.Rules.Notifications)
 	} else {
 		fmt.Fprintf(w, "rules broken: %d\n", len(s.Broken)+len(r.Ends))
 	}
--- a/internal/testbed/emulator/configs.go
+++ b/internal/testbed/emulator/configs.go
@@ -58,10 +58,10 @@
 // restart.
 func (e *Emulator) WriteConfig(c NodeConfig) error {
 	var known json.RawMessage
-	if !e.Do(func(_ time.Duration, p *model.Portal, check *invariants.Checker) {
+	if !e.Do(func(_ time.Duration, p *model.System, check *invariants.Checker) {
 		l := p.List()
 		for _, s := range l.Entries {
-			check.Knows(c.Number, s.ID, s.Started)
+			check.NodeKnowsStart(c.Number, s.ID, s.Started)
 		}
 		known = e.wire(l, c.Number)
 	}) {
@@ -79,19 +79,19 @@
 func (e *Emulator) config(c NodeConfig, known json.RawMessage) object {
 	p, us := e.plan, func(d time.Duration) int64 { return d.Microseconds() }
 	var lanes []object
-	for _, cl := range p.Class {
-		lanes = append(lanes, object{"name": cl.Name, "worth": cl.Worth, "goal_time": us(cl.Aim.D()), "deadline": us(cl.Deadline.D()),
-			"late_worth": cl.Late, "semantics": cl.Effect, "key_scope": "all", "window": us(cl.Window.D())})
+	for _, cl := range p.Classes {
+		lanes = append(lanes, object{"name": cl.Name, "worth": cl.PriorityWeight, "goal_time": us(cl.LatencyObjective.D()), "deadline": us(cl.Deadline.D()),
+			"late_worth": cl.LateFraction, "semantics": cl.Effect, "key_scope": "all", "window": us(cl.DedupWindow.D())})
 	}
 	kinds := []string{}
 	seen := map[string]bool{}
 	coldest, slowest := 1.0, time.Duration(0)
-	for _, b := range p.Spec.Boxes {
+	for _, b := range p.Spec.CacheServers {
 		if !seen[b.Kind.Name] {
 			seen[b.Kind.Name] = true
 			kinds = append(kinds, b.Kind.Name)
 		}
-		coldest, slowest = min(coldest, b.Kind.ColdFrom), max(slowest, b.Kind.WarmAfter)
+		coldest, slowest = min(coldest, b.Kind.SlowStartFloor), max(slowest, b.Kind.SlowStartDuration)
 	}
 	tells := e.opt.Peers != nil
 	o := object{
@@ -104,11 +104,11 @@
 			"registry_mode": "subscribe", "tick": 5000, "weights": "none", "lanes": lanes,
 			"machine_types": append(kinds, model.OriginID),
 			"family_info":   object{"mode": "aside", "origin_kind": len(kinds)},
-			"limits": object{"probes": p.Nodes.Probes, "cancel": p.Nodes.Cancel, "retry_after": p.Nodes.RetryAfter > 0,
+			"limits": object{"probes": p.Nodes.HealthChecks, "cancel": p.Nodes.Cancel, "retry_after": p.Nodes.RetryAfter > 0,
 				"max_retry_after": us(p.Nodes.RetryAfter.D()), "max_attempts": p.Nodes.MaxAttempts, "max_open": p.Nodes.MaxOpen,
-				"streams_per_conn": p.Nodes.Streams, "connect_timeout": us(p.Nodes.ConnectTimeout.D()),
+				"streams_per_conn": p.Nodes.MaxStreams, "connect_timeout": us(p.Nodes.ConnectTimeout.D()),
 				"conn_idle": us(p.Nodes.ConnectionIdle.D()), "may_tell": tells},
-			"rules": object{"cold_from": coldest, "warm_after": us(slowest), "overload_factor": p.Rules.FallFactor},
+			"rules": object{"cold_from": coldest, "warm_after": us(slowest), "overload_factor": p.Invariants.OverloadFactor},
 		},
 	}
 	if tells {
--- a/internal/testbed/emulator/conn.go
+++ b/internal/testbed/emulator/conn.go
@@ -39,7 +39,7 @@
 	http   bool
 	id     string
 	out    []byte
-	spoilt model.SpoiltKind
+	spoilt model.CorruptionKind
 	ready  bool
 	last   bool // close after it
 }
@@ -134,7 +134,7 @@
 func (c *conn) takeRESP(cmd redcon.Command) bool {
 	switch name := strings.ToUpper(string(cmd.Args[0])); name {
 	case "CACHE.GET", "CACHE.SET":
-		q, why := wireformat.Request(c.e.classes, name == "CACHE.SET", cmd.Args)
+		q, why := wireformat.ParseRequest(c.e.classes, name == "CACHE.SET", cmd.Args)
 		if why != "" {
 			c.e.malformed(c, why)
 			return c.say(redcon.AppendError(nil, "SYNTAX "+why), false)
@@ -144,7 +144,7 @@
 		return c.probe(false, false)
 	case "INFO":
 		if len(cmd.Args) == 2 && strings.EqualFold(string(cmd.Args[1]), "load") {
-			if c.e.plan.Nodes.Probes {
+			if c.e.plan.Nodes.HealthChecks {
 				return c.probe(true, false)
 			}
 			return c.say(redcon.AppendError(nil, "NOPERM probes are not allowed"), false)
@@ -168,13 +168,13 @@
 	q.Conn, q.Seq = c.id, s.seq
 	e.stats.Requests.Add(1)
 	return e.post(func(now time.Duration) {
-		if q.Until > 0 {
-			q.Until += now
+		if q.Deadline > 0 {
+			q.Deadline += now
 		}
 		if server := e.portal.ServerOf(c.id); server != "" { // else its process died meanwhile
-			e.check.Arrived(now, min(first, now), c.node, server, q.ID, q.Class, q.Seq)
+			e.check.AttemptArrived(now, min(first, now), c.node, server, q.ID, q.Class, q.Seq)
 		}
-		e.carry(now, e.portal.Step(now, model.Arrive{Request: q}))
+		e.carry(now, e.portal.Step(now, model.RequestArrived{Request: q}))
 	})
 }
 
@@ -187,7 +187,7 @@
 	}
 	e.stats.Probes.Add(1)
 	return e.post(func(now time.Duration) {
-		e.carry(now, e.portal.Step(now, model.Probe{Conn: c.id, Seq: s.seq, Load: load}))
+		e.carry(now, e.portal.Step(now, model.HealthCheck{Conn: c.id, Seq: s.seq, Load: load}))
 	})
 }
 
@@ -221,19 +221,19 @@
 }
 
 // answer fills the place of an attempt. It never waits.
-func (c *conn) answer(a model.Answer) {
+func (c *conn) answer(a model.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.slots {
 		if s.seq == a.Seq {
 			if s.http {
-				s.out, s.last = wireformat.HTTP(s.id, a)
+				s.out, s.last = wireformat.EncodeHTTP(s.id, a)
 			} else {
-				s.out = wireformat.RESP(s.id, a)
+				s.out = wireformat.EncodeRESP(s.id, a)
 			}
-			s.ready, s.spoilt = true, a.Spoilt
+			s.ready, s.spoilt = true, a.Corruption
 			c.ready.Broadcast()
-			if a.Spoilt != model.Sound {
+			if a.Corruption != model.NotCorrupt {
 				c.e.stats.Spoilt.Add(1)
 			}
 			return
@@ -264,8 +264,8 @@
 		if _, err := c.net.Write(s.out); err != nil || s.last {
 			return
 		}
-		spoilt = s.spoilt != model.Sound && s.spoilt != model.SpoiltReport
-		if s.spoilt == model.SpoiltHuge {
+		spoilt = s.spoilt != model.NotCorrupt && s.spoilt != model.CorruptLoadReport
+		if s.spoilt == model.CorruptHugeValue {
 			c.keepComing()
 		}
 	}
@@ -291,7 +291,7 @@
 		if err != nil {
 			if _, broken := err.(net.Error); !broken && err != io.EOF && err != io.ErrUnexpectedEOF {
 				c.e.malformed(c, err.Error())
-				c.say(wireformat.Text("400 Bad Request", "", "", true), true)
+				c.say(wireformat.HTTPText("400 Bad Request", "", "", true), true)
 			}
 			return
 		}
@@ -313,16 +313,16 @@
 	case path == "/metrics/load" && req.Method == http.MethodGet:
 		return c.probe(true, true)
 	case req.Method != http.MethodGet && req.Method != http.MethodPut:
-		return c.say(wireformat.Text("405 Method Not Allowed", "", "", false), false)
+		return c.say(wireformat.HTTPText("405 Method Not Allowed", "", "", false), false)
 	}
 	args := [][]byte{nil, []byte(strings.TrimPrefix(path, "/")), []byte(req.Header.Get("X-Request-Id")), []byte(req.Header.Get("X-Extras"))}
 	if req.Method == http.MethodPut {
 		args = append(args, body)
 	}
-	q, why := wireformat.Request(c.e.classes, req.Method == http.MethodPut, args)
+	q, why := wireformat.ParseRequest(c.e.classes, req.Method == http.MethodPut, args)
 	if why != "" {
 		c.e.malformed(c, why)
-		return c.say(wireformat.Text("400 Bad Request", "", why, false), false)
+		return c.say(wireformat.HTTPText("400 Bad Request", "", why, false), false)
 	}
 	return c.attempt(q, true)
 }
--- a/internal/testbed/emulator/discovery.go
+++ b/internal/testbed/emulator/discovery.go
@@ -21,7 +21,7 @@
 // call is a call of discovery that is open.
 type call struct {
 	node  int
-	lines chan model.Told
+	lines chan model.DiscoveryReply
 }
 
 // behind is how many lines a watch may be behind before it is ended, as a node that does not read would have them
@@ -52,14 +52,14 @@
 
 // wire words a list as a node is told it.
 func (e *Emulator) wire(l model.List, node int) []byte {
-	return wireformat.List(l, func(slot int) string { return e.addr(slot, node) },
+	return wireformat.EncodeList(l, func(slot int) string { return e.addr(slot, node) },
 		func(at time.Duration) int64 { return e.start.Add(at).UnixMilli() })
 }
 
 func (d *discovery) hosts(w http.ResponseWriter, r *http.Request) {
 	e := d.e
 	q := r.URL.Query()
-	ask := model.Ask{Call: e.nextCall.Add(1), Node: d.node, Watch: q.Has("watch")}
+	ask := model.DiscoveryCall{Call: e.nextCall.Add(1), Node: d.node, Watch: q.Has("watch")}
 	if ask.Watch {
 		after, err := strconv.ParseInt(q.Get("after"), 10, 64)
 		if err != nil {
@@ -69,7 +69,7 @@
 		ask.After = after
 	}
 	e.stats.Calls.Add(1)
-	c := &call{node: d.node, lines: make(chan model.Told, behind)}
+	c := &call{node: d.node, lines: make(chan model.DiscoveryReply, behind)}
 	if !e.post(func(now time.Duration) {
 		e.calls[ask.Call] = c
 		e.carry(now, e.portal.Step(now, ask))
@@ -79,7 +79,7 @@
 	defer e.post(func(now time.Duration) {
 		if e.calls[ask.Call] == c {
 			delete(e.calls, ask.Call)
-			e.carry(now, e.portal.Step(now, model.HangUp{Call: ask.Call}))
+			e.carry(now, e.portal.Step(now, model.DiscoveryCancelled{Call: ask.Call}))
 		}
 	})
 	begun := false
@@ -112,7 +112,7 @@
 }
 
 // told hands a call what discovery writes to it. What a watch was told counts from here on.
-func (e *Emulator) told(now time.Duration, t model.Told) {
+func (e *Emulator) told(now time.Duration, t model.DiscoveryReply) {
 	c := e.calls[t.Call]
 	if c == nil {
 		return
@@ -121,9 +121,9 @@
 		states := map[string]string{}
 		for _, s := range t.List.Entries {
 			states[s.ID] = s.State.String()
-			e.check.Knows(c.node, s.ID, s.Started)
+			e.check.NodeKnowsStart(c.node, s.ID, s.Started)
 		}
-		e.check.Told(now, c.node, t.List.Whole, states)
+		e.check.NodeNotified(now, c.node, t.List.IsFull, states)
 	}
 	select {
 	case c.lines <- t:
--- a/internal/testbed/emulator/door.go
+++ b/internal/testbed/emulator/door.go
@@ -27,7 +27,7 @@
 
 	mu      sync.Mutex
 	changed sync.Cond
-	state   model.DoorState
+	state   model.AcceptorState
 	closed  bool
 	fillers []net.Conn
 }
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	d := &door{addr: fmt.Sprintf("127.0.0.1:%d", port), file: file, ln: ln.(*net.TCPListener),
-		accept: accept, state: model.Shut}
+		accept: accept, state: model.Refusing}
 	d.changed.L = &d.mu
 	go d.serve()
 	return d, nil
@@ -93,7 +93,7 @@
 func (d *door) serve() {
 	for {
 		d.mu.Lock()
-		for d.state != model.Open && !d.closed {
+		for d.state != model.Accepting && !d.closed {
 			d.changed.Wait()
 		}
 		closed := d.closed
@@ -114,7 +114,7 @@
 }
 
 // set opens or shuts the door. It is called by one goroutine.
-func (d *door) set(state model.DoorState) error {
+func (d *door) set(state model.AcceptorState) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed || state == d.state {
@@ -129,17 +129,17 @@
 	var failed error
 	err = raw.Control(func(fd uintptr) {
 		switch state {
-		case model.Open:
+		case model.Accepting:
 			failed = syscall.Listen(int(fd), queue)
-			if was == model.Silent {
+			if was == model.Unresponsive {
 				d.clearQueue(int(fd))
 			}
 			d.ln.SetDeadline(time.Time{})
-		case model.Shut:
+		case model.Refusing:
 			if failed = syscall.Shutdown(int(fd), syscall.SHUT_RDWR); errors.Is(failed, syscall.ENOTCONN) {
 				failed = nil // it never listened
 			}
-		case model.Silent:
+		case model.Unresponsive:
 			d.ln.SetDeadline(time.Unix(1, 0)) // whoever waits in Accept gives up
 			failed = syscall.Listen(int(fd), 0)
 		}
@@ -148,7 +148,7 @@
 		c.Close()
 	}
 	d.fillers = nil
-	if state == model.Silent {
+	if state == model.Unresponsive {
 		go d.fill()
 	}
 	d.changed.Broadcast()
@@ -163,7 +163,7 @@
 			return
 		}
 		d.mu.Lock()
-		if d.state != model.Silent || d.closed {
+		if d.state != model.Unresponsive || d.closed {
 			d.mu.Unlock()
 			c.Close()
 			return
--- a/internal/testbed/emulator/emulate.go
+++ b/internal/testbed/emulator/emulate.go
@@ -57,7 +57,7 @@
 	nextConn, nextSeq, nextCall atomic.Uint64
 
 	// The loop's.
-	portal  *model.Portal
+	portal  *model.System
 	check   *invariants.Checker
 	conns   map[model.ConnID]*conn
 	calls   map[uint64]*call
@@ -82,12 +82,12 @@
 		conns: map[model.ConnID]*conn{}, calls: map[uint64]*call{}, origins: map[int]bool{}, doors: map[doorKey]*door{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 	var classes []invariants.Class
-	for _, c := range plan.Class {
+	for _, c := range plan.Classes {
 		e.classes[c.Name] = c
-		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.Window.D()})
+		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.DedupWindow.D()})
 	}
-	e.check = invariants.New(classes, invariants.Figures{DrainWithin: plan.Rules.DrainWithin.D(), ToldWithin: plan.Rules.ToldWithin.D(),
-		Grace: plan.Rules.Grace.D()})
+	e.check = invariants.New(classes, invariants.Tolerances{DrainWithin: plan.Invariants.DrainWithin.D(), NotifyWithin: plan.Invariants.NotifyWithin.D(),
+		Grace: plan.Invariants.Grace.D()})
 	e.portal = model.New(plan.Spec)
 	e.portal.Trace = opt.Trace
 	for i := range plan.Spec.Nodes {
@@ -156,7 +156,7 @@
 }
 
 // Do runs f in the loop and waits for it.
-func (e *Emulator) Do(f func(now time.Duration, portal *model.Portal, check *invariants.Checker)) bool {
+func (e *Emulator) Do(f func(now time.Duration, portal *model.System, check *invariants.Checker)) bool {
 	done := make(chan struct{})
 	if !e.post(func(now time.Duration) { f(now, e.portal, e.check); close(done) }) {
 		return false
@@ -196,22 +196,22 @@
 			return
 		}
 		now := e.Now()
-		if wake := e.portal.Wake(); wake <= now {
+		if wake := e.portal.NextEvent(); wake <= now {
 			e.late.RecordValue(max(1, (now - wake).Microseconds()))
-			if err := e.carry(now, e.portal.Tick(now)); err != nil {
+			if err := e.carry(now, e.portal.Advance(now)); err != nil {
 				e.log.Error("a part of the portal could not be emulated", logs.Event, "emulate_failed", "error", err.Error())
 			}
 		}
 		if now-lastTick >= ruleTick {
 			lastTick = now
-			e.check.Tick(now)
-			for _, v := range e.check.Broken()[e.said:] {
-				e.log.Error(v.String(), logs.Event, "rule_broken", "rule", string(v.Rule))
+			e.check.Advance(now)
+			for _, v := range e.check.Violations()[e.said:] {
+				e.log.Error(v.String(), logs.Event, "rule_broken", "rule", string(v.Invariant))
 				e.said++
 			}
 		}
 		next := lastTick + ruleTick
-		if wake := e.portal.Wake(); wake < next {
+		if wake := e.portal.NextEvent(); wake < next {
 			next = wake
 		}
 		timer.Reset(max(0, next-e.Now()))
@@ -223,7 +223,7 @@
 	var failed error
 	for _, ef := range effects {
 		switch ef := ef.(type) {
-		case model.Door:
+		case model.Acceptor:
 			d, err := e.door(ef.Slot, ef.Node)
 			if err == nil {
 				err = d.set(ef.State)
@@ -234,31 +234,31 @@
 				delete(e.conns, ef.Conn)
 				c.reset()
 			}
-		case model.Answer:
+		case model.Response:
 			if ef.Request != "" {
 				proof := invariants.MayHaveRun
-				if ef.Outcome == model.Turned || ef.Outcome == model.Miss {
+				if ef.Outcome == model.RejectedUnseen || ef.Outcome == model.Miss {
 					proof = invariants.NeverRan
 				}
-				whole := ef.Spoilt == model.Sound || ef.Spoilt >= model.SpoiltTwice
+				whole := ef.Corruption == model.NotCorrupt || ef.Corruption >= model.CorruptDuplicate
 				value := whole && (ef.Outcome == model.Hit || ef.Outcome == model.Written)
-				e.check.Made(now, ef.Server, ef.Request, ef.Seq, proof, value, ef.Outcome.String())
+				e.check.ResponseSent(now, ef.Server, ef.Request, ef.Seq, proof, value, ef.Outcome.String())
 			}
 			if c := e.conns[ef.Conn]; c != nil {
 				c.answer(ef)
 			}
-		case model.Told:
+		case model.DiscoveryReply:
 			e.told(now, ef)
-		case model.Ran:
-			e.check.Ran(now, ef.Server, ef.Request, ef.Class)
-		case model.Fell:
-			e.check.Fell(now, ef.Server)
-		case model.Began:
-			e.check.Began(ef.Server, ef.At)
-		case model.Listed:
-			e.check.Listed(now, ef.Server, ef.State.String())
-		case model.Reachable:
-			e.check.Reachable(now, ef.Up)
+		case model.RequestExecuted:
+			e.check.RequestExecuted(now, ef.Server, ef.Request, ef.Class)
+		case model.ServerOverloaded:
+			e.check.ServerOverloaded(now, ef.Server)
+		case model.ServerStarted:
+			e.check.ServerStarted(ef.Server, ef.At)
+		case model.ServerListed:
+			e.check.ServerListed(now, ef.Server, ef.State.String())
+		case model.DiscoveryReachable:
+			e.check.DiscoveryReachable(now, ef.Up)
 		}
 	}
 	return failed
@@ -307,12 +307,12 @@
 // Summary is what the run came to so far.
 func (e *Emulator) Summary() Summary {
 	var s Summary
-	e.Do(func(now time.Duration, p *model.Portal, check *invariants.Checker) {
+	e.Do(func(now time.Duration, p *model.System, check *invariants.Checker) {
 		us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 		s = Summary{Length: now, Connections: e.stats.Connections.Load(), Requests: e.stats.Requests.Load(),
 			Probes: e.stats.Probes.Load(), Malformed: e.stats.Malformed.Load(), Spoilt: e.stats.Spoilt.Load(),
 			Calls: e.stats.Calls.Load(), Events: p.Hash(), Rules: check.Counts(),
-			Broken: append([]invariants.Violation(nil), check.Broken()...), LateP50: us(e.late.ValueAtQuantile(50)),
+			Broken: append([]invariants.Violation(nil), check.Violations()...), LateP50: us(e.late.ValueAtQuantile(50)),
 			LateP99: us(e.late.ValueAtQuantile(99)), LateMax: us(e.late.Max())}
 	})
 	return s
--- a/internal/testbed/emulator/emulate_test.go
+++ b/internal/testbed/emulator/emulate_test.go
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	body, _ := io.ReadAll(resp.Body)
-	if resp.StatusCode != 200 || wireformat.MadeFor(body) != "id1" || !strings.Contains(resp.Header.Get("X-Load"), "inflight=") {
+	if resp.StatusCode != 200 || wireformat.RequestOfValue(body) != "id1" || !strings.Contains(resp.Header.Get("X-Load"), "inflight=") {
 		t.Errorf("the origin answers %d %v %.40q", resp.StatusCode, resp.Header, body)
 	}
 	box.send("CACHE.GET", "k", "id2", "c=read,d=900")
@@ -203,7 +203,7 @@
 		t.Fatalf("the write: %v %v", resp, err)
 	}
 	body, _ = io.ReadAll(resp.Body)
-	if wireformat.MadeFor(body) != "id3" {
+	if wireformat.RequestOfValue(body) != "id3" {
 		t.Errorf("the receipt is %q", body)
 	}
 	box.send("CACHE.GET", "k", "id4", "c=read,d=900")
@@ -367,7 +367,7 @@
 		t.Errorf("the successor is %+v, want it at %s", in, r.list.Instances[1].Addr)
 	}
 	broken := r.e.Summary().Broken
-	if len(broken) != 1 || broken[0].Rule != invariants.Drained || !strings.Contains(broken[0].Text, "late was sent to box-0") {
+	if len(broken) != 1 || broken[0].Invariant != invariants.SentToDraining || !strings.Contains(broken[0].Text, "late was sent to box-0") {
 		t.Errorf("rules broken: %v", broken)
 	}
 }
@@ -396,12 +396,12 @@
 
 // The wording of every way of spoiling an answer differs from the sound one.
 func TestEverySpoiltWording(t *testing.T) {
-	a := model.Answer{Outcome: model.Hit, Copy: model.Copy{Key: "k", Size: 40}, Load: model.Load{Inflight: 1}}
-	seen := map[string]model.SpoiltKind{}
-	for k := model.Sound; k <= model.SpoiltReport; k++ {
-		a.Spoilt = k
-		h, _ := wireformat.HTTP("id", a)
-		for form, text := range map[string]string{"RESP": string(wireformat.RESP("id", a)), "HTTP": string(h)} {
+	a := model.Response{Outcome: model.Hit, Copy: model.Copy{Key: "k", Size: 40}, Load: model.Load{Inflight: 1}}
+	seen := map[string]model.CorruptionKind{}
+	for k := model.NotCorrupt; k <= model.CorruptLoadReport; k++ {
+		a.Corruption = k
+		h, _ := wireformat.EncodeHTTP("id", a)
+		for form, text := range map[string]string{"RESP": string(wireformat.EncodeRESP("id", a)), "HTTP": string(h)} {
 			if other, ok := seen[form+text]; ok {
 				t.Errorf("%s: kinds %d and %d are the same", form, k, other)
 			}
@@ -462,7 +462,7 @@
 		b.Fatal(err)
 	}
 	var l list
-	e.Do(func(_ time.Duration, p *model.Portal, _ *invariants.Checker) { json.Unmarshal(e.wire(p.List(), 0), &l) })
+	e.Do(func(_ time.Duration, p *model.System, _ *invariants.Checker) { json.Unmarshal(e.wire(p.List(), 0), &l) })
 	cpu := func() time.Duration {
 		var u syscall.Rusage
 		syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/testbed/faultproxy/relay.go
+++ b/internal/testbed/faultproxy/relay.go
@@ -13,12 +13,12 @@
 
 // Faults are what happens to a datagram; the zero value is a good network. Shares are from 0 to 1.
 type Faults struct {
-	Lost, Twice, Garbled float64
-	Delay                time.Duration // each is late by up to so much, so that they overtake each other
+	Dropped, Duplicated, Corrupted float64
+	Delay                          time.Duration // each is late by up to so much, so that they overtake each other
 }
 
-// Relay carries datagrams until it is closed.
-type Relay struct {
+// Proxy carries datagrams until it is closed.
+type Proxy struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	faults  Faults
@@ -35,13 +35,13 @@
 const attempts = 20
 
 // New opens the addresses between so many nodes, 250 at most, in a part of 127.0.0.0/8 of its own.
-func New(nodes int, f Faults, seed uint64) (*Relay, error) {
+func New(nodes int, f Faults, seed uint64) (*Proxy, error) {
 	if nodes < 1 || nodes > 250 {
 		return nil, fmt.Errorf("relay: %d nodes, 1 to 250 can be", nodes)
 	}
 	var err error
 	for range attempts {
-		r := &Relay{rng: rand.New(rand.NewPCG(seed, 1)), faults: f, cut: map[[2]int]bool{}}
+		r := &Proxy{rng: rand.New(rand.NewPCG(seed, 1)), faults: f, cut: map[[2]int]bool{}}
 		if err = r.open(nodes, byte(64+rand.IntN(150))); err == nil {
 			for i := range nodes {
 				for j := range nodes {
@@ -55,7 +55,7 @@
 	return nil, fmt.Errorf("relay: %w", err)
 }
 
-func (r *Relay) open(nodes int, net8 byte) error {
+func (r *Proxy) open(nodes int, net8 byte) error {
 	addr := func(a, b int) *net.UDPAddr {
 		return &net.UDPAddr{IP: net.IPv4(127, net8, byte(a+1), byte(b+1)), Port: port}
 	}
@@ -79,7 +79,7 @@
 
 // Addresses are what a node is told: where it listens, where the others are, its own place included, and the address
 // that reaches all.
-func (r *Relay) Addresses(node int) (listen string, peers []string, all string) {
+func (r *Proxy) Addresses(node int) (listen string, peers []string, all string) {
 	for j, c := range r.socks[node] {
 		if j == node {
 			peers = append(peers, r.to[node].String())
@@ -91,7 +91,7 @@
 }
 
 // carry takes what node i sends to node j, or to all where they are the same.
-func (r *Relay) carry(i, j int) {
+func (r *Proxy) carry(i, j int) {
 	buf := make([]byte, 2048)
 	for {
 		n, _, err := r.socks[i][j].ReadFromUDP(buf)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (r *Relay) pass(i, j int, data []byte) {
+func (r *Proxy) pass(i, j int, data []byte) {
 	data = append([]byte(nil), data...)
 	r.mu.Lock()
 	f := r.faults
@@ -120,12 +120,12 @@
 	if f.Delay > 0 {
 		delay = time.Duration(r.rng.Int64N(int64(f.Delay)))
 	}
-	if r.rng.Float64() < f.Lost || r.cut[[2]int{i, j}] {
+	if r.rng.Float64() < f.Dropped || r.cut[[2]int{i, j}] {
 		times = 0
-	} else if r.rng.Float64() < f.Twice {
+	} else if r.rng.Float64() < f.Duplicated {
 		times = 2
 	}
-	if r.rng.Float64() < f.Garbled && len(data) > 0 {
+	if r.rng.Float64() < f.Corrupted && len(data) > 0 {
 		data[r.rng.IntN(len(data))] ^= 1 << r.rng.IntN(8)
 	}
 	r.mu.Unlock()
@@ -134,22 +134,22 @@
 	}
 }
 
-// Set changes what happens from now on.
-func (r *Relay) Set(f Faults) {
+// SetFaults changes what happens from now on.
+func (r *Proxy) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Cut cuts what node i sends to node j, or lets it through again.
-func (r *Relay) Cut(i, j int, cut bool) {
+// Partition cuts what node i sends to node j, or lets it through again.
+func (r *Proxy) Partition(i, j int, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut[[2]int{i, j}] = cut
 }
 
 // Split cuts the first n nodes off from the others, both ways; 0 heals every cut.
-func (r *Relay) Split(n int) {
+func (r *Proxy) Split(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.to {
@@ -160,7 +160,7 @@
 }
 
 // Isolate cuts a node off from all others, both ways, or lets it back.
-func (r *Relay) Isolate(node int, cut bool) {
+func (r *Proxy) Isolate(node int, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for j := range r.to {
@@ -169,14 +169,14 @@
 }
 
 // Carried is how many datagrams came in so far, and their bytes. One to all counts once for each that it is for.
-func (r *Relay) Carried() (datagrams, bytes int) {
+func (r *Proxy) Carried() (datagrams, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.carried, r.bytes
 }
 
 // Close ends it.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	for _, row := range r.socks {
 		for _, c := range row {
 			if c != nil {
--- a/internal/testbed/invariants/rules.go
+++ b/internal/testbed/invariants/rules.go
@@ -18,13 +18,13 @@
 
 // The effects.
 const (
-	Safe   Effect = iota // at any time
-	Keyed                // inside the window of their key
-	Unsafe               // only when no earlier attempt can have run
+	Idempotent   Effect = iota // at any time
+	Deduplicated               // inside the window of their key
+	AtMostOnce                 // only when no earlier attempt can have run
 )
 
 // Effects are the words for them.
-var Effects = map[string]Effect{"idempotent": Safe, "deduplicated": Keyed, "at_most_once": Unsafe}
+var Effects = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "at_most_once": AtMostOnce}
 
 // Class is a class of requests.
 type Class struct {
@@ -33,32 +33,32 @@
 	Window time.Duration // Keyed: from the first attempt that may have run
 }
 
-// Figures are those of the rules. What discovery has to tell counts as told after ToldWithin at the latest, as long
+// Tolerances are those of the rules. What discovery has to tell counts as told after ToldWithin at the latest, as long
 // as it can be reached; 0 waits for ever. Grace is added to each limit, for what the rig itself takes.
-type Figures struct{ DrainWithin, ToldWithin, Grace time.Duration }
+type Tolerances struct{ DrainWithin, NotifyWithin, Grace time.Duration }
 
-// Rule names a rule.
-type Rule string
+// Invariant names a rule.
+type Invariant string
 
 // The rules.
 const (
-	LostAnswer  Rule = "answer"  // one final answer by the deadline, made for the request
-	Repeated    Rule = "repeat"  // nothing resent beyond what the class allows
-	RefusedLate Rule = "refusal" // no refusal once something may have run
-	Drained     Rule = "drain"   // no fresh work for a box that drains or has gone
-	PushedOver  Rule = "cold"    // no cold box pushed over
+	MissingAnswer          Invariant = "answer"  // one final answer by the deadline, made for the request
+	DuplicateExecution     Invariant = "repeat"  // nothing resent beyond what the class allows
+	RejectedAfterExecution Invariant = "refusal" // no refusal once something may have run
+	SentToDraining         Invariant = "drain"   // no fresh work for a box that drains or has gone
+	ColdServerOverloaded   Invariant = "cold"    // no cold box pushed over
 )
 
 // Violation is a rule that was broken, with what is known of the request.
 type Violation struct {
-	Rule    Rule
-	At      time.Duration
-	Text    string
-	History []string
+	Invariant Invariant
+	At        time.Duration
+	Text      string
+	History   []string
 }
 
 func (v Violation) String() string {
-	s := fmt.Sprintf("rule %s broken at %.3f s: %s", v.Rule, v.At.Seconds(), v.Text)
+	s := fmt.Sprintf("rule %s broken at %.3f s: %s", v.Invariant, v.At.Seconds(), v.Text)
 	if len(v.History) > 0 {
 		s += " [" + strings.Join(v.History, "; ") + "]"
 	}
@@ -71,7 +71,7 @@
 // The final answers.
 const (
 	Served Final = iota
-	Refused
+	Rejected
 	Failed
 )
 
@@ -91,7 +91,7 @@
 // Checker holds what the rules need.
 type Checker struct {
 	classes  map[string]Class
-	figures  Figures
+	figures  Tolerances
 	requests map[string]*request
 	order    []*request // in the order in which they were first seen
 	nodes    map[int]*view
@@ -105,7 +105,7 @@
 }
 
 // Counts is what was checked.
-type Counts struct{ Taken, Answered, Attempts, Told, Open int }
+type Counts struct{ Requests, Answered, Attempts, Notifications, Open int }
 
 type request struct {
 	id, class string
@@ -147,7 +147,7 @@
 )
 
 // New makes a checker.
-func New(classes []Class, f Figures) *Checker {
+func New(classes []Class, f Tolerances) *Checker {
 	c := &Checker{classes: map[string]Class{}, figures: f, requests: map[string]*request{}, nodes: map[int]*view{}, listed: map[string]told{}, pushed: map[string]push{}, starts: map[int]map[string]time.Duration{}}
 	for _, cl := range classes {
 		c.classes[cl.Name] = cl
@@ -155,8 +155,8 @@
 	return c
 }
 
-// Broken is every rule that was broken so far.
-func (c *Checker) Broken() []Violation { return c.broken }
+// Violations is every rule that was broken so far.
+func (c *Checker) Violations() []Violation { return c.broken }
 
 // Counts is what was checked so far.
 func (c *Checker) Counts() Counts {
@@ -169,8 +169,8 @@
 	return n
 }
 
-func (c *Checker) report(rule Rule, now time.Duration, r *request, format string, args ...any) {
-	v := Violation{Rule: rule, At: now, Text: fmt.Sprintf(format, args...)}
+func (c *Checker) report(rule Invariant, now time.Duration, r *request, format string, args ...any) {
+	v := Violation{Invariant: rule, At: now, Text: fmt.Sprintf(format, args...)}
 	if r != nil && len(c.broken) < kept {
 		v.History = append(v.History, r.history...)
 	}
@@ -194,46 +194,46 @@
 	return r
 }
 
-// Taken says that the last byte of a request was written to a node, whose machine had accepted the connection.
-func (c *Checker) Taken(now time.Duration, id, class string, node int, deadline time.Duration) {
+// RequestSent says that the last byte of a request was written to a node, whose machine had accepted the connection.
+func (c *Checker) RequestSent(now time.Duration, id, class string, node int, deadline time.Duration) {
 	r := c.of(now, id, class)
 	r.taken, r.node, r.deadline, r.forget = true, node, deadline, deadline+remember
 	r.note(now, "taken by node %d, due by %.3f", node, deadline.Seconds())
-	c.counts.Taken++
+	c.counts.Requests++
 }
 
-// Answered says that a client read the last byte of an answer. madeFor is the request that a value names; it is not
+// RequestAnswered says that a client read the last byte of an answer. madeFor is the request that a value names; it is not
 // looked at for other answers.
-func (c *Checker) Answered(now time.Duration, id string, f Final, madeFor string) {
+func (c *Checker) RequestAnswered(now time.Duration, id string, f Final, madeFor string) {
 	r := c.requests[id]
 	if r == nil || !r.taken {
-		c.report(LostAnswer, now, r, "an answer for %s, which nobody asked for", id)
+		c.report(MissingAnswer, now, r, "an answer for %s, which nobody asked for", id)
 		return
 	}
 	if r.over {
 		r.note(now, "%s", f)
-		c.report(LostAnswer, now, r, "a second final answer for %s", id)
+		c.report(MissingAnswer, now, r, "a second final answer for %s", id)
 		return
 	}
 	r.over = true
 	c.counts.Answered++
 	r.note(now, "%s", f)
 	if now > r.deadline+c.figures.Grace {
-		c.report(LostAnswer, now, r, "%s was answered %s past its deadline", id, (now - r.deadline).Round(time.Millisecond))
+		c.report(MissingAnswer, now, r, "%s was answered %s past its deadline", id, (now - r.deadline).Round(time.Millisecond))
 	}
 	switch {
 	case f == Served && madeFor != id:
-		c.report(LostAnswer, now, r, "%s was served what was made for %q", id, madeFor)
+		c.report(MissingAnswer, now, r, "%s was served what was made for %q", id, madeFor)
 	case f == Served && len(r.made) == 0:
-		c.report(LostAnswer, now, r, "%s was served a value that no server made for it", id)
-	case f == Refused && c.classes[r.class].Effect == Unsafe && r.mayHaveRun() != nil:
-		c.report(RefusedLate, now, r, "%s of class %s was refused after an attempt at %s that may have run", id, r.class, r.mayHaveRun().server)
+		c.report(MissingAnswer, now, r, "%s was served a value that no server made for it", id)
+	case f == Rejected && c.classes[r.class].Effect == AtMostOnce && r.mayHaveRun() != nil:
+		c.report(RejectedAfterExecution, now, r, "%s of class %s was refused after an attempt at %s that may have run", id, r.class, r.mayHaveRun().server)
 	}
 }
 
-// Ended says that a node ended the connection on which an answer was owed. It is no break of a rule for a request
+// ConnectionEnded says that a node ended the connection on which an answer was owed. It is no break of a rule for a request
 // that the node may not have read; unread says that.
-func (c *Checker) Ended(now time.Duration, id string, unread bool) {
+func (c *Checker) ConnectionEnded(now time.Duration, id string, unread bool) {
 	r := c.requests[id]
 	if r == nil || r.over {
 		return
@@ -241,20 +241,20 @@
 	r.over = true
 	r.note(now, "connection ended")
 	if !unread {
-		c.report(LostAnswer, now, r, "node %d ended the connection of %s without an answer", r.node, id)
+		c.report(MissingAnswer, now, r, "node %d ended the connection of %s without an answer", r.node, id)
 	}
 }
 
-// Left says that nothing is owed for a request any more: its client left, or the rig itself ended the node.
-func (c *Checker) Left(now time.Duration, id string) {
+// ClientDisconnected says that nothing is owed for a request any more: its client left, or the rig itself ended the node.
+func (c *Checker) ClientDisconnected(now time.Duration, id string) {
 	if r := c.requests[id]; r != nil && !r.over {
 		r.over = true
 		r.note(now, "left")
 	}
 }
 
-// Arrived says that the last byte of an attempt came to a server; first is when the first did.
-func (c *Checker) Arrived(now, first time.Duration, node int, server, id, class string, seq uint64) {
+// AttemptArrived says that the last byte of an attempt came to a server; first is when the first did.
+func (c *Checker) AttemptArrived(now, first time.Duration, node int, server, id, class string, seq uint64) {
 	c.counts.Attempts++
 	r := c.of(now, id, class)
 	r.note(now, "attempt at %s", server)
@@ -264,18 +264,18 @@
 	}
 	c.pushed[server] = p
 	if r.class != class {
-		c.report(Repeated, now, r, "%s came to %s as class %s", id, server, class)
+		c.report(DuplicateExecution, now, r, "%s came to %s as class %s", id, server, class)
 	}
 	if t, out := c.told(node, server); out && first > t.at+c.figures.DrainWithin+c.figures.Grace {
-		c.report(Drained, now, r, "%s was sent to %s %s after node %d was told it is %s", id, server,
+		c.report(SentToDraining, now, r, "%s was sent to %s %s after node %d was told it is %s", id, server,
 			(first - t.at).Round(time.Millisecond), node, t.state)
 	}
 	if before := r.mayHaveRun(); before != nil {
 		switch cl := c.classes[r.class]; {
-		case cl.Effect == Unsafe:
-			c.report(Repeated, now, r, "%s of class %s was sent to %s after an attempt at %s that may have run", id, class, server, before.server)
-		case cl.Effect == Keyed && first > before.at+cl.Window+c.figures.Grace:
-			c.report(Repeated, now, r, "%s of class %s was sent to %s %s after an attempt that may have run, past its window", id, class,
+		case cl.Effect == AtMostOnce:
+			c.report(DuplicateExecution, now, r, "%s of class %s was sent to %s after an attempt at %s that may have run", id, class, server, before.server)
+		case cl.Effect == Deduplicated && first > before.at+cl.Window+c.figures.Grace:
+			c.report(DuplicateExecution, now, r, "%s of class %s was sent to %s %s after an attempt that may have run, past its window", id, class,
 				server, (first - before.at).Round(time.Millisecond))
 		}
 	}
@@ -290,15 +290,15 @@
 		}
 	}
 	t, out := c.listed[server]
-	if !out || c.down || c.figures.ToldWithin == 0 {
+	if !out || c.down || c.figures.NotifyWithin == 0 {
 		return told{}, false
 	}
-	t.at = max(t.at, c.upSince) + c.figures.ToldWithin
+	t.at = max(t.at, c.upSince) + c.figures.NotifyWithin
 	return t, true
 }
 
-// Listed says that discovery has something new to tell of a server.
-func (c *Checker) Listed(now time.Duration, server, state string) {
+// ServerListed says that discovery has something new to tell of a server.
+func (c *Checker) ServerListed(now time.Duration, server, state string) {
 	if state == "up" {
 		delete(c.listed, server)
 	} else if _, out := c.listed[server]; !out {
@@ -306,8 +306,8 @@
 	}
 }
 
-// Reachable says whether discovery answers from now on.
-func (c *Checker) Reachable(now time.Duration, up bool) {
+// DiscoveryReachable says whether discovery answers from now on.
+func (c *Checker) DiscoveryReachable(now time.Duration, up bool) {
 	if up && c.down {
 		c.upSince = now
 	}
@@ -324,8 +324,8 @@
 	return nil
 }
 
-// Made says that a server wrote its answer to an attempt. value tells that it holds a value made for the request.
-func (c *Checker) Made(now time.Duration, server, id string, seq uint64, p Proof, value bool, what string) {
+// ResponseSent says that a server wrote its answer to an attempt. value tells that it holds a value made for the request.
+func (c *Checker) ResponseSent(now time.Duration, server, id string, seq uint64, p Proof, value bool, what string) {
 	r := c.requests[id]
 	if r == nil {
 		return
@@ -341,20 +341,20 @@
 	}
 }
 
-// Ran says that work on a request began at a server.
-func (c *Checker) Ran(now time.Duration, server, id, class string) {
+// RequestExecuted says that work on a request began at a server.
+func (c *Checker) RequestExecuted(now time.Duration, server, id, class string) {
 	r := c.of(now, id, class)
 	r.ran++
 	r.note(now, "runs at %s", server)
-	if r.ran > 1 && c.classes[r.class].Effect == Unsafe {
-		c.report(Repeated, now, r, "%s of class %s ran %d times", id, r.class, r.ran)
+	if r.ran > 1 && c.classes[r.class].Effect == AtMostOnce {
+		c.report(DuplicateExecution, now, r, "%s of class %s ran %d times", id, r.class, r.ran)
 	}
 }
 
-// Told says that the list, or what changed of it, was written to a node. states are those of the servers, by id;
+// NodeNotified says that the list, or what changed of it, was written to a node. states are those of the servers, by id;
 // "up" is the only one under which a server takes fresh work.
-func (c *Checker) Told(now time.Duration, node int, whole bool, states map[string]string) {
-	c.counts.Told++
+func (c *Checker) NodeNotified(now time.Duration, node int, whole bool, states map[string]string) {
+	c.counts.Notifications++
 	v := c.nodes[node]
 	if v == nil {
 		v = &view{known: map[string]bool{}, out: map[string]told{}}
@@ -385,8 +385,8 @@
 	}
 }
 
-// Restarted says that a node started anew: it knows the list as its configuration has it.
-func (c *Checker) Restarted(node int) {
+// NodeRestarted says that a node started anew: it knows the list as its configuration has it.
+func (c *Checker) NodeRestarted(node int) {
 	delete(c.nodes, node)
 	delete(c.starts, node)
 }
@@ -397,36 +397,36 @@
 	all, unaware int
 }
 
-// Began says that the process of a cold server started; at is what the list says of it.
-func (c *Checker) Began(server string, at time.Duration) { c.pushed[server] = push{began: at} }
+// ServerStarted says that the process of a cold server started; at is what the list says of it.
+func (c *Checker) ServerStarted(server string, at time.Duration) { c.pushed[server] = push{began: at} }
 
-// Knows says that a node has a list, its configuration's or one that discovery wrote to it, which gives the start of a server.
-func (c *Checker) Knows(node int, server string, began time.Duration) {
+// NodeKnowsStart says that a node has a list, its configuration's or one that discovery wrote to it, which gives the start of a server.
+func (c *Checker) NodeKnowsStart(node int, server string, began time.Duration) {
 	if c.starts[node] == nil {
 		c.starts[node] = map[string]time.Duration{}
 	}
 	c.starts[node][server] = began
 }
 
-// Fell says that a cold box was pushed over. That is nobody's fault where a third or more of what came to it came from nodes that
+// ServerOverloaded says that a cold box was pushed over. That is nobody's fault where a third or more of what came to it came from nodes that
 // nobody had told of its start: they took it for the one before at its address.
-func (c *Checker) Fell(now time.Duration, server string) {
+func (c *Checker) ServerOverloaded(now time.Duration, server string) {
 	if p := c.pushed[server]; 3*p.unaware >= p.all && p.unaware > 0 {
 		return
 	}
-	c.report(PushedOver, now, nil, "%s was cold and fell over under what all nodes together sent it", server)
+	c.report(ColdServerOverloaded, now, nil, "%s was cold and fell over under what all nodes together sent it", server)
 }
 
 // longGone is when nobody remembers a server any more that takes nothing new.
 const longGone = 10 * time.Minute
 
-// Tick finds requests that were never answered and forgets old ones.
-func (c *Checker) Tick(now time.Duration) {
+// Advance finds requests that were never answered and forgets old ones.
+func (c *Checker) Advance(now time.Duration) {
 	keep := c.order[:0]
 	for _, r := range c.order {
 		if r.taken && !r.over && now > r.deadline+c.figures.Grace {
 			r.over = true
-			c.report(LostAnswer, now, r, "%s was not answered by its deadline", r.id)
+			c.report(MissingAnswer, now, r, "%s was not answered by its deadline", r.id)
 		}
 		if now > r.forget {
 			delete(c.requests, r.id)
--- a/internal/testbed/model/box.go
+++ b/internal/testbed/model/box.go
@@ -17,43 +17,43 @@
 	CancelAll                      // both are dropped
 )
 
-// BoxKind is what the boxes of a kind have in common.
-type BoxKind struct {
-	Name        string
-	Cores       int
-	Speed       float64       // of a core, against the standard one
-	Slots       int           // requests served at once
-	Queue       int           // requests that wait for a slot; one more is turned away
-	ColdFrom    float64       // share of its speed at its start
-	WarmAfter   time.Duration // it has all of it by then, growing evenly
-	Memory      int64         // bytes for copies
-	FIFO        bool          // gives up the copy that came first, not the one used longest ago
-	Conns       int           // open connections; one more is refused
-	ConnWork    time.Duration // what a new connection costs
-	ProbeWork   time.Duration // what a probe costs
-	MissWork    float64       // share of a request's work that a miss costs
-	ChokeAt     float64       // requests a core from which on it slows down; 0: never
-	Choke       float64       // by how much for each further one
-	Cancel      CancelMode
-	DropExpired bool    // what waited past its time is turned away
-	ErrorRate   float64 // of requests that fail after their work
+// CacheServerKind is what the boxes of a kind have in common.
+type CacheServerKind struct {
+	Name              string
+	Cores             int
+	Speed             float64       // of a core, against the standard one
+	Slots             int           // requests served at once
+	Queue             int           // requests that wait for a slot; one more is turned away
+	SlowStartFloor    float64       // share of its speed at its start
+	SlowStartDuration time.Duration // it has all of it by then, growing evenly
+	Memory            int64         // bytes for copies
+	FIFO              bool          // gives up the copy that came first, not the one used longest ago
+	MaxConnections    int           // open connections; one more is refused
+	ConnectionWork    time.Duration // what a new connection costs
+	HealthCheckWork   time.Duration // what a probe costs
+	MissWork          float64       // share of a request's work that a miss costs
+	ChokeAt           float64       // requests a core from which on it slows down; 0: never
+	Choke             float64       // by how much for each further one
+	Cancel            CancelMode
+	DropExpired       bool    // what waited past its time is turned away
+	ErrorRate         float64 // of requests that fail after their work
 	// Sent more work than FallFactor times what it can do, for FallAfter, a cold box falls over and stays down.
-	FallFactor float64
-	FallAfter  time.Duration
+	OverloadFactor float64
+	OverloadWindow time.Duration
 }
 
 // Request is one attempt as a box or the origin receives it.
 type Request struct {
-	Conn  ConnID
-	Seq   uint64 // of the attempt; the driver's own, unique in a run
-	ID    string // of the client's request
-	Key   string
-	Class string
-	Write bool
-	Size  int           // of the value of a write
-	Once  string        // the idempotency key, if there is one
-	Work  time.Duration // on a standard core
-	Until Time          // when whoever sent it stops waiting
+	Conn           ConnID
+	Seq            uint64 // of the attempt; the driver's own, unique in a run
+	ID             string // of the client's request
+	Key            string
+	Class          string
+	Write          bool
+	Size           int           // of the value of a write
+	IdempotencyKey string        // the idempotency key, if there is one
+	Work           time.Duration // on a standard core
+	Deadline       Time          // when whoever sent it stops waiting
 }
 
 // ConnID is a connection, named by the driver; unique in a run.
@@ -64,12 +64,12 @@
 
 // The outcomes.
 const (
-	Hit     Outcome = iota // with a value made for this request
-	Miss                   // the box has no copy
-	Failed                 // an error: it may have run
-	Turned                 // away, before anything ran
-	Written                // the origin's receipt
-	Pong                   // to a probe
+	Hit            Outcome = iota // with a value made for this request
+	Miss                          // the box has no copy
+	Failed                        // an error: it may have run
+	RejectedUnseen                // away, before anything ran
+	Written                       // the origin's receipt
+	Pong                          // to a probe
 )
 
 var outcomes = [...]string{"hit", "miss", "failed", "turned_away", "written", "pong"}
@@ -101,7 +101,7 @@
 // their number, at most one core's worth. The work that each has got so far is one figure for all of them, so an
 // event costs the logarithm of their number.
 type box struct {
-	kind    *BoxKind
+	kind    *CacheServerKind
 	speed   float64 // of this box
 	memory  *cache
 	rand    *rand.Rand
@@ -119,7 +119,7 @@
 	fallen bool
 }
 
-func newBox(kind *BoxKind, speed float64, now Time, cold bool, r *rand.Rand) *box {
+func newBox(kind *CacheServerKind, speed float64, now Time, cold bool, r *rand.Rand) *box {
 	b := &box{kind: kind, speed: speed, memory: newCache(kind.Memory, kind.FIFO), rand: r, factor: 1,
 		conns: map[ConnID]int{}}
 	b.restart(now, cold)
@@ -136,10 +136,10 @@
 
 // warmth is the share of its speed that a box has.
 func (b *box) warmth(now Time) float64 {
-	if b.warm || b.kind.WarmAfter <= 0 || now-b.born >= b.kind.WarmAfter {
+	if b.warm || b.kind.SlowStartDuration <= 0 || now-b.born >= b.kind.SlowStartDuration {
 		return 1
 	}
-	return b.kind.ColdFrom + (1-b.kind.ColdFrom)*float64(now-b.born)/float64(b.kind.WarmAfter)
+	return b.kind.SlowStartFloor + (1-b.kind.SlowStartFloor)*float64(now-b.born)/float64(b.kind.SlowStartDuration)
 }
 
 // capacity is the work that it can do in a second, all cores together, by its own measure of warmth.
@@ -171,7 +171,7 @@
 		}
 		b.served += b.rate(b.last+step/2) * step.Seconds()
 		b.last += step
-		if now-b.born >= b.kind.WarmAfter {
+		if now-b.born >= b.kind.SlowStartDuration {
 			b.warm = true
 		}
 	}
@@ -197,18 +197,18 @@
 // overloaded takes it that work was sent to a cold box and tells whether it falls over: within FallAfter it got more than FallFactor
 // times what it can do, which is N requests of mean work, and as few requests come unevenly 2 roots of N and 2 more.
 func (b *box) overloaded(now Time, work float64) bool {
-	if b.warm || b.kind.FallFactor <= 0 || b.fallen {
+	if b.warm || b.kind.OverloadFactor <= 0 || b.fallen {
 		return false
 	}
 	b.sent = append(b.sent, charge{now, work})
-	for now-b.sent[0].at > b.kind.FallAfter {
+	for now-b.sent[0].at > b.kind.OverloadWindow {
 		b.sent = b.sent[1:]
 	}
 	sum := 0.0
 	for _, c := range b.sent {
 		sum += c.work
 	}
-	mean, most := sum/float64(len(b.sent)), b.kind.FallFactor*b.capacity(now)*b.kind.FallAfter.Seconds()
+	mean, most := sum/float64(len(b.sent)), b.kind.OverloadFactor*b.capacity(now)*b.kind.OverloadWindow.Seconds()
 	return mean > 0 && sum > most+mean*(2*math.Sqrt(most/mean)+2)
 }
 
@@ -220,7 +220,7 @@
 
 // arrive takes a request; the outcome counts only where the box turns it away at once.
 func (b *box) arrive(now Time, q *Request, probe bool) (r *run, taken bool) {
-	r = &run{Request: q, probe: probe, work: q.Work.Seconds(), arrived: now, outcome: Turned, index: -1}
+	r = &run{Request: q, probe: probe, work: q.Work.Seconds(), arrived: now, outcome: RejectedUnseen, index: -1}
 	if len(b.running) >= b.kind.Slots && len(b.waiting) >= b.kind.Queue {
 		return r, false
 	}
@@ -246,8 +246,8 @@
 		r := b.waiting[0]
 		b.waiting[0] = nil
 		b.waiting = b.waiting[1:]
-		if b.kind.DropExpired && !r.probe && now > r.Until {
-			r.outcome = Turned
+		if b.kind.DropExpired && !r.probe && now > r.Deadline {
+			r.outcome = RejectedUnseen
 			turned = append(turned, r)
 			b.release(r)
 			continue
--- a/internal/testbed/model/doc.go
+++ b/internal/testbed/model/doc.go
@@ -27,13 +27,13 @@
 // Never is later than any time of a run.
 const Never = Time(math.MaxInt64)
 
-// Stream is a source of random numbers of its own for one part, by its name. Two parts never share one.
-func Stream(seed uint64, part string) *rand.Rand {
+// RandomStream is a source of random numbers of its own for one part, by its name. Two parts never share one.
+func RandomStream(seed uint64, part string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(part)))
 }
 
-// Between draws evenly from a range.
-func Between(r *rand.Rand, least, most float64) float64 { return least + (most-least)*r.Float64() }
+// DrawBetween draws evenly from a range.
+func DrawBetween(r *rand.Rand, least, most float64) float64 { return least + (most-least)*r.Float64() }
 
 // span is Between for times.
 func span(r *rand.Rand, least, most Time) Time {
--- a/internal/testbed/model/fault.go
+++ b/internal/testbed/model/fault.go
@@ -14,22 +14,22 @@
 // The kinds of trouble. All of them compose: what a box, a link or the origin suffers is the sum of the faults that
 // are on, whatever order they begin and end in.
 const (
-	Deploy      FaultKind = iota // boxes are replaced, a batch at a time; successors are cold and have new ids
-	Shrink                       // boxes drain and go, one after another
-	Drain                        // boxes drain, and come back at the end
-	Kill                         // the process dies; at the end it starts again, cold
-	Freeze                       // the process stands still: connections stay open and silent
-	Cut                          // nothing passes between the boxes and the nodes
-	Slow                         // the speed is multiplied by Factor
-	Stall                        // no work is done, but requests are taken
-	Flap                         // killed and started over and over
-	Spoilt                       // a share of the answers can't be read, or has more behind it
-	Lossy                        // a share of the messages comes late
-	RosterLag                    // the roster learns of everything later
-	RosterDown                   // discovery answers nothing
-	RosterEmpty                  // the list shrinks to nothing
-	OriginSlow                   // the origin's time of service is multiplied by Factor
-	OriginFall                   // the origin stands still
+	Deploy          FaultKind = iota // boxes are replaced, a batch at a time; successors are cold and have new ids
+	Shrink                           // boxes drain and go, one after another
+	Drain                            // boxes drain, and come back at the end
+	Kill                             // the process dies; at the end it starts again, cold
+	Freeze                           // the process stands still: connections stay open and silent
+	Partition                        // nothing passes between the boxes and the nodes
+	Slow                             // the speed is multiplied by Factor
+	Stall                            // no work is done, but requests are taken
+	Flap                             // killed and started over and over
+	CorruptResponse                  // a share of the answers can't be read, or has more behind it
+	PacketLoss                       // a share of the messages comes late
+	DiscoveryLag                     // the roster learns of everything later
+	DiscoveryDown                    // discovery answers nothing
+	DiscoveryEmpty                   // the list shrinks to nothing
+	OriginSlow                       // the origin's time of service is multiplied by Factor
+	OriginStall                      // the origin stands still
 	numberOfFaults
 )
 
@@ -39,8 +39,8 @@
 
 func (k FaultKind) String() string { return FaultKinds[k] }
 
-// OnBoxes tells whether a kind has boxes as its targets.
-func (k FaultKind) OnBoxes() bool { return k <= Lossy }
+// AffectsCacheServers tells whether a kind has boxes as its targets.
+func (k FaultKind) AffectsCacheServers() bool { return k <= PacketLoss }
 
 // Selector names the boxes that a fault hits: those of a kind, in a zone and named, as far as these are given, and
 // of them Count, or Share, drawn by the seed. With neither it hits all.
@@ -76,9 +76,9 @@
 }
 
 // begin starts a fault and sets the time of its end.
-func (p *Portal) begin(i int) {
-	f := &active{Fault: p.spec.Faults[i], rand: Stream(p.spec.Seed, fmt.Sprintf("fault/%d", i))}
-	if f.Kind.OnBoxes() {
+func (p *System) begin(i int) {
+	f := &active{Fault: p.spec.Faults[i], rand: RandomStream(p.spec.Seed, fmt.Sprintf("fault/%d", i))}
+	if f.Kind.AffectsCacheServers() {
 		f.targets = p.choose(f)
 	}
 	p.note("fault", f.Kind.String(), fmt.Sprint(len(f.targets)))
@@ -104,17 +104,17 @@
 
 // apply puts a fault on (1) or takes it off (-1). Each state that faults change is a count or a product of those that
 // are on, so that overlapping ones may end in any order.
-func (p *Portal) apply(f *active, sign int) {
+func (p *System) apply(f *active, sign int) {
 	switch f.Kind {
-	case RosterLag:
+	case DiscoveryLag:
 		p.roster.lag += time.Duration(sign) * f.Lag
-	case RosterDown:
+	case DiscoveryDown:
 		p.rosterDown(sign)
-	case RosterEmpty:
+	case DiscoveryEmpty:
 		p.rosterEmpty(sign)
 	case OriginSlow:
 		p.origin.slowBy(math.Pow(f.Factor, float64(sign)))
-	case OriginFall:
+	case OriginStall:
 		p.origin.origin.down += sign
 		p.originWake()
 	}
@@ -139,16 +139,16 @@
 				s.slow = slices.Delete(s.slow, at, at+1)
 			}
 			p.settle(s)
-		case Cut:
+		case Partition:
 			for n := range s.cuts {
 				if len(f.Nodes) == 0 || slices.Contains(f.Nodes, n) {
 					s.cuts[n] += sign
 				}
 			}
 			p.settle(s)
-		case Spoilt:
+		case CorruptResponse:
 			s.spoilt = shares(s.spoilt, f.Share, sign)
-		case Lossy:
+		case PacketLoss:
 			s.lossy = shares(s.lossy, f.Share, sign)
 		}
 	}
@@ -178,7 +178,7 @@
 func (s *server) slowBy(factor float64) { s.origin.factor *= factor }
 
 // choose draws the targets of a fault among the boxes that are there, in the order of the list.
-func (p *Portal) choose(f *active) []*server {
+func (p *System) choose(f *active) []*server {
 	var may []*server
 	for _, s := range p.servers {
 		if s.box == nil || s.gone || s.leaving || f.Select.Kind != "" && s.kind.Name != f.Select.Kind ||
@@ -202,7 +202,7 @@
 }
 
 // deploy replaces its targets, a batch at a time, evenly over its time.
-func (p *Portal) deploy(f *active) {
+func (p *System) deploy(f *active) {
 	fleet := 0
 	for _, s := range p.servers {
 		if s.box != nil && !s.gone {
@@ -222,13 +222,13 @@
 }
 
 // shrink retires its targets one after another.
-func (p *Portal) shrink(f *active) {
+func (p *System) shrink(f *active) {
 	for i, s := range f.targets {
 		p.at(p.now+f.For*time.Duration(i)/time.Duration(len(f.targets)), func() { p.retire(s, f.DrainFor, func() {}) })
 	}
 }
 
-func (p *Portal) flap(f *active) {
+func (p *System) flap(f *active) {
 	end := Never
 	if f.For > 0 {
 		end = p.now + f.For
@@ -249,18 +249,18 @@
 	turn(false)
 }
 
-// SpoiltKind is a way in which an answer can be spoilt. The driver words it.
-type SpoiltKind int
+// CorruptionKind is a way in which an answer can be spoilt. The driver words it.
+type CorruptionKind int
 
 // The ways. Of the last three the answer itself is good.
 const (
-	Sound        SpoiltKind = iota
-	SpoiltNoise             // bytes that are no answer
-	SpoiltLine              // a line that never ends
-	SpoiltLength            // a length that does not fit
-	SpoiltHuge              // a value of 3 GB that keeps coming
-	SpoiltTwice             // a second copy behind the answer
-	SpoiltBehind            // noise behind the answer
-	SpoiltReport            // a load report that can't be read
+	NotCorrupt           CorruptionKind = iota
+	CorruptNoise                        // bytes that are no answer
+	CorruptEndlessLine                  // a line that never ends
+	CorruptLength                       // a length that does not fit
+	CorruptHugeValue                    // a value of 3 GB that keeps coming
+	CorruptDuplicate                    // a second copy behind the answer
+	CorruptTrailingNoise                // noise behind the answer
+	CorruptLoadReport                   // a load report that can't be read
 	numberOfSpoilt
 )
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -10,44 +10,44 @@
 	"pgregory.net/rapid"
 )
 
-var standard = &BoxKind{Name: "standard", Cores: 2, Speed: 1, Slots: 16, Queue: 8, ColdFrom: 0.2, WarmAfter: 10 * time.Second,
-	Memory: 1 << 20, Conns: 50, ConnWork: time.Millisecond, ProbeWork: time.Millisecond, MissWork: 0.1, ErrorRate: 0.01,
-	Cancel: CancelQueued, FallFactor: 3, FallAfter: 1500 * time.Millisecond}
+var standard = &CacheServerKind{Name: "standard", Cores: 2, Speed: 1, Slots: 16, Queue: 8, SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second,
+	Memory: 1 << 20, MaxConnections: 50, ConnectionWork: time.Millisecond, HealthCheckWork: time.Millisecond, MissWork: 0.1, ErrorRate: 0.01,
+	Cancel: CancelQueued, OverloadFactor: 3, OverloadWindow: 1500 * time.Millisecond}
 
 func spec(seed uint64, boxes int, faults ...Fault) Spec {
 	s := Spec{Seed: seed, Nodes: []NodeSpec{{"n0", "a"}, {"n1", "b"}}, OriginZone: "a",
 		Origin: OriginSpec{Median: 20 * time.Millisecond, Sigma: 0.3, Parallel: 20, Queue: 50, Window: 4 * time.Second, ValueSize: 100,
-			FallMultiple: 4, FallAfter: time.Second, FallFor: 3 * time.Second},
-		Roster: RosterSpec{LagLeast: 500 * time.Millisecond, LagMost: 900 * time.Millisecond, Call: time.Millisecond,
-			Line: 100 * time.Microsecond, Timeout: 2 * time.Second, Beat: 2 * time.Second},
+			OverloadMultiple: 4, OverloadWindow: time.Second, OverloadStall: 3 * time.Second},
+		Discovery: DiscoverySpec{MinLag: 500 * time.Millisecond, MaxLag: 900 * time.Millisecond, Call: time.Millisecond,
+			PerEntry: 100 * time.Microsecond, Timeout: 2 * time.Second, Heartbeat: 2 * time.Second},
 		Link: LinkSpec{SameLeast: 100 * time.Microsecond, SameMost: 300 * time.Microsecond, CrossLeast: time.Millisecond,
 			CrossMost: 2 * time.Millisecond, Retransmit: 200 * time.Millisecond},
 		Classes: []ClassSpec{{"read", 10 * time.Millisecond, 20 * time.Millisecond}, {"write", 20 * time.Millisecond, 30 * time.Millisecond}},
 		Faults:  faults}
 	for i := range boxes {
-		s.Boxes = append(s.Boxes, BoxSpec{Kind: standard, Zone: string(rune('a' + i%2)), Speed: 1})
+		s.CacheServers = append(s.CacheServers, CacheServerSpec{Kind: standard, Zone: string(rune('a' + i%2)), Speed: 1})
 	}
 	return s
 }
 
 // driver plays nodes without sockets and without a clock: it sends reads to boxes and, after a miss, to the origin.
 type driver struct {
-	*Portal
+	*System
 	t       time.Duration
 	rand    *rand.Rand
-	doors   map[int]DoorState // of node 0
-	conns   map[int]ConnID    // by slot
+	doors   map[int]AcceptorState // of node 0
+	conns   map[int]ConnID        // by slot
 	bySlot  map[ConnID]int
 	next    uint64
-	answers []Answer
+	answers []Response
 	resets  int
-	told    []Told
-	ran     []Ran
+	told    []DiscoveryReply
+	ran     []RequestExecuted
 	fell    []string
 }
 
 func drive(s Spec) *driver {
-	d := &driver{Portal: New(s), rand: Stream(s.Seed, "driver"), doors: map[int]DoorState{}, conns: map[int]ConnID{},
+	d := &driver{System: New(s), rand: RandomStream(s.Seed, "driver"), doors: map[int]AcceptorState{}, conns: map[int]ConnID{},
 		bySlot: map[ConnID]int{}}
 	d.take(d.Start())
 	return d
@@ -56,23 +56,23 @@
 func (d *driver) take(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Door:
+		case Acceptor:
 			if e.Node == 0 {
 				d.doors[e.Slot] = e.State
 			}
 		case Reset:
 			d.resets++
 			delete(d.conns, d.bySlot[e.Conn])
-		case Answer:
+		case Response:
 			d.answers = append(d.answers, e)
 			if e.Outcome == Miss {
 				d.send(0, e.Request, "read", false)
 			}
-		case Told:
+		case DiscoveryReply:
 			d.told = append(d.told, e)
-		case Ran:
+		case RequestExecuted:
 			d.ran = append(d.ran, e)
-		case Fell:
+		case ServerOverloaded:
 			d.fell = append(d.fell, e.Server)
 		}
 	}
@@ -80,16 +80,16 @@
 
 // until passes time, doing what is due at its own moment.
 func (d *driver) until(t time.Duration) {
-	for d.Wake() <= t {
-		d.take(d.Tick(d.Wake()))
+	for d.NextEvent() <= t {
+		d.take(d.Advance(d.NextEvent()))
 	}
 	d.t = t
-	d.take(d.Tick(t))
+	d.take(d.Advance(t))
 }
 
 // send sends a request to a slot, where its door is open, and tells whether it could. The key is that of the id.
 func (d *driver) send(slot int, id, class string, write bool) bool {
-	if state, ok := d.doors[slot]; !ok || state != Open {
+	if state, ok := d.doors[slot]; !ok || state != Accepting {
 		return false
 	}
 	c, ok := d.conns[slot]
@@ -102,8 +102,8 @@
 	d.next++
 	var key int
 	fmt.Sscanf(id, "%d", &key)
-	d.take(d.Step(d.t, Arrive{Request{Conn: c, Seq: d.next, ID: id, Key: fmt.Sprint("k", key%40), Class: class, Write: write,
-		Size: 10, Until: d.t + 2*time.Second}}))
+	d.take(d.Step(d.t, RequestArrived{Request{Conn: c, Seq: d.next, ID: id, Key: fmt.Sprint("k", key%40), Class: class, Write: write,
+		Size: 10, Deadline: d.t + 2*time.Second}}))
 	return true
 }
 
@@ -117,7 +117,7 @@
 		}
 		slots := []int{}
 		for s, state := range d.doors {
-			if s != 0 && state == Open {
+			if s != 0 && state == Accepting {
 				slots = append(slots, s)
 			}
 		}
@@ -132,15 +132,15 @@
 var everything = []Fault{
 	{Kind: Deploy, At: time.Second, For: 4 * time.Second, Batch: 0.3, DrainFor: 500 * time.Millisecond, SameSlot: 0.5, Select: Selector{Share: 0.8}},
 	{Kind: Freeze, At: 2 * time.Second, For: time.Second, Select: Selector{Count: 1}},
-	{Kind: Cut, At: 2500 * time.Millisecond, For: time.Second, Select: Selector{Count: 1}},
+	{Kind: Partition, At: 2500 * time.Millisecond, For: time.Second, Select: Selector{Count: 1}},
 	{Kind: Flap, At: 3 * time.Second, For: 3 * time.Second, Period: time.Second, Select: Selector{Count: 1}},
-	{Kind: Spoilt, At: time.Second, For: 5 * time.Second, Share: 0.1},
-	{Kind: Lossy, At: time.Second, For: 5 * time.Second, Share: 0.1},
-	{Kind: RosterLag, At: time.Second, For: 5 * time.Second, Lag: time.Second},
+	{Kind: CorruptResponse, At: time.Second, For: 5 * time.Second, Share: 0.1},
+	{Kind: PacketLoss, At: time.Second, For: 5 * time.Second, Share: 0.1},
+	{Kind: DiscoveryLag, At: time.Second, For: 5 * time.Second, Lag: time.Second},
 	{Kind: OriginSlow, At: 4 * time.Second, For: time.Second, Factor: 3},
-	{Kind: OriginFall, At: 6 * time.Second, For: time.Second},
-	{Kind: RosterDown, At: 5 * time.Second, For: time.Second},
-	{Kind: RosterEmpty, At: 7 * time.Second, For: time.Second},
+	{Kind: OriginStall, At: 6 * time.Second, For: time.Second},
+	{Kind: DiscoveryDown, At: 5 * time.Second, For: time.Second},
+	{Kind: DiscoveryEmpty, At: 7 * time.Second, For: time.Second},
 	{Kind: Shrink, At: 7 * time.Second, For: time.Second, Select: Selector{Count: 2}},
 }
 
@@ -155,7 +155,7 @@
 	if a, b, c := hash(1), hash(1), hash(2); a != b || a == c {
 		t.Errorf("hashes %x and %x of one seed, %x of another", a, b, c)
 	}
-	if a, b := Stream(1, "x").Uint64(), Stream(1, "y").Uint64(); a == b {
+	if a, b := RandomStream(1, "x").Uint64(), RandomStream(1, "y").Uint64(); a == b {
 		t.Error("two parts draw the same")
 	}
 }
@@ -172,7 +172,7 @@
 // A read misses, is fetched, and is a hit then; a write voids the copy, and no box returns the old record.
 func TestCopies(t *testing.T) {
 	d := drive(spec(1, 1))
-	ask := func(id string, write bool, slot int) Answer {
+	ask := func(id string, write bool, slot int) Response {
 		n := len(d.answers)
 		d.send(slot, id, map[bool]string{false: "read", true: "write"}[write], write)
 		d.until(d.t + time.Second)
@@ -210,7 +210,7 @@
 	n := len(d.answers)
 	d.send(1, "2", "read", false)
 	d.until(2100 * time.Millisecond)
-	if d.resets != 1 || len(d.answers) > n && d.answers[n].Outcome != Turned {
+	if d.resets != 1 || len(d.answers) > n && d.answers[n].Outcome != RejectedUnseen {
 		t.Errorf("%d resets, answers %+v", d.resets, d.answers[n:])
 	}
 	d.until(4 * time.Second)
@@ -241,13 +241,13 @@
 	if len(d.answers) == 0 {
 		t.Error("the box did not go on after both")
 	}
-	for at, want := range map[time.Duration]DoorState{12500 * time.Millisecond: Shut} {
+	for at, want := range map[time.Duration]AcceptorState{12500 * time.Millisecond: Refusing} {
 		if d.until(at); d.doors[1] != want {
 			t.Errorf("at %s the door is %v", at, d.doors[1])
 		}
 	}
 	d.until(20 * time.Second)
-	if e := d.entries()["box-0"]; d.doors[1] != Open || e.State != Up || e.Started != 14*time.Second {
+	if e := d.entries()["box-0"]; d.doors[1] != Accepting || e.State != Up || e.Started != 14*time.Second {
 		t.Errorf("after both kills: door %v, entry %+v", d.doors[1], e)
 	}
 }
@@ -255,7 +255,7 @@
 // Whatever faults there are, each state they change is back at its end, and a portal with work goes on.
 func TestFaultsUndoThemselves(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		kinds := []FaultKind{Drain, Kill, Freeze, Cut, Slow, Stall, Flap, Spoilt, Lossy, RosterLag, RosterDown, RosterEmpty, OriginSlow, OriginFall}
+		kinds := []FaultKind{Drain, Kill, Freeze, Partition, Slow, Stall, Flap, CorruptResponse, PacketLoss, DiscoveryLag, DiscoveryDown, DiscoveryEmpty, OriginSlow, OriginStall}
 		var faults []Fault
 		for range rapid.IntRange(1, 8).Draw(r, "faults") {
 			faults = append(faults, Fault{Kind: rapid.SampledFrom(kinds).Draw(r, "kind"),
@@ -293,7 +293,7 @@
 		sp := spec(1, 1)
 		kind := *standard
 		kind.MissWork, kind.Slots, kind.Queue = 1, 1000, 1000
-		sp.Boxes[0].Kind = &kind
+		sp.CacheServers[0].Kind = &kind
 		if cold {
 			sp.Faults = []Fault{{Kind: Kill, At: time.Millisecond, For: time.Millisecond}}
 		}
@@ -312,12 +312,12 @@
 // Calls of discovery are handled one after another; a watch gets what changed, and ends when discovery goes down.
 func TestRoster(t *testing.T) {
 	d := drive(spec(1, 2, Fault{Kind: Drain, At: 3 * time.Second, For: time.Second, Select: Selector{IDs: []string{"box-1"}}},
-		Fault{Kind: RosterDown, At: 8 * time.Second, For: time.Second}))
+		Fault{Kind: DiscoveryDown, At: 8 * time.Second, For: time.Second}))
 	v := d.List().Version
-	d.take(d.Step(0, Ask{Call: 1, Watch: true, After: v}))
-	d.take(d.Step(0, Ask{Call: 2}))
+	d.take(d.Step(0, DiscoveryCall{Call: 1, Watch: true, After: v}))
+	d.take(d.Step(0, DiscoveryCall{Call: 2}))
 	d.until(time.Second)
-	if len(d.told) != 2 || d.told[0].Call != 1 || len(d.told[0].List.Entries) != 0 || !d.told[1].List.Whole || len(d.told[1].List.Entries) != 3 || !d.told[1].Ends {
+	if len(d.told) != 2 || d.told[0].Call != 1 || len(d.told[0].List.Entries) != 0 || !d.told[1].List.IsFull || len(d.told[1].List.Entries) != 3 || !d.told[1].Ends {
 		t.Fatalf("told %+v", d.told)
 	}
 	d.until(7 * time.Second)
@@ -334,7 +334,7 @@
 	if last := d.told[len(d.told)-1]; !last.Ends || !last.Failed {
 		t.Errorf("as discovery went down: %+v", last)
 	}
-	d.take(d.Step(8600*time.Millisecond, Ask{Call: 3}))
+	d.take(d.Step(8600*time.Millisecond, DiscoveryCall{Call: 3}))
 	if last := d.told[len(d.told)-1]; last.Call != 3 || !last.Failed {
 		t.Errorf("while it is down: %+v", last)
 	}
@@ -343,7 +343,7 @@
 // The work that a box does in a time is what its cores can do, however many requests share them.
 func TestBoxSharesItsCores(t *testing.T) {
 	for n, want := range map[int]time.Duration{1: 100 * time.Millisecond, 2: 100 * time.Millisecond, 8: 400 * time.Millisecond} {
-		b := newBox(standard, 1, 0, false, Stream(1, "t"))
+		b := newBox(standard, 1, 0, false, RandomStream(1, "t"))
 		b.memory.put(Copy{Key: "k"})
 		for i := range n {
 			b.arrive(0, &Request{Key: "k", Seq: uint64(i), Work: 100 * time.Millisecond}, true)
@@ -379,9 +379,9 @@
 	sp := spec(1, 1, Fault{Kind: Drain, At: time.Second, For: 5 * time.Second})
 	kind := *standard
 	kind.MissWork, kind.ErrorRate = 1, 0
-	sp.Boxes[0].Kind = &kind
+	sp.CacheServers[0].Kind = &kind
 	sp.Classes[0] = ClassSpec{"read", 800 * time.Millisecond, 800 * time.Millisecond}
-	sp.Roster.LagLeast, sp.Roster.LagMost = 10*time.Millisecond, 10*time.Millisecond
+	sp.Discovery.MinLag, sp.Discovery.MaxLag = 10*time.Millisecond, 10*time.Millisecond
 	d := drive(sp)
 	d.until(900 * time.Millisecond)
 	d.send(1, "1", "read", false)
@@ -391,7 +391,7 @@
 	}
 	d.send(1, "2", "read", false)
 	d.until(4 * time.Second)
-	if len(d.answers) < 2 || d.answers[0].Request != "2" || d.answers[0].Outcome != Turned || d.answers[1].Request != "1" || d.answers[1].Outcome != Miss {
+	if len(d.answers) < 2 || d.answers[0].Request != "2" || d.answers[0].Outcome != RejectedUnseen || d.answers[1].Request != "1" || d.answers[1].Outcome != Miss {
 		t.Errorf("answers %+v", d.answers)
 	}
 }
--- a/internal/testbed/model/origin.go
+++ b/internal/testbed/model/origin.go
@@ -13,11 +13,11 @@
 	Parallel int           // requests it works on at once
 	Queue    int           // that wait; one more is turned away
 	// Asked for more than FallMultiple times its capacity for FallAfter, it stands still for FallFor. 0: never.
-	FallMultiple       float64
-	FallAfter, FallFor time.Duration
-	Window             time.Duration // in which a repeat of an idempotency key is dropped
-	ValueSize          int           // bytes of a record that nobody wrote yet
-	Cut                bool          // the end of a connection drops what waits on it
+	OverloadMultiple              float64
+	OverloadWindow, OverloadStall time.Duration
+	Window                        time.Duration // in which a repeat of an idempotency key is dropped
+	ValueSize                     int           // bytes of a record that nobody wrote yet
+	CancelOnDisconnect            bool          // the end of a connection drops what waits on it
 }
 
 // origin holds the truth: a version for each key that was written.
@@ -50,9 +50,9 @@
 }
 
 func newOrigin(spec OriginSpec, seed uint64) *origin {
-	o := &origin{spec: spec, rand: Stream(seed, "origin"), factor: 1, records: map[string]Copy{}, onces: map[string]Time{}}
+	o := &origin{spec: spec, rand: RandomStream(seed, "origin"), factor: 1, records: map[string]Copy{}, onces: map[string]Time{}}
 	o.mean = spec.Median.Seconds() * math.Exp(spec.Sigma*spec.Sigma/2)
-	o.bucket = o.rate() * spec.FallMultiple * spec.FallAfter.Seconds()
+	o.bucket = o.rate() * spec.OverloadMultiple * spec.OverloadWindow.Seconds()
 	return o
 }
 
@@ -68,11 +68,11 @@
 
 // fall charges a request and tells whether the origin falls over on it.
 func (o *origin) fall(now Time) bool {
-	if o.spec.FallMultiple <= 0 {
+	if o.spec.OverloadMultiple <= 0 {
 		return false
 	}
-	rate := o.rate() * o.spec.FallMultiple
-	o.bucket = math.Min(rate*o.spec.FallAfter.Seconds(), o.bucket+rate*(now-o.charged).Seconds())
+	rate := o.rate() * o.spec.OverloadMultiple
+	o.bucket = math.Min(rate*o.spec.OverloadWindow.Seconds(), o.bucket+rate*(now-o.charged).Seconds())
 	o.charged = now
 	o.bucket--
 	return o.bucket < 0
@@ -106,7 +106,7 @@
 }
 
 func (o *origin) closed(id ConnID) {
-	if !o.spec.Cut {
+	if !o.spec.CancelOnDisconnect {
 		return
 	}
 	kept := o.waiting[:0]
--- a/internal/testbed/model/portal.go
+++ b/internal/testbed/model/portal.go
@@ -13,23 +13,23 @@
 
 // Spec is all that a portal is made of.
 type Spec struct {
-	Seed       uint64
-	Nodes      []NodeSpec
-	Boxes      []BoxSpec
-	Origin     OriginSpec
-	OriginZone string
-	Roster     RosterSpec
-	Link       LinkSpec
-	Classes    []ClassSpec
-	Faults     []Fault
+	Seed         uint64
+	Nodes        []NodeSpec
+	CacheServers []CacheServerSpec
+	Origin       OriginSpec
+	OriginZone   string
+	Discovery    DiscoverySpec
+	Link         LinkSpec
+	Classes      []ClassSpec
+	Faults       []Fault
 }
 
 // NodeSpec is a node as the portal sees it.
 type NodeSpec struct{ Name, Zone string }
 
-// BoxSpec is a box that is there from the start.
-type BoxSpec struct {
-	Kind  *BoxKind
+// CacheServerSpec is a box that is there from the start.
+type CacheServerSpec struct {
+	Kind  *CacheServerKind
 	Zone  string
 	Cell  int
 	Speed float64
@@ -55,106 +55,106 @@
 	}
 	// Closed says that the node ended a connection.
 	Closed struct{ Conn ConnID }
-	// Arrive says that the last byte of a request was written to a connection. Its Work is set by the portal.
-	Arrive struct{ Request }
-	// Probe asks a server for a sign of life or, with Load, its load.
-	Probe struct {
+	// RequestArrived says that the last byte of a request was written to a connection. Its Work is set by the portal.
+	RequestArrived struct{ Request }
+	// HealthCheck asks a server for a sign of life or, with Load, its load.
+	HealthCheck struct {
 		Conn ConnID
 		Seq  uint64
 		Load bool
 	}
-	// Ask is a call of discovery: for the whole list, or for what came after a version and from then on.
-	Ask struct {
+	// DiscoveryCall is a call of discovery: for the whole list, or for what came after a version and from then on.
+	DiscoveryCall struct {
 		Call  uint64
 		Node  int
 		Watch bool
 		After int64
 	}
-	// HangUp ends a call from the node's side.
-	HangUp struct{ Call uint64 }
+	// DiscoveryCancelled ends a call from the node's side.
+	DiscoveryCancelled struct{ Call uint64 }
 )
 
-func (Connect) event() {}
-func (Closed) event()  {}
-func (Arrive) event()  {}
-func (Probe) event()   {}
-func (Ask) event()     {}
-func (HangUp) event()  {}
+func (Connect) event()            {}
+func (Closed) event()             {}
+func (RequestArrived) event()     {}
+func (HealthCheck) event()        {}
+func (DiscoveryCall) event()      {}
+func (DiscoveryCancelled) event() {}
 
-// DoorState is what becomes of new connections to a slot.
-type DoorState int
+// AcceptorState is what becomes of new connections to a slot.
+type AcceptorState int
 
 // The states of a door.
 const (
-	Open   DoorState = iota
-	Shut             // refused
-	Silent           // never come up
+	Accepting    AcceptorState = iota
+	Refusing                   // refused
+	Unresponsive               // never come up
 )
 
 // Effects for a driver.
 type (
 	// Effect is one of the types below it.
 	Effect interface{ effect() }
-	// Door says what becomes of new connections from a node to a slot from now on. All doors are shut at first.
-	Door struct {
+	// Acceptor says what becomes of new connections from a node to a slot from now on. All doors are shut at first.
+	Acceptor struct {
 		Slot, Node int
-		State      DoorState
+		State      AcceptorState
 	}
 	// Reset ends a connection from the server's side, with whatever is on its way on it.
 	Reset struct{ Conn ConnID }
-	// Answer is written to a connection, after those that were written to it before.
-	Answer struct {
-		Conn    ConnID
-		Seq     uint64
-		Server  string
-		Request string // id of the client's request; empty for a probe
-		Outcome Outcome
-		Copy    Copy
-		Load    Load
-		Spoilt  SpoiltKind
-		Loaded  bool // the load was asked for
-	}
-	// Told is what discovery writes to a call. One that Ends gets nothing more; one that Failed gets a 503, or a
+	// Response is written to a connection, after those that were written to it before.
+	Response struct {
+		Conn       ConnID
+		Seq        uint64
+		Server     string
+		Request    string // id of the client's request; empty for a probe
+		Outcome    Outcome
+		Copy       Copy
+		Load       Load
+		Corruption CorruptionKind
+		HasLoad    bool // the load was asked for
+	}
+	// DiscoveryReply is what discovery writes to a call. One that Ends gets nothing more; one that Failed gets a 503, or a
 	// reset where it had begun.
-	Told struct {
+	DiscoveryReply struct {
 		Call         uint64
 		List         *List // nil is an empty line
 		Ends, Failed bool
 	}
-	// Ran says that work on a request began, for the rules; it is not seen by nodes.
-	Ran struct {
+	// RequestExecuted says that work on a request began, for the rules; it is not seen by nodes.
+	RequestExecuted struct {
 		Request, Server, Class string
 		Seq                    uint64
 	}
-	// Fell says that a cold box was pushed over.
-	Fell struct{ Server string }
-	// Began says that the process of a cold box started, for the rules. At is what the list will say of it.
-	Began struct {
+	// ServerOverloaded says that a cold box was pushed over.
+	ServerOverloaded struct{ Server string }
+	// ServerStarted says that the process of a cold box started, for the rules. At is what the list will say of it.
+	ServerStarted struct {
 		Server string
 		At     Time
 	}
-	// Listed says that discovery has something new to tell of a server, for the rules.
-	Listed struct {
+	// ServerListed says that discovery has something new to tell of a server, for the rules.
+	ServerListed struct {
 		Server string
 		State  State
 	}
-	// Reachable says whether discovery answers, for the rules. It does at first.
-	Reachable struct{ Up bool }
+	// DiscoveryReachable says whether discovery answers, for the rules. It does at first.
+	DiscoveryReachable struct{ Up bool }
 )
 
-func (Door) effect()   {}
-func (Reset) effect()  {}
-func (Answer) effect() {}
-func (Told) effect()   {}
-func (Ran) effect()    {}
-func (Fell) effect()   {}
-func (Began) effect()  {}
+func (Acceptor) effect()         {}
+func (Reset) effect()            {}
+func (Response) effect()         {}
+func (DiscoveryReply) effect()   {}
+func (RequestExecuted) effect()  {}
+func (ServerOverloaded) effect() {}
+func (ServerStarted) effect()    {}
 
-func (Listed) effect()    {}
-func (Reachable) effect() {}
+func (ServerListed) effect()       {}
+func (DiscoveryReachable) effect() {}
 
-// Portal is all of it. It is not safe for concurrent use.
-type Portal struct {
+// System is all of it. It is not safe for concurrent use.
+type System struct {
 	spec    Spec
 	now     Time
 	due     timers
@@ -183,7 +183,7 @@
 type server struct {
 	id, zone   string
 	cell, slot int
-	kind       *BoxKind // nil for the origin
+	kind       *CacheServerKind // nil for the origin
 	box        *box
 	origin     *origin
 	started    Time // as the roster tells; 0 is long ago
@@ -194,7 +194,7 @@
 	leaving                          bool  // it drains and will go
 	gone                             bool  // and is gone for good
 	dead                             bool  // its process is not there
-	doors                            []DoorState
+	doors                            []AcceptorState
 
 	open      []ConnID // ascending
 	held      []func() // messages that came while it was frozen
@@ -217,12 +217,12 @@
 }
 
 // New makes a portal. Start puts it into the state of time 0.
-func New(spec Spec) *Portal {
-	p := &Portal{spec: spec, bySlot: map[int]*server{}, conns: map[ConnID]*conn{}, work: map[string]ClassSpec{},
+func New(spec Spec) *System {
+	p := &System{spec: spec, bySlot: map[int]*server{}, conns: map[ConnID]*conn{}, work: map[string]ClassSpec{},
 		missed: map[string]*misses{}, hash: xxhash.New(),
-		speeds: Stream(spec.Seed, "speeds"), links: Stream(spec.Seed, "links"), lags: Stream(spec.Seed, "lags"),
-		spoil: Stream(spec.Seed, "spoilt")}
-	p.roster = &roster{spec: spec.Roster, rand: p.lags}
+		speeds: RandomStream(spec.Seed, "speeds"), links: RandomStream(spec.Seed, "links"), lags: RandomStream(spec.Seed, "lags"),
+		spoil: RandomStream(spec.Seed, "spoilt")}
+	p.roster = &roster{spec: spec.Discovery, rand: p.lags}
 	for _, c := range spec.Classes {
 		p.work[c.Name] = c
 	}
@@ -230,14 +230,14 @@
 }
 
 // Start brings the boxes and the origin up and books the faults.
-func (p *Portal) Start() []Effect {
+func (p *System) Start() []Effect {
 	if p.started {
 		return nil
 	}
 	p.started = true
 	p.origin = p.add(&server{id: OriginID, zone: p.spec.OriginZone, origin: newOrigin(p.spec.Origin, p.spec.Seed)})
 	p.roster.set(p.entry(p.origin))
-	for _, b := range p.spec.Boxes {
+	for _, b := range p.spec.CacheServers {
 		s := p.newBoxServer(b.Kind, b.Speed, b.Zone, b.Cell, p.slots, false)
 		p.roster.set(p.entry(s))
 	}
@@ -248,34 +248,34 @@
 }
 
 // Step takes an event. Time must not go back; a time before the latest counts as that one.
-func (p *Portal) Step(now Time, ev Event) []Effect {
+func (p *System) Step(now Time, ev Event) []Effect {
 	p.pass(now)
 	switch e := ev.(type) {
 	case Connect:
 		p.connect(e)
 	case Closed:
 		p.closed(e.Conn)
-	case Arrive:
+	case RequestArrived:
 		p.arrive(e)
-	case Probe:
+	case HealthCheck:
 		p.probe(e)
-	case Ask:
+	case DiscoveryCall:
 		p.ask(e)
-	case HangUp:
+	case DiscoveryCancelled:
 		p.note("hang-up", strconv.FormatUint(e.Call, 10))
 		p.hangUp(e.Call)
 	}
 	return p.take()
 }
 
-// Tick does what is due.
-func (p *Portal) Tick(now Time) []Effect {
+// Advance does what is due.
+func (p *System) Advance(now Time) []Effect {
 	p.pass(now)
 	return p.take()
 }
 
-// Wake is when Tick is wanted next; Never is not.
-func (p *Portal) Wake() Time {
+// NextEvent is when Tick is wanted next; Never is not.
+func (p *System) NextEvent() Time {
 	if len(p.due) == 0 {
 		return Never
 	}
@@ -283,13 +283,13 @@
 }
 
 // Hash is that of the event log so far.
-func (p *Portal) Hash() uint64 { return p.hash.Sum64() }
+func (p *System) Hash() uint64 { return p.hash.Sum64() }
 
 // List is the whole list as discovery has it now.
-func (p *Portal) List() List { return p.roster.whole() }
+func (p *System) List() List { return p.roster.whole() }
 
 // ServerOf is the id of the server that a connection is to; empty once the connection has ended.
-func (p *Portal) ServerOf(id ConnID) string {
+func (p *System) ServerOf(id ConnID) string {
 	if c := p.conns[id]; c != nil {
 		return c.server.id
 	}
@@ -298,47 +298,47 @@
 
 // ServerState is a server as it is, for tables and charts.
 type ServerState struct {
-	ID, Kind, Zone string
-	Slot           int
-	State          State
-	Dead, Silent   bool
-	Warmth         float64
-	Running        int
-	Waiting        int
-	Conns          int
-	Copies         int
-	Cores          int
+	ID, Kind, Zone     string
+	Slot               int
+	State              State
+	Dead, Unresponsive bool
+	SlowStart          float64
+	Running            int
+	Waiting            int
+	Conns              int
+	Copies             int
+	Cores              int
 }
 
 // Servers are those that are there, in the order in which they came.
-func (p *Portal) Servers() []ServerState {
+func (p *System) Servers() []ServerState {
 	var out []ServerState
 	for _, s := range p.servers {
 		e := p.entry(s)
-		st := ServerState{ID: s.id, Kind: e.Kind, Zone: s.zone, Slot: s.slot, State: e.State, Dead: s.dead, Warmth: 1,
-			Silent: s.frozen > 0, Conns: len(s.open)}
+		st := ServerState{ID: s.id, Kind: e.Kind, Zone: s.zone, Slot: s.slot, State: e.State, Dead: s.dead, SlowStart: 1,
+			Unresponsive: s.frozen > 0, Conns: len(s.open)}
 		for _, n := range s.cuts {
-			st.Silent = st.Silent || n > 0
+			st.Unresponsive = st.Unresponsive || n > 0
 		}
 		if b := s.box; b != nil {
-			st.Running, st.Waiting, st.Warmth, st.Copies, st.Cores = len(b.running), len(b.waiting), b.warmth(p.now), len(b.memory.byKey), b.kind.Cores
+			st.Running, st.Waiting, st.SlowStart, st.Copies, st.Cores = len(b.running), len(b.waiting), b.warmth(p.now), len(b.memory.byKey), b.kind.Cores
 		} else {
 			st.Running, st.Waiting, st.Cores = s.origin.working, len(s.origin.waiting), s.origin.spec.Parallel
-			st.Silent = s.origin.still(p.now)
+			st.Unresponsive = s.origin.still(p.now)
 		}
 		out = append(out, st)
 	}
 	return out
 }
 
-func (p *Portal) take() []Effect {
+func (p *System) take() []Effect {
 	out := p.out
 	p.out = nil
 	return out
 }
 
 // pass does what is due up to now, each at its own time.
-func (p *Portal) pass(now Time) {
+func (p *System) pass(now Time) {
 	for len(p.due) > 0 && p.due[0].at <= now {
 		t := heap.Pop(&p.due).(*timer)
 		p.now = max(p.now, t.at)
@@ -348,7 +348,7 @@
 }
 
 // note adds a line to the event log.
-func (p *Portal) note(what string, about ...string) {
+func (p *System) note(what string, about ...string) {
 	b := strconv.AppendInt(p.line[:0], int64(p.now), 10)
 	b = append(append(b, ' '), what...)
 	for _, a := range about {
@@ -361,13 +361,13 @@
 	}
 }
 
-func (p *Portal) emit(e Effect) { p.out = append(p.out, e) }
+func (p *System) emit(e Effect) { p.out = append(p.out, e) }
 
 // add takes a server into the portal.
-func (p *Portal) add(s *server) *server {
-	s.cuts, s.doors = make([]int, len(p.spec.Nodes)), make([]DoorState, len(p.spec.Nodes))
+func (p *System) add(s *server) *server {
+	s.cuts, s.doors = make([]int, len(p.spec.Nodes)), make([]AcceptorState, len(p.spec.Nodes))
 	for i := range s.doors {
-		s.doors[i] = Shut
+		s.doors[i] = Refusing
 	}
 	p.slots = max(p.slots, s.slot+1)
 	p.servers = append(p.servers, s)
@@ -377,20 +377,20 @@
 	return s
 }
 
-func (p *Portal) newBoxServer(kind *BoxKind, speed float64, zone string, cell, slot int, cold bool) *server {
+func (p *System) newBoxServer(kind *CacheServerKind, speed float64, zone string, cell, slot int, cold bool) *server {
 	id := fmt.Sprintf("box-%d", p.ids)
 	p.ids++
 	s := &server{id: id, zone: zone, cell: cell, slot: slot, kind: kind,
-		box: newBox(kind, speed, p.now, cold, Stream(p.spec.Seed, "box/"+id))}
+		box: newBox(kind, speed, p.now, cold, RandomStream(p.spec.Seed, "box/"+id))}
 	if cold {
 		s.started = max(p.now, 1)
-		p.emit(Began{id, s.started})
+		p.emit(ServerStarted{id, s.started})
 	}
 	return p.add(s)
 }
 
 // entry is what the roster would say of a server now.
-func (p *Portal) entry(s *server) Entry {
+func (p *System) entry(s *server) Entry {
 	e := Entry{ID: s.id, Zone: s.zone, Cell: s.cell, Slot: s.slot, Started: s.started, Origin: s.origin != nil, Kind: OriginID}
 	if s.kind != nil {
 		e.Kind = s.kind.Name
@@ -405,21 +405,21 @@
 }
 
 // publish lets the roster learn what is so now, in its own time, and in the order of the changes of a server.
-func (p *Portal) publish(s *server) {
+func (p *System) publish(s *server) {
 	e := p.entry(s)
 	p.note("state", e.ID, e.State.String())
-	at := max(s.published, p.now+span(p.lags, p.spec.Roster.LagLeast, p.spec.Roster.LagMost)+p.roster.lag)
+	at := max(s.published, p.now+span(p.lags, p.spec.Discovery.MinLag, p.spec.Discovery.MaxLag)+p.roster.lag)
 	s.published = at
 	p.at(at, func() {
 		p.roster.set(e)
 		p.note("listed", e.ID, e.State.String())
-		p.emit(Listed{e.ID, e.State})
+		p.emit(ServerListed{e.ID, e.State})
 		p.tellWatches()
 	})
 }
 
 // settle brings a server's process, doors and speed in line with the faults that are on.
-func (p *Portal) settle(s *server) {
+func (p *System) settle(s *server) {
 	if s.box != nil {
 		s.box.advance(p.now)
 	}
@@ -433,7 +433,7 @@
 		} else {
 			p.note("started", s.id)
 			s.started = max(p.now, 1)
-			p.emit(Began{s.id, s.started})
+			p.emit(ServerStarted{s.id, s.started})
 		}
 		if s.box != nil {
 			s.box.restart(p.now, true)
@@ -450,20 +450,20 @@
 		}
 	}
 	for n := range s.doors {
-		state := Open
+		state := Accepting
 		switch {
 		case s.dead:
-			state = Shut
+			state = Refusing
 		case s.cuts[n] > 0:
-			state = Silent
+			state = Unresponsive
 		}
 		if was := s.doors[n]; state != was {
 			s.doors[n] = state
-			if was == Silent { // what was open meanwhile is reset now that the machine is back
+			if was == Unresponsive { // what was open meanwhile is reset now that the machine is back
 				resets = append(resets, func(c *conn) bool { return c.node == n })
 			}
 			if p.bySlot[s.slot] == s {
-				p.emit(Door{Slot: s.slot, Node: n, State: state})
+				p.emit(Acceptor{Slot: s.slot, Node: n, State: state})
 			}
 		}
 	}
@@ -481,7 +481,7 @@
 }
 
 // resetAll ends connections of a server, in the order of their ids.
-func (p *Portal) resetAll(s *server, which func(*conn) bool) {
+func (p *System) resetAll(s *server, which func(*conn) bool) {
 	for _, id := range slices.Clone(s.open) {
 		if c := p.conns[id]; which(c) {
 			p.emit(Reset{id})
@@ -490,7 +490,7 @@
 	}
 }
 
-func (p *Portal) drop(c *conn) {
+func (p *System) drop(c *conn) {
 	delete(p.conns, c.id)
 	if at, ok := slices.BinarySearch(c.server.open, c.id); ok {
 		c.server.open = slices.Delete(c.server.open, at, at+1)
@@ -505,7 +505,7 @@
 }
 
 // retire drains a box, ends its process after a while, and then goes on.
-func (p *Portal) retire(s *server, after time.Duration, then func()) {
+func (p *System) retire(s *server, after time.Duration, then func()) {
 	if s.gone || s.leaving {
 		return
 	}
@@ -523,7 +523,7 @@
 }
 
 // succeed starts a cold box in the place of one that has gone.
-func (p *Portal) succeed(old *server, sameSlot bool) {
+func (p *System) succeed(old *server, sameSlot bool) {
 	slot := p.slots
 	if sameSlot {
 		slot = old.slot
@@ -532,10 +532,10 @@
 	p.publish(s)
 }
 
-func (p *Portal) connect(e Connect) {
+func (p *System) connect(e Connect) {
 	s := p.bySlot[e.Slot]
 	p.note("connect", strconv.Itoa(e.Slot), strconv.Itoa(e.Node), strconv.FormatUint(uint64(e.Conn), 10))
-	if s == nil || s.dead || s.kind != nil && s.kind.Conns > 0 && len(s.open) >= s.kind.Conns {
+	if s == nil || s.dead || s.kind != nil && s.kind.MaxConnections > 0 && len(s.open) >= s.kind.MaxConnections {
 		p.emit(Reset{e.Conn})
 		return
 	}
@@ -545,13 +545,13 @@
 	p.conns[e.Conn] = c
 	at, _ := slices.BinarySearch(s.open, e.Conn)
 	s.open = slices.Insert(s.open, at, e.Conn)
-	if s.box != nil && s.kind.ConnWork > 0 {
-		p.load(s, &Request{Conn: e.Conn, Work: s.kind.ConnWork, Until: Never})
+	if s.box != nil && s.kind.ConnectionWork > 0 {
+		p.load(s, &Request{Conn: e.Conn, Work: s.kind.ConnectionWork, Deadline: Never})
 	}
 }
 
 // load gives a box work that nobody waits for.
-func (p *Portal) load(s *server, q *Request) {
+func (p *System) load(s *server, q *Request) {
 	s.box.advance(p.now)
 	if r, taken := s.box.arrive(p.now, q, true); taken {
 		r.dropped = true
@@ -559,7 +559,7 @@
 	}
 }
 
-func (p *Portal) closed(id ConnID) {
+func (p *System) closed(id ConnID) {
 	if c := p.conns[id]; c != nil {
 		p.note("close", strconv.FormatUint(uint64(id), 10))
 		p.drop(c)
@@ -568,7 +568,7 @@
 
 // deliver takes a message over a connection's way in and does it there, unless the way is cut or the connection has
 // ended; a server that is frozen does it later.
-func (p *Portal) deliver(c *conn, do func()) {
+func (p *System) deliver(c *conn, do func()) {
 	s := c.server
 	if s.cuts[c.node] > 0 {
 		c.cut = true
@@ -585,7 +585,7 @@
 	})
 }
 
-func (p *Portal) here(s *server, do func()) {
+func (p *System) here(s *server, do func()) {
 	if s.frozen > 0 {
 		s.held = append(s.held, do)
 		return
@@ -594,7 +594,7 @@
 }
 
 // answer takes an answer over the way back.
-func (p *Portal) answer(s *server, a Answer) {
+func (p *System) answer(s *server, a Response) {
 	p.note("answer", s.id, a.Request, a.Outcome.String())
 	c := p.conns[a.Conn]
 	if c == nil {
@@ -607,7 +607,7 @@
 		return
 	}
 	if q := together(s.spoilt); q > 0 && p.spoil.Float64() < q {
-		a.Spoilt = SpoiltKind(1 + p.spoil.IntN(int(numberOfSpoilt)-1))
+		a.Corruption = CorruptionKind(1 + p.spoil.IntN(int(numberOfSpoilt)-1))
 	}
 	a.Server = s.id
 	p.at(c.out.arrival(p.now, &p.spec.Link, 0, together(s.lossy)), func() {
@@ -617,7 +617,7 @@
 	})
 }
 
-func (p *Portal) arrive(e Arrive) {
+func (p *System) arrive(e RequestArrived) {
 	c := p.conns[e.Conn]
 	p.note("arrive", e.ID, e.Class, e.Key, strconv.FormatUint(uint64(e.Conn), 10))
 	if c == nil {
@@ -635,13 +635,13 @@
 }
 
 // workOf is the work of a request: the same for each of its attempts, and drawn by its id.
-func (p *Portal) workOf(class, id string) time.Duration {
+func (p *System) workOf(class, id string) time.Duration {
 	w := p.work[class]
 	u := float64(xxhash.Sum64String(strconv.FormatUint(p.spec.Seed, 16)+id)>>11) / (1 << 53)
 	return w.WorkLeast + time.Duration(u*float64(w.WorkMost-w.WorkLeast))
 }
 
-func (p *Portal) probe(e Probe) {
+func (p *System) probe(e HealthCheck) {
 	c := p.conns[e.Conn]
 	p.note("probe", strconv.FormatUint(uint64(e.Conn), 10))
 	if c == nil {
@@ -651,16 +651,16 @@
 		s := c.server
 		if s.origin != nil {
 			if !s.origin.still(p.now) {
-				p.answer(s, Answer{Conn: e.Conn, Seq: e.Seq, Outcome: Pong, Loaded: e.Load,
+				p.answer(s, Response{Conn: e.Conn, Seq: e.Seq, Outcome: Pong, HasLoad: e.Load,
 					Load: Load{Inflight: s.origin.working + len(s.origin.waiting)}})
 			}
 			return
 		}
 		s.box.advance(p.now)
-		q := &Request{Conn: e.Conn, Seq: e.Seq, Work: s.kind.ProbeWork, Until: Never}
+		q := &Request{Conn: e.Conn, Seq: e.Seq, Work: s.kind.HealthCheckWork, Deadline: Never}
 		r, taken := s.box.arrive(p.now, q, true)
 		if !taken {
-			p.answer(s, Answer{Conn: e.Conn, Seq: e.Seq, Outcome: Turned})
+			p.answer(s, Response{Conn: e.Conn, Seq: e.Seq, Outcome: RejectedUnseen})
 			return
 		}
 		r.load = e.Load
@@ -669,9 +669,9 @@
 }
 
 // lookUp is a request at a box.
-func (p *Portal) lookUp(s *server, q *Request) {
+func (p *System) lookUp(s *server, q *Request) {
 	if s.draining > 0 || s.leaving {
-		p.answer(s, Answer{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: Turned})
+		p.answer(s, Response{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: RejectedUnseen})
 		return
 	}
 	b := s.box
@@ -680,20 +680,20 @@
 	if b.overloaded(p.now, q.Work.Seconds()) { // by what was sent: a box that finds nothing, or has no room, is pushed all the same
 		b.fallen = true
 		p.note("fell", s.id)
-		p.emit(Fell{s.id})
+		p.emit(ServerOverloaded{s.id})
 		s.kills++
 		p.settle(s)
 		return
 	}
 	if !taken {
-		p.answer(s, Answer{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: Turned, Load: b.load()})
+		p.answer(s, Response{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: RejectedUnseen, Load: b.load()})
 		return
 	}
 	p.serve(s)
 }
 
 // serve lets a box go on and books when it wants to be looked at again.
-func (p *Portal) serve(s *server) {
+func (p *System) serve(s *server) {
 	b := s.box
 	if b == nil {
 		return
@@ -726,17 +726,17 @@
 }
 
 // done is the end of a request at a box.
-func (p *Portal) done(s *server, r *run) {
+func (p *System) done(s *server, r *run) {
 	if r.dropped {
 		return
 	}
-	a := Answer{Conn: r.Conn, Seq: r.Seq, Request: r.ID, Outcome: r.outcome, Load: s.box.load()}
+	a := Response{Conn: r.Conn, Seq: r.Seq, Request: r.ID, Outcome: r.outcome, Load: s.box.load()}
 	switch r.outcome {
 	case Pong:
-		a.Loaded = r.load
+		a.HasLoad = r.load
 	case Hit, Failed:
 		p.note("ran", s.id, r.ID)
-		p.emit(Ran{Request: r.ID, Server: s.id, Class: r.Class, Seq: r.Seq})
+		p.emit(RequestExecuted{Request: r.ID, Server: s.id, Class: r.Class, Seq: r.Seq})
 		a.Copy = r.copied
 	case Miss:
 		p.miss(r.ID, s)
@@ -748,7 +748,7 @@
 const missedFor = 30 * time.Second
 
 // miss remembers where a request missed, as its value is stored there once the origin has answered.
-func (p *Portal) miss(id string, s *server) {
+func (p *System) miss(id string, s *server) {
 	for len(p.misses) > 0 && p.now-p.misses[0].at > missedFor {
 		if old := p.misses[0]; p.missed[old.id] == old {
 			delete(p.missed, old.id)
@@ -765,28 +765,28 @@
 }
 
 // fetch is a request at the origin.
-func (p *Portal) fetch(s *server, q *Request) {
+func (p *System) fetch(s *server, q *Request) {
 	o := s.origin
 	switch {
 	case o.still(p.now):
-		p.answer(s, Answer{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: Turned})
+		p.answer(s, Response{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: RejectedUnseen})
 	case o.fall(p.now):
 		p.note("origin-fell")
-		o.until = p.now + o.spec.FallFor
-		o.bucket = o.rate() * o.spec.FallMultiple * o.spec.FallAfter.Seconds()
+		o.until = p.now + o.spec.OverloadStall
+		o.bucket = o.rate() * o.spec.OverloadMultiple * o.spec.OverloadWindow.Seconds()
 		p.at(o.until, p.originWake)
-		p.answer(s, Answer{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: Turned})
+		p.answer(s, Response{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: RejectedUnseen})
 	case o.working < o.spec.Parallel:
 		p.originWork(&originRun{Request: q, arrived: p.now})
 	case len(o.waiting) < o.spec.Queue:
 		o.waiting = append(o.waiting, &originRun{Request: q, arrived: p.now})
 	default:
-		p.answer(s, Answer{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: Turned})
+		p.answer(s, Response{Conn: q.Conn, Seq: q.Seq, Request: q.ID, Outcome: RejectedUnseen})
 	}
 }
 
 // originWake goes on with what waits, once the origin no longer stands still.
-func (p *Portal) originWake() {
+func (p *System) originWake() {
 	o := p.origin.origin
 	for !o.still(p.now) && o.working < o.spec.Parallel && len(o.waiting) > 0 {
 		r := o.waiting[0]
@@ -798,15 +798,15 @@
 
 // originWork serves one request. A write counts from its end; what the origin does while it stands still is not
 // answered until it no longer does.
-func (p *Portal) originWork(r *originRun) {
+func (p *System) originWork(r *originRun) {
 	o := p.origin.origin
 	o.working++
 	p.note("ran", OriginID, r.ID)
-	p.emit(Ran{Request: r.ID, Server: OriginID, Class: r.Class, Seq: r.Seq})
+	p.emit(RequestExecuted{Request: r.ID, Server: OriginID, Class: r.Class, Seq: r.Seq})
 	p.at(p.now+o.service(), func() { p.here(p.origin, func() { p.fetched(r) }) })
 }
 
-func (p *Portal) fetched(r *originRun) {
+func (p *System) fetched(r *originRun) {
 	s, o := p.origin, p.origin.origin
 	if o.still(p.now) { // it ends when the origin is back
 		wait := max(o.until-p.now, 50*time.Millisecond)
@@ -814,11 +814,11 @@
 		return
 	}
 	o.working--
-	a := Answer{Conn: r.Conn, Seq: r.Seq, Request: r.ID, Outcome: Hit, Copy: o.record(r.Key),
+	a := Response{Conn: r.Conn, Seq: r.Seq, Request: r.ID, Outcome: Hit, Copy: o.record(r.Key),
 		Load: Load{Inflight: o.working + len(o.waiting)}}
 	if r.Write {
 		a.Outcome = Written
-		if !o.repeated(p.now, r.Once) {
+		if !o.repeated(p.now, r.IdempotencyKey) {
 			v := o.record(r.Key)
 			v.Version++
 			v.Size = r.Size
@@ -842,11 +842,11 @@
 	p.originWake()
 }
 
-func (p *Portal) ask(e Ask) {
+func (p *System) ask(e DiscoveryCall) {
 	p.note("ask", strconv.Itoa(e.Node), strconv.FormatBool(e.Watch), strconv.FormatInt(e.After, 10))
 	r := p.roster
 	if r.down > 0 {
-		p.emit(Told{Call: e.Call, Ends: true, Failed: true})
+		p.emit(DiscoveryReply{Call: e.Call, Ends: true, Failed: true})
 		return
 	}
 	lines := len(r.entries)
@@ -859,7 +859,7 @@
 }
 
 // askDone answers a call when those before it are done, unless it was hung up or discovery went down.
-func (p *Portal) askDone(e Ask, ok bool) {
+func (p *System) askDone(e DiscoveryCall, ok bool) {
 	r := p.roster
 	i := slices.IndexFunc(r.watches, func(w watch) bool { return w.call == e.Call })
 	if i < 0 {
@@ -870,60 +870,60 @@
 	}
 	switch {
 	case !ok:
-		p.emit(Told{Call: e.Call, Ends: true, Failed: true})
+		p.emit(DiscoveryReply{Call: e.Call, Ends: true, Failed: true})
 	case e.Watch:
 		list := r.since(e.After)
 		r.watches[i].after = r.version
-		p.emit(Told{Call: e.Call, List: &list})
+		p.emit(DiscoveryReply{Call: e.Call, List: &list})
 		p.beat(e.Call)
 	default:
 		list := r.whole()
-		p.emit(Told{Call: e.Call, List: &list, Ends: true})
+		p.emit(DiscoveryReply{Call: e.Call, List: &list, Ends: true})
 	}
 }
 
-func (p *Portal) beat(call uint64) {
-	if p.spec.Roster.Beat <= 0 {
+func (p *System) beat(call uint64) {
+	if p.spec.Discovery.Heartbeat <= 0 {
 		return
 	}
-	p.at(p.now+p.spec.Roster.Beat, func() {
+	p.at(p.now+p.spec.Discovery.Heartbeat, func() {
 		if slices.ContainsFunc(p.roster.watches, func(w watch) bool { return w.call == call }) {
-			p.emit(Told{Call: call})
+			p.emit(DiscoveryReply{Call: call})
 			p.beat(call)
 		}
 	})
 }
 
 // tellWatches writes to every watch what it has not been told yet.
-func (p *Portal) tellWatches() {
+func (p *System) tellWatches() {
 	r := p.roster
 	for i, w := range r.watches {
 		if w.after >= 0 && w.after != r.version {
 			list := r.since(w.after)
 			r.watches[i].after = r.version
-			p.emit(Told{Call: w.call, List: &list})
+			p.emit(DiscoveryReply{Call: w.call, List: &list})
 		}
 	}
 }
 
-func (p *Portal) hangUp(call uint64) {
+func (p *System) hangUp(call uint64) {
 	p.roster.watches = slices.DeleteFunc(p.roster.watches, func(w watch) bool { return w.call == call })
 }
 
-func (p *Portal) rosterDown(sign int) {
+func (p *System) rosterDown(sign int) {
 	r := p.roster
 	r.down += sign
-	p.emit(Reachable{r.down == 0})
+	p.emit(DiscoveryReachable{r.down == 0})
 	if r.down > 0 {
 		for _, w := range r.watches {
-			p.emit(Told{Call: w.call, Ends: true, Failed: true})
+			p.emit(DiscoveryReply{Call: w.call, Ends: true, Failed: true})
 		}
 		r.watches = nil
 	}
 }
 
 // rosterEmpty makes the list one of nothing, and whole again at the end.
-func (p *Portal) rosterEmpty(sign int) {
+func (p *System) rosterEmpty(sign int) {
 	r := p.roster
 	r.hidden += sign
 	r.version++
@@ -940,7 +940,7 @@
 	run    func()
 }
 
-func (p *Portal) at(t Time, run func()) {
+func (p *System) at(t Time, run func()) {
 	p.nextDue++
 	heap.Push(&p.due, &timer{max(t, p.now), p.nextDue, run})
 }
--- a/internal/testbed/model/roster.go
+++ b/internal/testbed/model/roster.go
@@ -19,13 +19,13 @@
 
 func (s State) String() string { return states[s] }
 
-// RosterSpec is discovery: how late it learns, and how much it can tell.
-type RosterSpec struct {
-	LagLeast, LagMost time.Duration // from a change to its entry in the list
-	Call              time.Duration // a call takes so long
-	Line              time.Duration // and so much more for each entry that it tells
-	Timeout           time.Duration // a call that would have to wait for longer fails
-	Beat              time.Duration // between empty lines of a watch
+// DiscoverySpec is discovery: how late it learns, and how much it can tell.
+type DiscoverySpec struct {
+	MinLag, MaxLag time.Duration // from a change to its entry in the list
+	Call           time.Duration // a call takes so long
+	PerEntry       time.Duration // and so much more for each entry that it tells
+	Timeout        time.Duration // a call that would have to wait for longer fails
+	Heartbeat      time.Duration // between empty lines of a watch
 }
 
 // Entry is a line of the list.
@@ -39,7 +39,7 @@
 
 // roster is the list as discovery knows it.
 type roster struct {
-	spec    RosterSpec
+	spec    DiscoverySpec
 	rand    *rand.Rand
 	version int64
 	entries []Entry // the whole list, in the order in which they came
@@ -90,7 +90,7 @@
 // List is what a call or a watch gets: the whole list or what changed.
 type List struct {
 	Version int64
-	Whole   bool
+	IsFull  bool
 	Entries []Entry
 }
 
@@ -98,7 +98,7 @@
 func (r *roster) since(after int64) List {
 	l := List{Version: r.version}
 	if r.hidden > 0 {
-		l.Whole = true
+		l.IsFull = true
 		return l
 	}
 	if after > r.version || after < r.version && (len(r.changes) == 0 || r.changes[0].version > after+1) {
@@ -120,7 +120,7 @@
 }
 
 func (r *roster) whole() List {
-	l := List{Version: r.version, Whole: true}
+	l := List{Version: r.version, IsFull: true}
 	if r.hidden == 0 {
 		l.Entries = append(l.Entries, r.entries...)
 	}
@@ -134,6 +134,6 @@
 	if start-now > r.spec.Timeout {
 		return now + r.spec.Timeout, false
 	}
-	r.free = start + r.spec.Call + time.Duration(lines)*r.spec.Line
+	r.free = start + r.spec.Call + time.Duration(lines)*r.spec.PerEntry
 	return r.free, true
 }
--- a/internal/testbed/nodes/nodes.go
+++ b/internal/testbed/nodes/nodes.go
@@ -122,8 +122,8 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// Leaves says that the node ends by itself, as it was asked to.
-func (p *Process) Leaves() {
+// ExpectExit says that the node ends by itself, as it was asked to.
+func (p *Process) ExpectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopping = true
--- a/internal/testbed/scenario/ranges.go
+++ b/internal/testbed/scenario/ranges.go
@@ -31,7 +31,7 @@
 }
 
 // Draw draws a figure.
-func (r Range) Draw(rnd *rand.Rand) float64 { return model.Between(rnd, r.Least, r.Most) }
+func (r Range) Draw(rnd *rand.Rand) float64 { return model.DrawBetween(rnd, r.Least, r.Most) }
 
 // Int draws a whole number, each with the same chance.
 func (r Range) Int(rnd *rand.Rand) int {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -19,21 +19,21 @@
 
 // Scenario is a file as it was read, with the defaults.
 type Scenario struct {
-	Name   string            `toml:"name"`
-	About  string            `toml:"about"`
-	Length tomlfile.Duration `toml:"length"` // of the load
-	Nodes  Nodes             `toml:"nodes"`
-	Zones  Zones             `toml:"zones"`
-	Boxes  Boxes             `toml:"boxes"`
-	Kind   []Kind            `toml:"kind"`
-	Origin Origin            `toml:"origin"`
-	Roster Roster            `toml:"roster"`
-	Link   Link              `toml:"link"`
-	Rules  Rules             `toml:"rules"`
-	Class  []Class           `toml:"class"`
-	Keys   Keys              `toml:"keys"`
-	Load   Load              `toml:"load"`
-	Fault  []Fault           `toml:"fault"`
+	Name         string            `toml:"name"`
+	About        string            `toml:"about"`
+	Length       tomlfile.Duration `toml:"length"` // of the load
+	Nodes        Nodes             `toml:"nodes"`
+	Zones        Zones             `toml:"zones"`
+	CacheServers CacheServers      `toml:"boxes"`
+	Kinds        []CacheServerKind `toml:"kind"`
+	Origin       Origin            `toml:"origin"`
+	Discovery    Discovery         `toml:"roster"`
+	Link         Link              `toml:"link"`
+	Invariants   Invariants        `toml:"rules"`
+	Classes      []Class           `toml:"class"`
+	Keys         Keys              `toml:"keys"`
+	Workload     Load              `toml:"load"`
+	Fault        []Fault           `toml:"fault"`
 
 	file *tomlfile.File
 }
@@ -46,11 +46,11 @@
 	Sockets        int               `toml:"sockets"`
 	MaxOpen        int               `toml:"max_open"`
 	MaxAttempts    int               `toml:"max_attempts"`
-	Streams        int               `toml:"streams_per_connection"`
+	MaxStreams     int               `toml:"streams_per_connection"`
 	ConnectTimeout tomlfile.Duration `toml:"connect_timeout"`
 	ConnectionIdle tomlfile.Duration `toml:"connection_idle"`
 	RetryAfter     tomlfile.Duration `toml:"max_retry_after"` // 0: clients follow no advice
-	Probes         bool              `toml:"probes"`
+	HealthChecks   bool              `toml:"probes"`
 	Cancel         bool              `toml:"cancel"`
 }
 
@@ -61,56 +61,56 @@
 	Boxes   []float64 `toml:"boxes"`   // shares of the boxes; none is the same for all
 }
 
-// Boxes are how many there are.
-type Boxes struct {
+// CacheServers are how many there are.
+type CacheServers struct {
 	Count    Range `toml:"count"`
 	CellSize Range `toml:"cell_size"`
 }
 
-// Kind is a kind of cache box.
-type Kind struct {
-	Name           string  `toml:"name"`
-	Share          float64 `toml:"share"`
-	Cores          int     `toml:"cores"`
-	Speed          Range   `toml:"speed"`
-	SlotsPerCore   Range   `toml:"slots_per_core"`
-	QueuePerCore   Range   `toml:"queue_per_core"`
-	ColdFrom       Range   `toml:"cold_from"`
-	WarmAfter      Span    `toml:"warm_after"`
-	MemoryMB       Range   `toml:"memory_mb"`
-	Eviction       string  `toml:"eviction"` // lru or fifo
-	Connections    Range   `toml:"connections"`
-	ConnectionWork Span    `toml:"connection_work"`
-	ProbeWork      Span    `toml:"probe_work"`
-	MissWork       Range   `toml:"miss_work"`
-	ChokeAt        Range   `toml:"choke_at"`
-	Choke          Range   `toml:"choke"`
-	Cancel         string  `toml:"cancel"` // none, queued or all
-	DropExpired    bool    `toml:"drop_expired"`
-	ErrorRate      Range   `toml:"error_rate"`
+// CacheServerKind is a kind of cache box.
+type CacheServerKind struct {
+	Name              string  `toml:"name"`
+	Share             float64 `toml:"share"`
+	Cores             int     `toml:"cores"`
+	Speed             Range   `toml:"speed"`
+	SlotsPerCore      Range   `toml:"slots_per_core"`
+	QueuePerCore      Range   `toml:"queue_per_core"`
+	SlowStartFloor    Range   `toml:"cold_from"`
+	SlowStartDuration Span    `toml:"warm_after"`
+	MemoryMB          Range   `toml:"memory_mb"`
+	Eviction          string  `toml:"eviction"` // lru or fifo
+	Connections       Range   `toml:"connections"`
+	ConnectionWork    Span    `toml:"connection_work"`
+	HealthCheckWork   Span    `toml:"probe_work"`
+	MissWork          Range   `toml:"miss_work"`
+	ChokeAt           Range   `toml:"choke_at"`
+	Choke             Range   `toml:"choke"`
+	Cancel            string  `toml:"cancel"` // none, queued or all
+	DropExpired       bool    `toml:"drop_expired"`
+	ErrorRate         Range   `toml:"error_rate"`
 }
 
 // Origin is the central records database.
 type Origin struct {
-	Zone         string `toml:"zone"` // the first without one
-	Median       Span   `toml:"median"`
-	Sigma        Range  `toml:"sigma"`
-	Parallel     Range  `toml:"parallel"`
-	Queue        Range  `toml:"queue"`
-	FallMultiple Range  `toml:"fall_multiple"`
-	FallAfter    Span   `toml:"fall_after"`
-	FallFor      Span   `toml:"fall_for"`
-	ValueBytes   int    `toml:"value_bytes"`
-	Cancel       bool   `toml:"cancel"`
+	Zone             string `toml:"zone"` // the first without one
+	Median           Span   `toml:"median"`
+	Sigma            Range  `toml:"sigma"`
+	Parallel         Range  `toml:"parallel"`
+	Queue            Range  `toml:"queue"`
+	OverloadMultiple Range  `toml:"fall_multiple"`
+	OverloadWindow   Span   `toml:"fall_after"`
+	OverloadStall    Span   `toml:"fall_for"`
+	ValueBytes       int    `toml:"value_bytes"`
+	Cancel           bool   `toml:"cancel"`
 }
 
-// Roster is discovery.
-type Roster struct {
-	Lag     Span              `toml:"lag"`
-	Call    tomlfile.Duration `toml:"call"`
-	Line    tomlfile.Duration `toml:"line"`
-	Timeout tomlfile.Duration `toml:"timeout"`
-	Beat    tomlfile.Duration `toml:"beat"`
+// Discovery is discovery.
+type Discovery struct {
+	Lag       Span              `toml:"lag"`
+	Call      tomlfile.Duration `toml:"call"`
+	PerEntry  tomlfile.Duration `toml:"line"`
+	Timeout   tomlfile.Duration `toml:"timeout"`
+	Heartbeat tomlfile.Duration `toml:"beat"`
 }
 
 // Link is the network between nodes and servers.
@@ -121,28 +121,28 @@
 	Retransmit tomlfile.Duration `toml:"retransmit"`
 }
 
-// Rules are the figures of the rules that the emulator checks.
-type Rules struct {
-	DrainWithin tomlfile.Duration `toml:"drain_within"` // from when a node was told
-	ToldWithin  tomlfile.Duration `toml:"told_within"`  // whatever discovery has to tell counts as told by then
-	Grace       tomlfile.Duration `toml:"grace"`        // past a deadline, and past the other limits
-	FallFactor  float64           `toml:"fall_factor"`
-	FallAfter   tomlfile.Duration `toml:"fall_after"`
+// Invariants are the figures of the rules that the emulator checks.
+type Invariants struct {
+	DrainWithin    tomlfile.Duration `toml:"drain_within"` // from when a node was told
+	NotifyWithin   tomlfile.Duration `toml:"told_within"`  // whatever discovery has to tell counts as told by then
+	Grace          tomlfile.Duration `toml:"grace"`        // past a deadline, and past the other limits
+	OverloadFactor float64           `toml:"fall_factor"`
+	OverloadWindow tomlfile.Duration `toml:"fall_after"`
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name     string            `toml:"name"`
-	Share    float64           `toml:"share"` // of the load
-	Work     Span              `toml:"work"`
-	Aim      tomlfile.Duration `toml:"aim"`
-	Deadline tomlfile.Duration `toml:"deadline"`
-	Worth    float64           `toml:"worth"`
-	Late     float64           `toml:"late_worth"`
-	Write    bool              `toml:"write"`
-	Effect   string            `toml:"effect"` // idempotent, deduplicated or at_most_once
-	Window   tomlfile.Duration `toml:"window"`
-	Bytes    Range             `toml:"bytes"` // of the value of a write
+	Name             string            `toml:"name"`
+	Share            float64           `toml:"share"` // of the load
+	Work             Span              `toml:"work"`
+	LatencyObjective tomlfile.Duration `toml:"aim"`
+	Deadline         tomlfile.Duration `toml:"deadline"`
+	PriorityWeight   float64           `toml:"worth"`
+	LateFraction     float64           `toml:"late_worth"`
+	Write            bool              `toml:"write"`
+	Effect           string            `toml:"effect"` // idempotent, deduplicated or at_most_once
+	DedupWindow      tomlfile.Duration `toml:"window"`
+	Bytes            Range             `toml:"bytes"` // of the value of a write
 }
 
 // Keys are what the load asks for.
@@ -156,14 +156,14 @@
 
 // Load is what clients ask for: a steady rate, and shapes and heats on top of it.
 type Load struct {
-	Rate    Range   `toml:"rate"`    // requests a second, all the time
-	Uniform bool    `toml:"uniform"` // even gaps in place of Poisson arrivals
-	Shape   []Shape `toml:"shape"`
-	Heat    []Heat  `toml:"heat"`
+	Rate        Range            `toml:"rate"`    // requests a second, all the time
+	Uniform     bool             `toml:"uniform"` // even gaps in place of Poisson arrivals
+	Processes   []ArrivalProcess `toml:"shape"`
+	PopularKeys []PopularKeys    `toml:"heat"`
 }
 
-// Shape is a part of the rate over time.
-type Shape struct {
+// ArrivalProcess is a part of the rate over time.
+type ArrivalProcess struct {
 	Kind   string            `toml:"kind"` // steady, ramp, surge, sine or burst
 	Rate   Range             `toml:"rate"` // at its most
 	At     Span              `toml:"at"`
@@ -172,8 +172,8 @@
 	Class  string            `toml:"class"` // of this class only, as in a rush of sign-offs
 }
 
-// Heat is a part of the requests that goes to a few keys.
-type Heat struct {
+// PopularKeys is a part of the requests that goes to a few keys.
+type PopularKeys struct {
 	Share Range             `toml:"share"`
 	Keys  int               `toml:"keys"`
 	At    Span              `toml:"at"`
@@ -183,58 +183,58 @@
 
 // Fault is one entry of the script of what goes wrong.
 type Fault struct {
-	Kind     string            `toml:"kind"`
-	At       Span              `toml:"at"`
-	For      Span              `toml:"for"`
-	Boxes    []string          `toml:"boxes"`
-	Of       string            `toml:"of"` // kind of box
-	Zone     string            `toml:"zone"`
-	Count    Range             `toml:"count"`
-	Share    Range             `toml:"share"`
-	Nodes    []int             `toml:"nodes"`
-	Factor   Range             `toml:"factor"`
-	Answers  Range             `toml:"answers"`
-	Messages Range             `toml:"messages"`
-	Batch    Range             `toml:"batch"`
-	DrainFor tomlfile.Duration `toml:"drain_for"`
-	SameAddr Range             `toml:"same_address"`
-	Period   tomlfile.Duration `toml:"period"`
-	Lag      Span              `toml:"lag"`
+	Kind         string            `toml:"kind"`
+	At           Span              `toml:"at"`
+	For          Span              `toml:"for"`
+	CacheServers []string          `toml:"boxes"`
+	Of           string            `toml:"of"` // kind of box
+	Zone         string            `toml:"zone"`
+	Count        Range             `toml:"count"`
+	Share        Range             `toml:"share"`
+	Nodes        []int             `toml:"nodes"`
+	Factor       Range             `toml:"factor"`
+	Answers      Range             `toml:"answers"`
+	Messages     Range             `toml:"messages"`
+	Batch        Range             `toml:"batch"`
+	DrainFor     tomlfile.Duration `toml:"drain_for"`
+	SameAddr     Range             `toml:"same_address"`
+	Period       tomlfile.Duration `toml:"period"`
+	Lag          Span              `toml:"lag"`
 }
 
 // Default is a calm portal of middling size.
 func Default() *Scenario {
-	kind := func(name string, share float64, speed Range) Kind {
-		return Kind{Name: name, Share: share, Cores: 5, Speed: speed, SlotsPerCore: Range{8, 24}, QueuePerCore: Range{12, 36},
-			ColdFrom: Range{0.13, 0.3}, WarmAfter: Span{11 * time.Second, 23 * time.Second}, MemoryMB: Range{32, 32}, Eviction: "lru",
-			Connections: Range{3000, 4500}, ConnectionWork: ms(3, 6), ProbeWork: ms(1.5, 3), MissWork: Range{0.05, 0.05},
+	kind := func(name string, share float64, speed Range) CacheServerKind {
+		return CacheServerKind{Name: name, Share: share, Cores: 5, Speed: speed, SlotsPerCore: Range{8, 24}, QueuePerCore: Range{12, 36},
+			SlowStartFloor: Range{0.13, 0.3}, SlowStartDuration: Span{11 * time.Second, 23 * time.Second}, MemoryMB: Range{32, 32}, Eviction: "lru",
+			Connections: Range{3000, 4500}, ConnectionWork: ms(3, 6), HealthCheckWork: ms(1.5, 3), MissWork: Range{0.05, 0.05},
 			ChokeAt: Range{3, 5}, Choke: Range{0.04, 0.14}, Cancel: "queued", ErrorRate: Range{0, 0.002}}
 	}
 	d := func(t time.Duration) tomlfile.Duration { return tomlfile.Duration(t) }
 	return &Scenario{
 		Name: "default", Length: d(20 * time.Second),
-		Nodes: Nodes{Count: Range{2, 2}, Cores: 1, MemoryMB: 192, Sockets: 1024, MaxOpen: 20000, MaxAttempts: 6, Streams: 32,
-			ConnectTimeout: d(250 * time.Millisecond), ConnectionIdle: d(30 * time.Second), Probes: true, Cancel: true},
-		Zones: Zones{Names: []string{"room-a", "room-b", "room-c", "room-d"}},
-		Boxes: Boxes{Count: Range{12, 13}, CellSize: Range{4, 8}},
-		Kind:  []Kind{kind("fast", 0.24, Range{1.4, 1.8}), kind("standard", 0.29, Range{0.85, 1.1}), kind("slow", 0.47, Range{0.51, 0.69})},
-		Origin: Origin{Median: ms(60, 120), Sigma: Range{0.3, 0.5}, Parallel: Range{12, 16}, Queue: Range{60, 120}, FallMultiple: Range{3, 4},
-			FallAfter: flat(2 * time.Second), FallFor: Span{3 * time.Second, 5 * time.Second}, ValueBytes: 1800},
-		Roster: Roster{Lag: Span{500 * time.Millisecond, 2 * time.Second}, Call: d(2 * time.Millisecond), Line: d(200 * time.Microsecond),
-			Timeout: d(2 * time.Second), Beat: d(2 * time.Second)},
+		Nodes: Nodes{Count: Range{2, 2}, Cores: 1, MemoryMB: 192, Sockets: 1024, MaxOpen: 20000, MaxAttempts: 6, MaxStreams: 32,
+			ConnectTimeout: d(250 * time.Millisecond), ConnectionIdle: d(30 * time.Second), HealthChecks: true, Cancel: true},
+		Zones:        Zones{Names: []string{"room-a", "room-b", "room-c", "room-d"}},
+		CacheServers: CacheServers{Count: Range{12, 13}, CellSize: Range{4, 8}},
+		Kinds:        []CacheServerKind{kind("fast", 0.24, Range{1.4, 1.8}), kind("standard", 0.29, Range{0.85, 1.1}), kind("slow", 0.47, Range{0.51, 0.69})},
+		Origin: Origin{Median: ms(60, 120), Sigma: Range{0.3, 0.5}, Parallel: Range{12, 16}, Queue: Range{60, 120}, OverloadMultiple: Range{3, 4},
+			OverloadWindow: flat(2 * time.Second), OverloadStall: Span{3 * time.Second, 5 * time.Second}, ValueBytes: 1800},
+		Discovery: Discovery{Lag: Span{500 * time.Millisecond, 2 * time.Second}, Call: d(2 * time.Millisecond), PerEntry: d(200 * time.Microsecond),
+			Timeout: d(2 * time.Second), Heartbeat: d(2 * time.Second)},
 		Link: Link{Same: ms(0.09, 0.33), Cross: ms(0.7, 1.3), Retransmit: d(200 * time.Millisecond)},
-		Rules: Rules{DrainWithin: d(2500 * time.Millisecond), ToldWithin: d(6 * time.Second), Grace: d(100 * time.Millisecond), FallFactor: 3,
-			FallAfter: d(1500 * time.Millisecond)},
-		Class: []Class{
-			{Name: "view-logbook", Share: 0.964, Work: ms(95, 170), Aim: d(1500 * time.Millisecond), Deadline: d(6 * time.Second), Worth: 1,
-				Late: 0.5, Effect: "idempotent"},
-			{Name: "sign-off", Share: 0.02, Work: ms(140, 260), Aim: d(2500 * time.Millisecond), Deadline: d(6 * time.Second), Worth: 10,
-				Late: 0.35, Write: true, Effect: "deduplicated", Window: d(4 * time.Second), Bytes: Range{200, 2000}},
-			{Name: "issue-cert", Share: 0.016, Work: ms(130, 240), Aim: d(time.Second), Deadline: d(2 * time.Second), Worth: 3,
-				Late: 0.25, Write: true, Effect: "at_most_once", Bytes: Range{200, 2000}},
+		Invariants: Invariants{DrainWithin: d(2500 * time.Millisecond), NotifyWithin: d(6 * time.Second), Grace: d(100 * time.Millisecond), OverloadFactor: 3,
+			OverloadWindow: d(1500 * time.Millisecond)},
+		Classes: []Class{
+			{Name: "view-logbook", Share: 0.964, Work: ms(95, 170), LatencyObjective: d(1500 * time.Millisecond), Deadline: d(6 * time.Second), PriorityWeight: 1,
+				LateFraction: 0.5, Effect: "idempotent"},
+			{Name: "sign-off", Share: 0.02, Work: ms(140, 260), LatencyObjective: d(2500 * time.Millisecond), Deadline: d(6 * time.Second), PriorityWeight: 10,
+				LateFraction: 0.35, Write: true, Effect: "deduplicated", DedupWindow: d(4 * time.Second), Bytes: Range{200, 2000}},
+			{Name: "issue-cert", Share: 0.016, Work: ms(130, 240), LatencyObjective: d(time.Second), Deadline: d(2 * time.Second), PriorityWeight: 3,
+				LateFraction: 0.25, Write: true, Effect: "at_most_once", Bytes: Range{200, 2000}},
 		},
-		Keys: Keys{Count: Range{2000, 2000}, Skew: Range{1.1, 1.1}, Offset: Range{1, 1}},
-		Load: Load{Rate: Range{60, 60}},
+		Keys:     Keys{Count: Range{2000, 2000}, Skew: Range{1.1, 1.1}, Offset: Range{1, 1}},
+		Workload: Load{Rate: Range{60, 60}},
 	}
 }
 
@@ -252,29 +252,29 @@
 	s := Default()
 	s.Name = strings.TrimSuffix(path[strings.LastIndexByte(path, '/')+1:], ".toml")
 	// Lists of the defaults are replaced, not added to.
-	kinds, classes := s.Kind, s.Class
-	s.Kind, s.Class = nil, nil
+	kinds, classes := s.Kinds, s.Classes
+	s.Kinds, s.Classes = nil, nil
 	file, err := tomlfile.Parse(path, text, s)
 	if err != nil {
 		return nil, err
 	}
 	s.file = file
-	if s.Kind == nil {
-		s.Kind = kinds
+	if s.Kinds == nil {
+		s.Kinds = kinds
 	} else {
 		s.inherit(kinds[1])
 	}
-	if s.Class == nil {
-		s.Class = classes
+	if s.Classes == nil {
+		s.Classes = classes
 	}
 	return s, s.validate()
 }
 
 // inherit gives the kinds of a file what they leave out: what a standard box has.
-func (s *Scenario) inherit(standard Kind) {
+func (s *Scenario) inherit(standard CacheServerKind) {
 	from := reflect.ValueOf(standard)
-	for i := range s.Kind {
-		to := reflect.ValueOf(&s.Kind[i]).Elem()
+	for i := range s.Kinds {
+		to := reflect.ValueOf(&s.Kinds[i]).Elem()
 		for n := range to.NumField() {
 			tag := to.Type().Field(n).Tag.Get("toml")
 			if tag != "name" && !s.file.Has(fmt.Sprintf("kind[%d].%s", i, tag)) {
@@ -307,9 +307,9 @@
 		return bad("zones.traffic", "has %d shares for %d zones", len(s.Zones.Traffic), n)
 	case len(s.Zones.Boxes) != 0 && len(s.Zones.Boxes) != n:
 		return bad("zones.boxes", "has %d shares for %d zones", len(s.Zones.Boxes), n)
-	case !s.Boxes.Count.in(1, mostBoxes):
+	case !s.CacheServers.Count.in(1, mostBoxes):
 		return bad("boxes.count", "must be from 1 to %d", mostBoxes)
-	case !s.Boxes.CellSize.in(1, mostBoxes):
+	case !s.CacheServers.CellSize.in(1, mostBoxes):
 		return bad("boxes.cell_size", "must be from 1 to %d", mostBoxes)
 	case s.Origin.Zone != "" && !slices.Contains(s.Zones.Names, s.Origin.Zone):
 		return bad("origin.zone", "there is no zone %q", s.Origin.Zone)
@@ -323,14 +323,14 @@
 		return bad("keys.count", "must be from 1 to 100000000")
 	case !(s.Keys.Skew.Least > 1):
 		return bad("keys.skew", "must be above 1")
-	case !s.Load.Rate.in(0, mostRate):
+	case !s.Workload.Rate.in(0, mostRate):
 		return bad("load.rate", "must be from 0 to %d", mostRate)
 	case !(s.Keys.Offset.Least >= 1):
 		return bad("keys.offset", "must be 1 or more")
 	case !s.Link.Loss.in(0, 1):
 		return bad("link.loss", "must be from 0 to 1")
 	}
-	for i, k := range s.Kind {
+	for i, k := range s.Kinds {
 		at := func(f string) string { return fmt.Sprintf("kind[%d].%s", i, f) }
 		_, cancel := cancels[k.Cancel]
 		switch {
@@ -344,7 +344,7 @@
 			return bad(at("speed"), "must be above 0")
 		case !k.SlotsPerCore.in(1, 1e5):
 			return bad(at("slots_per_core"), "must be at least 1")
-		case !k.ColdFrom.in(0, 1):
+		case !k.SlowStartFloor.in(0, 1):
 			return bad(at("cold_from"), "must be from 0 to 1")
 		case k.Eviction != "lru" && k.Eviction != "fifo":
 			return bad(at("eviction"), "%q is neither lru nor fifo", k.Eviction)
@@ -354,14 +354,14 @@
 			return bad(at("error_rate"), "must be from 0 to 1")
 		}
 	}
-	for i, c := range s.Class {
+	for i, c := range s.Classes {
 		at := func(f string) string { return fmt.Sprintf("class[%d].%s", i, f) }
 		switch {
 		case c.Name == "":
 			return bad(at("name"), "missing")
 		case !slices.Contains([]string{"idempotent", "deduplicated", "at_most_once"}, c.Effect):
 			return bad(at("effect"), "%q is none of idempotent, deduplicated, at_most_once", c.Effect)
-		case c.Aim <= 0 || c.Deadline < c.Aim:
+		case c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective:
 			return bad(at("deadline"), "must not be before aim, and aim above 0")
 		case !(c.Share >= 0):
 			return bad(at("share"), "must not be negative")
@@ -369,9 +369,9 @@
 			return bad(at("bytes"), "must be from 0 to %d", 60<<10)
 		}
 	}
-	for i, sh := range s.Load.Shape {
+	for i, sh := range s.Workload.Processes {
 		at := func(f string) string { return fmt.Sprintf("load.shape[%d].%s", i, f) }
-		kind, err := workload.ShapeOf(sh.Kind)
+		kind, err := workload.ParseProcess(sh.Kind)
 		switch {
 		case err != nil:
 			return bad(at("kind"), "%v", err)
@@ -379,11 +379,11 @@
 			return bad(at("rate"), "must be from 0 to %d", mostRate)
 		case (kind == workload.Sine || kind == workload.Burst) && sh.Period < tomlfile.Duration(10*time.Millisecond):
 			return bad(at("period"), "a shape of the kind %s needs one of 10ms or more", sh.Kind)
-		case sh.Class != "" && !slices.ContainsFunc(s.Class, func(c Class) bool { return c.Name == sh.Class }):
+		case sh.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == sh.Class }):
 			return bad(at("class"), "there is no class %q", sh.Class)
 		}
 	}
-	for i, h := range s.Load.Heat {
+	for i, h := range s.Workload.PopularKeys {
 		at := func(f string) string { return fmt.Sprintf("load.heat[%d].%s", i, f) }
 		switch {
 		case !h.Share.in(0, 1):
@@ -402,7 +402,7 @@
 
 // needs are the fields without which a kind of fault means nothing.
 var needs = map[model.FaultKind][]string{model.Deploy: {"for", "batch"}, model.Shrink: {"for"}, model.Slow: {"factor"},
-	model.Spoilt: {"answers"}, model.Lossy: {"messages"}, model.RosterLag: {"lag"}, model.OriginSlow: {"factor"}, model.Flap: {"period"}}
+	model.CorruptResponse: {"answers"}, model.PacketLoss: {"messages"}, model.DiscoveryLag: {"lag"}, model.OriginSlow: {"factor"}, model.Flap: {"period"}}
 
 func (s *Scenario) checkFault(i int, f Fault) error {
 	at := func(name string) string { return fmt.Sprintf("fault[%d].%s", i, name) }
@@ -421,7 +421,7 @@
 		return bad(at("at"), "must not be negative")
 	case f.For.Least < 0:
 		return bad(at("for"), "must not be negative")
-	case f.Of != "" && !slices.ContainsFunc(s.Kind, func(k Kind) bool { return k.Name == f.Of }):
+	case f.Of != "" && !slices.ContainsFunc(s.Kinds, func(k CacheServerKind) bool { return k.Name == f.Of }):
 		return bad(at("of"), "there is no kind of box %q", f.Of)
 	case f.Zone != "" && !slices.Contains(s.Zones.Names, f.Zone):
 		return bad(at("zone"), "there is no zone %q", f.Zone)
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -62,7 +62,7 @@
 			t.Errorf("%s: name %q, about %q", f, s.Name, s.About)
 		}
 		a, b, c := s.Draw(1), s.Draw(1), s.Draw(2)
-		if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Spec.Boxes, c.Spec.Boxes) {
+		if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Spec.CacheServers, c.Spec.CacheServers) {
 			t.Errorf("%s: the seed does not tell plans apart, or one draws two", f)
 		}
 		for _, f := range a.Spec.Faults {
@@ -105,18 +105,18 @@
 	}
 	p := s.Draw(7)
 	kinds, zones := map[string]int{}, map[string]int{}
-	for _, b := range p.Spec.Boxes {
+	for _, b := range p.Spec.CacheServers {
 		kinds[b.Kind.Name]++
 		zones[b.Zone]++
-		if b.Kind.Name == "small" && (b.Kind.WarmAfter != 5*time.Second || b.Kind.Cores != 5 || b.Kind.Memory < 1<<20 || b.Kind.Memory > 2<<20) {
+		if b.Kind.Name == "small" && (b.Kind.SlowStartDuration != 5*time.Second || b.Kind.Cores != 5 || b.Kind.Memory < 1<<20 || b.Kind.Memory > 2<<20) {
 			t.Errorf("a small box: %+v", b.Kind)
 		}
 	}
 	if kinds["big"] != 3 && kinds["big"] != 2 || kinds["big"]+kinds["small"] != 10 || zones["a"] != 2 || zones["b"] != 8 {
 		t.Errorf("kinds %v, zones %v", kinds, zones)
 	}
-	if want := []float64{0.375, 0.25, 0.375}; !near(p.Load.Shares, want) {
-		t.Errorf("shares of the load %v, want %v", p.Load.Shares, want)
+	if want := []float64{0.375, 0.25, 0.375}; !near(p.Workload.NodeWeights, want) {
+		t.Errorf("shares of the load %v, want %v", p.Workload.NodeWeights, want)
 	}
 	f := p.Spec.Faults[0]
 	if f.Kind != model.Drain || f.At < time.Second || f.At > 2*time.Second || f.For != 3*time.Second || f.Select.Kind != "big" {
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -52,7 +52,7 @@
 }
 
 func newClients(w *world) *clients {
-	return &clients{w: w, schedule: workload.New(w.plan.Load), idle: make([][]*clientConn, len(w.nodes)), byID: map[string]*ask{}, refused: map[string]bool{}}
+	return &clients{w: w, schedule: workload.New(w.plan.Workload), idle: make([][]*clientConn, len(w.nodes)), byID: map[string]*ask{}, refused: map[string]bool{}}
 }
 
 func (c *clients) start() {
@@ -68,9 +68,9 @@
 	if !ok {
 		return
 	}
-	c.w.at(a.Due, func() {
+	c.w.at(a.At, func() {
 		c.w.report.Due++
-		class := c.w.plan.Class[a.Class]
+		class := c.w.plan.Classes[a.Class]
 		q := &ask{Arrival: a, class: class.Name, writes: class.Write}
 		if c.w.now >= c.w.plan.Well {
 			c.late = append(c.late, q)
@@ -94,7 +94,7 @@
 	}
 	c.lastID++
 	q.id, q.conn, q.taken = "q"+strconv.Itoa(c.lastID), k, false
-	class := w.plan.Class[q.Class]
+	class := w.plan.Classes[q.Class]
 	q.wait = time.Duration(float64(class.Deadline.D()) * (0.5 + 0.5*w.rng.Float64()))
 	q.sent, q.due = w.now, w.now+q.wait
 	if n := len(k.owed); n > 0 {
@@ -103,8 +103,8 @@
 	c.byID[q.id] = q
 	k.owed = append(k.owed, q)
 	extras := fmt.Sprintf("c=%s,d=%d", q.class, q.wait.Milliseconds())
-	if q.Once != "" {
-		extras += ",k=" + q.Once
+	if q.IdempotencyKey != "" {
+		extras += ",k=" + q.IdempotencyKey
 	}
 	var b []byte
 	if class.Write {
@@ -119,9 +119,9 @@
 	w.note("ask", q.id, q.class, strconv.Itoa(k.node))
 	k.end.write(b)
 	id := q.id
-	w.at(q.due+w.plan.Rules.Grace.D()+time.Millisecond, func() {
+	w.at(q.due+w.plan.Invariants.Grace.D()+time.Millisecond, func() {
 		if q.id == id && q.ended == "" && q.conn == k {
-			w.check.Tick(w.now)
+			w.check.Advance(w.now)
 			c.history.seen(q, "timed out", nil, w.now)
 			c.finish(q, "timed out")
 			k.hangUp()
@@ -172,7 +172,7 @@
 		return // of a client that makes no sense
 	}
 	q.taken = true
-	c.w.check.Taken(c.w.now, id, class, node, q.due)
+	c.w.check.RequestSent(c.w.now, id, class, node, q.due)
 }
 
 // came says that a request came whole to a server.
@@ -192,7 +192,7 @@
 		c.w.report.Served++
 	case "refused":
 		c.w.report.Refused++
-		if c.w.plan.Class[q.Class].Effect == "at_most_once" {
+		if c.w.plan.Classes[q.Class].Effect == "at_most_once" {
 			c.refused[q.id] = true
 		}
 	case "failed":
@@ -228,7 +228,7 @@
 	k.end.close()
 	for _, q := range k.owed {
 		if q.ended == "" {
-			k.c.w.check.Left(k.c.w.now, q.id)
+			k.c.w.check.ClientDisconnected(k.c.w.now, q.id)
 			k.c.history.seen(q, "left", nil, k.c.w.now)
 			k.c.finish(q, "left")
 		}
@@ -248,13 +248,13 @@
 			continue
 		}
 		if alive && q.taken {
-			w.check.Ended(w.now, q.id, false)
+			w.check.ConnectionEnded(w.now, q.id, false)
 			k.c.history.seen(q, "lost", nil, w.now)
 			k.c.finish(q, "lost")
 			continue
 		}
-		w.check.Left(w.now, q.id) // its node's process is gone, or never read it
-		if q.taken && q.writes {  // it may have run: whether to ask again is its user's affair
+		w.check.ClientDisconnected(w.now, q.id) // its node's process is gone, or never read it
+		if q.taken && q.writes {                // it may have run: whether to ask again is its user's affair
 			k.c.history.seen(q, "gone", nil, w.now)
 			k.c.finish(q, "gone")
 			continue
@@ -285,7 +285,7 @@
 		}
 		q := k.owed[0]
 		k.owed = k.owed[1:]
-		madeFor := wireformat.MadeFor(value)
+		madeFor := wireformat.RequestOfValue(value)
 		if kind == invariants.Served && madeFor != q.id {
 			w.broken(Order, "%s is served what was made for %q", q.id, madeFor)
 		}
@@ -293,7 +293,7 @@
 			if !q.taken {
 				w.broken(Order, "%s is answered before it was read", q.id)
 			}
-			w.check.Answered(w.now, q.id, kind, madeFor)
+			w.check.RequestAnswered(w.now, q.id, kind, madeFor)
 			k.c.history.seen(q, kind.String(), value, w.now)
 			k.c.finish(q, kind.String())
 		}
@@ -317,7 +317,7 @@
 		}
 		return invariants.Served, b[eol+2 : eol+2+size], eol + 2 + size + 2
 	case bytes.HasPrefix(b, []byte("-BUSY")):
-		return invariants.Refused, nil, eol + 2
+		return invariants.Rejected, nil, eol + 2
 	}
 	return invariants.Failed, nil, eol + 2
 }
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -87,7 +87,7 @@
 
 // DrawFleet makes the plan of a seed. Faults whose number is in skip are left out: what the others draw does not change.
 func DrawFleet(seed uint64, skip map[int]bool) *FleetPlan {
-	r := model.Stream(seed, "fleet/plan")
+	r := model.RandomStream(seed, "fleet/plan")
 	p := &FleetPlan{Seed: seed, Nodes: 2 + r.IntN(6), Late: time.Duration(5+r.IntN(100)) * time.Millisecond, Lag: time.Duration(r.IntN(20)) * time.Millisecond}
 	p.Budget = 1 + r.IntN(max(1, p.Nodes/2))
 	level := []float64{0, 0.1, 0.4}[r.IntN(3)]
@@ -102,7 +102,7 @@
 	centre := fleetFaultsFrom + time.Duration(r.Int64N(int64(fleetFaultsTo-fleetFaultsFrom)))
 	together := r.Float64()
 	for i := range 2 + r.IntN(14) {
-		own := model.Stream(seed, "fleet/fault/"+strconv.Itoa(i))
+		own := model.RandomStream(seed, "fleet/fault/"+strconv.Itoa(i))
 		f := FleetFault{At: fleetFaultsFrom + time.Duration(own.Int64N(int64(fleetFaultsTo-fleetFaultsFrom))), Node: own.IntN(p.Nodes), To: own.IntN(p.Nodes),
 			For: time.Duration(50+own.IntN(4000)) * time.Millisecond}
 		if own.Float64() < together {
@@ -174,7 +174,7 @@
 func RunFleet(plan *FleetPlan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.words()}
-	f := &fleet{timeline: newTimeline(model.Stream(plan.Seed, "fleet/net"), opt, report), plan: plan, budget: plan.Budget, acted: map[string]int{}, tokens: map[string]uint64{}}
+	f := &fleet{timeline: newTimeline(model.RandomStream(plan.Seed, "fleet/net"), opt, report), plan: plan, budget: plan.Budget, acted: map[string]int{}, tokens: map[string]uint64{}}
 	defer func() {
 		if p := recover(); p != nil {
 			f.broken(Crash, "%v", p)
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -84,12 +84,12 @@
 	n.skew = w.between(-p.Net.Skew, p.Net.Skew)
 	n.pools, n.conns = nil, nil
 	w.note("start", strconv.Itoa(n.index))
-	w.check.Restarted(n.index)
+	w.check.NodeRestarted(n.index)
 	for _, e := range w.portal.List().Entries { // its configuration's
-		w.check.Knows(n.index, e.ID, e.Started)
+		w.check.NodeKnowsStart(n.index, e.ID, e.Started)
 	}
 	var names []string
-	for _, c := range p.Class {
+	for _, c := range p.Classes {
 		names = append(names, c.Name)
 	}
 	ends := make([]string, upstream.NumOutcomes())
@@ -99,7 +99,7 @@
 	n.count = counters.New(names, request.ResponseKinds(), ends)
 	n.long = upstream.NewResponseMemory(p.Nodes.MemoryMB<<20/8, p.Nodes.MemoryMB<<20/32)
 	targets, origins := upstream.NewDescriptorBudget(p.Nodes.Sockets/3), upstream.NewDescriptorBudget(max(1, p.Nodes.Sockets/10))
-	v, err := fastjson.ParseBytes(wireformat.List(w.portal.List(), func(slot int) string { return address(slot, n.index) }, unixMs))
+	v, err := fastjson.ParseBytes(wireformat.EncodeList(w.portal.List(), func(slot int) string { return address(slot, n.index) }, unixMs))
 	if err != nil {
 		panic(err)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		panic(err)
 	}
-	limits := upstream.Limits{ConnectTimeout: p.Nodes.ConnectTimeout.D(), IdleTimeout: p.Nodes.ConnectionIdle.D() * 8 / 10, MaxStreams: p.Nodes.Streams, MaxConnections: 16,
+	limits := upstream.Limits{ConnectTimeout: p.Nodes.ConnectTimeout.D(), IdleTimeout: p.Nodes.ConnectionIdle.D() * 8 / 10, MaxStreams: p.Nodes.MaxStreams, MaxConnections: 16,
 		MaxQueued: 64, PipelineWithin: p.Net.Share}
 	originLimits := limits
 	originLimits.MaxStreams, originLimits.MaxConnections = 1, p.Nodes.Sockets
--- a/internal/testbed/simulation/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -59,7 +59,7 @@
 func (p *Plan) Words() []string { return p.words }
 
 func (p *Plan) longestWait() (d time.Duration) {
-	for _, c := range p.Class {
+	for _, c := range p.Classes {
 		d = max(d, c.Deadline.D())
 	}
 	return d
@@ -69,25 +69,25 @@
 // empty lists tells nothing.
 func (p *Plan) toldWithin() time.Duration {
 	for _, f := range p.Spec.Faults {
-		if f.Kind == model.RosterEmpty {
+		if f.Kind == model.DiscoveryEmpty {
 			return 0
 		}
 	}
-	return p.Rules.ToldWithin.D()
+	return p.Invariants.NotifyWithin.D()
 }
 
 // Module is what the decision module of a node is told.
 func (p *Plan) Module(node int) policy.Settings {
 	set := policy.Settings{Nodes: len(p.Spec.Nodes), Zone: p.Spec.Nodes[node].Zone, OriginKind: model.OriginID, MustPoll: true,
-		MaxPollInterval: 10 * time.Second, DrainGrace: p.Rules.DrainWithin.D(), MayHealthCheck: p.Probes, MayGossip: !p.Mute, MayCancel: p.Nodes.Cancel,
+		MaxPollInterval: 10 * time.Second, DrainGrace: p.Invariants.DrainWithin.D(), MayHealthCheck: p.Probes, MayGossip: !p.Mute, MayCancel: p.Nodes.Cancel,
 		AffinityBudget: locality.DefaultAffinityBudget, MaxAttempts: p.Nodes.MaxAttempts, MaxRetryAfter: p.Nodes.RetryAfter.D(), Tick: 5 * time.Millisecond,
-		SlowStartFloor: 1, OverloadFactor: p.Rules.FallFactor}
-	for _, b := range p.Spec.Boxes {
-		set.SlowStartFloor, set.SlowStartDuration = min(set.SlowStartFloor, b.Kind.ColdFrom), max(set.SlowStartDuration, b.Kind.WarmAfter)
+		SlowStartFloor: 1, OverloadFactor: p.Invariants.OverloadFactor}
+	for _, b := range p.Spec.CacheServers {
+		set.SlowStartFloor, set.SlowStartDuration = min(set.SlowStartFloor, b.Kind.SlowStartFloor), max(set.SlowStartDuration, b.Kind.SlowStartDuration)
 	}
 	effects := map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}
-	for _, c := range p.Class {
-		set.Classes = append(set.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, LatencyObjective: c.Aim.D(), LateFraction: c.Late, Effect: effects[c.Effect], DedupWindow: c.Window.D()})
+	for _, c := range p.Classes {
+		set.Classes = append(set.Classes, policy.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, LatencyObjective: c.LatencyObjective.D(), LateFraction: c.LateFraction, Effect: effects[c.Effect], DedupWindow: c.DedupWindow.D()})
 	}
 	return set
 }
@@ -212,10 +212,10 @@
 		s.Origin.ValueBytes = 40_000 + r.IntN(260_000)
 	}},
 	{"tight", 0.3, func(r *rand.Rand, s *scenario.Scenario, p *Plan, _ func() scenario.Span) { tight(r, s, p) }},
-	{"streams-1", 0.2, func(_ *rand.Rand, s *scenario.Scenario, _ *Plan, _ func() scenario.Span) { s.Nodes.Streams = 1 }},
+	{"streams-1", 0.2, func(_ *rand.Rand, s *scenario.Scenario, _ *Plan, _ func() scenario.Span) { s.Nodes.MaxStreams = 1 }},
 	{"many-nodes", 0.06, func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span) {
 		tight(r, s, p) // each node's part of what a cold box bears is under one request
-		s.Nodes.Count, s.Load.Rate = scenario.Range{Least: 20, Most: 30}, scenario.Range{Least: 30, Most: 40}
+		s.Nodes.Count, s.Workload.Rate = scenario.Range{Least: 20, Most: 30}, scenario.Range{Least: 30, Most: 40}
 		p.Many = true
 		// Those that start again have forgotten what they sent.
 		p.NodeFaults = append(p.NodeFaults, NodeFault{KillNode, r.IntN(10), at().Least, 100 * time.Millisecond, r.IntN(10)})
@@ -226,14 +226,14 @@
 // tight has a cold box bear less than its part of the load, of which much goes to one key or two.
 func tight(r *rand.Rand, s *scenario.Scenario, p *Plan) {
 	p.Tight = true
-	for i := range s.Kind {
-		s.Kind[i].Cores, s.Kind[i].Speed, s.Kind[i].ColdFrom = 1, scenario.Range{Least: 1, Most: 1}, scenario.Range{Least: 0.13, Most: 0.13}
-		s.Kind[i].SlotsPerCore, s.Kind[i].WarmAfter = scenario.Range{Least: 8, Most: 24}, scenario.Span{Least: 6 * time.Second, Most: 7 * time.Second}
+	for i := range s.Kinds {
+		s.Kinds[i].Cores, s.Kinds[i].Speed, s.Kinds[i].SlowStartFloor = 1, scenario.Range{Least: 1, Most: 1}, scenario.Range{Least: 0.13, Most: 0.13}
+		s.Kinds[i].SlotsPerCore, s.Kinds[i].SlowStartDuration = scenario.Range{Least: 8, Most: 24}, scenario.Span{Least: 6 * time.Second, Most: 7 * time.Second}
 	}
-	s.Class[0].Work = scenario.Span{Least: 25 * time.Millisecond, Most: 50 * time.Millisecond}
-	s.Load.Rate, s.Keys.Count = scenario.Range{Least: 70, Most: 90}, scenario.Range{Least: 30, Most: 60}
-	s.Rules.FallFactor, s.Rules.FallAfter = 2, d(700*time.Millisecond)
-	s.Load.Heat = []scenario.Heat{{Share: scenario.Range{Least: 0.3, Most: 0.7}, Keys: 1 + r.IntN(2),
+	s.Classes[0].Work = scenario.Span{Least: 25 * time.Millisecond, Most: 50 * time.Millisecond}
+	s.Workload.Rate, s.Keys.Count = scenario.Range{Least: 70, Most: 90}, scenario.Range{Least: 30, Most: 60}
+	s.Invariants.OverloadFactor, s.Invariants.OverloadWindow = 2, d(700*time.Millisecond)
+	s.Workload.PopularKeys = []scenario.PopularKeys{{Share: scenario.Range{Least: 0.3, Most: 0.7}, Keys: 1 + r.IntN(2),
 		At: scenario.Span{Least: 500 * time.Millisecond, Most: 3 * time.Second}, For: scenario.Span{Least: 3 * time.Second, Most: 5 * time.Second}}}
 }
 
@@ -247,26 +247,26 @@
 	s.Nodes.Count, s.Nodes.MemoryMB, s.Nodes.Sockets, s.Nodes.RetryAfter = scenario.Range{Least: 2, Most: 3}, 48, 256, d(600*time.Millisecond)
 	s.Nodes.ConnectTimeout, s.Nodes.ConnectionIdle = d(150*time.Millisecond), d(3*time.Second)
 	s.Zones.Names = []string{"a", "b"}
-	s.Boxes.Count = scenario.Range{Least: 4, Most: 6}
-	for i := range s.Kind {
-		s.Kind[i].WarmAfter = scenario.Span{Least: time.Second, Most: 2 * time.Second}
+	s.CacheServers.Count = scenario.Range{Least: 4, Most: 6}
+	for i := range s.Kinds {
+		s.Kinds[i].SlowStartDuration = scenario.Span{Least: time.Second, Most: 2 * time.Second}
 	}
 	s.Origin.Median = ms(10, 25)
-	s.Roster.Lag = ms(50, 400)
-	s.Rules.DrainWithin = d(time.Second)
-	s.Rules.FallAfter = d(time.Second)
-	s.Class[0].Work, s.Class[0].Aim, s.Class[0].Deadline = ms(5, 20), d(400*time.Millisecond), d(1500*time.Millisecond)
-	s.Class[1].Work, s.Class[1].Aim, s.Class[1].Deadline, s.Class[1].Share, s.Class[1].Window = ms(10, 30), d(600*time.Millisecond), d(2*time.Second), 0.08, d(time.Second)
-	s.Class[2].Work, s.Class[2].Aim, s.Class[2].Deadline, s.Class[2].Share = ms(10, 30), d(400*time.Millisecond), d(1200*time.Millisecond), 0.06
-	s.Class[0].Share = 0.86
+	s.Discovery.Lag = ms(50, 400)
+	s.Invariants.DrainWithin = d(time.Second)
+	s.Invariants.OverloadWindow = d(time.Second)
+	s.Classes[0].Work, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = ms(5, 20), d(400*time.Millisecond), d(1500*time.Millisecond)
+	s.Classes[1].Work, s.Classes[1].LatencyObjective, s.Classes[1].Deadline, s.Classes[1].Share, s.Classes[1].DedupWindow = ms(10, 30), d(600*time.Millisecond), d(2*time.Second), 0.08, d(time.Second)
+	s.Classes[2].Work, s.Classes[2].LatencyObjective, s.Classes[2].Deadline, s.Classes[2].Share = ms(10, 30), d(400*time.Millisecond), d(1200*time.Millisecond), 0.06
+	s.Classes[0].Share = 0.86
 	s.Keys.Count = scenario.Range{Least: 60, Most: 200}
-	s.Load.Rate = scenario.Range{Least: 25, Most: 50}
+	s.Workload.Rate = scenario.Range{Least: 25, Most: 50}
 	return s
 }
 
 // Draw makes the plan of a seed. Parts whose number is in skip are left out: what the others draw does not change.
 func Draw(seed uint64, skip map[int]bool) *Plan {
-	r := model.Stream(seed, "sim/plan")
+	r := model.RandomStream(seed, "sim/plan")
 	quick := link{least: 50 * time.Microsecond, most: 400 * time.Microsecond}
 	p := &Plan{Probes: true, Well: wellFrom, End: runsTo, Net: Net{ToServer: quick, FromServer: quick, ToNode: quick, ToClient: quick, Discovery: quick,
 		Lag: 50 * time.Microsecond}}
@@ -276,7 +276,7 @@
 	together := r.Float64()
 	heat := 0.4 + 1.2*r.Float64() // some seeds are calmer than others
 	for i, part := range parts {
-		own := model.Stream(seed, fmt.Sprintf("sim/part/%d", i))
+		own := model.RandomStream(seed, fmt.Sprintf("sim/part/%d", i))
 		on := r.Float64() < part.odds*heat
 		at := func() scenario.Span {
 			t := faultsFrom + time.Duration(own.Int64N(int64(faultsTo-faultsFrom)))
--- a/internal/testbed/simulation/servers.go
+++ b/internal/testbed/simulation/servers.go
@@ -44,7 +44,7 @@
 	seq    uint64
 	id     string
 	out    []byte
-	spoilt model.SpoiltKind
+	spoilt model.CorruptionKind
 	ready  bool
 	last   bool
 }
@@ -141,7 +141,7 @@
 func (c *serverConn) takeRESP(cmd redcon.Command) {
 	switch name := strings.ToUpper(string(cmd.Args[0])); name {
 	case "CACHE.GET", "CACHE.SET":
-		c.attempt(wireformat.Request(c.w.classes, name == "CACHE.SET", cmd.Args))
+		c.attempt(wireformat.ParseRequest(c.w.classes, name == "CACHE.SET", cmd.Args))
 	case "PING":
 		c.probe()
 	default:
@@ -181,7 +181,7 @@
 			if req.Method == http.MethodPut {
 				args = append(args, body)
 			}
-			c.attempt(wireformat.Request(c.w.classes, req.Method == http.MethodPut, args))
+			c.attempt(wireformat.ParseRequest(c.w.classes, req.Method == http.MethodPut, args))
 		}
 		c.first = sent
 	}
@@ -196,17 +196,17 @@
 	w := c.w
 	w.seq++
 	q.Conn, q.Seq = c.id, w.seq
-	if q.Until > 0 {
-		q.Until += w.now
+	if q.Deadline > 0 {
+		q.Deadline += w.now
 	}
 	c.slots = append(c.slots, &serverSlot{seq: q.Seq, id: q.ID})
 	c.came[q.ID] = true
 	w.clients.came(q.ID)
 	if server := w.portal.ServerOf(c.id); server != "" { // else its process died meanwhile
 		w.note("came", q.ID, server)
-		w.check.Arrived(w.now, min(c.first, w.now), c.node, server, q.ID, q.Class, q.Seq)
+		w.check.AttemptArrived(w.now, min(c.first, w.now), c.node, server, q.ID, q.Class, q.Seq)
 	}
-	w.carry(w.portal.Step(w.now, model.Arrive{Request: q}))
+	w.carry(w.portal.Step(w.now, model.RequestArrived{Request: q}))
 	if w.strikes(w.plan.Net.ResetAfter) && !c.end.dead {
 		w.note("reset-after", q.ID)
 		c.drop(true)
@@ -216,35 +216,35 @@
 func (c *serverConn) probe() {
 	c.w.seq++
 	c.slots = append(c.slots, &serverSlot{seq: c.w.seq})
-	c.w.carry(c.w.portal.Step(c.w.now, model.Probe{Conn: c.id, Seq: c.w.seq}))
+	c.w.carry(c.w.portal.Step(c.w.now, model.HealthCheck{Conn: c.id, Seq: c.w.seq}))
 }
 
 // answered takes an answer of the model. It goes out when those of the requests before it have.
-func (w *world) answered(a model.Answer) {
+func (w *world) answered(a model.Response) {
 	if a.Request != "" {
 		proof := invariants.MayHaveRun
-		if a.Outcome == model.Turned || a.Outcome == model.Miss {
+		if a.Outcome == model.RejectedUnseen || a.Outcome == model.Miss {
 			proof = invariants.NeverRan
 		}
-		whole := a.Spoilt == model.Sound || a.Spoilt >= model.SpoiltTwice
+		whole := a.Corruption == model.NotCorrupt || a.Corruption >= model.CorruptDuplicate
 		value := whole && (a.Outcome == model.Hit || a.Outcome == model.Written)
-		w.check.Made(w.now, a.Server, a.Request, a.Seq, proof, value, a.Outcome.String())
+		w.check.ResponseSent(w.now, a.Server, a.Request, a.Seq, proof, value, a.Outcome.String())
 	}
 	c := w.servers[a.Conn]
 	if c == nil {
 		return
 	}
-	more := a.Spoilt == model.SpoiltTwice || a.Spoilt == model.SpoiltBehind
+	more := a.Corruption == model.CorruptDuplicate || a.Corruption == model.CorruptTrailingNoise
 	for _, s := range c.slots {
 		if s.seq == a.Seq {
-			s.spoilt = a.Spoilt
+			s.spoilt = a.Corruption
 			if more { // the answer is good
-				a.Spoilt = model.Sound
+				a.Corruption = model.NotCorrupt
 			}
 			if c.origin {
-				s.out, s.last = wireformat.HTTP(s.id, a)
+				s.out, s.last = wireformat.EncodeHTTP(s.id, a)
 			} else {
-				s.out = wireformat.RESP(s.id, a)
+				s.out = wireformat.EncodeRESP(s.id, a)
 			}
 			s.ready = true
 		}
@@ -257,15 +257,15 @@
 		}
 		c.end.write(s.out)
 		switch s.spoilt {
-		case model.Sound, model.SpoiltReport:
+		case model.NotCorrupt, model.CorruptLoadReport:
 			if w.strikes(w.plan.Net.Behind) {
 				c.behind(s.out)
 			}
-		case model.SpoiltTwice:
+		case model.CorruptDuplicate:
 			c.behind(s.out)
-		case model.SpoiltBehind:
+		case model.CorruptTrailingNoise:
 			c.behind([]byte("\x00noise"))
-		case model.SpoiltHuge:
+		case model.CorruptHugeValue:
 			c.keepComing(40)
 			c.spoilt = true
 		default:
@@ -337,7 +337,7 @@
 	w.after(w.between(100*time.Microsecond, time.Millisecond), func() {
 		if !c.over {
 			w.note("ask", strconv.Itoa(s.n.index), strconv.FormatInt(after, 10))
-			w.carry(w.portal.Step(w.now, model.Ask{Call: c.id, Node: s.n.index, Watch: true, After: after}))
+			w.carry(w.portal.Step(w.now, model.DiscoveryCall{Call: c.id, Node: s.n.index, Watch: true, After: after}))
 		}
 	})
 	if w.strikes(w.plan.Net.WatchSilent) {
@@ -376,7 +376,7 @@
 	if c.w.calls[c.id] == c {
 		delete(c.w.calls, c.id)
 		c.w.after(c.w.between(100*time.Microsecond, time.Millisecond), func() {
-			c.w.carry(c.w.portal.Step(c.w.now, model.HangUp{Call: c.id}))
+			c.w.carry(c.w.portal.Step(c.w.now, model.DiscoveryCancelled{Call: c.id}))
 		})
 	}
 }
@@ -407,7 +407,7 @@
 }
 
 // tellCall writes what discovery says to a call. What a watch was told counts from here on.
-func (w *world) tellCall(t model.Told) {
+func (w *world) tellCall(t model.DiscoveryReply) {
 	c := w.calls[t.Call]
 	if c == nil || c.over {
 		return
@@ -436,10 +436,10 @@
 	}
 	line := []byte{'\n'}
 	if t.List != nil {
-		line = append(wireformat.List(*t.List, func(slot int) string { return address(slot, c.n.index) }, unixMs), '\n')
+		line = append(wireformat.EncodeList(*t.List, func(slot int) string { return address(slot, c.n.index) }, unixMs), '\n')
 	}
 	c.end.write(line)
-	if l := t.List; l != nil && !c.end.silent && !(l.Whole && len(l.Entries) == 0) { // a list of nothing is no news
+	if l := t.List; l != nil && !c.end.silent && !(l.IsFull && len(l.Entries) == 0) { // a list of nothing is no news
 		w.at(c.end.lastAt, func() {
 			if c.near.dead || c.near.silent { // a reset overtook it
 				return
@@ -447,9 +447,9 @@
 			states := map[string]string{}
 			for _, s := range l.Entries {
 				states[s.ID] = s.State.String()
-				w.check.Knows(c.n.index, s.ID, s.Started)
+				w.check.NodeKnowsStart(c.n.index, s.ID, s.Started)
 			}
-			w.check.Told(w.now, c.n.index, l.Whole, states)
+			w.check.NodeNotified(w.now, c.n.index, l.IsFull, states)
 		})
 	}
 	if t.Ends {
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -78,12 +78,12 @@
 	timeline
 	plan *Plan
 
-	portal  *model.Portal
+	portal  *model.System
 	check   *invariants.Checker
 	seen    int // violations that were taken over
 	classes map[string]scenario.Class
 
-	doors   map[doorKey]model.DoorState
+	doors   map[doorKey]model.AcceptorState
 	servers map[model.ConnID]*serverConn
 	lastID  model.ConnID
 	seq     uint64
@@ -105,8 +105,8 @@
 func Run(plan *Plan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.Words()}
-	w := &world{plan: plan, timeline: newTimeline(model.Stream(plan.Seed, "sim/net"), opt, report),
-		classes: map[string]scenario.Class{}, doors: map[doorKey]model.DoorState{}, servers: map[model.ConnID]*serverConn{}, calls: map[uint64]*call{}}
+	w := &world{plan: plan, timeline: newTimeline(model.RandomStream(plan.Seed, "sim/net"), opt, report),
+		classes: map[string]scenario.Class{}, doors: map[doorKey]model.AcceptorState{}, servers: map[model.ConnID]*serverConn{}, calls: map[uint64]*call{}}
 	defer func() {
 		if p := recover(); p != nil {
 			w.broken(Crash, "%v", p)
@@ -118,11 +118,11 @@
 		report.Took = time.Since(began)
 	}()
 	var classes []invariants.Class
-	for _, c := range plan.Class {
+	for _, c := range plan.Classes {
 		w.classes[c.Name] = c
-		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.Window.D()})
+		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.DedupWindow.D()})
 	}
-	w.check = invariants.New(classes, invariants.Figures{DrainWithin: plan.Rules.DrainWithin.D(), ToldWithin: plan.toldWithin(), Grace: plan.Rules.Grace.D()})
+	w.check = invariants.New(classes, invariants.Tolerances{DrainWithin: plan.Invariants.DrainWithin.D(), NotifyWithin: plan.toldWithin(), Grace: plan.Invariants.Grace.D()})
 	w.portal = model.New(plan.Spec)
 	w.portal.Trace = opt.Trace
 	w.carry(w.portal.Start())
@@ -149,7 +149,7 @@
 	const tick = 50 * time.Millisecond
 	nextCheck := Time(0)
 	for steps := 0; ; steps++ {
-		wake := w.portal.Wake()
+		wake := w.portal.NextEvent()
 		next := min(nextCheck, wake)
 		own := len(w.due) > 0 && w.due[0].at <= next
 		if own {
@@ -165,10 +165,10 @@
 			e := heap.Pop(&w.due).(event)
 			e.run()
 		case wake <= nextCheck:
-			w.carry(w.portal.Tick(w.now))
+			w.carry(w.portal.Advance(w.now))
 		default:
 			nextCheck = w.now + tick
-			w.check.Tick(w.now)
+			w.check.Advance(w.now)
 		}
 		w.takeBroken()
 		if w.plan.Agree {
@@ -183,48 +183,48 @@
 
 // takeBroken takes over what the rules found.
 func (w *world) takeBroken() {
-	for _, v := range w.check.Broken()[w.seen:] {
+	for _, v := range w.check.Violations()[w.seen:] {
 		w.seen++
-		w.broken(string(v.Rule), "%s [%s]", v.Text, strings.Join(v.History, "; "))
+		w.broken(string(v.Invariant), "%s [%s]", v.Text, strings.Join(v.History, "; "))
 	}
 }
 
 // quiet looks at what is still held when the load is long over, and at how the last requests went.
 func (w *world) quiet() {
-	w.check.Tick(w.now)
+	w.check.Advance(w.now)
 	w.takeBroken()
 	for _, n := range w.nodes {
 		n.leaks()
 	}
 	w.clients.judge()
-	w.report.Taken = w.check.Counts().Taken
+	w.report.Taken = w.check.Counts().Requests
 }
 
 // carry carries out what the model wants done.
 func (w *world) carry(effects []model.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case model.Door:
+		case model.Acceptor:
 			w.doors[doorKey{e.Slot, e.Node}] = e.State
 		case model.Reset:
 			if c := w.servers[e.Conn]; c != nil {
 				delete(w.servers, e.Conn)
 				c.end.reset()
 			}
-		case model.Answer:
+		case model.Response:
 			w.answered(e)
-		case model.Told:
+		case model.DiscoveryReply:
 			w.tellCall(e)
-		case model.Ran:
-			w.check.Ran(w.now, e.Server, e.Request, e.Class)
-		case model.Fell:
-			w.check.Fell(w.now, e.Server)
-		case model.Began:
-			w.check.Began(e.Server, e.At)
-		case model.Listed:
-			w.check.Listed(w.now, e.Server, e.State.String())
-		case model.Reachable:
-			w.check.Reachable(w.now, e.Up)
+		case model.RequestExecuted:
+			w.check.RequestExecuted(w.now, e.Server, e.Request, e.Class)
+		case model.ServerOverloaded:
+			w.check.ServerOverloaded(w.now, e.Server)
+		case model.ServerStarted:
+			w.check.ServerStarted(e.Server, e.At)
+		case model.ServerListed:
+			w.check.ServerListed(w.now, e.Server, e.State.String())
+		case model.DiscoveryReachable:
+			w.check.DiscoveryReachable(w.now, e.Up)
 		}
 	}
 }
--- a/internal/testbed/trace/golden_test.go
+++ b/internal/testbed/trace/golden_test.go
@@ -13,11 +13,11 @@
 // TestGoldenTrace: trace files of earlier releases are read, and the same bytes are written.
 func TestGoldenTrace(t *testing.T) {
 	arrivals := []workload.Arrival{
-		{Due: 1500 * time.Microsecond, Class: 0, Key: "anna", Node: 1, Size: 300},
-		{Due: 1501 * time.Microsecond, Class: 1, Key: "ben", Node: 0, Size: 70000, Once: "once-7"},
-		{Due: 2 * time.Hour, Class: 1, Key: "", Node: 1, Size: 0},
+		{At: 1500 * time.Microsecond, Class: 0, Key: "anna", Node: 1, Size: 300},
+		{At: 1501 * time.Microsecond, Class: 1, Key: "ben", Node: 0, Size: 70000, IdempotencyKey: "once-7"},
+		{At: 2 * time.Hour, Class: 1, Key: "", Node: 1, Size: 0},
 	}
-	meta := Meta{Classes: []string{"view", "sign"}, Nodes: 2, From: "golden", Began: time.Date(2026, 12, 2, 1, 2, 3, 0, time.UTC)}
+	meta := Meta{Classes: []string{"view", "sign"}, Nodes: 2, From: "golden", StartedAt: time.Date(2026, 12, 2, 1, 2, 3, 0, time.UTC)}
 	path := filepath.Join(t.TempDir(), "trace")
 	w, err := Create(path, meta)
 	if err != nil {
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if r.Meta.Nodes != 2 || r.Meta.From != "golden" || !r.Meta.Began.Equal(meta.Began) {
+	if r.Meta.Nodes != 2 || r.Meta.From != "golden" || !r.Meta.StartedAt.Equal(meta.StartedAt) {
 		t.Errorf("meta data %+v, want %+v", r.Meta, meta)
 	}
 	for _, want := range arrivals {
--- a/internal/testbed/trace/tools.go
+++ b/internal/testbed/trace/tools.go
@@ -48,8 +48,8 @@
 // Cut keeps what was due from one time to another, which becomes the start.
 func Cut(from, to time.Duration) Change {
 	return func(a workload.Arrival) (workload.Arrival, bool) {
-		keep := a.Due >= from && (to <= 0 || a.Due < to)
-		a.Due -= from
+		keep := a.At >= from && (to <= 0 || a.At < to)
+		a.At -= from
 		return a, keep
 	}
 }
@@ -57,7 +57,7 @@
 // Scale plays it so many times as fast.
 func Scale(speed float64) Change {
 	return func(a workload.Arrival) (workload.Arrival, bool) {
-		a.Due = time.Duration(float64(a.Due) / speed)
+		a.At = time.Duration(float64(a.At) / speed)
 		return a, true
 	}
 }
@@ -72,7 +72,7 @@
 		return strconv.FormatUint(xxhash.Sum64String(salt+"\x00"+s), 36)
 	}
 	return func(a workload.Arrival) (workload.Arrival, bool) {
-		a.Key, a.Once = hide(a.Key), hide(a.Once)
+		a.Key, a.IdempotencyKey = hide(a.Key), hide(a.IdempotencyKey)
 		return a, true
 	}
 }
@@ -90,8 +90,8 @@
 	Torn     int64
 }
 
-// Look reads a trace through.
-func Look(path string) (Info, error) {
+// Inspect reads a trace through.
+func Inspect(path string) (Info, error) {
 	r, err := Open(path)
 	if err != nil {
 		return Info{}, err
@@ -108,10 +108,10 @@
 			return i, err
 		}
 		i.Requests++
-		i.Length = max(i.Length, a.Due)
+		i.Length = max(i.Length, a.At)
 		i.ByClass[a.Class]++
 		keys[a.Key]++
-		seconds[int64(a.Due/time.Second)]++
+		seconds[int64(a.At/time.Second)]++
 	}
 	i.Keys, i.Torn = len(keys), r.Torn()
 	most := 0
@@ -151,7 +151,7 @@
 			return nil
 		}
 		if err == nil {
-			err = enc.Encode(line{a.Due.Microseconds(), r.Meta.Classes[a.Class], a.Key, a.Node, a.Size, a.Once})
+			err = enc.Encode(line{a.At.Microseconds(), r.Meta.Classes[a.Class], a.Key, a.Node, a.Size, a.IdempotencyKey})
 		}
 		if err != nil {
 			return err
@@ -175,7 +175,7 @@
 		switch {
 		case l.Class == "" || l.Key == "" || l.DueMicros < 0 || l.Size < 0 || l.Node < 0:
 			return 0, fmt.Errorf("trace: line %d: class, key, due_us, size or node makes no sense", len(all)+1)
-		case len(all) > 0 && time.Duration(l.DueMicros)*time.Microsecond < all[len(all)-1].Due:
+		case len(all) > 0 && time.Duration(l.DueMicros)*time.Microsecond < all[len(all)-1].At:
 			return 0, fmt.Errorf("trace: line %d: due before the one ahead of it", len(all)+1)
 		}
 		class := slices.Index(m.Classes, l.Class)
@@ -184,8 +184,8 @@
 			m.Classes = append(m.Classes, l.Class)
 		}
 		m.Nodes = max(m.Nodes, l.Node+1)
-		all = append(all, workload.Arrival{Due: time.Duration(l.DueMicros) * time.Microsecond, Class: class, Key: l.Key, Node: l.Node,
-			Size: l.Size, Once: l.Once})
+		all = append(all, workload.Arrival{At: time.Duration(l.DueMicros) * time.Microsecond, Class: class, Key: l.Key, Node: l.Node,
+			Size: l.Size, IdempotencyKey: l.Once})
 	}
 	w, err := Create(path, m)
 	if err != nil {
--- a/internal/testbed/trace/trace.go
+++ b/internal/testbed/trace/trace.go
@@ -38,10 +38,10 @@
 
 // Meta is what a trace says of itself.
 type Meta struct {
-	Classes []string  `json:"classes"` // names, by the numbers that requests have
-	Nodes   int       `json:"nodes"`
-	From    string    `json:"from,omitempty"` // where it came from, in the words of whoever recorded it
-	Began   time.Time `json:"began,omitzero"`
+	Classes   []string  `json:"classes"` // names, by the numbers that requests have
+	Nodes     int       `json:"nodes"`
+	From      string    `json:"from,omitempty"` // where it came from, in the words of whoever recorded it
+	StartedAt time.Time `json:"began,omitzero"`
 }
 
 // Writer adds requests to a trace. It is not safe for concurrent use.
@@ -113,13 +113,13 @@
 	if t.n == 0 {
 		t.last = 0
 	}
-	due := max(a.Due, t.last)
+	due := max(a.At, t.last)
 	b := binary.AppendUvarint(t.block, uint64((due-t.last)/time.Microsecond))
 	t.last += (due - t.last).Truncate(time.Microsecond)
 	for _, v := range []int{a.Class, a.Node, a.Size} {
 		b = binary.AppendUvarint(b, uint64(v))
 	}
-	for _, s := range []string{a.Key, a.Once} {
+	for _, s := range []string{a.Key, a.IdempotencyKey} {
 		b = append(binary.AppendUvarint(b, uint64(len(s))), s...)
 	}
 	t.block = b
@@ -286,9 +286,9 @@
 		return s
 	}
 	r.last += time.Duration(number()) * time.Microsecond
-	a := workload.Arrival{Due: r.last, Class: int(number()), Node: int(number()), Size: int(number())}
-	a.Key, a.Once = text(), text()
-	if bad || a.Class < 0 || a.Class >= len(r.Meta.Classes) || a.Due < 0 {
+	a := workload.Arrival{At: r.last, Class: int(number()), Node: int(number()), Size: int(number())}
+	a.Key, a.IdempotencyKey = text(), text()
+	if bad || a.Class < 0 || a.Class >= len(r.Meta.Classes) || a.At < 0 {
 		return workload.Arrival{}, fmt.Errorf("trace: a request in the block before byte %d makes no sense", r.at)
 	}
 	return a, nil
--- a/internal/testbed/trace/trace_test.go
+++ b/internal/testbed/trace/trace_test.go
@@ -20,8 +20,8 @@
 
 func arrivals(n int) (out []workload.Arrival) {
 	for i := range n {
-		out = append(out, workload.Arrival{Due: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7), Node: i % 2,
-			Size: i % 100, Once: []string{"", "0f"}[i%2]})
+		out = append(out, workload.Arrival{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7), Node: i % 2,
+			Size: i % 100, IdempotencyKey: []string{"", "0f"}[i%2]})
 	}
 	return out
 }
@@ -71,8 +71,8 @@
 		due := time.Duration(0)
 		for range rapid.IntRange(0, 700).Draw(r, "n") {
 			due += time.Duration(rapid.IntRange(0, 1e7).Draw(r, "gap")) * time.Microsecond
-			as = append(as, workload.Arrival{Due: due, Class: rapid.IntRange(0, 1).Draw(r, "class"), Node: rapid.IntRange(0, 300).Draw(r, "node"),
-				Size: rapid.IntRange(0, 1<<20).Draw(r, "size"), Key: rapid.StringN(0, 20, 80).Draw(r, "key"), Once: rapid.StringN(0, 4, 16).Draw(r, "once")})
+			as = append(as, workload.Arrival{At: due, Class: rapid.IntRange(0, 1).Draw(r, "class"), Node: rapid.IntRange(0, 300).Draw(r, "node"),
+				Size: rapid.IntRange(0, 1<<20).Draw(r, "size"), Key: rapid.StringN(0, 20, 80).Draw(r, "key"), IdempotencyKey: rapid.StringN(0, 4, 16).Draw(r, "once")})
 		}
 		write(t, path, as)
 		got, torn, err := read(path)
@@ -142,7 +142,7 @@
 	if _, err := Copy(path("all"), path("fast"), Scale(2)); err != nil {
 		t.Fatal(err)
 	}
-	i, err := Look(path("fast"))
+	i, err := Inspect(path("fast"))
 	if err != nil || i.Requests != 1000 || i.Length > 1500*time.Millisecond || i.Keys != 7 || i.ByClass[1] != 500 || i.Busiest < 600 {
 		t.Errorf("at twice the speed: %+v, %v", i, err)
 	}
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	anon, _, _ := read(path("anon"))
-	if i, _ := Look(path("anon")); i.Keys != 7 || anon[0].Key == as[0].Key || anon[0].Key != anon[7].Key {
+	if i, _ := Inspect(path("anon")); i.Keys != 7 || anon[0].Key == as[0].Key || anon[0].Key != anon[7].Key {
 		t.Errorf("keys become %q and %q, %d in all", anon[0].Key, anon[7].Key, i.Keys)
 	}
 	var lines bytes.Buffer
