--- a/internal/testbed/wireformat/answers.go
+++ b/internal/testbed/wireformat/answers.go
@@ -13,9 +13,9 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// Value is what servers answer for a request: it names the request that it was made for, so that a client can tell
+// EncodeValue is what servers answer for a request: it names the request that it was made for, so that a client can tell
 // it from any other, and is padded to the size of the record.
-func Value(request string, c model.Copy) []byte {
+func EncodeValue(request string, c model.Copy) []byte {
 	b := fmt.Appendf(nil, "%s|%s|v%d|", request, c.Key, c.Version)
 	if n := c.Size - len(b); n > 0 {
 		b = append(b, bytes.Repeat([]byte{'.'}, n)...)
@@ -23,8 +23,8 @@
 	return b
 }
 
-// MadeFor is the request that a value names; empty for what is no value of a server.
-func MadeFor(value []byte) string {
+// RequestOfValue is the request that a value names; empty for what is no value of a server.
+func RequestOfValue(value []byte) string {
 	id, rest, ok := bytes.Cut(value, []byte{'|'})
 	if !ok || bytes.Count(rest, []byte{'|'}) < 2 {
 		return ""
@@ -37,17 +37,17 @@
 	return fmt.Sprintf("latency_ms=%.1f,inflight=%d", l.Latency.Seconds()*1000, l.Inflight)
 }
 
-// RESP words an answer of a box.
-func RESP(id string, a model.Answer) []byte {
+// EncodeRESP words an answer of a box.
+func EncodeRESP(id string, a model.Response) []byte {
 	var b []byte
 	switch a.Outcome {
 	case model.Pong:
-		if a.Loaded {
+		if a.HasLoad {
 			b = redcon.AppendBulkString(b, report(a.Load))
 		} else {
 			b = redcon.AppendString(b, "PONG")
 		}
-	case model.Turned:
+	case model.RejectedUnseen:
 		b = redcon.AppendError(b, "BUSY")
 	case model.Failed:
 		b = redcon.AppendError(b, "ERR failed")
@@ -58,24 +58,24 @@
 		b = redcon.AppendNull(b)
 	default:
 		b = redcon.AppendArray(b, 3)
-		b = redcon.AppendBulk(b, Value(id, a.Copy))
+		b = redcon.AppendBulk(b, EncodeValue(id, a.Copy))
 		b = redcon.AppendBulkString(b, "hit")
 		b = redcon.AppendNull(b)
 	}
-	switch a.Spoilt {
-	case model.SpoiltNoise:
+	switch a.Corruption {
+	case model.CorruptNoise:
 		return []byte("\x00\xff\x13noise\r\n\x80\x80")
-	case model.SpoiltLine:
+	case model.CorruptEndlessLine:
 		return []byte("*" + strings.Repeat("9", 200))
-	case model.SpoiltLength:
+	case model.CorruptLength:
 		return []byte("*3\r\n$5\r\nlonger than it says\r\n$3\r\nhit\r\n$-1\r\n")
-	case model.SpoiltHuge:
+	case model.CorruptHugeValue:
 		return []byte("*3\r\n$3221225472\r\n")
-	case model.SpoiltTwice:
+	case model.CorruptDuplicate:
 		return append(b, b...)
-	case model.SpoiltBehind:
+	case model.CorruptTrailingNoise:
 		return append(b, "\x00noise"...)
-	case model.SpoiltReport:
+	case model.CorruptLoadReport:
 		if n := len(b) - len("$-1\r\n"); a.Outcome == model.Hit || a.Outcome == model.Miss {
 			return append(b[:n], "$7\r\n=,=\x00 ==\r\n"...)
 		}
@@ -83,46 +83,46 @@
 	return b
 }
 
-// HTTP words an answer of the origin. last says that the connection ends with it.
-func HTTP(id string, a model.Answer) (b []byte, last bool) {
+// EncodeHTTP words an answer of the origin. last says that the connection ends with it.
+func EncodeHTTP(id string, a model.Response) (b []byte, last bool) {
 	load := "X-Load: " + report(a.Load) + "\r\n"
 	switch a.Outcome {
 	case model.Pong:
 		body := ""
-		if a.Loaded {
+		if a.HasLoad {
 			body = report(a.Load)
 		}
-		b = Text("200 OK", load, body, false)
-	case model.Turned:
-		b = Text("503 Service Unavailable", load+"X-Not-Run: 1\r\n", "", false)
+		b = HTTPText("200 OK", load, body, false)
+	case model.RejectedUnseen:
+		b = HTTPText("503 Service Unavailable", load+"X-Not-Run: 1\r\n", "", false)
 	case model.Failed:
-		b = Text("500 Internal Server Error", load, "", false)
+		b = HTTPText("500 Internal Server Error", load, "", false)
 	case model.Written:
-		b = Text("200 OK", load, string(Value(id, model.Copy{Key: a.Copy.Key, Version: a.Copy.Version})), false)
+		b = HTTPText("200 OK", load, string(EncodeValue(id, model.Copy{Key: a.Copy.Key, Version: a.Copy.Version})), false)
 	default:
-		b = Text("200 OK", load, string(Value(id, a.Copy)), false)
+		b = HTTPText("200 OK", load, string(EncodeValue(id, a.Copy)), false)
 	}
-	switch a.Spoilt {
-	case model.SpoiltNoise:
+	switch a.Corruption {
+	case model.CorruptNoise:
 		return []byte("\x00\xff\x13noise\r\n\r\n"), false
-	case model.SpoiltLine:
+	case model.CorruptEndlessLine:
 		return []byte("HTTP/1.1 200 " + strings.Repeat("x", 200)), false
-	case model.SpoiltLength:
+	case model.CorruptLength:
 		return []byte("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nshort"), false
-	case model.SpoiltHuge:
+	case model.CorruptHugeValue:
 		return []byte("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), false
-	case model.SpoiltTwice:
+	case model.CorruptDuplicate:
 		return append(b, b...), false
-	case model.SpoiltBehind:
+	case model.CorruptTrailingNoise:
 		return append(b, "\x00noise"...), false
-	case model.SpoiltReport:
+	case model.CorruptLoadReport:
 		return bytes.Replace(b, []byte("X-Load: latency_ms="), []byte("X-Load: =,=latency"), 1), false
 	}
 	return b, false
 }
 
-// Text is an HTTP/1.1 response.
-func Text(status, headers, body string, last bool) []byte {
+// HTTPText is an HTTP/1.1 response.
+func HTTPText(status, headers, body string, last bool) []byte {
 	if last {
 		headers += "Connection: close\r\n"
 	}
--- a/internal/testbed/wireformat/list.go
+++ b/internal/testbed/wireformat/list.go
@@ -26,10 +26,10 @@
 	Instances []instance `json:"instances"`
 }
 
-// List is a list as a node is told it, as one line of JSON: with the addresses of slots for that node, and the time of a run as
+// EncodeList is a list as a node is told it, as one line of JSON: with the addresses of slots for that node, and the time of a run as
 // Unix milliseconds.
-func List(l model.List, addr func(slot int) string, unixMs func(time.Duration) int64) []byte {
-	out := list{Version: l.Version, Whole: l.Whole, Instances: []instance{}}
+func EncodeList(l model.List, addr func(slot int) string, unixMs func(time.Duration) int64) []byte {
+	out := list{Version: l.Version, Whole: l.IsFull, Instances: []instance{}}
 	for _, s := range l.Entries {
 		in := instance{ID: s.ID, Addr: addr(s.Slot), Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: s.State.String(), Weight: 1}
 		if s.Started > 0 {
--- a/internal/testbed/wireformat/request.go
+++ b/internal/testbed/wireformat/request.go
@@ -12,8 +12,8 @@
 // MaxValue is the longest value, by the protocol.
 const MaxValue = 64 << 10
 
-// Request reads a command: its name, key, id, the list of names and values, and the value of a write.
-func Request(classes map[string]scenario.Class, write bool, args [][]byte) (q model.Request, why string) {
+// ParseRequest reads a command: its name, key, id, the list of names and values, and the value of a write.
+func ParseRequest(classes map[string]scenario.Class, write bool, args [][]byte) (q model.Request, why string) {
 	want := 4
 	if write {
 		want = 5
@@ -43,16 +43,16 @@
 			if err != nil || ms <= 0 {
 				return q, "bad d"
 			}
-			q.Until = time.Duration(ms) * time.Millisecond // from now; whoever knows the time adds it
+			q.Deadline = time.Duration(ms) * time.Millisecond // from now; whoever knows the time adds it
 		case "k":
-			q.Once = value
+			q.IdempotencyKey = value
 		}
 	}
 	class, ok := classes[q.Class]
 	switch {
 	case !ok:
 		return q, "unknown class"
-	case q.Until == 0:
+	case q.Deadline == 0:
 		return q, "d is missing"
 	case class.Write != write:
 		return q, "the class does not go with the command"
--- a/internal/testbed/workload/load_test.go
+++ b/internal/testbed/workload/load_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-func spec(shapes ...Shape) Spec {
-	return Spec{Seed: 3, Length: 20 * time.Second, Shapes: shapes, Keys: 1000, Skew: 1.2, Shares: []float64{3, 1},
-		Classes: []Class{{Name: "read", Share: 9}, {Name: "sign", Share: 1, Keyed: true, BytesLeast: 10, BytesMost: 20}}}
+func spec(shapes ...ArrivalProcess) Spec {
+	return Spec{Seed: 3, Length: 20 * time.Second, Processes: shapes, Keys: 1000, Skew: 1.2, NodeWeights: []float64{3, 1},
+		Classes: []Class{{Name: "read", Share: 9}, {Name: "sign", Share: 1, HasIdempotencyKey: true, BytesLeast: 10, BytesMost: 20}}}
 }
 
 func all(s Spec) (out []Arrival) {
@@ -26,7 +26,7 @@
 // between counts arrivals.
 func between(as []Arrival, from, to time.Duration) (n float64) {
 	for _, a := range as {
-		if a.Due >= from && a.Due < to {
+		if a.At >= from && a.At < to {
 			n++
 		}
 	}
@@ -37,19 +37,19 @@
 func TestShapes(t *testing.T) {
 	const sec = time.Second
 	for name, test := range map[string]struct {
-		shapes   []Shape
+		shapes   []ArrivalProcess
 		from, to time.Duration
 		want     float64
 	}{
-		"steady":        {[]Shape{{Kind: Steady, Rate: 200}}, 0, 20 * sec, 4000},
-		"ramp, early":   {[]Shape{{Kind: Ramp, Rate: 400}}, 0, 10 * sec, 1000},
-		"ramp, late":    {[]Shape{{Kind: Ramp, Rate: 400}}, 10 * sec, 20 * sec, 3000},
-		"surge":         {[]Shape{{Kind: Surge, Rate: 500, At: 5 * sec, For: 10 * sec}}, 0, 20 * sec, 4500},
-		"before it":     {[]Shape{{Kind: Surge, Rate: 500, At: 5 * sec, For: 10 * sec}}, 0, 5 * sec, 0},
-		"sine":          {[]Shape{{Kind: Sine, Rate: 400, Period: 5 * sec}}, 0, 20 * sec, 4000},
-		"burst":         {[]Shape{{Kind: Burst, Rate: 2000, Period: 2 * sec}}, 0, 20 * sec, 4000},
-		"between two":   {[]Shape{{Kind: Burst, Rate: 2000, Period: 2 * sec}}, 300 * time.Millisecond, 2 * sec, 0},
-		"steady and on": {[]Shape{{Kind: Steady, Rate: 100}, {Kind: Steady, Rate: 300, At: 10 * sec}}, 10 * sec, 20 * sec, 4000},
+		"steady":        {[]ArrivalProcess{{Kind: Steady, Rate: 200}}, 0, 20 * sec, 4000},
+		"ramp, early":   {[]ArrivalProcess{{Kind: Ramp, Rate: 400}}, 0, 10 * sec, 1000},
+		"ramp, late":    {[]ArrivalProcess{{Kind: Ramp, Rate: 400}}, 10 * sec, 20 * sec, 3000},
+		"surge":         {[]ArrivalProcess{{Kind: Surge, Rate: 500, At: 5 * sec, For: 10 * sec}}, 0, 20 * sec, 4500},
+		"before it":     {[]ArrivalProcess{{Kind: Surge, Rate: 500, At: 5 * sec, For: 10 * sec}}, 0, 5 * sec, 0},
+		"sine":          {[]ArrivalProcess{{Kind: Sine, Rate: 400, Period: 5 * sec}}, 0, 20 * sec, 4000},
+		"burst":         {[]ArrivalProcess{{Kind: Burst, Rate: 2000, Period: 2 * sec}}, 0, 20 * sec, 4000},
+		"between two":   {[]ArrivalProcess{{Kind: Burst, Rate: 2000, Period: 2 * sec}}, 300 * time.Millisecond, 2 * sec, 0},
+		"steady and on": {[]ArrivalProcess{{Kind: Steady, Rate: 100}, {Kind: Steady, Rate: 300, At: 10 * sec}}, 10 * sec, 20 * sec, 4000},
 	} {
 		for _, uniform := range []bool{false, true} {
 			s := spec(test.shapes...)
@@ -68,12 +68,12 @@
 
 // The same seed gives the same arrivals; a heat that is added moves none of them, and takes its share of the keys.
 func TestDrawsStandApart(t *testing.T) {
-	s := spec(Shape{Kind: Steady, Rate: 500})
+	s := spec(ArrivalProcess{Kind: Steady, Rate: 500})
 	a, b := all(s), all(s)
 	if !reflect.DeepEqual(a, b) {
 		t.Fatal("one seed gives two schedules")
 	}
-	s.Heats = []Heat{{Share: 0.2, Keys: 1, At: 5 * time.Second, For: 10 * time.Second, Move: time.Second}}
+	s.PopularKeys = []PopularKeys{{Share: 0.2, Keys: 1, At: 5 * time.Second, For: 10 * time.Second, Move: time.Second}}
 	hot := all(s)
 	seen, n := map[string]bool{}, 0.0
 	for i, h := range hot {
@@ -86,8 +86,8 @@
 		if h != a[i] {
 			t.Fatalf("arrival %d changes from %+v to %+v", i, a[i], h)
 		}
-		if isHot && (h.Due < 5*time.Second || h.Due >= 15*time.Second) {
-			t.Errorf("a hot key at %s", h.Due)
+		if isHot && (h.At < 5*time.Second || h.At >= 15*time.Second) {
+			t.Errorf("a hot key at %s", h.At)
 		}
 	}
 	if len(seen) != 10 || n < 850 || n > 1150 {
@@ -101,12 +101,12 @@
 
 // Classes, nodes and sizes follow their shares; a shape of one class brings that alone.
 func TestMix(t *testing.T) {
-	as := all(spec(Shape{Kind: Steady, Rate: 500}))
+	as := all(spec(ArrivalProcess{Kind: Steady, Rate: 500}))
 	sign, first := 0.0, 0.0
 	for _, a := range as {
 		if a.Class == 1 {
 			sign++
-			if a.Once == "" || a.Size < 10 || a.Size > 20 {
+			if a.IdempotencyKey == "" || a.Size < 10 || a.Size > 20 {
 				t.Fatalf("a write: %+v", a)
 			}
 		}
@@ -118,10 +118,10 @@
 	if sign/n < 0.08 || sign/n > 0.12 || first/n < 0.72 || first/n > 0.78 {
 		t.Errorf("%.3f are writes, %.3f go to the first node", sign/n, first/n)
 	}
-	rush := all(spec(Shape{Kind: Steady, Rate: 100}, Shape{Kind: Steady, Rate: 100, Class: "sign", At: 10 * time.Second}))
+	rush := all(spec(ArrivalProcess{Kind: Steady, Rate: 100}, ArrivalProcess{Kind: Steady, Rate: 100, Class: "sign", At: 10 * time.Second}))
 	sign = 0
 	for _, a := range rush {
-		if a.Class == 1 && a.Due >= 10*time.Second {
+		if a.Class == 1 && a.At >= 10*time.Second {
 			sign++
 		}
 	}
@@ -132,12 +132,12 @@
 
 // Keys that drift are other ones later on.
 func TestDrift(t *testing.T) {
-	s := spec(Shape{Kind: Steady, Rate: 500})
+	s := spec(ArrivalProcess{Kind: Steady, Rate: 500})
 	s.Drift = 100 * time.Millisecond
 	most := func(from, to time.Duration) (best string) {
 		count := map[string]int{}
 		for _, a := range all(s) {
-			if a.Due >= from && a.Due < to {
+			if a.At >= from && a.At < to {
 				if count[a.Key]++; count[a.Key] > count[best] {
 					best = a.Key
 				}
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -12,33 +12,33 @@
 type Class struct {
 	Name                  string
 	Share                 float64
-	Keyed                 bool // carries an idempotency key
+	HasIdempotencyKey     bool // carries an idempotency key
 	BytesLeast, BytesMost int  // of the value of a write
 }
 
 // Spec is all that a schedule is drawn from.
 type Spec struct {
-	Seed    uint64
-	Length  time.Duration
-	Uniform bool // even gaps in place of Poisson arrivals
-	Shapes  []Shape
-	Classes []Class
-	Keys    int           // that are asked for
-	Skew    float64       // exponent of the Zipf law of their popularity; above 1
-	Offset  float64       // of that law: the larger, the flatter its head; 1 or more
-	Drift   time.Duration // the ranks of all keys move on by one each time this has passed; 0: never
-	Heats   []Heat
-	Shares  []float64 // of the load by node
+	Seed        uint64
+	Length      time.Duration
+	Uniform     bool // even gaps in place of Poisson arrivals
+	Processes   []ArrivalProcess
+	Classes     []Class
+	Keys        int           // that are asked for
+	Skew        float64       // exponent of the Zipf law of their popularity; above 1
+	Offset      float64       // of that law: the larger, the flatter its head; 1 or more
+	Drift       time.Duration // the ranks of all keys move on by one each time this has passed; 0: never
+	PopularKeys []PopularKeys
+	NodeWeights []float64 // of the load by node
 }
 
 // Arrival is one request that is due.
 type Arrival struct {
-	Due   time.Duration
-	Class int // in Spec.Classes
-	Key   string
-	Node  int // in Spec.Shares
-	Size  int
-	Once  string // idempotency key; empty for classes without
+	At             time.Duration
+	Class          int // in Spec.Classes
+	Key            string
+	Node           int // in Spec.Shares
+	Size           int
+	IdempotencyKey string // idempotency key; empty for classes without
 }
 
 // Schedule gives out arrivals in the order in which they are due.
@@ -53,10 +53,10 @@
 
 // New makes a schedule. Each kind of draw has a stream of its own: a heat that is added moves no arrival.
 func New(spec Spec) *Schedule {
-	stream := func(part string) *rand.Rand { return model.Stream(spec.Seed, "load/"+part) }
+	stream := func(part string) *rand.Rand { return model.RandomStream(spec.Seed, "load/"+part) }
 	s := &Schedule{spec: spec, times: stream("times"), mix: stream("mix"), keys: stream("keys"), rest: stream("rest"), head: stream("heat")}
 	s.zipf = rand.NewZipf(s.keys, max(spec.Skew, 1.0001), max(spec.Offset, 1), uint64(max(0, spec.Keys-1)))
-	for _, sh := range spec.Shapes {
+	for _, sh := range spec.Processes {
 		s.peak += sh.Rate
 	}
 	return s
@@ -64,7 +64,7 @@
 
 // Rate is the rate at a time.
 func (s *Schedule) Rate(t time.Duration) (r float64) {
-	for _, sh := range s.spec.Shapes {
+	for _, sh := range s.spec.Processes {
 		r += sh.at(t, s.spec.Length)
 	}
 	return r
@@ -104,14 +104,14 @@
 
 // draw draws what the arrival at the present time asks for.
 func (s *Schedule) draw() Arrival {
-	a := Arrival{Due: s.at, Class: s.class(), Key: s.key(), Node: s.node()}
+	a := Arrival{At: s.at, Class: s.class(), Key: s.key(), Node: s.node()}
 	c := s.spec.Classes[a.Class]
 	once := s.rest.Uint64()
 	if c.BytesMost > 0 {
 		a.Size = c.BytesLeast + s.rest.IntN(c.BytesMost-c.BytesLeast+1)
 	}
-	if c.Keyed {
-		a.Once = strconv.FormatUint(once, 16)
+	if c.HasIdempotencyKey {
+		a.IdempotencyKey = strconv.FormatUint(once, 16)
 	}
 	return a
 }
@@ -119,7 +119,7 @@
 // class draws a shape by its part of the rate, and its class, or one of the mix.
 func (s *Schedule) class() int {
 	at := s.mix.Float64() * s.Rate(s.at)
-	for _, sh := range s.spec.Shapes {
+	for _, sh := range s.spec.Processes {
 		if at -= sh.at(s.at, s.spec.Length); at < 0 {
 			for i, c := range s.spec.Classes {
 				if c.Name == sh.Class {
@@ -133,7 +133,7 @@
 }
 
 func (s *Schedule) node() int {
-	return choose(s.rest, len(s.spec.Shares), func(i int) float64 { return s.spec.Shares[i] })
+	return choose(s.rest, len(s.spec.NodeWeights), func(i int) float64 { return s.spec.NodeWeights[i] })
 }
 
 // choose draws one of n by their shares.
@@ -154,7 +154,7 @@
 func (s *Schedule) key() string {
 	rank := s.zipf.Uint64()
 	hot, which := s.head.Float64(), s.head.Uint64()
-	for i, h := range s.spec.Heats {
+	for i, h := range s.spec.PopularKeys {
 		set, on := h.on(s.at)
 		if !on {
 			continue
--- a/internal/testbed/workload/shape.go
+++ b/internal/testbed/workload/shape.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// ShapeKind is a form that a rate takes over time.
-type ShapeKind int
+// ProcessKind is a form that a rate takes over time.
+type ProcessKind int
 
 // The kinds. Each adds its rate to the others' between At and At+For; For 0 is to the end.
 const (
-	Steady ShapeKind = iota // Rate all the time
-	Ramp                    // from 0 to Rate, evenly
-	Surge                   // up to Rate in a tenth of the time, there for eight tenths, and down again
-	Sine                    // between 0 and Rate, once each Period, beginning at half and rising
-	Burst                   // Rate for a tenth of each Period, nothing else
+	Steady ProcessKind = iota // Rate all the time
+	Ramp                      // from 0 to Rate, evenly
+	Surge                     // up to Rate in a tenth of the time, there for eight tenths, and down again
+	Sine                      // between 0 and Rate, once each Period, beginning at half and rising
+	Burst                     // Rate for a tenth of each Period, nothing else
 	numberOfShapes
 )
 
-// ShapeKinds names the kinds as files write them.
-var ShapeKinds = [numberOfShapes]string{"steady", "ramp", "surge", "sine", "burst"}
+// ProcessKinds names the kinds as files write them.
+var ProcessKinds = [numberOfShapes]string{"steady", "ramp", "surge", "sine", "burst"}
 
-func (k ShapeKind) String() string { return ShapeKinds[k] }
+func (k ProcessKind) String() string { return ProcessKinds[k] }
 
-// ShapeOf finds a kind by its name.
-func ShapeOf(name string) (ShapeKind, error) {
-	if i := slices.Index(ShapeKinds[:], name); i >= 0 {
-		return ShapeKind(i), nil
+// ParseProcess finds a kind by its name.
+func ParseProcess(name string) (ProcessKind, error) {
+	if i := slices.Index(ProcessKinds[:], name); i >= 0 {
+		return ProcessKind(i), nil
 	}
-	return 0, fmt.Errorf("%q is none of %s", name, strings.Join(ShapeKinds[:], ", "))
+	return 0, fmt.Errorf("%q is none of %s", name, strings.Join(ProcessKinds[:], ", "))
 }
 
-// Shape is one part of the rate.
-type Shape struct {
-	Kind    ShapeKind
+// ArrivalProcess is one part of the rate.
+type ArrivalProcess struct {
+	Kind    ProcessKind
 	Rate    float64 // requests a second, at its most
 	At, For time.Duration
 	Period  time.Duration
@@ -44,7 +44,7 @@
 }
 
 // at is the rate of a shape at a time of a run of some length.
-func (s Shape) at(t, length time.Duration) float64 {
+func (s ArrivalProcess) at(t, length time.Duration) float64 {
 	span := s.For
 	if span <= 0 {
 		span = length - s.At
@@ -70,8 +70,8 @@
 	return s.Rate
 }
 
-// Heat is a part of the requests that go to a few keys.
-type Heat struct {
+// PopularKeys is a part of the requests that go to a few keys.
+type PopularKeys struct {
 	Share   float64 // of the requests, while it is on
 	Keys    int     // among which they are divided evenly
 	At, For time.Duration
@@ -79,7 +79,7 @@
 }
 
 // on tells whether a heat is on, and which set of keys it is at.
-func (h Heat) on(t time.Duration) (set int, ok bool) {
+func (h PopularKeys) on(t time.Duration) (set int, ok bool) {
 	x := t - h.At
 	if x < 0 || h.For > 0 && x >= h.For {
 		return 0, false
--- a/tests/cold_test.go
+++ b/tests/cold_test.go
@@ -65,14 +65,14 @@
 // send together stays within what a cold server bears, with no more than chance makes of it.
 func TestColdServerUnderThirtyProcesses(t *testing.T) {
 	r := play(t, program, coldBoxes, 0)
-	if !r.Kept() {
+	if !r.IsClean() {
 		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
 	}
 	served := int64(0)
 	for _, c := range r.Classes {
 		served += c.Served
 	}
-	if n := r.Summary.Rules; n.Taken < 200 || served < int64(n.Taken)/2 {
+	if n := r.Summary.Rules; n.Requests < 200 || served < int64(n.Requests)/2 {
 		t.Errorf("%+v, %d served", n, served)
 	}
 }
--- a/tests/lab_test.go
+++ b/tests/lab_test.go
@@ -25,7 +25,7 @@
 	return playWith(t, program, text, restarts, nil)
 }
 
-func playWith(t *testing.T, program, text string, restarts int, roll *demo.Roll) *demo.Result {
+func playWith(t *testing.T, program, text string, restarts int, roll *demo.Rollout) *demo.Result {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	var out bytes.Buffer
 	r, err := demo.Run(context.Background(), demo.Options{Plan: s.Draw(5), Program: program, Dir: t.TempDir(),
-		Log: slog.New(slog.DiscardHandler), Out: &out, Every: time.Second, Restarts: restarts, Roll: roll})
+		Log: slog.New(slog.DiscardHandler), Out: &out, Every: time.Second, Restarts: restarts, Rollout: roll})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,14 +77,14 @@
 func TestRealNodesKeepTheRules(t *testing.T) {
 	t.Parallel()
 	r := play(t, program, rough, 1)
-	if !r.Kept() {
+	if !r.IsClean() {
 		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
 	}
 	served := int64(0)
 	for _, c := range r.Classes {
 		served += c.Served
 	}
-	if n := r.Summary.Rules; n.Taken < 200 || n.Open > 0 || served < int64(n.Taken)*7/10 {
+	if n := r.Summary.Rules; n.Requests < 200 || n.Open > 0 || served < int64(n.Requests)*7/10 {
 		t.Errorf("%+v, %d served", n, served)
 	}
 }
@@ -95,13 +95,13 @@
 func TestRollLosesNothing(t *testing.T) {
 	t.Parallel()
 	const text = "length = \"24s\"\n[nodes]\ncount = 5\n[boxes]\ncount = 4\n[load]\nrate = 60\n[rules]\ngrace = \"400ms\""
-	r := playWith(t, program, text, 0, &demo.Roll{Budget: 2, Stall: 500 * time.Millisecond,
-		Faults: faultproxy.Faults{Lost: 0.1, Twice: 0.1, Delay: 20 * time.Millisecond}})
-	if !r.Kept() {
+	r := playWith(t, program, text, 0, &demo.Rollout{Budget: 2, Stall: 500 * time.Millisecond,
+		Faults: faultproxy.Faults{Dropped: 0.1, Duplicated: 0.1, Delay: 20 * time.Millisecond}})
+	if !r.IsClean() {
 		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
 	}
-	if r.Roll.Done != 5 || r.Roll.Most < 1 || r.Roll.Most > 2 {
-		t.Errorf("%+v", r.Roll)
+	if r.Rollout.Done != 5 || r.Rollout.Most < 1 || r.Rollout.Most > 2 {
+		t.Errorf("%+v", r.Rollout)
 	}
 }
 
@@ -146,8 +146,8 @@
 at = "1s"
 boxes = ["box-0"]
 `
-	for mode, want := range map[string]invariants.Rule{"keep": "", "resend": invariants.Repeated, "drain": invariants.Drained, "lose": invariants.LostAnswer,
-		"swap": invariants.LostAnswer, "late": invariants.LostAnswer} {
+	for mode, want := range map[string]invariants.Invariant{"keep": "", "resend": invariants.DuplicateExecution, "drain": invariants.SentToDraining, "lose": invariants.MissingAnswer,
+		"swap": invariants.MissingAnswer, "late": invariants.MissingAnswer} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			wrapper := filepath.Join(t.TempDir(), "node")
@@ -156,7 +156,7 @@
 			}
 			broken := play(t, wrapper, calm, 0).Summary.Broken
 			for _, v := range broken {
-				if v.Rule != want || want != invariants.Drained && len(v.History) == 0 {
+				if v.Invariant != want || want != invariants.SentToDraining && len(v.History) == 0 {
 					t.Errorf("%v, want the rule %q with a history", v, want)
 				}
 			}
--- a/tests/rollout_test.go
+++ b/tests/rollout_test.go
@@ -20,7 +20,7 @@
 // fleet is real nodes that agree on who may go out, and the one who starts those again that ended.
 type fleet struct {
 	*rig
-	relay   *faultproxy.Relay
+	relay   *faultproxy.Proxy
 	mu      sync.Mutex
 	nodes   []*member
 	release string // that a node is started with
@@ -47,7 +47,7 @@
 		}
 	}()
 	var err error
-	if f.relay, err = faultproxy.New(nodes, faultproxy.Faults{Lost: bad, Twice: bad, Garbled: bad, Delay: 20 * time.Millisecond}, 1); err != nil {
+	if f.relay, err = faultproxy.New(nodes, faultproxy.Faults{Dropped: bad, Duplicated: bad, Corrupted: bad, Delay: 20 * time.Millisecond}, 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.relay.Close)
--- a/tests/supervise_test.go
+++ b/tests/supervise_test.go
@@ -22,7 +22,7 @@
 // machine is a supervisor with its nodes.
 type machine struct {
 	*rig
-	relay   *faultproxy.Relay // between the nodes
+	relay   *faultproxy.Proxy // between the nodes
 	dir, ip string
 	nodes   int
 	cmd     *exec.Cmd
