--- /dev/null
+++ b/internal/testbed/simulation/fleet_faults.go
@@ -0,0 +1,156 @@
+package simulation
+
+import (
+	"slices"
+	"strconv"
+	"time"
+
+	"shelfproxy/internal/fleet/rollout"
+)
+
+// releases are the two releases between which orders move the fleet; the second is the way back.
+var releases = [2]string{"r2", "r1"}
+
+// maxReplayed is how many recorded datagrams one FleetReplay sends again.
+const maxReplayed = 40
+
+// inject lets a fault of the plan happen.
+func (f *fleet) inject(fault FleetFault) {
+	target := f.nodes[fault.Node]
+	f.logEvent("fault", fault.Kind.String(), strconv.Itoa(fault.Node), strconv.Itoa(fault.To), fault.For.String())
+	switch fault.Kind {
+	case FleetKill, FleetTerm, FleetStop, FleetKillAll, FleetClockBack, FleetRemove:
+		f.injectProcessFault(target, fault)
+	case FleetOneWayPartition, FleetIsolate, FleetSplit, FleetForgetHolder, FleetReplay:
+		f.injectNetworkFault(fault)
+	case FleetDrain, FleetRelease, FleetHalt, FleetBudget:
+		f.injectOrder(target, fault)
+	}
+}
+
+// injectProcessFault lets something happen to the processes of nodes.
+func (f *fleet) injectProcessFault(target *fleetNode, fault FleetFault) {
+	switch fault.Kind {
+	case FleetKill:
+		f.crash(target, fault.For)
+	case FleetTerm:
+		if target.isUp && !target.isEnding {
+			f.report.Restarts++
+			target.schedule(0, target.shutDown)
+		}
+	case FleetStop:
+		target.suspend(2 * fault.For)
+	case FleetKillAll:
+		for _, node := range f.nodes {
+			f.crash(node, f.drawBetween(0, fault.For))
+		}
+	case FleetClockBack: // by less than a lease of another's: that is what tokens allow
+		target.clockOffset = f.drawBetween(0, fleetLeaseDuration/2)
+		f.crash(target, fault.For)
+	case FleetRemove:
+		anyRemoved := slices.ContainsFunc(f.nodes, func(node *fleetNode) bool { return node.isRemoved })
+		if f.plan.Nodes > 2 && !anyRemoved {
+			target.isRemoved = true
+			f.crash(target, 0)
+		}
+	}
+}
+
+// injectNetworkFault lets datagrams be lost between some nodes, or come again.
+func (f *fleet) injectNetworkFault(fault FleetFault) {
+	switch fault.Kind {
+	case FleetOneWayPartition:
+		f.partition(2*fault.For, func(from, to int) bool { return from == fault.Node && to == fault.To })
+	case FleetIsolate:
+		f.partition(2*fault.For, func(from, to int) bool { return from == fault.Node || to == fault.Node })
+	case FleetSplit:
+		f.partition(2*fault.For, func(from, to int) bool { return (from <= fault.To) != (to <= fault.To) })
+	case FleetForgetHolder:
+		f.forgetHolder(fault.To)
+	case FleetReplay:
+		for range min(len(f.recorded), maxReplayed) {
+			old := f.recorded[f.rng.IntN(len(f.recorded))]
+			f.after(f.drawBetween(0, fault.For), func() { f.nodes[old.to].receive(old.from, old.data) })
+		}
+	}
+}
+
+// forgetHolder keeps one node from hearing the holder of a lease, and restarts all the others, which granted it.
+func (f *fleet) forgetHolder(listener int) {
+	holder := f.lastHolder[fleetResources[0]]
+	if holder == listener {
+		return
+	}
+	f.partition(4*time.Second, func(from, to int) bool { return from == holder && to == listener })
+	f.after(f.drawBetween(fleetLeaseDuration, 2*fleetLeaseDuration), func() {
+		for _, node := range f.nodes {
+			if node.index != holder && node.index != listener {
+				f.crash(node, f.drawBetween(10*time.Millisecond, 100*time.Millisecond))
+			}
+		}
+	})
+}
+
+// injectOrder lets an operator steer the rollout.
+func (f *fleet) injectOrder(target *fleetNode, fault FleetFault) {
+	switch fault.Kind {
+	case FleetDrain:
+		if target.isUp && !target.isEnding && !target.isStopped {
+			target.wantsDrain = true
+		}
+		target.order(rollout.DrainRequested{})
+	case FleetRelease:
+		if !target.isUp || target.isEnding || target.isStopped {
+			return // the operator would see that the order did not come through, and give it elsewhere
+		}
+		release := releases[fault.To%len(releases)]
+		for _, node := range f.nodes {
+			node.installedRelease = release
+		}
+		target.order(rollout.ReleaseOrdered{Release: release})
+	case FleetHalt:
+		target.order(rollout.HaltRequested{})
+		f.pendingHalts++
+		f.after(fault.For, f.endHalt)
+	case FleetBudget:
+		budget := 1 + fault.To%max(1, f.plan.Nodes/2)
+		f.budget = max(f.budget, budget)
+		for _, node := range f.nodes {
+			node.budget = budget
+			f.after(f.drawBetween(0, fault.For), func() { node.order(rollout.BudgetChanged{Nodes: budget}) })
+		}
+	}
+}
+
+// endHalt resumes the rollout at every node once the last of several halts is over.
+func (f *fleet) endHalt() {
+	f.pendingHalts--
+	if f.pendingHalts > 0 {
+		return
+	}
+	for _, node := range f.nodes {
+		node.order(rollout.ResumeRequested{})
+	}
+}
+
+// crash kills a node's process, unless it is ending by itself; the next process starts some time later.
+func (f *fleet) crash(node *fleetNode, restartAfter time.Duration) {
+	if !node.isUp || node.isEnding {
+		return
+	}
+	f.report.Kills++
+	node.kill()
+	f.after(restartAfter, node.start)
+}
+
+// order brings an operator's order to a node. A node that is down does not receive it.
+func (n *fleetNode) order(event rollout.Event) {
+	if !n.isUp || n.isEnding {
+		return
+	}
+	n.schedule(0, func() {
+		if !n.isEnding {
+			n.stepRollout(event)
+		}
+	})
+}
--- a/internal/testbed/simulation/history.go
+++ b/internal/testbed/simulation/history.go
@@ -21,9 +21,9 @@
 type history struct{ ops []porcupine.Operation }
 
 // seen notes an answer. A write whose end is not known may have taken effect any time, or never.
-func (h *history) seen(q *ask, how string, value []byte, now Time) {
+func (h *history) seen(q *clientRequest, how string, value []byte, now Time) {
 	ret := now
-	op := operation{key: q.Key, write: q.writes}
+	op := operation{key: q.Key, write: q.isWrite}
 	switch {
 	case how == "served" && !op.write:
 		parts := strings.SplitN(string(value), "|", 4)
@@ -37,7 +37,7 @@
 	default:
 		ret = time.Hour
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: len(h.ops), Input: op, Call: int64(q.sent), Output: op, Return: int64(ret)})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: len(h.ops), Input: op, Call: int64(q.sentAt), Output: op, Return: int64(ret)})
 }
 
 // records is one key: its state is the number of writes that it took.
@@ -83,7 +83,7 @@
 	}
 	for _, part := range records.Partition(h.ops) { // name one record that does not fit
 		if porcupine.CheckOperationsTimeout(records, part, patience) == porcupine.Illegal {
-			w.broken(History, "what clients saw of %s cannot be: %d operations", part[0].Input.(operation).key, len(part))
+			w.violation(InvariantLinearizable, "what clients saw of %s cannot be: %d operations", part[0].Input.(operation).key, len(part))
 			return
 		}
 	}
--- a/internal/testbed/simulation/pool.go
+++ b/internal/testbed/simulation/pool.go
@@ -9,21 +9,21 @@
 
 // pool stands in for the shell of a forward.Core: the goroutines and sockets between it and one server.
 type pool struct {
-	n      *node
-	life   int
-	id     string
-	codec  upstream.Codec
-	core   *upstream.Core
-	report func(*upstream.Attempt, upstream.Response)
-	due    Time
-	socks  []*sock
-	wrote  map[*upstream.Attempt]*serverConn // forwards whose request went out whole, and where
+	node        *node
+	incarnation int
+	id          string
+	codec       upstream.Codec
+	core        *upstream.Core
+	report      func(*upstream.Attempt, upstream.Response)
+	timerAt     Time
+	sockets     []*poolSocket
+	written     map[*upstream.Attempt]*serverConn // forwards whose request went out whole, and where
 }
 
-// sock is a connection to a server.
-type sock struct {
-	p       *pool
-	end     *end
+// poolSocket is a connection to a server.
+type poolSocket struct {
+	pool    *pool
+	stream  *stream
 	conn    *upstream.Conn
 	server  *serverConn
 	inbox   []byte // came, and not read yet
@@ -33,22 +33,22 @@
 	writing bool
 }
 
-func (p *pool) now() time.Time { return p.n.now() }
+func (p *pool) now() time.Time { return p.node.now() }
 
 // Send, Abandon, CloseIdle and Update are what the loop calls.
 func (p *pool) Send(f *upstream.Attempt) (upstream.Outcome, bool) {
 	var fx upstream.Effects
 	end, ok := p.core.Send(p.now(), f, &fx)
-	p.carry(fx)
+	p.execute(fx)
 	return end, ok
 }
 
 func (p *pool) Abandon(f *upstream.Attempt) bool {
 	var fx upstream.Effects
 	written := p.core.Abandon(p.now(), f, &fx)
-	p.carry(fx)
+	p.execute(fx)
 	if !written {
-		p.claims(f, "abandoned as not written")
+		p.checkNeverRan(f, "abandoned as not written")
 	}
 	return written
 }
@@ -56,9 +56,9 @@
 func (p *pool) Withdraw(f *upstream.Attempt) bool {
 	var fx upstream.Effects
 	done := p.core.Withdraw(p.now(), f, &fx)
-	p.carry(fx)
+	p.execute(fx)
 	if done {
-		p.claims(f, "withdrawn as not written")
+		p.checkNeverRan(f, "withdrawn as not written")
 	}
 	return done
 }
@@ -66,122 +66,122 @@
 func (p *pool) CloseIdle() {
 	var fx upstream.Effects
 	p.core.CloseIdle(p.now(), &fx)
-	p.carry(fx)
+	p.execute(fx)
 }
 
 func (p *pool) Update(addr string, left bool) []*upstream.Attempt {
 	var fx upstream.Effects
 	drained := p.core.Update(p.now(), addr, left, &fx)
-	p.carry(fx)
+	p.execute(fx)
 	for _, f := range drained {
-		p.claims(f, "drained")
+		p.checkNeverRan(f, "drained")
 	}
 	return drained
 }
 
-// claims checks what is said of a forward that never ran: its request must not have come whole to its server.
-func (p *pool) claims(f *upstream.Attempt, what string) {
-	if c := p.wrote[f]; c != nil && f.Request != nil && c.came[string(f.Request.ID)] {
-		p.n.w.broken(NeverRan, "%s at %s is %s, and came whole", f.Request.ID, p.id, what)
+// checkNeverRan checks what is said of a forward that never ran: its request must not have come whole to its server.
+func (p *pool) checkNeverRan(f *upstream.Attempt, what string) {
+	if c := p.written[f]; c != nil && f.Request != nil && c.arrived[string(f.Request.ID)] {
+		p.node.world.violation(InvariantNeverRan, "%s at %s is %s, and came whole", f.Request.ID, p.id, what)
 	}
 }
 
-// arm books the next look at the core.
-func (p *pool) arm() {
+// armTimer books the next look at the core.
+func (p *pool) armTimer() {
 	at := p.core.NextTimer()
 	if at.IsZero() {
 		return
 	}
-	w := p.n.w
-	t := max(p.n.simTime(at), w.now)
-	if p.due > 0 && p.due <= t {
+	w := p.node.world
+	t := max(p.node.simTime(at), w.now)
+	if p.timerAt > 0 && p.timerAt <= t {
 		return
 	}
-	p.due = t
-	p.n.later(t-w.now, func() {
-		if p.due == t {
-			p.due = 0
+	p.timerAt = t
+	p.node.schedule(t-w.now, func() {
+		if p.timerAt == t {
+			p.timerAt = 0
 		}
 		var fx upstream.Effects
 		p.core.HandleTimers(p.now(), &fx)
-		p.carry(fx)
+		p.execute(fx)
 	})
 }
 
-func (p *pool) carry(fx upstream.Effects) {
+func (p *pool) execute(fx upstream.Effects) {
 	for _, e := range fx {
 		switch e.Kind {
 		case upstream.Dial:
 			p.dial(e.Conn, e.Addr)
 		case upstream.Write:
-			s := e.Conn.Socket.(*sock)
-			p.n.later(p.n.lag(), s.pull)
+			s := e.Conn.Socket.(*poolSocket)
+			p.node.schedule(p.node.lag(), s.writeNext)
 		case upstream.CloseConnection:
-			e.Conn.Socket.(*sock).shut()
+			e.Conn.Socket.(*poolSocket).closeStream()
 		case upstream.ReportOutcome:
 			switch a := e.Response; a.Outcome {
 			case upstream.PoolExhausted, upstream.ServerDraining, upstream.ConnectFailed, upstream.WriteInterrupted, upstream.NotSent:
-				p.claims(e.Attempt, a.Outcome.String())
+				p.checkNeverRan(e.Attempt, a.Outcome.String())
 			}
 			p.report(e.Attempt, e.Response)
 		}
 	}
-	p.arm()
+	p.armTimer()
 }
 
 // dial opens a connection, as the door of the server's slot lets it.
 func (p *pool) dial(c *upstream.Conn, addr string) {
-	w, slot := p.n.w, slotOf(addr)
-	trip := w.between(200*time.Microsecond, 3*time.Millisecond)
-	if w.strikes(w.plan.Net.SlowConnect) {
-		trip = w.between(0, w.plan.Nodes.ConnectTimeout.D()*3/2)
+	w, slot := p.node.world, slotOf(addr)
+	trip := w.drawBetween(200*time.Microsecond, 3*time.Millisecond)
+	if w.networkFault(w.plan.Network.SlowConnect) {
+		trip = w.drawBetween(0, w.plan.Nodes.ConnectTimeout.D()*3/2)
 	}
 	limit := w.plan.Nodes.ConnectTimeout.D()
-	p.n.later(min(trip, limit), func() {
+	p.node.schedule(min(trip, limit), func() {
 		var fx upstream.Effects
-		state := w.doors[doorKey{slot, p.n.index}]
+		state := w.acceptors[acceptorKey{slot, p.node.index}]
 		switch {
-		case trip >= limit || state == 1 || w.strikes(w.plan.Net.RefuseNew): // shut
-			w.note("refused", strconv.Itoa(slot))
+		case trip >= limit || state == 1 || w.networkFault(w.plan.Network.FailConnect): // shut
+			w.logEvent("refused", strconv.Itoa(slot))
 			p.core.DialCompleted(p.now(), c, false, &fx)
 		case state == 2: // silent: it never comes up
-			p.n.later(limit-min(trip, limit), func() {
+			p.node.schedule(limit-min(trip, limit), func() {
 				var fx upstream.Effects
 				p.core.DialCompleted(p.now(), c, false, &fx)
-				p.carry(fx)
+				p.execute(fx)
 			})
 			return
 		default:
-			s := &sock{p: p, conn: c}
-			s.end, s.server = w.connect(p.n, slot)
-			s.server.sock = s
-			s.end.data = func(b []byte, _ Time) {
+			s := &poolSocket{pool: p, conn: c}
+			s.stream, s.server = w.connect(p.node, slot)
+			s.server.socket = s
+			s.stream.data = func(b []byte, _ Time) {
 				s.inbox = append(s.inbox, b...)
-				s.wake()
+				s.scheduleRead()
 			}
-			s.end.ended = func(reset bool) {
+			s.stream.ended = func(reset bool) {
 				s.eof, s.reset = true, reset
-				s.wake()
+				s.scheduleRead()
 			}
 			c.Socket = s
-			p.socks = append(p.socks, s)
+			p.sockets = append(p.sockets, s)
 			p.core.DialCompleted(p.now(), c, true, &fx)
 		}
-		p.carry(fx)
+		p.execute(fx)
 	})
 }
 
-// wake has the connection's reader run.
-func (s *sock) wake() {
-	if s.p.n.life == s.p.life && !s.reading {
+// scheduleRead has the connection's reader run.
+func (s *poolSocket) scheduleRead() {
+	if s.pool.node.incarnation == s.pool.incarnation && !s.reading {
 		s.reading = true
-		s.p.n.later(s.p.n.lag(), s.read)
+		s.pool.node.schedule(s.pool.node.lag(), s.read)
 	}
 }
 
-func (s *sock) read() {
+func (s *poolSocket) read() {
 	s.reading = false
-	p := s.p
+	p := s.pool
 	var fx upstream.Effects
 	for len(s.inbox) > 0 && !s.conn.IsClosed() {
 		k := copy(s.conn.Decoder.ReadBuffer(), s.inbox)
@@ -191,50 +191,50 @@
 	if s.eof && !s.conn.IsClosed() {
 		p.core.ConnectionEnded(p.now(), s.conn, !s.reset, &fx)
 	}
-	p.carry(fx)
+	p.execute(fx)
 }
 
-// pull has the connection's writer run.
-func (s *sock) pull() {
-	p, w := s.p, s.p.n.w
+// writeNext has the connection's writer run.
+func (s *poolSocket) writeNext() {
+	p, w := s.pool, s.pool.node.world
 	var fx upstream.Effects
 	stale := s.conn.IsIdle() && (len(s.inbox) > 0 || s.eof)
 	f := p.core.NextToWrite(p.now(), s.conn, stale, &fx)
-	p.carry(fx)
+	p.execute(fx)
 	if f == nil {
 		return
 	}
 	b := p.codec.AppendRequest(nil, f, p.now())
 	s.writing = true
-	p.n.later(p.n.lag(), func() {
+	p.node.schedule(p.node.lag(), func() {
 		s.writing = false
 		whole, good := true, true
 		switch {
-		case s.end.dead: // it ended since: not a byte of it leaves
+		case s.stream.isClosed: // it ended since: not a byte of it leaves
 			whole, good = false, false
-		case w.strikes(w.plan.Net.BreakWrite):
+		case w.networkFault(w.plan.Network.BreakWrite):
 			k := w.rng.IntN(len(b))
-			s.end.write(b[:k])
+			s.stream.write(b[:k])
 			whole, good = false, false
-			w.note("break-write", s.p.id, strconv.Itoa(k))
-			s.end.snap()
+			w.logEvent("break-write", s.pool.id, strconv.Itoa(k))
+			s.stream.snap()
 		default:
-			s.end.write(b)
-			p.wrote[f] = s.server
+			s.stream.write(b)
+			p.written[f] = s.server
 		}
 		var fx upstream.Effects
 		p.core.WriteCompleted(p.now(), s.conn, whole, good, &fx)
-		p.carry(fx)
-		s.pull()
+		p.execute(fx)
+		s.writeNext()
 	})
 }
 
-// shut closes the connection from the node's side.
-func (s *sock) shut() {
-	s.end.close()
-	for i, o := range s.p.socks {
+// closeStream closes the connection from the node's side.
+func (s *poolSocket) closeStream() {
+	s.stream.close()
+	for i, o := range s.pool.sockets {
 		if o == s {
-			s.p.socks = append(s.p.socks[:i], s.p.socks[i+1:]...)
+			s.pool.sockets = append(s.pool.sockets[:i], s.pool.sockets[i+1:]...)
 			return
 		}
 	}
--- a/internal/testbed/simulation/sim_test.go
+++ b/internal/testbed/simulation/sim_test.go
@@ -105,8 +105,8 @@
 		all := Draw(seed, nil)
 		for _, i := range on {
 			less := Draw(seed, map[int]bool{i: true})
-			if len(less.words) != len(all.words)-1 || len(less.Spec.Faults) < len(all.Spec.Faults)-1 || len(less.NodeFaults) < len(all.NodeFaults)-1 {
-				t.Fatalf("seed %d without part %d: %v of %v", seed, i, less.words, all.words)
+			if len(less.drawnNames) != len(all.drawnNames)-1 || len(less.Spec.Faults) < len(all.Spec.Faults)-1 || len(less.NodeFaults) < len(all.NodeFaults)-1 {
+				t.Fatalf("seed %d without part %d: %v of %v", seed, i, less.drawnNames, all.drawnNames)
 			}
 		}
 	}
--- a/internal/testbed/simulation/net.go
+++ b/internal/testbed/simulation/stream.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// end is one end of a byte stream between two parties. What is written at one end comes to the other in order, cut into
+// stream is one end of a byte stream between two parties. What is written at one end comes to the other in order, cut into
 // segments anywhere, each a little later; a reset overtakes what is on its way.
-type end struct {
+type stream struct {
 	w    *world
-	far  *end
+	far  *stream
 	link link // of what is written here
 
-	lastAt Time // when the last segment arrives
-	dead   bool // closed or reset here: nothing more comes in or goes out
-	silent bool // what is written here goes nowhere, and nobody is told
+	lastAt         Time // when the last segment arrives
+	isClosed       bool // closed or reset here: nothing more comes in or goes out
+	isUnresponsive bool // what is written here goes nowhere, and nobody is told
 
 	data  func(b []byte, sent Time)
 	ended func(reset bool)
@@ -26,25 +26,25 @@
 }
 
 // pipe makes a stream between two parties.
-func (w *world) pipe(there, back link) (a, b *end) {
-	a, b = &end{w: w, link: there}, &end{w: w, link: back}
+func (w *world) pipe(there, back link) (a, b *stream) {
+	a, b = &stream{w: w, link: there}, &stream{w: w, link: back}
 	a.far, b.far = b, a
 	return a, b
 }
 
 // arrival is when what is sent now comes, after all that was sent before.
-func (e *end) arrival() Time {
-	at := e.w.now + e.w.between(e.link.least, e.link.most)
-	if e.w.strikes(e.link.slow) {
-		at += e.w.between(0, e.link.slowBy)
+func (e *stream) arrival() Time {
+	at := e.w.now + e.w.drawBetween(e.link.least, e.link.most)
+	if e.w.networkFault(e.link.slow) {
+		at += e.w.drawBetween(0, e.link.slowBy)
 	}
 	e.lastAt = max(e.lastAt, at)
 	return e.lastAt
 }
 
 // write sends bytes; they are copied.
-func (e *end) write(b []byte) {
-	if e.dead || e.silent || len(b) == 0 {
+func (e *stream) write(b []byte) {
+	if e.isClosed || e.isUnresponsive || len(b) == 0 {
 		return
 	}
 	b = append([]byte(nil), b...)
@@ -57,7 +57,7 @@
 		piece := b[:n]
 		b = b[n:]
 		e.w.at(e.arrival(), func() {
-			if f := e.far; !f.dead && !e.silent && f.data != nil {
+			if f := e.far; !f.isClosed && !e.isUnresponsive && f.data != nil {
 				f.data(piece, sent)
 			}
 		})
@@ -65,44 +65,44 @@
 }
 
 // close ends the stream from this end, after what was written: a FIN.
-func (e *end) close() {
-	if e.dead {
+func (e *stream) close() {
+	if e.isClosed {
 		return
 	}
-	e.dead = true
-	if e.silent {
+	e.isClosed = true
+	if e.isUnresponsive {
 		return
 	}
 	e.w.at(e.arrival(), func() { e.far.cut(false) })
 }
 
 // reset ends it at once, with what is on its way on it, both ways.
-func (e *end) reset() {
-	if e.dead {
+func (e *stream) reset() {
+	if e.isClosed {
 		return
 	}
-	e.dead = true
-	if e.silent {
+	e.isClosed = true
+	if e.isUnresponsive {
 		return
 	}
-	e.w.after(e.w.between(e.link.least, e.link.most), func() { e.far.cut(true) })
+	e.w.after(e.w.drawBetween(e.link.least, e.link.most), func() { e.far.cut(true) })
 }
 
 // cut is how the end of the stream shows here.
-func (e *end) cut(reset bool) {
-	if e.dead {
+func (e *stream) cut(reset bool) {
+	if e.isClosed {
 		return
 	}
-	e.dead = true
+	e.isClosed = true
 	if e.ended != nil {
 		e.ended(reset)
 	}
 }
 
 // snap breaks the stream after what was written here: the far end sees a reset behind it, and this one has failed.
-func (e *end) snap() {
-	e.dead = true
-	if !e.silent {
+func (e *stream) snap() {
+	e.isClosed = true
+	if !e.isUnresponsive {
 		e.w.at(e.arrival(), func() { e.far.cut(true) })
 	}
 }
--- a/internal/testbed/simulation/timeline.go
+++ b/internal/testbed/simulation/timeline.go
@@ -10,16 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// timeline is the clock of a run, what is due on it, what is drawn in it, and its event log.
+// timeline is the virtual clock of a run, the work scheduled on it, its random numbers, and its event log.
 type timeline struct {
-	opt    Options
-	now    Time
-	due    events
-	booked uint64
-	rng    *rand.Rand // of the network
-	hash   *xxhash.Digest
-	line   []byte
-	report *Report
+	opt        Options
+	now        Time
+	queue      eventHeap
+	lastNumber uint64
+	rng        *rand.Rand // of the network
+	hash       *xxhash.Digest
+	logLine    []byte
+	report     *Report
 }
 
 func newTimeline(rng *rand.Rand, opt Options, report *Report) timeline {
@@ -33,15 +33,15 @@
 	run    func()
 }
 
-type events []event
+type eventHeap []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
 	end := len(*h) - 1
 	e := (*h)[end]
 	(*h)[end] = event{}
@@ -51,14 +51,14 @@
 
 // at books work for a time, now at the soonest.
 func (w *timeline) at(t Time, run func()) {
-	w.booked++
-	heap.Push(&w.due, event{max(t, w.now), w.booked, run})
+	w.lastNumber++
+	heap.Push(&w.queue, event{max(t, w.now), w.lastNumber, run})
 }
 
 func (w *timeline) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
-// between draws a time.
-func (w *timeline) between(least, most time.Duration) time.Duration {
+// drawBetween draws a time.
+func (w *timeline) drawBetween(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
@@ -67,22 +67,22 @@
 
 func (w *timeline) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-// note adds a line to the event log.
-func (w *timeline) note(what string, about ...string) {
-	b := strconv.AppendInt(w.line[:0], int64(w.now), 10)
+// logEvent adds a line to the event log.
+func (w *timeline) logEvent(what string, about ...string) {
+	b := strconv.AppendInt(w.logLine[:0], int64(w.now), 10)
 	b = append(append(b, ' '), what...)
 	for _, a := range about {
 		b = append(append(b, ' '), a...)
 	}
-	w.line = append(b, '\n')
-	w.hash.Write(w.line)
+	w.logLine = append(b, '\n')
+	w.hash.Write(w.logLine)
 	w.report.Events++
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.line)
+		w.opt.Trace(w.logLine)
 	}
 }
 
-func (w *timeline) broken(rule, format string, args ...any) {
+func (w *timeline) violation(rule, format string, args ...any) {
 	w.report.Broken = append(w.report.Broken, Broken{rule, w.now, fmt.Sprintf(format, args...)})
-	w.note("broken", rule)
+	w.logEvent("broken", rule)
 }
--- /dev/null
+++ b/internal/testbed/simulation/world.go
@@ -0,0 +1,205 @@
+// Package simulation plays whole fleets of nodes on a virtual clock: the real cores of nodes, listeners, connection pools, decoders
+// and watches, the testbed's model of cache servers, origin and discovery, and clients, over a network of byte streams and datagrams
+// with the faults that a seed draws. A run has one goroutine and no wall clock: a seed gives the same run each time, byte for byte,
+// which the hash of its event log shows. The invariants of the service are checked after every step. See docs/simulation.md.
+package simulation
+
+import (
+	"container/heap"
+	"strings"
+	"time"
+
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/model"
+	"shelfproxy/internal/testbed/scenario"
+)
+
+// Time is a point of a run, counted from its start.
+type Time = time.Duration
+
+// epoch is the date at which every run begins. It has no monotonic part, so that the machine's clock has no influence.
+var epoch = time.Unix(1_800_000_000, 0).UTC()
+
+// world is one run of nodes under load.
+type world struct {
+	timeline
+	plan *Plan
+
+	system         *model.System
+	checker        *invariants.Checker
+	violationsSeen int // violations of the checker that the report has
+	classes        map[string]scenario.Class
+
+	acceptors map[acceptorKey]model.AcceptorState // how servers' listening sockets answer connects
+	servers   map[model.ConnID]*serverConn
+	lastID    model.ConnID
+	seq       uint64
+	calls     map[uint64]*discoveryCall
+	lastCall  uint64
+	nodes     []*node
+	clients   *clients
+}
+
+// acceptorKey names a server's listening socket as one node reaches it.
+type acceptorKey struct{ slot, node int }
+
+// networkFault draws whether a fault of the network with this probability happens now. None does after networkFaultsEnd.
+func (w *world) networkFault(p float64) bool { return w.now < networkFaultsEnd && w.chance(p) }
+
+// maxSteps is how many steps a run may take; one that takes more is given up as a violation.
+const maxSteps = 1_000_000
+
+// Run plays a plan to its end. A panic of a core is a violation like any other.
+func Run(plan *Plan, opt Options) (report *Report) {
+	began := time.Now()
+	report = &Report{Seed: plan.Seed, Faults: plan.Words()}
+	w := &world{
+		timeline:  newTimeline(model.RandomStream(plan.Seed, "sim/net"), opt, report),
+		plan:      plan,
+		classes:   map[string]scenario.Class{},
+		acceptors: map[acceptorKey]model.AcceptorState{},
+		servers:   map[model.ConnID]*serverConn{},
+		calls:     map[uint64]*discoveryCall{},
+	}
+	defer func() {
+		if reason := recover(); reason != nil {
+			w.violation(InvariantNoPanic, "%v", reason)
+			if opt.Trace != nil {
+				panic(reason) // with its stack: somebody is looking
+			}
+		}
+		report.Hash = w.hash.Sum64() ^ w.system.Hash()
+		report.Took = time.Since(began)
+	}()
+	w.startChecker()
+	w.startSystem()
+	w.startNodes()
+	w.clients = newClients(w)
+	w.clients.start()
+	w.scheduleNodeFaults()
+	w.run()
+	w.checkQuiet()
+	return report
+}
+
+func (w *world) startChecker() {
+	var classes []invariants.Class
+	for _, c := range w.plan.Classes {
+		w.classes[c.Name] = c
+		classes = append(classes, invariants.Class{Name: c.Name, Effect: invariants.Effects[c.Effect], Window: c.DedupWindow.D()})
+	}
+	w.checker = invariants.New(classes, invariants.Tolerances{
+		DrainWithin:  w.plan.Invariants.DrainWithin.D(),
+		NotifyWithin: w.plan.notifyWithin(),
+		Grace:        w.plan.Invariants.Grace.D(),
+	})
+}
+
+func (w *world) startSystem() {
+	w.system = model.New(w.plan.Spec)
+	w.system.Trace = w.opt.Trace
+	w.execute(w.system.Start())
+}
+
+func (w *world) startNodes() {
+	for i := range w.plan.Spec.Nodes {
+		w.nodes = append(w.nodes, newNode(w, i))
+	}
+	for _, n := range w.nodes {
+		n.start()
+	}
+}
+
+func (w *world) scheduleNodeFaults() {
+	for _, fault := range w.plan.NodeFaults {
+		for i := range 1 + fault.More {
+			w.at(fault.At, func() { w.nodes[fault.Node+i].inject(fault) })
+		}
+	}
+}
+
+// checkInterval is the time between two looks of the checker at what time alone makes a violation.
+const checkInterval = 50 * time.Millisecond
+
+// run does what is scheduled, in its order, until the end of the plan, and checks the invariants after each step.
+func (w *world) run() {
+	nextCheck := Time(0)
+	for steps := 0; ; steps++ {
+		systemNext := w.system.NextEvent()
+		next := min(nextCheck, systemNext)
+		isOwn := len(w.queue) > 0 && w.queue[0].at <= next
+		if isOwn {
+			next = w.queue[0].at
+		}
+		if next > w.plan.End {
+			w.now = w.plan.End
+			return
+		}
+		w.now = max(w.now, next)
+		switch {
+		case isOwn:
+			heap.Pop(&w.queue).(event).run()
+		case systemNext <= nextCheck:
+			w.execute(w.system.Advance(w.now))
+		default:
+			nextCheck = w.now + checkInterval
+			w.checker.Advance(w.now)
+		}
+		w.collectViolations()
+		if w.plan.Agreements {
+			w.checkLeases()
+		}
+		if len(w.report.Broken) > maxViolations || steps > maxSteps {
+			w.violation(InvariantNoPanic, "too much is broken, or too much happens: %d steps", steps)
+			return
+		}
+	}
+}
+
+// collectViolations copies new violations from the checker into the report.
+func (w *world) collectViolations() {
+	for _, v := range w.checker.Violations()[w.violationsSeen:] {
+		w.violationsSeen++
+		w.violation(string(v.Invariant), "%s [%s]", v.Text, strings.Join(v.History, "; "))
+	}
+}
+
+// checkQuiet checks what is still held long after the last request, and how the last requests were answered.
+func (w *world) checkQuiet() {
+	w.checker.Advance(w.now)
+	w.collectViolations()
+	for _, n := range w.nodes {
+		n.checkLeaks()
+	}
+	w.clients.checkLiveness()
+	w.report.Taken = w.checker.Counts().Requests
+}
+
+// execute executes effects of the model.
+func (w *world) execute(effects []model.Effect) {
+	for _, effect := range effects {
+		switch e := effect.(type) {
+		case model.Acceptor:
+			w.acceptors[acceptorKey{e.Slot, e.Node}] = e.State
+		case model.Reset:
+			if c := w.servers[e.Conn]; c != nil {
+				delete(w.servers, e.Conn)
+				c.stream.reset()
+			}
+		case model.Response:
+			w.responseReady(e)
+		case model.DiscoveryReply:
+			w.replyToCall(e)
+		case model.RequestExecuted:
+			w.checker.RequestExecuted(w.now, e.Server, e.Request, e.Class)
+		case model.ServerOverloaded:
+			w.checker.ServerOverloaded(w.now, e.Server)
+		case model.ServerStarted:
+			w.checker.ServerStarted(e.Server, e.At)
+		case model.ServerListed:
+			w.checker.ServerListed(w.now, e.Server, e.State.String())
+		case model.DiscoveryReachable:
+			w.checker.DiscoveryReachable(w.now, e.Up)
+		}
+	}
+}
