--- a/internal/testbed/simulation/client_conn.go
+++ b/internal/testbed/simulation/client_conn.go
@@ -2,124 +2,133 @@
 
 import (
 	"bytes"
+	"slices"
 	"strconv"
 
 	"shelfproxy/internal/testbed/invariants"
 	"shelfproxy/internal/testbed/wireformat"
 )
 
+// clientConn is a client's connection as the client sees it. It is kept for further requests.
 type clientConn struct {
 	clients     *clients
 	node        int
 	incarnation int
-	end         *stream
-	buf         []byte
+	stream      *stream
+	input       []byte
 	unanswered  []*clientRequest // in the order of the commands
-	closed      bool
+	isClosed    bool
 }
 
-func (k *clientConn) forget() {
-	k.closed = true
-	c := k.clients
-	for i, o := range c.open {
-		if o == k {
-			c.open = append(c.open[:i], c.open[i+1:]...)
-			break
-		}
-	}
-	for i, o := range c.idle[k.node] {
-		if o == k {
-			c.idle[k.node] = append(c.idle[k.node][:i], c.idle[k.node][i+1:]...)
-			break
-		}
+// forget takes the connection off the lists of open and idle ones.
+func (c *clientConn) forget() {
+	c.isClosed = true
+	c.clients.open = removeConn(c.clients.open, c)
+	c.clients.idle[c.node] = removeConn(c.clients.idle[c.node], c)
+}
+
+// removeConn removes a connection from a list, if it is there.
+func removeConn(conns []*clientConn, conn *clientConn) []*clientConn {
+	i := slices.Index(conns, conn)
+	if i < 0 {
+		return conns
 	}
+	return append(conns[:i], conns[i+1:]...)
 }
 
-// disconnect closes the connection from the client's side: whatever is owed on it is not waited for.
-func (k *clientConn) disconnect() {
-	if k.closed {
+// disconnect closes the connection from the client's side. The client waits for none of the responses any more.
+func (c *clientConn) disconnect() {
+	if c.isClosed {
 		return
 	}
-	k.forget()
-	k.end.close()
-	for _, q := range k.unanswered {
-		if q.result == "" {
-			k.clients.world.checker.ClientDisconnected(k.clients.world.now, q.id)
-			k.clients.history.seen(q, "left", nil, k.clients.world.now)
-			k.clients.finish(q, "left")
+	c.forget()
+	c.stream.close()
+	for _, request := range c.unanswered {
+		if request.result == "" {
+			c.clients.world.checker.ClientDisconnected(c.clients.world.now, request.id)
+			c.clients.history.record(request, "left", nil, c.clients.world.now)
+			c.clients.finish(request, "left")
 		}
 	}
 }
 
-// ended is the end of the connection from the node's side.
-func (k *clientConn) ended(bool) {
-	if k.closed {
+// ended handles the end of the connection from the node's side. A request that the node's process did not read, or that ended with the
+// process and may run again, is sent again.
+func (c *clientConn) ended(bool) {
+	if c.isClosed {
 		return
 	}
-	k.forget()
-	w := k.clients.world
-	alive := w.nodes[k.node].incarnation == k.incarnation
-	for _, q := range k.unanswered {
-		if q.result != "" {
+	c.forget()
+	world := c.clients.world
+	isSameProcess := world.nodes[c.node].incarnation == c.incarnation
+	for _, request := range c.unanswered {
+		if request.result != "" {
 			continue
 		}
-		if alive && q.isRead {
-			w.checker.ConnectionEnded(w.now, q.id, false)
-			k.clients.history.seen(q, "lost", nil, w.now)
-			k.clients.finish(q, "lost")
+		if isSameProcess && request.isRead {
+			world.checker.ConnectionEnded(world.now, request.id, false)
+			c.clients.history.record(request, "lost", nil, world.now)
+			c.clients.finish(request, "lost")
 			continue
 		}
-		w.checker.ClientDisconnected(w.now, q.id) // its node's process is gone, or never read it
-		if q.isRead && q.isWrite {                // it may have run: whether to ask again is its user's affair
-			k.clients.history.seen(q, "gone", nil, w.now)
-			k.clients.finish(q, "gone")
+		world.checker.ClientDisconnected(world.now, request.id) // its node's process is gone, or never read it
+		if request.isRead && request.isWrite {                  // it may have run: the client does not retry it
+			c.clients.history.record(request, "gone", nil, world.now)
+			c.clients.finish(request, "gone")
 			continue
 		}
-		delete(k.clients.byID, q.id)
-		w.logEvent("again", q.id)
-		k.clients.send(q)
+		delete(c.clients.byID, request.id)
+		world.logEvent("again", request.id)
+		c.clients.send(request)
 	}
 }
 
-// received takes answers, in the order of the commands.
-func (k *clientConn) received(b []byte, _ Time) {
-	if k.closed {
+// received takes responses, which come in the order of the commands.
+func (c *clientConn) received(b []byte, _ Time) {
+	if c.isClosed {
 		return
 	}
-	w := k.clients.world
-	k.buf = append(k.buf, b...)
-	for !k.closed {
-		kind, value, n := parseResponse(k.buf)
+	world := c.clients.world
+	c.input = append(c.input, b...)
+	for !c.isClosed {
+		kind, value, n := parseResponse(c.input)
 		if n == 0 {
 			return
 		}
-		k.buf = append([]byte(nil), k.buf[n:]...)
-		if len(k.unanswered) == 0 {
-			w.violation(InvariantOrder, "node %d answers what nobody asked", k.node)
-			k.disconnect()
+		c.input = append([]byte(nil), c.input[n:]...)
+		if len(c.unanswered) == 0 {
+			world.violation(InvariantOrder, "node %d answers what nobody asked", c.node)
+			c.disconnect()
 			return
 		}
-		q := k.unanswered[0]
-		k.unanswered = k.unanswered[1:]
-		madeFor := wireformat.RequestOfValue(value)
-		if kind == invariants.Served && madeFor != q.id {
-			w.violation(InvariantOrder, "%s is served what was made for %q", q.id, madeFor)
-		}
-		if q.result == "" {
-			if !q.isRead {
-				w.violation(InvariantOrder, "%s is answered before it was read", q.id)
-			}
-			w.checker.RequestAnswered(w.now, q.id, kind, madeFor)
-			k.clients.history.seen(q, kind.String(), value, w.now)
-			k.clients.finish(q, kind.String())
-		}
-		if len(k.unanswered) == 0 {
-			k.clients.idle[k.node] = append(k.clients.idle[k.node], k)
+		request := c.unanswered[0]
+		c.unanswered = c.unanswered[1:]
+		c.answered(request, kind, value)
+		if len(c.unanswered) == 0 {
+			c.clients.idle[c.node] = append(c.clients.idle[c.node], c)
 		}
 	}
 }
 
-// parseResponse cuts one answer off; n is 0 where it has not come whole.
+// answered checks the response to a request and records it.
+func (c *clientConn) answered(request *clientRequest, kind invariants.Final, value []byte) {
+	world := c.clients.world
+	madeFor := wireformat.RequestOfValue(value)
+	if kind == invariants.Served && madeFor != request.id {
+		world.violation(InvariantOrder, "%s is served what was made for %q", request.id, madeFor)
+	}
+	if request.result != "" {
+		return
+	}
+	if !request.isRead {
+		world.violation(InvariantOrder, "%s is answered before it was read", request.id)
+	}
+	world.checker.RequestAnswered(world.now, request.id, kind, madeFor)
+	c.clients.history.record(request, kind.String(), value, world.now)
+	c.clients.finish(request, kind.String())
+}
+
+// parseResponse parses the first response of b and returns its length; 0 where it is not complete.
 func parseResponse(b []byte) (kind invariants.Final, value []byte, n int) {
 	eol := bytes.Index(b, []byte("\r\n"))
 	if eol < 0 {
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -11,20 +11,20 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// clients ask nodes for what the plan's load says, over connections that they keep, and tell the rules what they see.
+// clients send the requests of the plan's workload to nodes, over connections that they keep, and notify the checker of what they see.
 type clients struct {
 	world        *world
 	schedule     *workload.Schedule
-	idle         [][]*clientConn // by node, the one used last at the end
+	idle         [][]*clientConn // by node; the one used last is at the end
 	open         []*clientConn
 	byID         map[string]*clientRequest
 	lastID       int
-	lateRequests []*clientRequest // due once all was to be well again
+	lateRequests []*clientRequest // scheduled once all had to be healthy again
 	history      history
-	rejected     map[string]bool // requests that may not run twice and were refused: their clients may ask again
+	rejected     map[string]bool // ids of rejected requests that may run at most once
 }
 
-// clientRequest is one request, through all its tries.
+// clientRequest is one request, through all its attempts to send it.
 type clientRequest struct {
 	workload.Arrival
 	id       string
@@ -32,156 +32,193 @@
 	isWrite  bool
 	timeout  time.Duration
 	sentAt   Time
-	deadline Time // the wait for the answers before it on its connection does not count
-	isRead   bool
+	deadline Time // not before that of the request before it on the connection
+	isRead   bool // by a node
 	attempts int
-	result   string // how; empty while it is open
+	result   string // how it ended; empty while it is open
 	conn     *clientConn
 }
 
+// Limits of the clients.
+const (
+	maxSends       = 4                     // of one request
+	reconnectDelay = 50 * time.Millisecond // until a load balancer in front of the nodes would find another node
+	maxPipelined   = 5                     // requests of one connection
+)
+
 func newClients(w *world) *clients {
-	return &clients{world: w, schedule: workload.New(w.plan.Workload), idle: make([][]*clientConn, len(w.nodes)), byID: map[string]*clientRequest{}, rejected: map[string]bool{}}
+	return &clients{
+		world:    w,
+		schedule: workload.New(w.plan.Workload),
+		idle:     make([][]*clientConn, len(w.nodes)),
+		byID:     map[string]*clientRequest{},
+		rejected: map[string]bool{},
+	}
 }
 
 func (c *clients) start() {
 	c.scheduleNext()
-	for i := range c.world.plan.AbusiveClients {
-		c.world.at(c.world.plan.AbusiveClients[i], c.abuse)
+	for _, at := range c.world.plan.AbusiveClients {
+		c.world.at(at, c.abuse)
 	}
 }
 
-// scheduleNext books the next request that is due.
+// scheduleNext schedules the next request of the workload.
 func (c *clients) scheduleNext() {
-	a, ok := c.schedule.Next()
+	arrival, ok := c.schedule.Next()
 	if !ok {
 		return
 	}
-	c.world.at(a.At, func() {
+	c.world.at(arrival.At, func() {
 		c.world.report.Due++
-		class := c.world.plan.Classes[a.Class]
-		q := &clientRequest{Arrival: a, class: class.Name, isWrite: class.Write}
+		class := c.world.plan.Classes[arrival.Class]
+		request := &clientRequest{Arrival: arrival, class: class.Name, isWrite: class.Write}
 		if c.world.now >= c.world.plan.HealthyFrom {
-			c.lateRequests = append(c.lateRequests, q)
+			c.lateRequests = append(c.lateRequests, request)
 		}
-		c.send(q)
+		c.send(request)
 		c.scheduleNext()
 	})
 }
 
-// send sends a request, to the node that it is drawn for or to the next that takes connections.
-func (c *clients) send(q *clientRequest) {
-	w := c.world
-	if q.attempts++; q.attempts > 4 {
-		q.result = "gave up"
+// send sends a request to the node that it is drawn for, or to the next one that takes connections.
+func (c *clients) send(request *clientRequest) {
+	world := c.world
+	request.attempts++
+	if request.attempts > maxSends {
+		request.result = "gave up"
 		return
 	}
-	k := c.connection(q)
-	if k == nil {
-		w.after(50*time.Millisecond, func() { c.send(q) }) // a front takes a moment to notice
+	conn := c.connection(request)
+	if conn == nil {
+		world.after(reconnectDelay, func() { c.send(request) })
 		return
 	}
 	c.lastID++
-	q.id, q.conn, q.isRead = "q"+strconv.Itoa(c.lastID), k, false
-	class := w.plan.Classes[q.Class]
-	q.timeout = time.Duration(float64(class.Deadline.D()) * (0.5 + 0.5*w.rng.Float64()))
-	q.sentAt, q.deadline = w.now, w.now+q.timeout
-	if n := len(k.unanswered); n > 0 {
-		q.deadline = max(q.deadline, k.unanswered[n-1].deadline)
-	}
-	c.byID[q.id] = q
-	k.unanswered = append(k.unanswered, q)
-	extras := fmt.Sprintf("c=%s,d=%d", q.class, q.timeout.Milliseconds())
-	if q.IdempotencyKey != "" {
-		extras += ",k=" + q.IdempotencyKey
-	}
-	var b []byte
-	if class.Write {
-		b = redcon.AppendBulkString(redcon.AppendArray(b, 5), "CACHE.SET")
+	request.id, request.conn, request.isRead = "q"+strconv.Itoa(c.lastID), conn, false
+	class := world.plan.Classes[request.Class]
+	request.timeout = time.Duration(float64(class.Deadline.D()) * (0.5 + 0.5*world.rng.Float64()))
+	request.sentAt, request.deadline = world.now, world.now+request.timeout
+	if n := len(conn.unanswered); n > 0 {
+		request.deadline = max(request.deadline, conn.unanswered[n-1].deadline)
+	}
+	c.byID[request.id] = request
+	conn.unanswered = append(conn.unanswered, request)
+	world.logEvent("ask", request.id, request.class, strconv.Itoa(conn.node))
+	conn.stream.write(request.encode())
+	c.scheduleTimeout(request)
+	if world.networkFault(world.plan.Network.ClientDisconnects) {
+		c.scheduleDisconnect(request)
+	}
+}
+
+// encode is the command that the client sends.
+func (r *clientRequest) encode() []byte {
+	parameters := fmt.Sprintf("c=%s,d=%d", r.class, r.timeout.Milliseconds())
+	if r.IdempotencyKey != "" {
+		parameters += ",k=" + r.IdempotencyKey
+	}
+	var command []byte
+	if r.isWrite {
+		command = redcon.AppendBulkString(redcon.AppendArray(command, 5), "CACHE.SET")
 	} else {
-		b = redcon.AppendBulkString(redcon.AppendArray(b, 4), "CACHE.GET")
-	}
-	b = redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendBulkString(b, q.Key), q.id), extras)
-	if class.Write {
-		b = redcon.AppendBulk(b, bytes.Repeat([]byte{'w'}, q.Size))
-	}
-	w.logEvent("ask", q.id, q.class, strconv.Itoa(k.node))
-	k.end.write(b)
-	id := q.id
-	w.at(q.deadline+w.plan.Invariants.Grace.D()+time.Millisecond, func() {
-		if q.id == id && q.result == "" && q.conn == k {
-			w.checker.Advance(w.now)
-			c.history.seen(q, "timed out", nil, w.now)
-			c.finish(q, "timed out")
-			k.disconnect()
+		command = redcon.AppendBulkString(redcon.AppendArray(command, 4), "CACHE.GET")
+	}
+	command = redcon.AppendBulkString(command, r.Key)
+	command = redcon.AppendBulkString(command, r.id)
+	command = redcon.AppendBulkString(command, parameters)
+	if r.isWrite {
+		command = redcon.AppendBulk(command, bytes.Repeat([]byte{'w'}, r.Size))
+	}
+	return command
+}
+
+// scheduleTimeout schedules the moment in which the client gives a request up that has no response.
+func (c *clients) scheduleTimeout(request *clientRequest) {
+	world, id, conn := c.world, request.id, request.conn
+	world.at(request.deadline+world.plan.Invariants.Grace.D()+time.Millisecond, func() {
+		if request.isOpen(id, conn) {
+			world.checker.Advance(world.now)
+			c.history.record(request, "timed out", nil, world.now)
+			c.finish(request, "timed out")
+			conn.disconnect()
+		}
+	})
+}
+
+// scheduleDisconnect schedules a moment in which the client disconnects though it has no response yet.
+func (c *clients) scheduleDisconnect(request *clientRequest) {
+	world, id, conn := c.world, request.id, request.conn
+	world.after(world.drawBetween(0, request.timeout), func() {
+		if request.isOpen(id, conn) {
+			world.logEvent("leave", id)
+			conn.disconnect()
 		}
 	})
-	if w.networkFault(w.plan.Network.ClientDisconnects) {
-		w.after(w.drawBetween(0, q.timeout), func() {
-			if q.id == id && q.result == "" && q.conn == k {
-				w.logEvent("leave", id)
-				k.disconnect()
-			}
-		})
-	}
 }
 
-// connection is a connection to a node: an idle one, sometimes one with answers owed, or a new one.
-func (c *clients) connection(q *clientRequest) *clientConn {
-	w := c.world
-	for i := range w.nodes {
-		at := (q.Node + q.attempts - 1 + i) % len(w.nodes)
-		if w.chance(w.plan.Network.Pipeline) {
-			for _, k := range c.open {
-				if k.node == at && len(k.unanswered) > 0 && len(k.unanswered) < 5 {
-					return k
+// isOpen tells whether the request is still without a result under this id, on this connection: it may have been sent again.
+func (r *clientRequest) isOpen(id string, conn *clientConn) bool {
+	return r.id == id && r.result == "" && r.conn == conn
+}
+
+// connection is a connection to a node: an idle one, sometimes one with open requests, or a new one; nil where no node accepts.
+func (c *clients) connection(request *clientRequest) *clientConn {
+	world := c.world
+	for i := range world.nodes {
+		at := (request.Node + request.attempts - 1 + i) % len(world.nodes)
+		if world.chance(world.plan.Network.Pipeline) {
+			for _, conn := range c.open {
+				if conn.node == at && len(conn.unanswered) > 0 && len(conn.unanswered) < maxPipelined {
+					return conn
 				}
 			}
 		}
 		if n := len(c.idle[at]); n > 0 {
-			k := c.idle[at][n-1]
+			conn := c.idle[at][n-1]
 			c.idle[at] = c.idle[at][:n-1]
-			return k
+			return conn
 		}
-		if near := w.nodes[at].accept(); near != nil {
-			k := &clientConn{clients: c, node: at, incarnation: w.nodes[at].incarnation, end: near}
-			near.data = k.received
-			near.ended = k.ended
-			c.open = append(c.open, k)
-			return k
+		if stream := world.nodes[at].accept(); stream != nil {
+			conn := &clientConn{clients: c, node: at, incarnation: world.nodes[at].incarnation, stream: stream}
+			stream.data = conn.received
+			stream.ended = conn.ended
+			c.open = append(c.open, conn)
+			return conn
 		}
 	}
 	return nil
 }
 
-// requestRead says that a node read a request whole.
+// requestRead notes that a node has read a request completely.
 func (c *clients) requestRead(node int, id, class string) {
-	q := c.byID[id]
-	if q == nil {
-		return // of a client that makes no sense
+	request := c.byID[id]
+	if request == nil {
+		return // of an abusive client
 	}
-	q.isRead = true
-	c.world.checker.RequestSent(c.world.now, id, class, node, q.deadline)
+	request.isRead = true
+	c.world.checker.RequestSent(c.world.now, id, class, node, request.deadline)
 }
 
-// requestArrived says that a request came whole to a server.
+// requestArrived checks a request that arrived completely at a server.
 func (c *clients) requestArrived(id string) {
 	if c.rejected[id] {
 		c.world.violation(InvariantRejectedNotRun, "%s comes to a server after it was refused", id)
 	}
 }
 
-// finish notes how a request went.
-func (c *clients) finish(q *clientRequest, how string) {
-	q.result = how
-	delete(c.byID, q.id)
-	c.world.logEvent("end", q.id, how)
-	switch how {
+// finish notes how a request ended.
+func (c *clients) finish(request *clientRequest, result string) {
+	request.result = result
+	delete(c.byID, request.id)
+	c.world.logEvent("end", request.id, result)
+	switch result {
 	case "served":
 		c.world.report.Served++
 	case "refused":
 		c.world.report.Refused++
-		if c.world.plan.Classes[q.Class].Effect == "at_most_once" {
-			c.rejected[q.id] = true
+		if c.world.plan.Classes[request.Class].Effect == "at_most_once" {
+			c.rejected[request.id] = true
 		}
 	case "failed":
 		c.world.report.Failed++
@@ -190,30 +227,32 @@
 	}
 }
 
-// checkLiveness tells whether all was served again some time after the last fault.
+// checkLiveness checks that requests are served again some time after the last fault, but for a part of them.
 func (c *clients) checkLiveness() {
-	c.history.judge(c.world)
-	bad, n := 0, 0
+	c.history.check(c.world)
+	unserved, total := 0, 0
 	first := ""
-	for _, q := range c.lateRequests {
-		if q.result == "left" {
+	for _, request := range c.lateRequests {
+		if request.result == "left" {
 			continue
 		}
-		n++
-		if q.result != "served" {
-			if bad++; first == "" {
-				first = q.id + " " + q.result
-			}
+		total++
+		if request.result == "served" {
+			continue
+		}
+		unserved++
+		if first == "" {
+			first = request.id + " " + request.result
 		}
 	}
-	may := 1 + n/20
-	if c.world.plan.ScarceCapacity { // cold boxes bear less than their part for longer than a run
-		may = 1 + n/6
+	allowed := 1 + total/20
+	if c.world.plan.ScarceCapacity { // servers in slow start bear less than their part for longer than a run
+		allowed = 1 + total/6
 	}
-	if c.world.plan.ManyNodes { // each node meets a server every few seconds, and learns as slowly that it is well again
-		may = 1 + n/3
+	if c.world.plan.ManyNodes { // each node sends to a server every few seconds, and learns as slowly that it is healthy again
+		allowed = 1 + total/3
 	}
-	if bad > may {
-		c.world.violation(InvariantLiveness, "%d of %d requests after %.1f s were not served, the first %s", bad, n, c.world.plan.HealthyFrom.Seconds(), first)
+	if unserved > allowed {
+		c.world.violation(InvariantLiveness, "%d of %d requests after %.1f s were not served, the first %s", unserved, total, c.world.plan.HealthyFrom.Seconds(), first)
 	}
 }
--- a/internal/testbed/simulation/draw.go
+++ b/internal/testbed/simulation/draw.go
@@ -9,14 +9,14 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// part is one thing that a seed may switch on. It adds to the scenario or to the plan.
+// part is one thing that a seed may switch on. It changes the scenario or the plan; at draws the time of a fault.
 type part struct {
 	name string
 	odds float64
 	on   func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span)
 }
 
-// fault makes a part of one of the model's faults.
+// fault is the part that adds one of the model's faults, after change has drawn its own figures.
 func fault(kind string, odds float64, change func(r *rand.Rand, f *scenario.Fault)) part {
 	return part{kind, odds, func(r *rand.Rand, s *scenario.Scenario, _ *Plan, at func() scenario.Span) {
 		f := scenario.Fault{Kind: kind, At: at(), For: flat(time.Duration(200+r.IntN(1500)) * time.Millisecond), Count: scenario.Range{Least: 1, Most: 1}}
@@ -27,21 +27,23 @@
 	}}
 }
 
+// net is the part that changes the network.
 func net(name string, odds float64, change func(r *rand.Rand, n *Network)) part {
 	return part{name, odds, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { change(r, &p.Network) }}
 }
 
+// nodeFault is the part that adds a fault of a node's process.
 func nodeFault(kind NodeFaultKind, odds float64) part {
 	return part{kind.String(), odds, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, at func() scenario.Span) {
-		p.NodeFaults = append(p.NodeFaults, NodeFault{Kind: kind, Node: r.IntN(2), At: at().Least, Away: time.Duration(100+r.IntN(900)) * time.Millisecond})
+		p.NodeFaults = append(p.NodeFaults, NodeFault{Kind: kind, Node: r.IntN(2), At: at().Least, RestartAfter: time.Duration(100+r.IntN(900)) * time.Millisecond})
 	}}
 }
 
-// oneOrTwo is a range of one or two.
+// oneOrTwo is a count of one or two.
 var oneOrTwo = scenario.Range{Least: 1, Most: 2}
 
-// parts are all that can be switched on. A seed draws a subset of them (swarm testing): a run with everything on would hide in
-// one fault what another needs quiet for.
+// parts are all that can be switched on. A seed draws a subset of them (swarm testing): with everything on, one fault would hide what
+// another one shows.
 var parts = []part{
 	fault("deploy", 0.3, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Share, f.Batch = scenario.Range{}, scenario.Range{Least: 0.4, Most: 0.8}, scenario.Range{Least: 0.2, Most: 0.5}
@@ -81,13 +83,13 @@
 	nodeFault(ReloadNode, 0.25),
 	net("segments", 0.5, func(r *rand.Rand, n *Network) {
 		p := []float64{0.2, 0.6, 0.95}[r.IntN(3)]
-		n.ToServer.cut, n.FromServer.cut, n.ToNode.cut, n.ToClient.cut, n.Discovery.cut = p, p, p, p, p
+		n.ToServer.segmentOdds, n.FromServer.segmentOdds, n.ToNode.segmentOdds, n.ToClient.segmentOdds, n.Discovery.segmentOdds = p, p, p, p, p
 	}),
 	net("slow-answers", 0.25, func(r *rand.Rand, n *Network) {
-		n.FromServer.cut, n.FromServer.slow, n.FromServer.slowBy = 0.9, 0.1, time.Duration(20+r.IntN(300))*time.Millisecond
+		n.FromServer.segmentOdds, n.FromServer.lateOdds, n.FromServer.maxLateness = 0.9, 0.1, time.Duration(20+r.IntN(300))*time.Millisecond
 	}),
 	net("slow-requests", 0.25, func(r *rand.Rand, n *Network) {
-		n.ToNode.cut, n.ToNode.slow, n.ToNode.slowBy = 0.5, 0.05, 2*time.Millisecond
+		n.ToNode.segmentOdds, n.ToNode.lateOdds, n.ToNode.maxLateness = 0.5, 0.05, 2*time.Millisecond
 	}),
 	net("lag", 0.5, func(r *rand.Rand, n *Network) { n.MaxLag = time.Duration(1+r.IntN(2000)) * time.Microsecond }),
 	net("reset-before", 0.2, func(r *rand.Rand, n *Network) { n.ResetBefore = 0.01 + 0.04*r.Float64() }),
@@ -119,16 +121,16 @@
 	{"tight", 0.3, func(r *rand.Rand, s *scenario.Scenario, p *Plan, _ func() scenario.Span) { scarceCapacity(r, s, p) }},
 	{"streams-1", 0.2, func(_ *rand.Rand, s *scenario.Scenario, _ *Plan, _ func() scenario.Span) { s.Nodes.MaxStreams = 1 }},
 	{"many-nodes", 0.06, func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span) {
-		scarceCapacity(r, s, p) // each node's part of what a cold box bears is under one request
+		scarceCapacity(r, s, p) // each node's part of what a server in slow start bears is under one request
 		s.Nodes.Count, s.Workload.Rate = scenario.Range{Least: 20, Most: 30}, scenario.Range{Least: 30, Most: 40}
 		p.ManyNodes = true
-		// Those that start again have forgotten what they sent.
+		// Processes that start again have forgotten what they sent.
 		p.NodeFaults = append(p.NodeFaults, NodeFault{KillNode, r.IntN(10), at().Least, 100 * time.Millisecond, r.IntN(10)})
 	}},
 	{"no-messages", 0.1, func(_ *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { p.NoGossip = true }},
 }
 
-// scarceCapacity has a cold box bear less than its part of the load, of which much goes to one key or two.
+// scarceCapacity lets a server in slow start bear less than its part of the load, much of which goes to one key or two.
 func scarceCapacity(r *rand.Rand, s *scenario.Scenario, p *Plan) {
 	p.ScarceCapacity = true
 	for i := range s.Kinds {
@@ -142,47 +144,47 @@
 		At: scenario.Span{Least: 500 * time.Millisecond, Most: 3 * time.Second}, For: scenario.Span{Least: 3 * time.Second, Most: 5 * time.Second}}}
 }
 
-// base is the portal without anything switched on: small, and quick enough that thousands of runs take minutes.
+// base is the scenario without anything switched on: small and quick enough that thousands of runs take minutes.
 func base() *scenario.Scenario {
-	s := scenario.Default()
+	result := scenario.Default()
 	ms := func(least, most float64) scenario.Span {
 		return scenario.Span{Least: time.Duration(least * float64(time.Millisecond)), Most: time.Duration(most * float64(time.Millisecond))}
 	}
-	s.Name, s.Length = "simulated", duration(length)
-	s.Nodes.Count, s.Nodes.MemoryMB, s.Nodes.Sockets, s.Nodes.RetryAfter = scenario.Range{Least: 2, Most: 3}, 48, 256, duration(600*time.Millisecond)
-	s.Nodes.ConnectTimeout, s.Nodes.ConnectionIdle = duration(150*time.Millisecond), duration(3*time.Second)
-	s.Zones.Names = []string{"a", "b"}
-	s.CacheServers.Count = scenario.Range{Least: 4, Most: 6}
-	for i := range s.Kinds {
-		s.Kinds[i].SlowStartDuration = scenario.Span{Least: time.Second, Most: 2 * time.Second}
+	result.Name, result.Length = "simulated", duration(length)
+	result.Nodes.Count, result.Nodes.MemoryMB, result.Nodes.Sockets, result.Nodes.RetryAfter = scenario.Range{Least: 2, Most: 3}, 48, 256, duration(600*time.Millisecond)
+	result.Nodes.ConnectTimeout, result.Nodes.ConnectionIdle = duration(150*time.Millisecond), duration(3*time.Second)
+	result.Zones.Names = []string{"a", "b"}
+	result.CacheServers.Count = scenario.Range{Least: 4, Most: 6}
+	for i := range result.Kinds {
+		result.Kinds[i].SlowStartDuration = scenario.Span{Least: time.Second, Most: 2 * time.Second}
 	}
-	s.Origin.Median = ms(10, 25)
-	s.Discovery.Lag = ms(50, 400)
-	s.Invariants.DrainWithin = duration(time.Second)
-	s.Invariants.OverloadWindow = duration(time.Second)
-	s.Classes[0].Work, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = ms(5, 20), duration(400*time.Millisecond), duration(1500*time.Millisecond)
-	s.Classes[1].Work, s.Classes[1].LatencyObjective, s.Classes[1].Deadline, s.Classes[1].Share, s.Classes[1].DedupWindow = ms(10, 30), duration(600*time.Millisecond), duration(2*time.Second), 0.08, duration(time.Second)
-	s.Classes[2].Work, s.Classes[2].LatencyObjective, s.Classes[2].Deadline, s.Classes[2].Share = ms(10, 30), duration(400*time.Millisecond), duration(1200*time.Millisecond), 0.06
-	s.Classes[0].Share = 0.86
-	s.Keys.Count = scenario.Range{Least: 60, Most: 200}
-	s.Workload.Rate = scenario.Range{Least: 25, Most: 50}
-	return s
+	result.Origin.Median = ms(10, 25)
+	result.Discovery.Lag = ms(50, 400)
+	result.Invariants.DrainWithin = duration(time.Second)
+	result.Invariants.OverloadWindow = duration(time.Second)
+	result.Classes[0].Work, result.Classes[0].LatencyObjective, result.Classes[0].Deadline = ms(5, 20), duration(400*time.Millisecond), duration(1500*time.Millisecond)
+	result.Classes[1].Work, result.Classes[1].LatencyObjective, result.Classes[1].Deadline, result.Classes[1].Share, result.Classes[1].DedupWindow = ms(10, 30), duration(600*time.Millisecond), duration(2*time.Second), 0.08, duration(time.Second)
+	result.Classes[2].Work, result.Classes[2].LatencyObjective, result.Classes[2].Deadline, result.Classes[2].Share = ms(10, 30), duration(400*time.Millisecond), duration(1200*time.Millisecond), 0.06
+	result.Classes[0].Share = 0.86
+	result.Keys.Count = scenario.Range{Least: 60, Most: 200}
+	result.Workload.Rate = scenario.Range{Least: 25, Most: 50}
+	return result
 }
 
-// Draw makes the plan of a seed. Parts whose number is in skip are left out: what the others draw does not change.
+// Draw draws the plan of a seed. Parts whose number is in skip are left out; the others stay as they are.
 func Draw(seed uint64, skip map[int]bool) *Plan {
-	r := model.RandomStream(seed, "sim/plan")
-	quick := link{least: 50 * time.Microsecond, most: 400 * time.Microsecond}
-	p := &Plan{HealthChecks: true, HealthyFrom: healthyFrom, End: runEnd, Network: Network{ToServer: quick, FromServer: quick, ToNode: quick, ToClient: quick, Discovery: quick,
+	random := model.RandomStream(seed, "sim/plan")
+	quick := link{minDelay: 50 * time.Microsecond, maxDelay: 400 * time.Microsecond}
+	plan := &Plan{HealthChecks: true, HealthyFrom: healthyFrom, End: runEnd, Network: Network{ToServer: quick, FromServer: quick, ToNode: quick, ToClient: quick, Discovery: quick,
 		MaxLag: 50 * time.Microsecond}}
-	s := base()
-	// Half of what happens does so within a moment of something else: overlaps are what nobody has rehearsed.
-	centre := faultsFrom + time.Duration(r.Int64N(int64(faultsTo-faultsFrom)))
-	together := r.Float64()
-	heat := 0.4 + 1.2*r.Float64() // some seeds are calmer than others
+	drawn := base()
+	// A share of the faults comes within a moment of each other, as overlaps are what is rarely tested.
+	centre := faultsFrom + time.Duration(random.Int64N(int64(faultsTo-faultsFrom)))
+	together := random.Float64()
+	heat := 0.4 + 1.2*random.Float64() // some seeds have fewer faults than others
 	for i, part := range parts {
 		own := model.RandomStream(seed, fmt.Sprintf("sim/part/%d", i))
-		on := r.Float64() < part.odds*heat
+		on := random.Float64() < part.odds*heat
 		at := func() scenario.Span {
 			t := faultsFrom + time.Duration(own.Int64N(int64(faultsTo-faultsFrom)))
 			if own.Float64() < together {
@@ -191,12 +193,12 @@
 			return flat(t)
 		}
 		if on && !skip[i] {
-			part.on(own, s, p, at)
-			p.drawnNames, p.drawn = append(p.drawnNames, part.name), append(p.drawn, i)
+			part.on(own, drawn, plan, at)
+			plan.drawnNames, plan.drawn = append(plan.drawnNames, part.name), append(plan.drawn, i)
 		}
 	}
-	p.Plan = s.Draw(seed)
-	return p
+	plan.Plan = drawn.Draw(seed)
+	return plan
 }
 
 // Parts are the numbers of the parts that a seed switches on.
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -32,7 +32,7 @@
 func RunFleet(plan *FleetPlan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.describe()}
-	f := &fleet{
+	run := &fleet{
 		timeline:   newTimeline(model.RandomStream(plan.Seed, "fleet/net"), opt, report),
 		plan:       plan,
 		budget:     plan.Budget,
@@ -41,20 +41,20 @@
 	}
 	defer func() {
 		if reason := recover(); reason != nil {
-			f.violation(InvariantNoPanic, "%v", reason)
+			run.violation(InvariantNoPanic, "%v", reason)
 			if opt.Trace != nil {
 				panic(reason) // with its stack: somebody is looking
 			}
 		}
-		report.Hash = f.hash.Sum64()
+		report.Hash = run.hash.Sum64()
 		report.Took = time.Since(began)
 	}()
-	f.addNodes()
+	run.addNodes()
 	for _, fault := range plan.Faults {
-		f.at(fault.At, func() { f.inject(fault) })
+		run.at(fault.At, func() { run.inject(fault) })
 	}
-	f.run()
-	f.checkSettled()
+	run.run()
+	run.checkSettled()
 	return report
 }
 
--- a/internal/testbed/simulation/history.go
+++ b/internal/testbed/simulation/history.go
@@ -12,35 +12,38 @@
 // operation is one read or write as its client saw it.
 type operation struct {
 	key     string
-	write   bool
+	isWrite bool
 	version int64 // that a read returned
 }
 
-// history is what clients saw of the records: whether it could have come of records that each took every write once, in some
-// order that keeps with time, is checked by a library.
-type history struct{ ops []porcupine.Operation }
+// history is what clients saw of the records. A library checks that it is linearizable: that it could have come of records that each
+// applied every write once, in an order that agrees with real time.
+type history struct{ operations []porcupine.Operation }
 
-// seen notes an answer. A write whose end is not known may have taken effect any time, or never.
-func (h *history) seen(q *clientRequest, how string, value []byte, now Time) {
-	ret := now
-	op := operation{key: q.Key, write: q.isWrite}
+// unknownEnd stands for the end of a write whose result is unknown: it may take effect at any time, or never.
+const unknownEnd = time.Hour
+
+// record adds the result of a request.
+func (h *history) record(request *clientRequest, result string, value []byte, now Time) {
+	end := now
+	op := operation{key: request.Key, isWrite: request.isWrite}
 	switch {
-	case how == "served" && !op.write:
+	case result == "served" && !op.isWrite:
 		parts := strings.SplitN(string(value), "|", 4)
 		if len(parts) < 4 {
 			return
 		}
-		op.version, _ = strconv.ParseInt(strings.TrimPrefix(parts[2], "v"), 10, 64)
-	case how == "served":
-	case how == "refused" || !op.write:
-		return // never ran, or tells nothing
+		op.version, _ = strconv.ParseInt(strings.TrimPrefix(parts[2], "v"), 10, 64) // 0 where it is no version
+	case result == "served":
+	case result == "refused" || !op.isWrite:
+		return // it never ran, or shows nothing
 	default:
-		ret = time.Hour
+		end = unknownEnd
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: len(h.ops), Input: op, Call: int64(q.sentAt), Output: op, Return: int64(ret)})
+	h.operations = append(h.operations, porcupine.Operation{ClientId: len(h.operations), Input: op, Call: int64(request.sentAt), Output: op, Return: int64(end)})
 }
 
-// records is one key: its state is the number of writes that it took.
+// records models each key on its own: its state is the number of writes that it has applied.
 var records = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		var out [][]porcupine.Operation
@@ -59,30 +62,30 @@
 	Init: func() any { return int64(0) },
 	Step: func(state, input, _ any) (bool, any) {
 		op, version := input.(operation), state.(int64)
-		if op.write {
+		if op.isWrite {
 			return true, version + 1
 		}
 		return op.version == version, version
 	},
 	DescribeOperation: func(input, _ any) string {
 		op := input.(operation)
-		if op.write {
+		if op.isWrite {
 			return "write " + op.key
 		}
 		return fmt.Sprintf("read %s: v%d", op.key, op.version)
 	},
 }
 
-// patience bounds the search; a history that takes longer tells nothing.
-const patience = 500 * time.Millisecond
+// checkTimeout bounds the search; a history that takes longer counts as linearizable.
+const checkTimeout = 500 * time.Millisecond
 
-// judge checks the history.
-func (h *history) judge(w *world) {
-	if porcupine.CheckOperationsTimeout(records, h.ops, patience) != porcupine.Illegal {
+// check checks the history and names one record that does not fit.
+func (h *history) check(w *world) {
+	if porcupine.CheckOperationsTimeout(records, h.operations, checkTimeout) != porcupine.Illegal {
 		return
 	}
-	for _, part := range records.Partition(h.ops) { // name one record that does not fit
-		if porcupine.CheckOperationsTimeout(records, part, patience) == porcupine.Illegal {
+	for _, part := range records.Partition(h.operations) {
+		if porcupine.CheckOperationsTimeout(records, part, checkTimeout) == porcupine.Illegal {
 			w.violation(InvariantLinearizable, "what clients saw of %s cannot be: %d operations", part[0].Input.(operation).key, len(part))
 			return
 		}
--- /dev/null
+++ b/internal/testbed/simulation/known_faults_test.go
@@ -0,0 +1,151 @@
+package simulation
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var (
+	playKnownFaults  = flag.Bool("sim.mutants", false, "build the program with each of its known faults and check that simulate finds it")
+	knownFaultFilter = flag.String("sim.mutant", "", "with -sim.mutants: only faults whose names contain this")
+)
+
+// knownFault is a fault to put into the program: one text of a file replaced by another.
+type knownFault struct {
+	name, file, old, new string
+	also                 *knownFault // where two places guard the same invariant
+	fleet                bool        // found by simulate --fleet
+}
+
+var knownFaults = []knownFault{
+	{"resent after it may have run", "internal/policy/brain.go", "if q.risk == nil || q.class.Effect == Safe {", "if q != nil {", nil, false},
+	{"refused after it may have run", "internal/policy/brain.go", "if q.risk == nil || c.Effect == Safe || c.Effect == Keyed && c.Group == AllServers {", "if c != nil {", nil, false},
+	{"drained servers get new work", "internal/policy/router.go", "return !origin && s.listed && s.State == Live", "return !origin && s.listed",
+		&knownFault{file: "internal/forward/core.go", old: "p.addr, p.left = addr, left", new: "left = false\n\tp.addr, p.left = addr, left"}, false},
+	{"watch never found silent", "internal/discovery/follower.go", "silence      = 5 * time.Second", "silence      = 5 * time.Hour", nil, false},
+	{"answered twice", "internal/listener/core.go", "c.slots = append(c.slots[:0:0], c.slots[n:]...)", "c.slots = append(c.slots[:0:0], c.slots[n-1:]...)", nil, false},
+	{"deadline too late", "internal/node/core.go", "deadline: f.Taken.Add(max(wait-transit, time.Millisecond))", "deadline: f.Taken.Add(wait + 200*time.Millisecond)", nil, false},
+	{"dirty connection handed on", "internal/forward/core.go", "case c.Decoder.Buffered() > 0 && (len(c.pending) == 0 || !c.pending[0].written):", "case c == nil:",
+		&knownFault{file: "internal/forward/core.go", old: "if len(c.pending) == 0 || !c.pending[0].written {", new: "if len(c.pending) == 0 {",
+			also: &knownFault{file: "internal/forward/core.go", old: "if stale && c.Quiet() {", new: "if c == nil {"}}, false},
+	{"waiter not woken", "internal/forward/core.go", "case len(p.waiting) > 0:\n\t\tp.push(c, p.pop(), fx)", "case len(p.waiting) > 1000:\n\t\tp.push(c, p.pop(), fx)", nil, false},
+	{"request ids leak", "internal/node/core.go", "delete(n.ids, string(s.ID))", "", nil, false},
+	{"said never to have run", "internal/forward/core.go", "if !whole {\n\t\tf.written = false", "if f != nil {\n\t\tf.written = false", nil, false},
+	{"room of long answers leaks", "internal/target/target.go", "d.room.Give(d.took)", "d.room.Give(0)", nil, false},
+	{"garbage of clients is not answered", "internal/listener/core.go", "l.finish(now, c, fx)\n\t\t\tl.wake(c, fx)", "", nil, false},
+	{"given up as if not written", "internal/forward/core.go", "p.next(now, c, fx)\n\treturn f.written", "p.next(now, c, fx)\n\treturn false", nil, false},
+	{"cold budget ignored", "internal/policy/brain.go", "if warmth == 1 {", "if warmth <= 1 {", &knownFault{file: "internal/policy/brain.go", old: "weight := r.warmth(s)", new: "weight := 1.0"}, false},
+
+	{"a duty is held past its lease", "internal/lease/core.go", "d.held && now < d.until {", "d.held {", &knownFault{file: "internal/lease/core.go",
+		old: "if d.held && now >= d.until {", new: "if c == nil {"}, true},
+	{"a duty is granted to two", "internal/lease/core.go", "case d.to != None && d.to != from && now < d.granted && d.settled:", "case c == nil:",
+		&knownFault{file: "internal/lease/core.go", old: "case d.to != None && d.to != from && now < d.granted:", new: "case c == nil:"}, true},
+	{"a node that starts grants duties at once", "internal/lease/core.go", "return c.cfg.Nodes > 1 && float64(now-c.begun)", "return c.cfg.Nodes > 99 && float64(now-c.begun)", nil, true},
+	{"half of the fleet is a majority for duties", "internal/lease/core.go", "return nodes/2 + 1", "return (nodes + 1) / 2", nil, true},
+	{"half of the fleet is a majority for drains", "internal/rollout/core.go", "return nodes/2 + 1", "return (nodes + 1) / 2", nil, true},
+	{"a node that starts grants slots at once", "internal/rollout/core.go", "if c.cfg.Nodes == 1 {", "if c.cfg.Nodes > 0 {", nil, true},
+	{"a slot is granted twice", "internal/rollout/core.go", "case g.Slot == a.Slot || same && g.Zone == a.Zone:", "case false && same:", nil, true},
+	{"an order takes back an operator's wish", "internal/rollout/core.go", "return c.asked || seen", "return c.asked && c.order.Epoch == 0 || seen", nil, true},
+	{"the way back keeps slots", "internal/rollout/core.go", "if c.trying || c.held { // the way back", "if c.trying && c.held { // the way back", nil, true},
+	{"nobody refutes that it is dead", "internal/fleet/membership/core.go", "me.word = n.word + 1", "", nil, true},
+	{"suspects never die", "internal/fleet/membership/core.go", "m.state == Suspect && now-m.since >= c.Suspicion()", "m.state == Left", nil, true},
+	{"the dead are never asked", "internal/fleet/membership/core.go", "if len(away) > 0 && (", "if len(away) > 99 && (", nil, true},
+}
+
+// moduleRoot is the project's root, seen from this package.
+const moduleRoot = "../../.."
+
+// apply replaces the fault's texts in a copy of the project below root.
+func (f *knownFault) apply(t *testing.T, root string, write bool) {
+	t.Helper()
+	for change := f; change != nil; change = change.also {
+		path := filepath.Join(root, change.file)
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Errorf("%s: %v", f.name, err)
+			continue
+		}
+		if count := strings.Count(string(text), change.old); count != 1 {
+			t.Errorf("%s: %q occurs %d times in %s, want once", f.name, change.old, count, change.file)
+			continue
+		}
+		if !write {
+			continue
+		}
+		changed := strings.Replace(string(text), change.old, change.new, 1)
+		if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// TestKnownFaultsFitTheSource: every text that a known fault replaces occurs exactly once, so that the faults can be tried.
+func TestKnownFaultsFitTheSource(t *testing.T) {
+	for i := range knownFaults {
+		knownFaults[i].apply(t, moduleRoot, false)
+	}
+}
+
+// TestKnownFaultsAreFound builds the program with each known fault and checks that simulate finds it, and within how many seeds.
+func TestKnownFaultsAreFound(t *testing.T) {
+	if !*playKnownFaults {
+		t.Skip("without -sim.mutants")
+	}
+	for _, fault := range knownFaults {
+		if !strings.Contains(fault.name, *knownFaultFilter) {
+			continue
+		}
+		t.Run(fault.name, func(t *testing.T) {
+			program := buildWith(t, &fault)
+			args := []string{"simulate", "--seeds", "2000", "--first"}
+			if fault.fleet {
+				args = append(args, "--fleet")
+			}
+			out, err := exec.CommandContext(t.Context(), program, args...).CombinedOutput()
+			seed, invariant := firstViolation(string(out))
+			if err == nil || invariant == "" {
+				t.Fatalf("not found in 2000 seeds: %v", err)
+			}
+			t.Logf("| %s | %d | `%s` |", fault.name, seed+1, invariant)
+		})
+	}
+}
+
+// buildWith builds the testbed from a copy of the project with a fault in it.
+func buildWith(t *testing.T, fault *knownFault) (program string) {
+	t.Helper()
+	root, dir := moduleRoot, t.TempDir()
+	args := []string{"-r"}
+	for _, name := range []string{"cmd", "internal", "scenarios", "go.mod", "go.sum"} {
+		args = append(args, filepath.Join(root, name))
+	}
+	if out, err := exec.CommandContext(t.Context(), "cp", append(args, dir)...).CombinedOutput(); err != nil {
+		t.Fatalf("copy the project: %v: %s", err, out)
+	}
+	fault.apply(t, dir, true)
+	build := exec.CommandContext(t.Context(), "go", "build", "-buildvcs=false", "-o", "testbed", "./cmd/testbed")
+	build.Dir = dir
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("build: %v: %s", err, out)
+	}
+	return filepath.Join(dir, "testbed")
+}
+
+// firstViolation finds the first violation in the output of simulate; invariant is empty where there is none.
+func firstViolation(output string) (seed int, invariant string) {
+	for line := range strings.Lines(output) {
+		_, violation, found := strings.Cut(line, "BROKEN ")
+		if !found {
+			continue
+		}
+		if _, err := fmt.Sscanf(line, "seed %d:", &seed); err == nil {
+			return seed, strings.Fields(violation)[0]
+		}
+	}
+	return 0, ""
+}
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -171,7 +171,7 @@
 
 // configuredList is the endpoint list in a process's configuration: what discovery has at its start.
 func (n *node) configuredList() discovery.List {
-	text := wireformat.EncodeList(n.world.system.List(), func(slot int) string { return address(slot, n.index) }, unixMs)
+	text := wireformat.EncodeList(n.world.system.List(), n.addressOf, unixMs)
 	return must(discovery.Parse(must(fastjson.ParseBytes(text))))
 }
 
--- a/internal/testbed/simulation/node_connections.go
+++ b/internal/testbed/simulation/node_connections.go
@@ -1,6 +1,10 @@
 package simulation
 
-import "shelfproxy/internal/listener"
+import (
+	"slices"
+
+	"shelfproxy/internal/listener"
+)
 
 // listenerConn is a client's connection at the node.
 type listenerConn struct {
@@ -9,12 +13,12 @@
 	stream      *stream
 	core        *listener.Conn
 	inbox       []byte
-	reading     bool
-	eof         bool
-	writing     bool
+	isReading   bool
+	hasEnded    bool
+	isWriting   bool
 }
 
-// accept takes a client's connection; nil where nobody listens.
+// accept accepts a client's connection and returns the client's end of the stream; nil where the node does not listen.
 func (n *node) accept() *stream {
 	if !n.isUp || !n.isAccepting {
 		return nil
@@ -30,48 +34,48 @@
 	}
 	far.ended = func(bool) {
 		if n.incarnation == c.incarnation {
-			c.eof = true
+			c.hasEnded = true
 			c.scheduleRead()
 		}
 	}
 	n.conns = append(n.conns, c)
-	var fx listener.Effects
-	n.listener.HasCapacity(n.now(), &fx)
-	n.execute(fx)
+	var effects listener.Effects
+	n.listener.HasCapacity(n.now(), &effects)
+	n.execute(effects)
 	return near
 }
 
-// scheduleRead has the connection's reader run.
+// scheduleRead lets the connection's reader run, a drawn lag later.
 func (c *listenerConn) scheduleRead() {
-	if !c.reading {
-		c.reading = true
+	if !c.isReading {
+		c.isReading = true
 		c.node.schedule(c.node.lag(), c.read)
 	}
 }
 
-// read moves what came to the core.
+// read moves the bytes that arrived to the core.
 func (c *listenerConn) read() {
-	c.reading = false
-	if c.eof { // whatever it sent before: nobody waits for the answers
+	c.isReading = false
+	if c.hasEnded { // whatever the client sent before, it waits for no response
 		c.inbox = nil
 	}
 	for len(c.inbox) > 0 && !c.core.IsClosed() && !c.core.IsPaused() {
-		var fx listener.Effects
-		k := copy(c.core.ReadBuffer(), c.inbox)
-		c.inbox = c.inbox[k:]
-		c.node.listener.BytesReceived(c.node.now(), c.core, k, &fx)
-		c.node.execute(fx)
+		var effects listener.Effects
+		n := copy(c.core.ReadBuffer(), c.inbox)
+		c.inbox = c.inbox[n:]
+		c.node.listener.BytesReceived(c.node.now(), c.core, n, &effects)
+		c.node.execute(effects)
 	}
-	if c.eof && !c.core.IsClosed() {
-		var fx listener.Effects
-		c.node.listener.ConnectionEnded(c.node.now(), c.core, &fx)
-		c.node.execute(fx)
+	if c.hasEnded && !c.core.IsClosed() {
+		var effects listener.Effects
+		c.node.listener.ConnectionEnded(c.node.now(), c.core, &effects)
+		c.node.execute(effects)
 	}
 }
 
-// execute carries out what the clients' side wants done.
-func (n *node) execute(fx listener.Effects) {
-	for _, e := range fx {
+// execute executes effects of the listener's core.
+func (n *node) execute(effects listener.Effects) {
+	for _, e := range effects {
 		switch e.Kind {
 		case listener.HandleRequest:
 			n.world.clients.requestRead(n.index, string(e.Request.ID), e.Request.Class)
@@ -89,50 +93,56 @@
 			n.listener.Resume(n.now(), c.core, &more)
 			n.execute(more)
 			c.scheduleRead()
-		case listener.HalfClose: // nothing is lost on a stream of this network: what comes after the end comes to nobody
-			c := e.Conn.Socket.(*listenerConn)
-			c.stream.close()
-			n.schedule(n.lag(), func() {
-				var fx listener.Effects
-				n.listener.ConnectionEnded(n.now(), c.core, &fx)
-				n.execute(fx)
-			})
+		case listener.HalfClose:
+			n.halfClose(e.Conn.Socket.(*listenerConn))
 		case listener.CloseConnection:
-			c := e.Conn.Socket.(*listenerConn)
-			c.stream.close()
-			for i, o := range n.conns {
-				if o == c {
-					n.conns = append(n.conns[:i], n.conns[i+1:]...)
-					break
-				}
-			}
+			n.closeConn(e.Conn.Socket.(*listenerConn))
 		}
 	}
 }
 
-// write moves answers to the client.
+// halfClose ends a connection from the node's side. On a stream of this network no data is lost by that, and data that comes after
+// it reaches nobody, so that the client's end need not be awaited.
+func (n *node) halfClose(c *listenerConn) {
+	c.stream.close()
+	n.schedule(n.lag(), func() {
+		var effects listener.Effects
+		n.listener.ConnectionEnded(n.now(), c.core, &effects)
+		n.execute(effects)
+	})
+}
+
+// closeConn closes a connection and forgets it.
+func (n *node) closeConn(c *listenerConn) {
+	c.stream.close()
+	if i := slices.Index(n.conns, c); i >= 0 {
+		n.conns = append(n.conns[:i], n.conns[i+1:]...)
+	}
+}
+
+// write moves responses to the client.
 func (c *listenerConn) write() {
-	if c.writing || c.core.IsClosed() {
+	if c.isWriting || c.core.IsClosed() {
 		return
 	}
 	out, size := c.node.listener.NextToWrite(c.core, nil)
 	if size == 0 {
 		return
 	}
-	c.writing = true
+	c.isWriting = true
 	var all []byte
 	for _, b := range out {
 		all = append(all, b...)
 	}
 	c.node.schedule(c.node.lag(), func() {
-		c.writing = false
+		c.isWriting = false
 		if c.core.IsClosed() {
 			return
 		}
-		good := !c.stream.isClosed
+		isGood := !c.stream.isClosed
 		c.stream.write(all)
-		var fx listener.Effects
-		c.node.listener.WriteCompleted(c.node.now(), c.core, good, &fx)
-		c.node.execute(fx)
+		var effects listener.Effects
+		c.node.listener.WriteCompleted(c.node.now(), c.core, isGood, &effects)
+		c.node.execute(effects)
 	})
 }
--- a/internal/testbed/simulation/pool.go
+++ b/internal/testbed/simulation/pool.go
@@ -4,10 +4,11 @@
 	"strconv"
 	"time"
 
+	"shelfproxy/internal/testbed/model"
 	"shelfproxy/internal/upstream"
 )
 
-// pool stands in for the shell of a forward.Core: the goroutines and sockets between it and one server.
+// pool stands in for the shell of an upstream.Core: the goroutines and sockets between it and one server.
 type pool struct {
 	node        *node
 	incarnation int
@@ -17,76 +18,80 @@
 	report      func(*upstream.Attempt, upstream.Response)
 	timerAt     Time
 	sockets     []*poolSocket
-	written     map[*upstream.Attempt]*serverConn // forwards whose request went out whole, and where
+	written     map[*upstream.Attempt]*serverConn // attempts that were written completely, and where
 }
 
 // poolSocket is a connection to a server.
 type poolSocket struct {
-	pool    *pool
-	stream  *stream
-	conn    *upstream.Conn
-	server  *serverConn
-	inbox   []byte // came, and not read yet
-	eof     bool
-	reset   bool // and not in order
-	reading bool
-	writing bool
+	pool      *pool
+	stream    *stream
+	conn      *upstream.Conn
+	server    *serverConn
+	inbox     []byte // arrived and not read yet
+	hasEnded  bool
+	wasReset  bool // the end was a reset
+	isReading bool
+	isWriting bool
 }
 
 func (p *pool) now() time.Time { return p.node.now() }
 
-// Send, Abandon, CloseIdle and Update are what the loop calls.
-func (p *pool) Send(f *upstream.Attempt) (upstream.Outcome, bool) {
-	var fx upstream.Effects
-	end, ok := p.core.Send(p.now(), f, &fx)
-	p.execute(fx)
-	return end, ok
+// Send starts an attempt. It implements node.Upstream, as the following methods do.
+func (p *pool) Send(attempt *upstream.Attempt) (upstream.Outcome, bool) {
+	var effects upstream.Effects
+	outcome, ok := p.core.Send(p.now(), attempt, &effects)
+	p.execute(effects)
+	return outcome, ok
 }
 
-func (p *pool) Abandon(f *upstream.Attempt) bool {
-	var fx upstream.Effects
-	written := p.core.Abandon(p.now(), f, &fx)
-	p.execute(fx)
+// Abandon gives an attempt up, and checks that one reported as not written was not.
+func (p *pool) Abandon(attempt *upstream.Attempt) bool {
+	var effects upstream.Effects
+	written := p.core.Abandon(p.now(), attempt, &effects)
+	p.execute(effects)
 	if !written {
-		p.checkNeverRan(f, "abandoned as not written")
+		p.checkNeverRan(attempt, "abandoned as not written")
 	}
 	return written
 }
 
-func (p *pool) Withdraw(f *upstream.Attempt) bool {
-	var fx upstream.Effects
-	done := p.core.Withdraw(p.now(), f, &fx)
-	p.execute(fx)
+// Withdraw gives up an attempt that has not been written, and checks that it was not.
+func (p *pool) Withdraw(attempt *upstream.Attempt) bool {
+	var effects upstream.Effects
+	done := p.core.Withdraw(p.now(), attempt, &effects)
+	p.execute(effects)
 	if done {
-		p.checkNeverRan(f, "withdrawn as not written")
+		p.checkNeverRan(attempt, "withdrawn as not written")
 	}
 	return done
 }
 
+// CloseIdle closes idle connections.
 func (p *pool) CloseIdle() {
-	var fx upstream.Effects
-	p.core.CloseIdle(p.now(), &fx)
-	p.execute(fx)
+	var effects upstream.Effects
+	p.core.CloseIdle(p.now(), &effects)
+	p.execute(effects)
 }
 
+// Update changes the server's address and whether it takes new work.
 func (p *pool) Update(addr string, left bool) []*upstream.Attempt {
-	var fx upstream.Effects
-	drained := p.core.Update(p.now(), addr, left, &fx)
-	p.execute(fx)
-	for _, f := range drained {
-		p.checkNeverRan(f, "drained")
+	var effects upstream.Effects
+	drained := p.core.Update(p.now(), addr, left, &effects)
+	p.execute(effects)
+	for _, attempt := range drained {
+		p.checkNeverRan(attempt, "drained")
 	}
 	return drained
 }
 
-// checkNeverRan checks what is said of a forward that never ran: its request must not have come whole to its server.
-func (p *pool) checkNeverRan(f *upstream.Attempt, what string) {
-	if c := p.written[f]; c != nil && f.Request != nil && c.arrived[string(f.Request.ID)] {
-		p.node.world.violation(InvariantNeverRan, "%s at %s is %s, and came whole", f.Request.ID, p.id, what)
+// checkNeverRan checks an attempt that is reported as never run: its request must not have arrived completely at its server.
+func (p *pool) checkNeverRan(attempt *upstream.Attempt, claim string) {
+	if c := p.written[attempt]; c != nil && attempt.Request != nil && c.arrived[string(attempt.Request.ID)] {
+		p.node.world.violation(InvariantNeverRan, "%s at %s is %s, and came whole", attempt.Request.ID, p.id, claim)
 	}
 }
 
-// armTimer books the next look at the core.
+// armTimer schedules the core's next timer, if it comes before the one that is scheduled.
 func (p *pool) armTimer() {
 	at := p.core.NextTimer()
 	if at.IsZero() {
@@ -102,14 +107,15 @@
 		if p.timerAt == t {
 			p.timerAt = 0
 		}
-		var fx upstream.Effects
-		p.core.HandleTimers(p.now(), &fx)
-		p.execute(fx)
+		var effects upstream.Effects
+		p.core.HandleTimers(p.now(), &effects)
+		p.execute(effects)
 	})
 }
 
-func (p *pool) execute(fx upstream.Effects) {
-	for _, e := range fx {
+// execute executes effects of the core.
+func (p *pool) execute(effects upstream.Effects) {
+	for _, e := range effects {
 		switch e.Kind {
 		case upstream.Dial:
 			p.dial(e.Conn, e.Addr)
@@ -129,102 +135,103 @@
 	p.armTimer()
 }
 
-// dial opens a connection, as the door of the server's slot lets it.
-func (p *pool) dial(c *upstream.Conn, addr string) {
-	w, slot := p.node.world, slotOf(addr)
-	trip := w.drawBetween(200*time.Microsecond, 3*time.Millisecond)
-	if w.networkFault(w.plan.Network.SlowConnect) {
-		trip = w.drawBetween(0, w.plan.Nodes.ConnectTimeout.D()*3/2)
+// dial opens a connection, if the listening socket at the address accepts it.
+func (p *pool) dial(conn *upstream.Conn, addr string) {
+	world, slot := p.node.world, slotOf(addr)
+	roundTrip := world.drawBetween(200*time.Microsecond, 3*time.Millisecond)
+	if world.networkFault(world.plan.Network.SlowConnect) {
+		roundTrip = world.drawBetween(0, world.plan.Nodes.ConnectTimeout.D()*3/2)
 	}
-	limit := w.plan.Nodes.ConnectTimeout.D()
-	p.node.schedule(min(trip, limit), func() {
-		var fx upstream.Effects
-		state := w.acceptors[acceptorKey{slot, p.node.index}]
+	limit := world.plan.Nodes.ConnectTimeout.D()
+	p.node.schedule(min(roundTrip, limit), func() {
+		var effects upstream.Effects
+		state := world.acceptors[acceptorKey{slot, p.node.index}]
 		switch {
-		case trip >= limit || state == 1 || w.networkFault(w.plan.Network.FailConnect): // shut
-			w.logEvent("refused", strconv.Itoa(slot))
-			p.core.DialCompleted(p.now(), c, false, &fx)
-		case state == 2: // silent: it never comes up
-			p.node.schedule(limit-min(trip, limit), func() {
-				var fx upstream.Effects
-				p.core.DialCompleted(p.now(), c, false, &fx)
-				p.execute(fx)
+		case roundTrip >= limit || state == model.Refusing || world.networkFault(world.plan.Network.FailConnect):
+			world.logEvent("refused", strconv.Itoa(slot))
+			p.core.DialCompleted(p.now(), conn, false, &effects)
+		case state == model.Unresponsive: // it never comes up
+			p.node.schedule(limit-min(roundTrip, limit), func() {
+				var effects upstream.Effects
+				p.core.DialCompleted(p.now(), conn, false, &effects)
+				p.execute(effects)
 			})
 			return
 		default:
-			s := &poolSocket{pool: p, conn: c}
-			s.stream, s.server = w.connect(p.node, slot)
-			s.server.socket = s
-			s.stream.data = func(b []byte, _ Time) {
-				s.inbox = append(s.inbox, b...)
-				s.scheduleRead()
+			socket := &poolSocket{pool: p, conn: conn}
+			socket.stream, socket.server = world.connect(p.node, slot)
+			socket.server.socket = socket
+			socket.stream.data = func(b []byte, _ Time) {
+				socket.inbox = append(socket.inbox, b...)
+				socket.scheduleRead()
 			}
-			s.stream.ended = func(reset bool) {
-				s.eof, s.reset = true, reset
-				s.scheduleRead()
+			socket.stream.ended = func(reset bool) {
+				socket.hasEnded, socket.wasReset = true, reset
+				socket.scheduleRead()
 			}
-			c.Socket = s
-			p.sockets = append(p.sockets, s)
-			p.core.DialCompleted(p.now(), c, true, &fx)
+			conn.Socket = socket
+			p.sockets = append(p.sockets, socket)
+			p.core.DialCompleted(p.now(), conn, true, &effects)
 		}
-		p.execute(fx)
+		p.execute(effects)
 	})
 }
 
-// scheduleRead has the connection's reader run.
+// scheduleRead lets the connection's reader run, a drawn lag later.
 func (s *poolSocket) scheduleRead() {
-	if s.pool.node.incarnation == s.pool.incarnation && !s.reading {
-		s.reading = true
+	if s.pool.node.incarnation == s.pool.incarnation && !s.isReading {
+		s.isReading = true
 		s.pool.node.schedule(s.pool.node.lag(), s.read)
 	}
 }
 
+// read moves the bytes that arrived to the core.
 func (s *poolSocket) read() {
-	s.reading = false
+	s.isReading = false
 	p := s.pool
-	var fx upstream.Effects
+	var effects upstream.Effects
 	for len(s.inbox) > 0 && !s.conn.IsClosed() {
-		k := copy(s.conn.Decoder.ReadBuffer(), s.inbox)
-		s.inbox = s.inbox[k:]
-		p.core.BytesReceived(p.now(), s.conn, k, &fx)
+		n := copy(s.conn.Decoder.ReadBuffer(), s.inbox)
+		s.inbox = s.inbox[n:]
+		p.core.BytesReceived(p.now(), s.conn, n, &effects)
 	}
-	if s.eof && !s.conn.IsClosed() {
-		p.core.ConnectionEnded(p.now(), s.conn, !s.reset, &fx)
+	if s.hasEnded && !s.conn.IsClosed() {
+		p.core.ConnectionEnded(p.now(), s.conn, !s.wasReset, &effects)
 	}
-	p.execute(fx)
+	p.execute(effects)
 }
 
-// writeNext has the connection's writer run.
+// writeNext lets the connection's writer run.
 func (s *poolSocket) writeNext() {
-	p, w := s.pool, s.pool.node.world
-	var fx upstream.Effects
-	stale := s.conn.IsIdle() && (len(s.inbox) > 0 || s.eof)
-	f := p.core.NextToWrite(p.now(), s.conn, stale, &fx)
-	p.execute(fx)
-	if f == nil {
+	pool, world := s.pool, s.pool.node.world
+	var effects upstream.Effects
+	stale := s.conn.IsIdle() && (len(s.inbox) > 0 || s.hasEnded)
+	attempt := pool.core.NextToWrite(pool.now(), s.conn, stale, &effects)
+	pool.execute(effects)
+	if attempt == nil {
 		return
 	}
-	b := p.codec.AppendRequest(nil, f, p.now())
-	s.writing = true
-	p.node.schedule(p.node.lag(), func() {
-		s.writing = false
-		whole, good := true, true
+	bytes := pool.codec.AppendRequest(nil, attempt, pool.now())
+	s.isWriting = true
+	pool.node.schedule(pool.node.lag(), func() {
+		s.isWriting = false
+		isComplete, isGood := true, true
 		switch {
 		case s.stream.isClosed: // it ended since: not a byte of it leaves
-			whole, good = false, false
-		case w.networkFault(w.plan.Network.BreakWrite):
-			k := w.rng.IntN(len(b))
-			s.stream.write(b[:k])
-			whole, good = false, false
-			w.logEvent("break-write", s.pool.id, strconv.Itoa(k))
-			s.stream.snap()
+			isComplete, isGood = false, false
+		case world.networkFault(world.plan.Network.BreakWrite):
+			k := world.rng.IntN(len(bytes))
+			s.stream.write(bytes[:k])
+			isComplete, isGood = false, false
+			world.logEvent("break-write", s.pool.id, strconv.Itoa(k))
+			s.stream.breakAfterWrites()
 		default:
-			s.stream.write(b)
-			p.written[f] = s.server
+			s.stream.write(bytes)
+			pool.written[attempt] = s.server
 		}
-		var fx upstream.Effects
-		p.core.WriteCompleted(p.now(), s.conn, whole, good, &fx)
-		p.execute(fx)
+		var effects upstream.Effects
+		pool.core.WriteCompleted(pool.now(), s.conn, isComplete, isGood, &effects)
+		pool.execute(effects)
 		s.writeNext()
 	})
 }
--- a/internal/testbed/simulation/race_test.go
+++ b/internal/testbed/simulation/race_test.go
@@ -1,5 +1,6 @@
 //go:build race
 
-package sim
+package simulation
 
+// The race detector slows runs down by an order of magnitude.
 func init() { seedsInCI = 60 }
--- a/internal/testbed/simulation/shrink.go
+++ b/internal/testbed/simulation/shrink.go
@@ -1,30 +1,35 @@
 package simulation
 
 import (
-	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 	"strings"
 )
 
-// Shrink leaves out one part after another of a seed's plan for as long as the same rule stays broken, and returns what is left
-// out, with the report of that run.
-func Shrink(seed uint64, rule string) (skip map[int]bool, report *Report) {
-	return shrink(Parts(seed), rule, func(skip map[int]bool) *Report { return Run(Draw(seed, skip), Options{}) })
+// Shrink leaves out one part after another of a seed's plan for as long as the same invariant is violated. It returns the numbers of the
+// parts that are left out, and the report of the run without them.
+func Shrink(seed uint64, invariant string) (skip map[int]bool, report *Report) {
+	return shrink(Parts(seed), invariant, func(skip map[int]bool) *Report { return Run(Draw(seed, skip), Options{}) })
 }
 
-func shrink(on []int, rule string, run func(skip map[int]bool) *Report) (skip map[int]bool, report *Report) {
+// ShrinkFleet is Shrink for the plan of a fleet.
+func ShrinkFleet(seed uint64, invariant string) (skip map[int]bool, report *Report) {
+	return shrink(DrawFleet(seed, nil).drawn, invariant, func(skip map[int]bool) *Report { return RunFleet(DrawFleet(seed, skip), Options{}) })
+}
+
+func shrink(drawn []int, invariant string, run func(skip map[int]bool) *Report) (skip map[int]bool, report *Report) {
 	skip = map[int]bool{}
 	report = run(skip)
-	for again := true; again; {
-		again = false
-		for _, i := range on {
+	for changed := true; changed; {
+		changed = false
+		for _, i := range drawn {
 			if skip[i] {
 				continue
 			}
 			skip[i] = true
-			if r := run(skip); slices.ContainsFunc(r.Broken, func(b Broken) bool { return b.Rule == rule }) {
-				report, again = r, true
+			if without := run(skip); without.violates(invariant) {
+				report, changed = without, true
 				continue
 			}
 			delete(skip, i)
@@ -33,16 +38,15 @@
 	return skip, report
 }
 
-// SkipWords are the words of a mask, for a command line: the numbers of the parts left out.
+func (r *Report) violates(invariant string) bool {
+	return slices.ContainsFunc(r.Broken, func(b Broken) bool { return b.Rule == invariant })
+}
+
+// SkipWords writes the numbers of parts that are left out for a command line, separated by commas.
 func SkipWords(skip map[int]bool) string {
-	var out []string
+	var numbers []string
 	for _, i := range slices.Sorted(maps.Keys(skip)) {
-		out = append(out, fmt.Sprint(i))
+		numbers = append(numbers, strconv.Itoa(i))
 	}
-	return strings.Join(out, ",")
-}
-
-// ShrinkFleet leaves out one fault after another of a seed's plan for as long as the same rule stays broken.
-func ShrinkFleet(seed uint64, rule string) (skip map[int]bool, report *Report) {
-	return shrink(DrawFleet(seed, nil).drawn, rule, func(skip map[int]bool) *Report { return RunFleet(DrawFleet(seed, skip), Options{}) })
+	return strings.Join(numbers, ",")
 }
--- a/internal/testbed/simulation/sim_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// seedsInCI is how many seeds each run of the tests plays; the race detector's build plays a part of them.
+// seedsInCI is how many seeds a run of the tests plays.
 var seedsInCI = uint64(300)
 
-// play plays the first seeds on all processors and hands each report to look, one at a time.
+// play plays the first seeds on all processors and calls look with each report, one at a time.
 func play(seeds uint64, run func(seed uint64) *Report, look func(r *Report)) {
 	var mu sync.Mutex
 	next := uint64(0)
@@ -35,8 +35,8 @@
 	workers.Wait()
 }
 
-// TestSeeds plays nodes under load, of which each seed breaks something else: every rule is kept in all of them.
-func TestSeeds(t *testing.T) {
+// TestInvariantsHoldUnderDrawnFaults plays nodes under load with the faults that each seed draws: every invariant holds in all runs.
+func TestInvariantsHoldUnderDrawnFaults(t *testing.T) {
 	served, kills := 0, 0
 	words := map[string]int{}
 	play(seedsInCI, func(seed uint64) *Report { return Run(Draw(seed, nil), Options{}) }, func(r *Report) {
@@ -49,7 +49,7 @@
 		}
 	})
 	if uint64(served) < 200*seedsInCI || uint64(kills) < seedsInCI/4 {
-		t.Errorf("%d served, %d processes ended in %d runs: they tell little", served, kills, seedsInCI)
+		t.Errorf("%d served, %d processes ended in %d runs: they show little", served, kills, seedsInCI)
 	}
 	for _, p := range parts {
 		if words[p.name] == 0 {
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestFleetSeeds plays what nodes agree on among themselves.
-func TestFleetSeeds(t *testing.T) {
+// TestAgreementsHoldUnderDrawnFaults plays the agreements of fleets with the faults that each seed draws: every invariant holds in all runs.
+func TestAgreementsHoldUnderDrawnFaults(t *testing.T) {
 	words := map[string]int{}
 	play(seedsInCI/2, func(seed uint64) *Report { return RunFleet(DrawFleet(seed, nil), Options{}) }, func(r *Report) {
 		for _, w := range r.Faults {
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestReplayIsExact: a seed gives the same event log each time, byte for byte, beside others and alone.
-func TestReplayIsExact(t *testing.T) {
+// TestSeedGivesTheSameEventLog: a seed gives the same event log each time, byte for byte, beside others and alone.
+func TestSeedGivesTheSameEventLog(t *testing.T) {
 	logs := make([]bytes.Buffer, 6)
 	var workers sync.WaitGroup
 	for i := range logs {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestPartsStandAlone: what one part draws does not change when another is left out, so that a plan can be shrunk.
-func TestPartsStandAlone(t *testing.T) {
+// TestLeavingOutOnePartChangesNoOther: what one part draws does not depend on the others, so that a plan can be shrunk.
+func TestLeavingOutOnePartChangesNoOther(t *testing.T) {
 	for seed := range uint64(40) {
 		on := Parts(seed)
 		all := Draw(seed, nil)
--- a/internal/testbed/simulation/stream.go
+++ b/internal/testbed/simulation/stream.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// stream is one end of a byte stream between two parties. What is written at one end comes to the other in order, cut into
-// segments anywhere, each a little later; a reset overtakes what is on its way.
+// stream is one end of a byte stream between two parties. What is written at one end arrives at the other in order, cut into
+// segments anywhere, each with a delay of its own; a reset overtakes data in transit.
 type stream struct {
-	w    *world
-	far  *stream
-	link link // of what is written here
+	world *world
+	peer  *stream
+	link  link // for what is written here
 
 	lastAt         Time // when the last segment arrives
-	isClosed       bool // closed or reset here: nothing more comes in or goes out
-	isUnresponsive bool // what is written here goes nowhere, and nobody is told
+	isClosed       bool // by either end: nothing more arrives or leaves
+	isUnresponsive bool // what is written here is dropped silently
 
-	data  func(b []byte, sent Time)
-	ended func(reset bool)
+	data  func(b []byte, sent Time) // called with each segment that arrives
+	ended func(reset bool)          // called when the peer has closed or reset the stream
 }
 
-// link is what a stream does to what is written to it.
+// link is what the network does to what is written to a stream.
 type link struct {
-	least, most time.Duration // one way
-	cut         float64       // chance that a write is cut into segments
-	slow        float64       // chance that a segment is late by up to slowBy
-	slowBy      time.Duration
+	minDelay, maxDelay time.Duration // one way
+	segmentOdds        float64       // chance that a write is cut into segments
+	lateOdds           float64       // chance that a segment is late by up to maxLateness
+	maxLateness        time.Duration
 }
 
-// pipe makes a stream between two parties.
-func (w *world) pipe(there, back link) (a, b *stream) {
-	a, b = &stream{w: w, link: there}, &stream{w: w, link: back}
-	a.far, b.far = b, a
+// pipe makes the two ends of a stream, each with the link for what is written there.
+func (w *world) pipe(forward, backward link) (a, b *stream) {
+	a, b = &stream{world: w, link: forward}, &stream{world: w, link: backward}
+	a.peer, b.peer = b, a
 	return a, b
 }
 
-// arrival is when what is sent now comes, after all that was sent before.
+// arrival draws when a segment that is sent now arrives, after all that was sent before.
 func (e *stream) arrival() Time {
-	at := e.w.now + e.w.drawBetween(e.link.least, e.link.most)
-	if e.w.networkFault(e.link.slow) {
-		at += e.w.drawBetween(0, e.link.slowBy)
+	at := e.world.now + e.world.drawBetween(e.link.minDelay, e.link.maxDelay)
+	if e.world.networkFault(e.link.lateOdds) {
+		at += e.world.drawBetween(0, e.link.maxLateness)
 	}
 	e.lastAt = max(e.lastAt, at)
 	return e.lastAt
 }
 
-// write sends bytes; they are copied.
+// write sends a copy of bytes.
 func (e *stream) write(b []byte) {
 	if e.isClosed || e.isUnresponsive || len(b) == 0 {
 		return
 	}
 	b = append([]byte(nil), b...)
-	sent := e.w.now
+	sent := e.world.now
 	for len(b) > 0 {
 		n := len(b)
-		if e.w.chance(e.link.cut) {
-			n = 1 + e.w.rng.IntN(n)
+		if e.world.chance(e.link.segmentOdds) {
+			n = 1 + e.world.rng.IntN(n)
 		}
 		piece := b[:n]
 		b = b[n:]
-		e.w.at(e.arrival(), func() {
-			if f := e.far; !f.isClosed && !e.isUnresponsive && f.data != nil {
-				f.data(piece, sent)
+		e.world.at(e.arrival(), func() {
+			if !e.peer.isClosed && !e.isUnresponsive && e.peer.data != nil {
+				e.peer.data(piece, sent)
 			}
 		})
 	}
 }
 
-// close ends the stream from this end, after what was written: a FIN.
+// close ends the stream from this end after what was written, as a FIN does.
 func (e *stream) close() {
 	if e.isClosed {
 		return
@@ -73,10 +73,10 @@
 	if e.isUnresponsive {
 		return
 	}
-	e.w.at(e.arrival(), func() { e.far.cut(false) })
+	e.world.at(e.arrival(), func() { e.peer.endSeen(false) })
 }
 
-// reset ends it at once, with what is on its way on it, both ways.
+// reset ends the stream at once and drops data in transit, both ways.
 func (e *stream) reset() {
 	if e.isClosed {
 		return
@@ -85,11 +85,11 @@
 	if e.isUnresponsive {
 		return
 	}
-	e.w.after(e.w.drawBetween(e.link.least, e.link.most), func() { e.far.cut(true) })
+	e.world.after(e.world.drawBetween(e.link.minDelay, e.link.maxDelay), func() { e.peer.endSeen(true) })
 }
 
-// cut is how the end of the stream shows here.
-func (e *stream) cut(reset bool) {
+// endSeen handles the peer's close or reset.
+func (e *stream) endSeen(reset bool) {
 	if e.isClosed {
 		return
 	}
@@ -99,10 +99,10 @@
 	}
 }
 
-// snap breaks the stream after what was written here: the far end sees a reset behind it, and this one has failed.
-func (e *stream) snap() {
+// breakAfterWrites breaks the stream after what was written here: the peer sees a reset behind it, and this end has failed.
+func (e *stream) breakAfterWrites() {
 	e.isClosed = true
 	if !e.isUnresponsive {
-		e.w.at(e.arrival(), func() { e.far.cut(true) })
+		e.world.at(e.arrival(), func() { e.peer.endSeen(true) })
 	}
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -53,7 +53,7 @@
 func Run(plan *Plan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.Words()}
-	w := &world{
+	run := &world{
 		timeline:  newTimeline(model.RandomStream(plan.Seed, "sim/net"), opt, report),
 		plan:      plan,
 		classes:   map[string]scenario.Class{},
@@ -63,22 +63,22 @@
 	}
 	defer func() {
 		if reason := recover(); reason != nil {
-			w.violation(InvariantNoPanic, "%v", reason)
+			run.violation(InvariantNoPanic, "%v", reason)
 			if opt.Trace != nil {
 				panic(reason) // with its stack: somebody is looking
 			}
 		}
-		report.Hash = w.hash.Sum64() ^ w.system.Hash()
+		report.Hash = run.hash.Sum64() ^ run.system.Hash()
 		report.Took = time.Since(began)
 	}()
-	w.startChecker()
-	w.startSystem()
-	w.startNodes()
-	w.clients = newClients(w)
-	w.clients.start()
-	w.scheduleNodeFaults()
-	w.run()
-	w.checkQuiet()
+	run.startChecker()
+	run.startSystem()
+	run.startNodes()
+	run.clients = newClients(run)
+	run.clients.start()
+	run.scheduleNodeFaults()
+	run.run()
+	run.checkQuiet()
 	return report
 }
 
@@ -178,28 +178,28 @@
 // execute executes effects of the model.
 func (w *world) execute(effects []model.Effect) {
 	for _, effect := range effects {
-		switch e := effect.(type) {
+		switch effect := effect.(type) {
 		case model.Acceptor:
-			w.acceptors[acceptorKey{e.Slot, e.Node}] = e.State
+			w.acceptors[acceptorKey{effect.Slot, effect.Node}] = effect.State
 		case model.Reset:
-			if c := w.servers[e.Conn]; c != nil {
-				delete(w.servers, e.Conn)
+			if c := w.servers[effect.Conn]; c != nil {
+				delete(w.servers, effect.Conn)
 				c.stream.reset()
 			}
 		case model.Response:
-			w.responseReady(e)
+			w.responseReady(effect)
 		case model.DiscoveryReply:
-			w.replyToCall(e)
+			w.replyToCall(effect)
 		case model.RequestExecuted:
-			w.checker.RequestExecuted(w.now, e.Server, e.Request, e.Class)
+			w.checker.RequestExecuted(w.now, effect.Server, effect.Request, effect.Class)
 		case model.ServerOverloaded:
-			w.checker.ServerOverloaded(w.now, e.Server)
+			w.checker.ServerOverloaded(w.now, effect.Server)
 		case model.ServerStarted:
-			w.checker.ServerStarted(e.Server, e.At)
+			w.checker.ServerStarted(effect.Server, effect.At)
 		case model.ServerListed:
-			w.checker.ServerListed(w.now, e.Server, e.State.String())
+			w.checker.ServerListed(w.now, effect.Server, effect.State.String())
 		case model.DiscoveryReachable:
-			w.checker.DiscoveryReachable(w.now, e.Up)
+			w.checker.DiscoveryReachable(w.now, effect.Up)
 		}
 	}
 }
