--- /dev/null
+++ b/internal/tomlfile/duration.go
@@ -0,0 +1,28 @@
+package tomlfile
+
+import (
+	"fmt"
+	"time"
+)
+
+// Duration is a time.Duration written as in "1.5s" or "250ms".
+type Duration time.Duration
+
+// UnmarshalText reads a duration; one without a unit is an error.
+func (d *Duration) UnmarshalText(text []byte) error {
+	duration, err := time.ParseDuration(string(text))
+	if err != nil {
+		return fmt.Errorf("%q is no duration such as \"250ms\" or \"1.5s\"", text)
+	}
+	*d = Duration(duration)
+	return nil
+}
+
+// MarshalText writes the form that UnmarshalText reads.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
+
+// String returns the form that UnmarshalText reads.
+func (d Duration) String() string { return d.D().String() }
+
+// D returns the standard library's duration.
+func (d Duration) D() time.Duration { return time.Duration(d) }
--- /dev/null
+++ b/internal/tomlfile/errors.go
@@ -0,0 +1,94 @@
+package tomlfile
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Error is what is wrong with one field of a file.
+type Error struct {
+	Path  string
+	Line  int    // 0 where the field is not in the file
+	Field string // dotted, with the index of an element as in fault[2].kind; empty for the file as a whole
+	Text  string
+	Err   error // the cause, of which Text is the text; nil where there is no more to it
+}
+
+// Error returns the error as one line: path:line: field: text, without the parts that are not known.
+func (e *Error) Error() string {
+	var text strings.Builder
+	text.WriteString(e.Path)
+	if e.Line > 0 {
+		fmt.Fprintf(&text, ":%d", e.Line)
+	}
+	if e.Field != "" {
+		text.WriteString(": " + e.Field)
+	}
+	return text.String() + ": " + e.Text
+}
+
+// Unwrap returns the cause, or nil.
+func (e *Error) Unwrap() error { return e.Err }
+
+// Errorf returns an *Error about a field, with its line.
+func (f *File) Errorf(field, format string, args ...any) error {
+	cause := fmt.Errorf(format, args...)
+	found := &Error{Line: f.Line(field), Field: field, Text: cause.Error(), Err: cause}
+	if f != nil {
+		found.Path = f.Path
+	}
+	return found
+}
+
+// ValueError is what an UnmarshalTOML returns for a value that it cannot use; Parse finds its line and field.
+type ValueError struct {
+	Raw  []byte // the value as the file has it
+	Text string
+}
+
+// Error returns the reason.
+func (e *ValueError) Error() string { return e.Text }
+
+// decodeError makes an *Error of an error of the TOML library.
+func (f *File) decodeError(text []byte, err error) error {
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) {
+		first := unknown.Errors[0]
+		line, _ := first.Position()
+		return &Error{Path: f.Path, Line: line, Field: strings.Join(first.Key(), "."), Text: "there is no such field", Err: err}
+	}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		field := strings.Join(invalid.Key(), ".")
+		if field == "" {
+			field = f.fieldAt(line)
+		}
+		return &Error{Path: f.Path, Line: line, Field: field, Text: withoutLibrary(invalid), Err: err}
+	}
+	var value *ValueError
+	if errors.As(err, &value) {
+		line := lineOfValue(text, value.Raw)
+		return &Error{Path: f.Path, Line: line, Field: f.fieldAt(line), Text: value.Text, Err: err}
+	}
+	return &Error{Path: f.Path, Text: withoutLibrary(err), Err: err}
+}
+
+// withoutLibrary returns the text of an error without the name of the library that it begins with.
+func withoutLibrary(err error) string { return strings.TrimPrefix(err.Error(), "toml: ") }
+
+// lineOfValue returns the first line that gives a field this value. The library hands UnmarshalTOML the bytes but not
+// their place, so an earlier field with the same bytes would be named instead.
+func lineOfValue(text, raw []byte) int {
+	for i, line := range bytes.Split(text, []byte{'\n'}) {
+		_, value, ok := bytes.Cut(line, []byte{'='})
+		if ok && bytes.HasPrefix(bytes.TrimSpace(value), raw) {
+			return i + 1
+		}
+	}
+	return 0
+}
