--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,9 +1,10 @@
 package config
 
 import (
-	"fmt"
+	"errors"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -26,76 +27,97 @@
 group = "all"
 `
 
-// load writes both files, where there are texts for them, and loads them.
+// load writes the platform's and the operators' file, each where its text is not empty, and loads them. It returns the
+// directory of the files too.
 func load(t *testing.T, platform, operator string, env map[string]string) (*Config, string, error) {
 	t.Helper()
 	dir := t.TempDir()
-	put := func(name, text string) string {
+	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	vars := map[string]string{}
-	for k, v := range env {
-		vars[k] = v
+	variables := map[string]string{}
+	for name, value := range env {
+		variables[name] = value
 	}
 	if platform != "" {
-		vars["LB_CONFIG"] = put("config.json", platform)
+		variables["LB_CONFIG"] = write("config.json", platform)
 	}
 	path := ""
 	if operator != "" {
-		path = put("operator.toml", operator)
+		path = write("operator.toml", operator)
 	}
-	c, err := Load(func(k string) string { return vars[k] }, path)
-	return c, dir, err
+	cfg, err := Load(func(name string) string { return variables[name] }, path)
+	return cfg, dir, err
 }
 
-// LB_CONFIG goes before the variables, these before the operator's file, and it before the defaults; each value
-// tells where it came from.
-func TestWhereValuesComeFrom(t *testing.T) {
+// loadLayers loads a configuration of which each layer sets something.
+func loadLayers(t *testing.T) (cfg *Config, dir string) {
+	t.Helper()
 	operator := "[node]\nname = 'file'\nlisten = '127.0.0.1:1'\n[limits]\nsockets = 256\nmemory_mb = 64\n[listener]\nidle = '9s'\n"
-	c, dir, err := load(t, platform, operator, map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:2"})
+	cfg, dir, err := load(t, platform, operator, map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:2"})
 	if err != nil {
 		t.Fatal(err)
 	}
+	return cfg, dir
+}
+
+// LB_CONFIG goes before the variables, these before the operators' file, and this before the defaults.
+func TestEachLayerOverridesTheNextAndIsNamedAsTheSource(t *testing.T) {
+	cfg, dir := loadLayers(t)
 	got := map[string]string{}
-	for _, s := range c.Show() {
-		got[s.Field] = s.Value + " " + strings.ReplaceAll(s.From, dir+"/", "")
+	for _, setting := range cfg.Show() {
+		got[setting.Field] = setting.Value + " " + strings.ReplaceAll(setting.From, dir+"/", "")
 	}
-	for field, want := range map[string]string{"name": "n7 LB_NAME", "listen": "127.0.0.1:6380 config.json",
-		"seed": "2a config.json", "limits.sockets": "512 config.json", "limits.memory_mb": "64 operator.toml:6",
-		"limits.cores": "0 default", "listener.idle": "9s operator.toml:8", "listener.silent": "2.5s default",
-		"settings.nodes": "4 config.json"} {
+	for field, want := range map[string]string{
+		"name":             "n7 LB_NAME",
+		"listen":           "127.0.0.1:6380 config.json",
+		"seed":             "2a config.json",
+		"limits.sockets":   "512 config.json",
+		"limits.memory_mb": "64 operator.toml:6",
+		"limits.cores":     "0 default",
+		"listener.idle":    "9s operator.toml:8",
+		"listener.silent":  "2.5s default",
+		"settings.nodes":   "4 config.json",
+	} {
 		if got[field] != want {
-			t.Errorf("%s: %q, want %q", field, got[field], want)
+			t.Errorf("%s: got %q, want %q", field, got[field], want)
 		}
 	}
-	other := *c
+}
+
+func TestChangedFixedFieldsAreThoseThatNeedARestart(t *testing.T) {
+	cfg, _ := loadLayers(t)
+	other := *cfg
 	other.Sockets, other.Discovery, other.Node.MaxOpenRequests = 300, "127.0.0.1:9", 5
-	if f := fmt.Sprint(c.ChangedFixedFields(&other)); f != "[limits.sockets settings.max_open]" {
-		t.Errorf("fields that a running node can't change: %s", f)
+	want := []string{"limits.sockets", "settings.max_open"}
+	if got := cfg.ChangedFixedFields(&other); !slices.Equal(got, want) {
+		t.Errorf("got the fields %v, want %v", got, want)
 	}
 }
 
-// Where there is no platform the file says all.
-func TestFileAlone(t *testing.T) {
+func TestOperatorFileAloneIsEnough(t *testing.T) {
 	operator := "[node]\nlisten = '127.0.0.1:1'\ndiscovery = '127.0.0.1:2'\n" + service
-	c, _, err := load(t, "", operator, nil)
+	first, _, err := load(t, "", operator, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, _, err := load(t, "", operator, nil)
-	if err != nil || c.Seed == d.Seed {
-		t.Errorf("two starts with the same random numbers: %v", err)
+	restarted, _, err := load(t, "", operator, nil)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if c.Policy.Zone != "room-b" || c.Node.MaxDeadline != 2*time.Second || c.Policy.OverloadFactor != 3 {
-		t.Errorf("settings %+v", c.Settings)
+	if first.Seed == restarted.Seed {
+		t.Errorf("got the seed %x at two starts, want different ones", first.Seed)
+	}
+	if first.Policy.Zone != "room-b" || first.Node.MaxDeadline != 2*time.Second || first.Policy.OverloadFactor != 3 {
+		t.Errorf("got the settings %+v, want zone room-b, the longest deadline 2s and the overload factor 3", first.Settings)
 	}
 }
 
-func TestErrorsOfTheOperatorsFile(t *testing.T) {
+func TestOperatorFileErrorNamesFileLineAndField(t *testing.T) {
 	head := "[node]\nlisten = '127.0.0.1:1'\ndiscovery = '127.0.0.1:2'\n"
 	for text, want := range map[string]string{
 		head:                                                   "operator.toml: service: missing",
@@ -113,37 +135,72 @@
 		head + strings.Replace(service, "\"read\"", "\"\"", 1): "operator.toml:8: service.class[0].name: missing",
 	} {
 		if _, _, err := load(t, "", text, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: got the error %v, want it to contain %s", text, err, want)
 		}
 	}
 }
 
-// TestEndsBeforeItIsKilled: SIGKILL may come the longest deadline, of which 3 s count, and 0.7 s after SIGTERM. The last
-// answer is out before, and what was taken last has some time, whatever the operator says.
-func TestEndsBeforeItIsKilled(t *testing.T) {
-	for _, wait := range []time.Duration{200, 520, 1000, 2999, 3000, 6500, 60000} {
-		for _, last := range []time.Duration{500, 3400, 60000} {
-			c := Config{Operator: defaults()}
-			c.Node.MaxDeadline = wait * time.Millisecond
-			c.Operator.Shutdown.Last = tomlfile.Duration(last * time.Millisecond)
-			kill := min(c.Node.MaxDeadline, 3*time.Second) + 700*time.Millisecond
-			grace, end := c.ShutdownTimes()
-			if end > kill-200*time.Millisecond || end > last*time.Millisecond || grace >= end || grace <= 0 {
-				t.Errorf("longest wait %v, last %v: takes for %v and answers by %v; killed after %v", c.Node.MaxDeadline, last, grace, end, kill)
+func TestErrorHasItsPartsAsFields(t *testing.T) {
+	for _, test := range []struct {
+		name, platform, operator string
+		want                     Error // but its reason
+	}{
+		{"platform", `{"listen":"here"}`, "", Error{Field: "listen"}},
+		{"settings", strings.Replace(platform, `"idempotent"`, `"potent"`, 1), "", Error{Field: "settings"}},
+		{"variable", "", "", Error{Field: "LB_CONFIG"}},
+		{"value in the file", platform, "[log]\nlevel = 'loud'", Error{Path: "operator.toml", Line: 2, Field: "log.level"}},
+		{"unknown key", platform, "[log]\nstage = 'x'", Error{Path: "operator.toml", Line: 2, Field: "log.stage"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, _, err := load(t, test.platform, test.operator, nil)
+			var got *Error
+			if !errors.As(err, &got) {
+				t.Fatalf("got %T %v, want an *Error", err, err)
+			}
+			if got.Path != "" {
+				got.Path = filepath.Base(got.Path)
+			}
+			if got.Path != test.want.Path || got.Line != test.want.Line || got.Field != test.want.Field || got.Reason == nil {
+				t.Errorf("got %+v, want %+v and a reason", *got, test.want)
+			}
+		})
+	}
+	_, _, err := load(t, strings.Replace(platform, `"idempotent"`, `"potent"`, 1), "", nil)
+	var setting *FieldError
+	if !errors.As(err, &setting) || setting.Field != "lanes.semantics" {
+		t.Errorf("got %v, want a *FieldError about lanes.semantics", err)
+	}
+}
+
+// SIGKILL may come the longest deadline, of which 3 s count, and 0.7 s after SIGTERM. The last response is given before,
+// and the requests that were accepted last have some time, whatever the operators say.
+func TestShutdownEndsBeforeKill(t *testing.T) {
+	for _, deadlineMs := range []time.Duration{200, 520, 1000, 2999, 3000, 6500, 60000} {
+		for _, lastMs := range []time.Duration{500, 3400, 60000} {
+			cfg := Config{Operator: defaultOperator()}
+			cfg.Node.MaxDeadline = deadlineMs * time.Millisecond
+			cfg.Operator.Shutdown.LastResponse = tomlfile.Duration(lastMs * time.Millisecond)
+			kill := min(cfg.Node.MaxDeadline, 3*time.Second) + 700*time.Millisecond
+			grace, last := cfg.ShutdownTimes()
+			if last > kill-200*time.Millisecond || last > lastMs*time.Millisecond || grace >= last || grace <= 0 {
+				t.Errorf("longest deadline %v, shutdown.last %dms: accepts for %v and responds until %v; killed after %v",
+					cfg.Node.MaxDeadline, lastMs, grace, last, kill)
 			}
 		}
 	}
-	c := Config{Operator: defaults()}
-	c.Node.MaxDeadline = 6 * time.Second
-	if grace, end := c.ShutdownTimes(); grace != 2200*time.Millisecond || end != 3400*time.Millisecond {
-		t.Errorf("by default takes for %v and answers by %v", grace, end)
+	cfg := Config{Operator: defaultOperator()}
+	cfg.Node.MaxDeadline = 6 * time.Second
+	if grace, last := cfg.ShutdownTimes(); grace != 2200*time.Millisecond || last != 3400*time.Millisecond {
+		t.Errorf("by default got a grace of %v and the last response after %v, want 2.2s and 3.4s", grace, last)
 	}
 }
 
-// The operator's files that the repository brings are good.
-func TestDeployedFiles(t *testing.T) {
-	o, err := readOperator("../../deploy/fleet.toml")
-	if err != nil || o.Rollout.NodesOut != 4 {
-		t.Errorf("deploy/fleet.toml: %v, budget %d", err, o.Rollout.NodesOut)
+func TestDeployedOperatorFilesAreValid(t *testing.T) {
+	operator, err := readOperator("../../deploy/fleet.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if operator.Rollout.NodesOut != 4 {
+		t.Errorf("deploy/fleet.toml: got rollout.nodes_out %d, want 4", operator.Rollout.NodesOut)
 	}
 }
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,66 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"shelfproxy/internal/tomlfile"
+)
+
+// Error is a configuration that a node cannot use. Its text is one line: file:line: field: reason, without the parts
+// that do not apply. Every error of Load is one.
+type Error struct {
+	Path   string // of the operators' file; empty where the value came from the platform or from the environment
+	Line   int    // of the field, or of the nearest table around it that the file has; 0 without either
+	Field  string // dotted, as it is written in its file, or the name of a variable; empty where Reason names the field
+	Reason error
+}
+
+// Error returns the configuration error as one line.
+func (e *Error) Error() string {
+	var text strings.Builder
+	if e.Path != "" {
+		text.WriteString(e.Path)
+		if e.Line > 0 {
+			fmt.Fprintf(&text, ":%d", e.Line)
+		}
+		text.WriteString(": ")
+	}
+	if e.Field != "" {
+		text.WriteString(e.Field + ": ")
+	}
+	return text.String() + e.Reason.Error()
+}
+
+// Unwrap returns the reason.
+func (e *Error) Unwrap() error { return e.Reason }
+
+// invalid returns an Error about a field of the platform's configuration or of the environment.
+func invalid(field, format string, args ...any) error {
+	return &Error{Field: field, Reason: fmt.Errorf(format, args...)}
+}
+
+// invalid returns an Error about a field of the operators' file.
+func (o *Operator) invalid(field, format string, args ...any) error {
+	return &Error{Path: o.file.Path, Line: o.file.Line(field), Field: field, Reason: fmt.Errorf(format, args...)}
+}
+
+// fileError makes an Error of what tomlfile found wrong with the operators' file.
+func fileError(err error) error {
+	var found *tomlfile.Error
+	if !errors.As(err, &found) {
+		return &Error{Reason: err}
+	}
+	return &Error{Path: found.Path, Line: found.Line, Field: found.Field, Reason: errors.New(found.Text)}
+}
+
+// FieldError is a field of a JSON message whose value is unknown or out of range: of the platform's settings, or of
+// the simulator's messages.
+type FieldError struct {
+	Field  string // dotted
+	Reason string
+}
+
+// Error returns the field and the reason on one line.
+func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Reason }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -24,7 +24,7 @@
 "rules":{"cold_from":0.2,"warm_after":8000000,"overload_factor":3,"must_ask_in":9000000,"drain_grace":2000000},
 "deductions":{"connection":0.1,"handshake":0.2,"cross_zone":0.3},"tick":5000}}`
 
-// everyOperatorKey is an operator's file with every key but those of [service].
+// everyOperatorKey is an operators' file with every key but those of [service].
 const everyOperatorKey = `[node]
 name = "n2"
 listen = "127.0.0.1:1"
@@ -121,7 +121,7 @@
 window = "5s"
 `
 
-// TestGoldenConfiguration: every key of the platform's and the operators' files is read, and shown as earlier releases did.
+// Every key of the platform's and the operators' files is read, and shown as earlier releases did.
 func TestGoldenConfiguration(t *testing.T) {
 	var lines golden.Lines
 	for _, test := range []struct{ name, platform, operator string }{
@@ -134,19 +134,28 @@
 			t.Fatalf("%s: %v", test.name, err)
 		}
 		lines.Text("configuration", test.name)
-		for _, s := range cfg.Show() {
-			lines.Text(s.Field, s.Value+" ("+strings.ReplaceAll(s.From, dir+"/", "")+")")
+		for _, setting := range cfg.Show() {
+			lines.Text(setting.Field, setting.Value+" ("+strings.ReplaceAll(setting.From, dir+"/", "")+")")
 		}
-		o := cfg.Operator
-		lines.Text("not shown", fmt.Sprint(o.Rollout.Beacon, o.Rollout.Silent, o.Rollout.Lease, o.Rollout.Return, o.Rollout.Lost, o.Rollout.Watch,
-			o.Rollout.LeastJudged, o.Rollout.Drift, o.Membership.On, o.Membership.Period, o.Membership.Wait, o.Membership.Ask, o.Membership.Suspicion,
-			cfg.Peers.Listen, cfg.Peers.Broadcast, cfg.Policy.MaxPollInterval, cfg.Policy.DrainGrace, cfg.Policy.OverQuotaFraction, cfg.Policy.AffinityBudget, cfg.Policy.MaxEjectedFraction))
+		lines.Text("not shown", valuesNotShown(cfg))
 	}
 	golden.Check(t, "configuration.golden", lines.Bytes())
 }
 
-// TestErrorsNameTheField: bad configuration is one line that names the field, and the line of the operator's file.
-func TestErrorsNameTheField(t *testing.T) {
+// valuesNotShown returns the values that are read and that Show leaves out.
+func valuesNotShown(cfg *Config) string {
+	rollout, membership := cfg.Operator.Rollout, cfg.Operator.Membership
+	return fmt.Sprint(
+		rollout.HeartbeatInterval, rollout.UnresponsiveAfter, rollout.RequestTimeout, rollout.ReturnTimeout,
+		rollout.WriteOffAfter, rollout.ObservationPeriod, rollout.MinSamples, rollout.MaxClockDrift,
+		membership.On, membership.ProbeInterval, membership.ProbeTimeout, membership.IndirectProbes, membership.SuspicionFactor,
+		cfg.Peers.Listen, cfg.Peers.Broadcast,
+		cfg.Policy.MaxPollInterval, cfg.Policy.DrainGrace, cfg.Policy.OverQuotaFraction, cfg.Policy.AffinityBudget,
+		cfg.Policy.MaxEjectedFraction)
+}
+
+// A bad configuration is one line that names the field, and the line of the operators' file.
+func TestErrorIsOneLineThatNamesTheField(t *testing.T) {
 	platform := func(old, replacement string) string { return strings.Replace(everyPlatformKey, old, replacement, 1) }
 	operator := func(old, replacement string) string { return strings.Replace(everyOperatorKey, old, replacement, 1) }
 	for _, test := range []struct{ platform, operator, want string }{
@@ -170,7 +179,7 @@
 	} {
 		_, dir, err := load(t, test.platform, test.operator, nil)
 		if err == nil {
-			t.Errorf("%s %s: taken", test.platform, test.operator)
+			t.Errorf("%s %s: got no error, want one with %q", test.platform, test.operator, test.want)
 			continue
 		}
 		got := strings.ReplaceAll(err.Error(), dir+"/", "")
--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,152 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"github.com/valyala/fastjson"
+
+	"shelfproxy/internal/discovery"
+	"shelfproxy/internal/fleet/peers"
+	"shelfproxy/internal/policy"
+)
+
+// Bounds of the platform's limits.
+const (
+	minMemoryMB = 32
+	minSockets  = 128
+	maxInteger  = 1 << 52 // up to which a JSON number is exact
+)
+
+// applyPlatform reads the platform's configuration at path, but for its settings. It returns nil where there is none
+// and the operators' file stands in for it.
+func (c *Config) applyPlatform(path string) (*fastjson.Value, error) {
+	operator := c.Operator
+	switch {
+	case path != "":
+		return c.readPlatform(path)
+	case operator.file == nil:
+		return nil, invalid(platformVariable, "not set")
+	case operator.Service == nil:
+		return nil, operator.invalid("service", "missing, and "+platformVariable+" is not set")
+	}
+	return nil, nil
+}
+
+// readPlatform reads the platform's configuration, but for its settings. It overrides what was set before.
+func (c *Config) readPlatform(path string) (*fastjson.Value, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, &Error{Field: platformVariable, Reason: err}
+	}
+	platform, err := fastjson.ParseBytes(text)
+	if err != nil {
+		return nil, invalid(platformVariable, "%s: not JSON: %w", path, err)
+	}
+	c.applyPlatformTexts(platform, path)
+	if err := c.applyPlatformLimits(platform, path); err != nil {
+		return nil, err
+	}
+	c.applyPlatformPeers(platform)
+	if err := c.applyPlatformList(platform, path); err != nil {
+		return nil, err
+	}
+	return platform, nil
+}
+
+func (c *Config) applyPlatformTexts(platform *fastjson.Value, path string) {
+	for _, text := range []struct {
+		field string
+		value *string
+	}{
+		{"name", &c.Name},
+		{"listen", &c.Listen},
+		{"discovery", &c.Discovery},
+		{"seed", &c.seedText},
+	} {
+		if given := platform.GetStringBytes(text.field); given != nil {
+			*text.value, c.sources[text.field] = string(given), path
+		}
+	}
+}
+
+func (c *Config) applyPlatformLimits(platform *fastjson.Value, path string) error {
+	if given := platform.Get("limits", "cores"); given != nil {
+		cores, err := given.Float64()
+		if err != nil || cores < 0 {
+			return invalid("limits.cores", "%s is not a number from 0", given.MarshalTo(nil))
+		}
+		c.Cores, c.sources["limits.cores"] = cores, path
+	}
+	for _, limit := range []struct {
+		name  string
+		value *int
+		least int
+	}{
+		{"memory_mb", &c.MemoryMB, minMemoryMB},
+		{"sockets", &c.Sockets, minSockets},
+	} {
+		given := platform.Get("limits", limit.name)
+		if given == nil {
+			continue
+		}
+		field := "limits." + limit.name
+		number, err := given.Float64()
+		if err != nil || number < float64(limit.least) || number > maxInteger {
+			return invalid(field, "%s is not a number from %d", given.MarshalTo(nil), limit.least)
+		}
+		*limit.value, c.sources[field] = int(number), path
+	}
+	return nil
+}
+
+func (c *Config) applyPlatformPeers(platform *fastjson.Value) {
+	c.Peers = peers.Addresses{
+		Listen:    string(platform.GetStringBytes("peer_listen")),
+		Broadcast: string(platform.GetStringBytes("peers_all")),
+	}
+	for _, peer := range platform.GetArray("peers") {
+		c.Peers.Peers = append(c.Peers.Peers, string(peer.GetStringBytes()))
+	}
+}
+
+// applyPlatformList takes the endpoint list that the platform knew at the node's start.
+func (c *Config) applyPlatformList(platform *fastjson.Value, path string) error {
+	known := platform.Get("known")
+	if known == nil || known.Type() == fastjson.TypeNull {
+		return nil
+	}
+	list, err := discovery.Parse(known)
+	if err != nil {
+		return &Error{Field: "known", Reason: err}
+	}
+	c.InitialList, c.sources["known"] = list, path
+	return nil
+}
+
+// errMissing is the reason for a field that has to be there.
+var errMissing = errors.New("missing")
+
+// applyPlatformSettings takes the deployment's settings from the platform's configuration.
+func (c *Config) applyPlatformSettings(platform *fastjson.Value, path string) error {
+	given := platform.Get("settings")
+	if given == nil {
+		return &Error{Field: "settings", Reason: errMissing}
+	}
+	settings, err := ParseSettings(given.MarshalTo(nil))
+	if err != nil {
+		return &Error{Field: "settings", Reason: err}
+	}
+	// A reload must not accept what a start would reject.
+	if _, err := policy.New(settings.Policy, c.Seed); err != nil {
+		return &Error{Field: "settings", Reason: err}
+	}
+	c.Settings, c.sources["settings"] = settings, path
+	return nil
+}
+
+// source returns where the operators' file sets a field, for `config show`.
+func (o *Operator) source(field string) string {
+	return fmt.Sprintf("%s:%d", o.file.Path, o.file.Line(field))
+}
--- /dev/null
+++ b/internal/config/service.go
@@ -0,0 +1,152 @@
+package config
+
+import (
+	"fmt"
+
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/tomlfile"
+)
+
+// Service is the [service] table: what the nodes of a deployment have in common, where no platform says it.
+type Service struct {
+	Nodes          int               `toml:"nodes"` // that share the traffic
+	Zone           string            `toml:"zone"`  // of this node
+	Subscribe      bool              `toml:"subscribe"`
+	HealthChecks   bool              `toml:"probes"`
+	Cancel         bool              `toml:"cancel"`
+	MaxAttempts    int               `toml:"max_attempts"`
+	MaxOpen        int               `toml:"max_open"`
+	MaxStreams     int               `toml:"streams_per_connection"`
+	ConnectTimeout tomlfile.Duration `toml:"connect_timeout"`
+	ConnectionIdle tomlfile.Duration `toml:"connection_idle"`
+	MaxRetryAfter  tomlfile.Duration `toml:"max_retry_after"` // 0: clients do not follow a Retry-After
+	OriginKind     string            `toml:"origin_kind"`
+	SizedWeights   bool              `toml:"sized_weights"`
+	Tick           tomlfile.Duration `toml:"tick"`
+	SlowStart      ServiceSlowStart  `toml:"cold"`
+	Classes        []ServiceClass    `toml:"class"`
+}
+
+// ServiceSlowStart says how a restarted cache server behaves.
+type ServiceSlowStart struct {
+	Floor          float64           `toml:"from"`       // fraction of its capacity that it starts with, 0 to 1
+	Duration       tomlfile.Duration `toml:"warm_after"` // until it has all of it
+	OverloadFactor float64           `toml:"overload"`   // multiple of its capacity past which it fails
+}
+
+// ServiceClass is one class of requests.
+type ServiceClass struct {
+	Name             string            `toml:"name"`
+	PriorityWeight   float64           `toml:"worth"`
+	LatencyObjective tomlfile.Duration `toml:"aim"`
+	LateFraction     float64           `toml:"late_worth"`
+	Deadline         tomlfile.Duration `toml:"deadline"`
+	Effect           string            `toml:"effect"` // idempotent, deduplicated or at_most_once
+	DedupScope       string            `toml:"group"`  // all, zone or cell: the servers that recognise a repeated request
+	DedupWindow      tomlfile.Duration `toml:"window"`
+}
+
+// settings makes of the [service] table what ParseSettings makes of the platform's settings.
+func (o *Operator) settings() (Settings, error) {
+	if err := o.validateService(); err != nil {
+		return Settings{}, err
+	}
+	settings := o.Service.settings()
+	for i := range o.Service.Classes {
+		class, err := o.class(i)
+		if err != nil {
+			return Settings{}, err
+		}
+		settings.Policy.Classes = append(settings.Policy.Classes, class)
+		settings.Node.MaxDeadline = max(settings.Node.MaxDeadline, o.Service.Classes[i].Deadline.D())
+	}
+	if _, err := policy.New(settings.Policy, 0); err != nil {
+		return Settings{}, o.invalid("service", "%w", err)
+	}
+	return settings, nil
+}
+
+// settings translates the table without its classes.
+func (s *Service) settings() Settings {
+	return Settings{
+		Policy: policy.Settings{
+			Nodes:             s.Nodes,
+			Zone:              s.Zone,
+			MustPoll:          s.Subscribe,
+			MayHealthCheck:    s.HealthChecks,
+			MayCancel:         s.Cancel,
+			MaxAttempts:       s.MaxAttempts,
+			MaxRetryAfter:     s.MaxRetryAfter.D(),
+			Tick:              s.Tick.D(),
+			OriginKind:        s.OriginKind,
+			WeightByCapacity:  s.SizedWeights,
+			SlowStartFloor:    s.SlowStart.Floor,
+			SlowStartDuration: s.SlowStart.Duration.D(),
+			OverloadFactor:    s.SlowStart.OverloadFactor,
+		},
+		Node: Node{
+			MaxOpenRequests: s.MaxOpen,
+			MaxStreams:      s.MaxStreams,
+			ConnectTimeout:  s.ConnectTimeout.D(),
+			ConnectionIdle:  s.ConnectionIdle.D(),
+		},
+	}
+}
+
+// validateService checks the table without its classes.
+func (o *Operator) validateService() error {
+	service := o.Service
+	for _, check := range []struct {
+		field     string
+		isInvalid bool
+		reason    string
+	}{
+		{"nodes", service.Nodes < 1, "must be at least 1"},
+		{"max_attempts", service.MaxAttempts < 1, "must be at least 1"},
+		{"max_open", service.MaxOpen < 1, "must be at least 1"},
+		{"streams_per_connection", service.MaxStreams < 1, "must be at least 1"},
+		{"connect_timeout", service.ConnectTimeout <= 0, "must be above 0"},
+		{"connection_idle", service.ConnectionIdle <= 0, "must be above 0"},
+		{"cold.from", !isBetween(service.SlowStart.Floor, 0, 1), "must be from 0 to 1"},
+		{"cold.overload", !(service.SlowStart.OverloadFactor > 0), "must be above 0"},
+		{"class", len(service.Classes) == 0, "there must be at least one"},
+	} {
+		if check.isInvalid {
+			return o.invalid("service."+check.field, "%s", check.reason)
+		}
+	}
+	return nil
+}
+
+// class checks and translates the class at index.
+func (o *Operator) class(index int) (policy.Class, error) {
+	class := o.Service.Classes[index]
+	invalidClass := func(field, format string, args ...any) (policy.Class, error) {
+		return policy.Class{}, o.invalid(fmt.Sprintf("service.class[%d].%s", index, field), format, args...)
+	}
+	effect, isEffect := effects[class.Effect]
+	scope, isScope := dedupScopes[class.DedupScope]
+	switch {
+	case class.Name == "":
+		return invalidClass("name", "missing")
+	case !isEffect:
+		return invalidClass("effect", "%q is none of idempotent, deduplicated, at_most_once", class.Effect)
+	case !isScope:
+		return invalidClass("group", "%q is none of all, zone, cell", class.DedupScope)
+	case class.LatencyObjective <= 0:
+		return invalidClass("aim", "must be above 0")
+	case class.Deadline < class.LatencyObjective:
+		return invalidClass("deadline", "must not be before aim")
+	case !(class.PriorityWeight >= 0):
+		return invalidClass("worth", "must not be negative")
+	}
+	return policy.Class{
+		Name:             class.Name,
+		PriorityWeight:   class.PriorityWeight,
+		LatencyObjective: class.LatencyObjective.D(),
+		LateFraction:     class.LateFraction,
+		Effect:           effect,
+		DedupScope:       scope,
+		DedupWindow:      class.DedupWindow.D(),
+	}, nil
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"time"
 
@@ -10,172 +9,235 @@
 	"shelfproxy/internal/policy/locality"
 )
 
-// Settings are what the deployment tells every node, in the simulator and on sockets.
+// Settings are the same at all nodes of a deployment, in the simulator and on sockets.
 type Settings struct {
 	Policy policy.Settings
 	Node   Node
 }
 
-// Node holds the settings that the sockets need and the module does not.
+// Node holds the settings that only the request path needs.
 type Node struct {
 	MaxOpenRequests int
-	MaxStreams      int // forwards on one connection
+	MaxStreams      int // attempts in flight on one connection
 	ConnectTimeout  time.Duration
-	ConnectionIdle  time.Duration
-	MaxDeadline     time.Duration // longest deadline of a class
+	ConnectionIdle  time.Duration // after which an endpoint closes an idle connection
+	MaxDeadline     time.Duration // the longest deadline of a class
 }
 
-// setup holds the settings that the module and the node use; all others are skipped.
+// What Node has where the settings do not say it.
+const (
+	defaultMaxOpenRequests = 20000
+	defaultMaxStreams      = 1
+	defaultConnectTimeout  = 250 * time.Millisecond
+	defaultConnectionIdle  = 30 * time.Second
+)
+
+// setup is the JSON of the settings; keys that neither the policy nor the node uses are skipped. The simulator is sent the
+// texts of encoding/json's errors, and these have the names of types: hence this one's name, and aliases for its parts.
 type setup struct {
-	Replicas int    `json:"replicas_of_me"`
-	Zone     string `json:"az"`
-	Lanes    []struct {
-		Name      string  `json:"name"`
-		Deadline  int64   `json:"deadline"`
-		Worth     float64 `json:"worth"`
-		GoalTime  int64   `json:"goal_time"`
-		LateWorth float64 `json:"late_worth"`
-		Semantics string  `json:"semantics"`
-		KeyScope  string  `json:"key_scope"`
-		Window    int64   `json:"window"`
-	} `json:"lanes"`
-	Accounts []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quota_per_s"`
-	} `json:"accounts"`
-	OverShare float64  `json:"over_share_worth"`
-	Machines  []string `json:"machine_types"`
-	Family    struct {
-		Mode       string `json:"mode"`
-		OriginKind int    `json:"origin_kind"`
-	} `json:"family_info"`
-	Weights  string `json:"weights"`
-	Registry string `json:"registry_mode"`
-	Limits   struct {
-		Peers         bool   `json:"may_tell"`
-		Probes        bool   `json:"probes"`
-		Cancel        bool   `json:"cancel"`
-		RetryAfter    bool   `json:"retry_after"`
-		MaxAttempts   int    `json:"max_attempts"`
-		MaxRetryAfter int64  `json:"max_retry_after"`
-		MaxOpen       *int   `json:"max_open"`
-		Streams       *int   `json:"streams_per_conn"`
-		Connect       *int64 `json:"connect_timeout"`
-		Idle          *int64 `json:"conn_idle"`
-	} `json:"limits"`
-	Rules struct {
-		ColdFrom  float64 `json:"cold_from"`
-		WarmAfter int64   `json:"warm_after"`
-		Overload  float64 `json:"overload_factor"`
-		MustAskIn int64   `json:"must_ask_in"`
-		Drain     int64   `json:"drain_grace"`
-	} `json:"rules"`
-	Prices struct {
-		Connection float64 `json:"connection"`
-		Handshake  float64 `json:"handshake"`
-		Cross      float64 `json:"cross_zone"`
-	} `json:"deductions"`
-	Tick int64 `json:"tick"`
-}
-
-var effects = map[string]policy.Effect{"": policy.Idempotent, "idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated,
-	"at_most_once": policy.AtMostOnce}
-
-var groups = map[string]policy.DedupScope{"": policy.AllServers, "all": policy.AllServers, "zone": policy.SameZone,
-	"cell": policy.SameCell}
-
-// ParseSettings reads the settings: those of a node's configuration and those of the simulator's first message
-// are the same object.
+	Nodes             int       `json:"replicas_of_me"`
+	Zone              string    `json:"az"`
+	Classes           []class   `json:"lanes"`
+	Tenants           []tenant  `json:"accounts"`
+	OverQuotaFraction float64   `json:"over_share_worth"`
+	Kinds             []string  `json:"machine_types"`
+	Family            family    `json:"family_info"`
+	Weights           string    `json:"weights"`
+	Discovery         string    `json:"registry_mode"`
+	Limits            limits    `json:"limits"`
+	Behaviour         behaviour `json:"rules"`
+	Costs             costs     `json:"deductions"`
+	Tick              int64     `json:"tick"` // microseconds, as all times here
+}
+
+type class = struct {
+	Name             string  `json:"name"`
+	Deadline         int64   `json:"deadline"`
+	PriorityWeight   float64 `json:"worth"`
+	LatencyObjective int64   `json:"goal_time"`
+	LateFraction     float64 `json:"late_worth"`
+	Effect           string  `json:"semantics"`
+	DedupScope       string  `json:"key_scope"`
+	DedupWindow      int64   `json:"window"`
+}
+
+type tenant = struct {
+	Name  string  `json:"name"`
+	Quota float64 `json:"quota_per_s"`
+}
+
+type family = struct {
+	Mode       string `json:"mode"`
+	OriginKind int    `json:"origin_kind"` // index into the machine types
+}
+
+type limits = struct {
+	MayGossip      bool   `json:"may_tell"`
+	MayHealthCheck bool   `json:"probes"`
+	MayCancel      bool   `json:"cancel"`
+	HasRetryAfter  bool   `json:"retry_after"`
+	MaxAttempts    int    `json:"max_attempts"`
+	MaxRetryAfter  int64  `json:"max_retry_after"`
+	MaxOpen        *int   `json:"max_open"`
+	MaxStreams     *int   `json:"streams_per_conn"`
+	ConnectTimeout *int64 `json:"connect_timeout"`
+	ConnectionIdle *int64 `json:"conn_idle"`
+}
+
+type behaviour = struct {
+	SlowStartFloor    float64 `json:"cold_from"`
+	SlowStartDuration int64   `json:"warm_after"`
+	OverloadFactor    float64 `json:"overload_factor"`
+	MaxPollInterval   int64   `json:"must_ask_in"`
+	DrainGrace        int64   `json:"drain_grace"`
+}
+
+type costs = struct {
+	Connection float64 `json:"connection"`
+	Handshake  float64 `json:"handshake"`
+	CrossZone  float64 `json:"cross_zone"`
+}
+
+var effects = map[string]policy.Effect{
+	"":             policy.Idempotent,
+	"idempotent":   policy.Idempotent,
+	"deduplicated": policy.Deduplicated,
+	"at_most_once": policy.AtMostOnce,
+}
+
+var dedupScopes = map[string]policy.DedupScope{
+	"":     policy.AllServers,
+	"all":  policy.AllServers,
+	"zone": policy.SameZone,
+	"cell": policy.SameCell,
+}
+
+// ParseSettings reads the settings from JSON: a node's configuration and the simulator's first message have the same
+// object. It returns a *FieldError for a value that is unknown or out of range, and the errors of encoding/json.
 func ParseSettings(raw []byte) (Settings, error) {
-	var in setup
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var given setup
+	if err := json.Unmarshal(raw, &given); err != nil {
 		return Settings{}, err
 	}
-	module, err := in.module()
+	policySettings, err := given.policy()
 	if err != nil {
 		return Settings{}, err
 	}
-	node, err := in.node()
-	return Settings{Policy: module, Node: node}, err
-}
-
-func (in *setup) module() (policy.Settings, error) {
-	set := policy.Settings{
-		Nodes: in.Replicas, Zone: in.Zone, OverQuotaFraction: in.OverShare,
-		WeightByCapacity: in.Weights == "nominal" || in.Weights == "rough",
-		MustPoll:         in.Registry == "subscribe",
-		MayGossip:        in.Limits.Peers, MayHealthCheck: in.Limits.Probes, MayCancel: in.Limits.Cancel,
-		MaxAttempts: in.Limits.MaxAttempts, Tick: micros(in.Tick),
-		SlowStartFloor: in.Rules.ColdFrom, SlowStartDuration: micros(in.Rules.WarmAfter),
-		OverloadFactor:  in.Rules.Overload,
-		MaxPollInterval: micros(in.Rules.MustAskIn), DrainGrace: micros(in.Rules.Drain),
-		ConnectionCost: in.Prices.Connection, HandshakeCost: in.Prices.Handshake, CrossZoneCost: in.Prices.Cross, AffinityBudget: locality.DefaultAffinityBudget,
+	node, err := given.node()
+	return Settings{Policy: policySettings, Node: node}, err
+}
+
+// policy translates what the policy needs.
+func (s *setup) policy() (policy.Settings, error) {
+	settings := policy.Settings{
+		Nodes:             s.Nodes,
+		Zone:              s.Zone,
+		OverQuotaFraction: s.OverQuotaFraction,
+		WeightByCapacity:  s.Weights == "nominal" || s.Weights == "rough",
+		MustPoll:          s.Discovery == "subscribe",
+		MayGossip:         s.Limits.MayGossip,
+		MayHealthCheck:    s.Limits.MayHealthCheck,
+		MayCancel:         s.Limits.MayCancel,
+		MaxAttempts:       s.Limits.MaxAttempts,
+		Tick:              micros(s.Tick),
+		SlowStartFloor:    s.Behaviour.SlowStartFloor,
+		SlowStartDuration: micros(s.Behaviour.SlowStartDuration),
+		OverloadFactor:    s.Behaviour.OverloadFactor,
+		MaxPollInterval:   micros(s.Behaviour.MaxPollInterval),
+		DrainGrace:        micros(s.Behaviour.DrainGrace),
+		ConnectionCost:    s.Costs.Connection,
+		HandshakeCost:     s.Costs.Handshake,
+		CrossZoneCost:     s.Costs.CrossZone,
+		AffinityBudget:    locality.DefaultAffinityBudget,
 	}
-	if in.Limits.RetryAfter {
-		set.MaxRetryAfter = micros(in.Limits.MaxRetryAfter)
+	if s.Limits.HasRetryAfter {
+		settings.MaxRetryAfter = micros(s.Limits.MaxRetryAfter)
 	}
-	if in.Family.Mode == "aside" {
-		if in.Family.OriginKind < 0 || in.Family.OriginKind >= len(in.Machines) {
-			return set, fmt.Errorf("field family_info.origin_kind: no machine type %d",
-				in.Family.OriginKind)
+	if s.Family.Mode == "aside" {
+		if s.Family.OriginKind < 0 || s.Family.OriginKind >= len(s.Kinds) {
+			return settings, &FieldError{Field: "family_info.origin_kind", Reason: fmt.Sprintf("no machine type %d", s.Family.OriginKind)}
 		}
-		set.OriginKind = in.Machines[in.Family.OriginKind]
+		settings.OriginKind = s.Kinds[s.Family.OriginKind]
 	}
-	for _, l := range in.Lanes {
-		effect, err := ParseEnum(effects, "lanes.semantics", l.Semantics)
+	for i := range s.Classes {
+		class, err := policyClass(&s.Classes[i])
 		if err != nil {
-			return set, err
+			return settings, err
 		}
-		group, err := ParseEnum(groups, "lanes.key_scope", l.KeyScope)
-		if err != nil {
-			return set, err
-		}
-		set.Classes = append(set.Classes, policy.Class{Name: l.Name, PriorityWeight: l.Worth, LatencyObjective: micros(l.GoalTime),
-			LateFraction: l.LateWorth, Effect: effect, DedupScope: group, DedupWindow: micros(l.Window)})
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, a := range in.Accounts {
-		set.Tenants = append(set.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
+	for _, tenant := range s.Tenants {
+		settings.Tenants = append(settings.Tenants, policy.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
-	return set, nil
+	return settings, nil
 }
 
-func (in *setup) node() (Node, error) {
-	n := Node{MaxOpenRequests: 20000, MaxStreams: 1, ConnectTimeout: 250 * time.Millisecond, ConnectionIdle: 30 * time.Second}
-	for _, l := range in.Lanes {
-		n.MaxDeadline = max(n.MaxDeadline, micros(l.Deadline))
-	}
-	if v := in.Limits.MaxOpen; v != nil {
-		n.MaxOpenRequests = *v
+// policyClass translates one class.
+func policyClass(given *class) (policy.Class, error) {
+	effect, err := ParseEnum(effects, "lanes.semantics", given.Effect)
+	if err != nil {
+		return policy.Class{}, err
 	}
-	if v := in.Limits.Streams; v != nil {
-		n.MaxStreams = *v
+	scope, err := ParseEnum(dedupScopes, "lanes.key_scope", given.DedupScope)
+	if err != nil {
+		return policy.Class{}, err
 	}
-	if v := in.Limits.Connect; v != nil {
-		n.ConnectTimeout = micros(*v)
+	return policy.Class{
+		Name:             given.Name,
+		PriorityWeight:   given.PriorityWeight,
+		LatencyObjective: micros(given.LatencyObjective),
+		LateFraction:     given.LateFraction,
+		Effect:           effect,
+		DedupScope:       scope,
+		DedupWindow:      micros(given.DedupWindow),
+	}, nil
+}
+
+// node translates what the request path needs.
+func (s *setup) node() (Node, error) {
+	node := Node{
+		MaxOpenRequests: valueOr(s.Limits.MaxOpen, defaultMaxOpenRequests),
+		MaxStreams:      valueOr(s.Limits.MaxStreams, defaultMaxStreams),
+		ConnectTimeout:  microsOr(s.Limits.ConnectTimeout, defaultConnectTimeout),
+		ConnectionIdle:  microsOr(s.Limits.ConnectionIdle, defaultConnectionIdle),
 	}
-	if v := in.Limits.Idle; v != nil {
-		n.ConnectionIdle = micros(*v)
+	for i := range s.Classes {
+		node.MaxDeadline = max(node.MaxDeadline, micros(s.Classes[i].Deadline))
 	}
 	switch {
-	case n.MaxOpenRequests < 1:
-		return n, errors.New("field limits.max_open: must be at least 1")
-	case n.MaxStreams < 1:
-		return n, errors.New("field limits.streams_per_conn: must be at least 1")
-	case n.ConnectTimeout <= 0:
-		return n, errors.New("field limits.connect_timeout: must be above 0")
-	case n.ConnectionIdle <= 0:
-		return n, errors.New("field limits.conn_idle: must be above 0")
+	case node.MaxOpenRequests < 1:
+		return node, &FieldError{Field: "limits.max_open", Reason: "must be at least 1"}
+	case node.MaxStreams < 1:
+		return node, &FieldError{Field: "limits.streams_per_conn", Reason: "must be at least 1"}
+	case node.ConnectTimeout <= 0:
+		return node, &FieldError{Field: "limits.connect_timeout", Reason: "must be above 0"}
+	case node.ConnectionIdle <= 0:
+		return node, &FieldError{Field: "limits.conn_idle", Reason: "must be above 0"}
 	}
-	return n, nil
+	return node, nil
 }
 
-// ParseEnum looks up a word of the settings and names the field where it is not one.
-func ParseEnum[T any](words map[string]T, field, w string) (T, error) {
-	v, ok := words[w]
+// ParseEnum returns the value that a JSON field names, or a *FieldError where it names none.
+func ParseEnum[T any](values map[string]T, field, name string) (T, error) {
+	value, ok := values[name]
 	if !ok {
-		return v, fmt.Errorf("field %s: unknown value %q", field, w)
+		return value, &FieldError{Field: field, Reason: fmt.Sprintf("unknown value %q", name)}
 	}
-	return v, nil
+	return value, nil
 }
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
+func valueOr(given *int, otherwise int) int {
+	if given == nil {
+		return otherwise
+	}
+	return *given
+}
+
+func microsOr(given *int64, otherwise time.Duration) time.Duration {
+	if given == nil {
+		return otherwise
+	}
+	return micros(*given)
+}
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -8,92 +8,114 @@
 	"shelfproxy/internal/policy"
 )
 
-// Setting is one value in force and where it came from: a file (with its line for the operator's), a variable, or
+// Setting is one value in force and its source: a file (with the line, where it is the operators'), a variable, or
 // "default".
 type Setting struct{ Field, Value, From string }
 
-var effectWords = map[policy.Effect]string{policy.Idempotent: "idempotent", policy.Deduplicated: "deduplicated", policy.AtMostOnce: "at_most_once"}
+// defaultSource is the source of a value that neither a file nor a variable sets.
+const defaultSource = "default"
 
-// Show lists every value in force, in a fixed order.
+var effectNames = map[policy.Effect]string{
+	policy.Idempotent:   "idempotent",
+	policy.Deduplicated: "deduplicated",
+	policy.AtMostOnce:   "at_most_once",
+}
+
+// Show lists the values in force, always in the same order: those of the start, the operators', and the deployment's.
 func (c *Config) Show() []Setting {
-	var out []Setting
-	add := func(field string, v any, from string) {
-		if from == "" {
-			from = "default"
-		}
-		out = append(out, Setting{field, fmt.Sprint(v), from})
+	var shown listing
+	c.showStart(&shown)
+	c.Operator.show(&shown)
+	c.showPolicy(&shown)
+	return shown
+}
+
+// listing is the settings of Show so far.
+type listing []Setting
+
+func (l *listing) add(field string, value any, source string) {
+	if source == "" {
+		source = defaultSource
 	}
-	own := func(field string, v any) { add(field, v, c.from[field]) }
-	own("name", c.Name)
-	own("listen", c.Listen)
-	own("discovery", c.Discovery)
-	own("seed", strconv.FormatUint(c.Seed, 16))
-	own("limits.cores", c.Cores)
-	own("limits.memory_mb", c.MemoryMB)
-	own("limits.sockets", c.Sockets)
-	own("peers", strings.Join(c.Peers.Peers, " "))
-	own("known", fmt.Sprintf("%d servers at version %d", len(c.InitialList.Servers), c.InitialList.Version))
+	*l = append(*l, Setting{Field: field, Value: fmt.Sprint(value), From: source})
+}
 
-	o := c.Operator
-	file := func(field string, v any) {
-		from := ""
+func (c *Config) showStart(shown *listing) {
+	add := func(field string, value any) { shown.add(field, value, c.sources[field]) }
+	add("name", c.Name)
+	add("listen", c.Listen)
+	add("discovery", c.Discovery)
+	add("seed", strconv.FormatUint(c.Seed, 16))
+	add("limits.cores", c.Cores)
+	add("limits.memory_mb", c.MemoryMB)
+	add("limits.sockets", c.Sockets)
+	add("peers", strings.Join(c.Peers.Peers, " "))
+	add("known", fmt.Sprintf("%d servers at version %d", len(c.InitialList.Servers), c.InitialList.Version))
+}
+
+func (o *Operator) show(shown *listing) {
+	add := func(field string, value any) {
+		source := defaultSource
 		if o.file.Has(field) {
-			from = c.place(field)
+			source = o.source(field)
 		}
-		add(field, v, from)
+		shown.add(field, value, source)
 	}
-	file("log.level", o.Log.Level)
-	file("log.format", o.Log.Format)
-	file("listener.share", o.Listener.Share)
-	file("listener.pipelined", o.Listener.Pipelined)
-	file("listener.write", o.Listener.Write)
-	file("listener.silent", o.Listener.Silent)
-	file("listener.idle", o.Listener.Idle)
-	file("listener.idle_crowded", o.Listener.IdleCrowded)
-	file("pools.target_share", o.Pools.TargetShare)
-	file("pools.origin_share", o.Pools.OriginShare)
-	file("pools.connections", o.Pools.Connections)
-	file("pools.waiting", o.Pools.Waiting)
-	file("shutdown.grace", o.Shutdown.Grace)
-	file("shutdown.last", o.Shutdown.Last)
-	file("zones.leave_owner", o.Zones.Leave)
-	file("rollout.nodes_out", o.Rollout.NodesOut)
-	file("rollout.zone_out", o.Rollout.ZoneOut)
-	file("rollout.servers_out", o.Rollout.ServersOut)
-	file("rollout.release", o.Rollout.Release)
-	file("rollout.control", o.Rollout.Control)
-	file("rollout.max_failed", o.Rollout.MaxFailed)
-	file("rollout.max_slow", o.Rollout.MaxSlow)
-	file("duties.hold", strings.Join(o.Leases.Hold, " "))
-	file("duties.lease", o.Leases.Lease)
-	file("duties.drift", o.Leases.Drift)
-	file("duties.list", o.Leases.List)
+	add("log.level", o.Log.Level)
+	add("log.format", o.Log.Format)
+	add("listener.share", o.Listener.Share)
+	add("listener.pipelined", o.Listener.Pipelined)
+	add("listener.write", o.Listener.Write)
+	add("listener.silent", o.Listener.Silent)
+	add("listener.idle", o.Listener.Idle)
+	add("listener.idle_crowded", o.Listener.IdleCrowded)
+	add("pools.target_share", o.Pools.TargetShare)
+	add("pools.origin_share", o.Pools.OriginShare)
+	add("pools.connections", o.Pools.Connections)
+	add("pools.waiting", o.Pools.Waiting)
+	add("shutdown.grace", o.Shutdown.Grace)
+	add("shutdown.last", o.Shutdown.LastResponse)
+	add("zones.leave_owner", o.Zones.AffinityBudget)
+	add("rollout.nodes_out", o.Rollout.NodesOut)
+	add("rollout.zone_out", o.Rollout.ZoneOut)
+	add("rollout.servers_out", o.Rollout.MaxEjectedFraction)
+	add("rollout.release", o.Rollout.Release)
+	add("rollout.control", o.Rollout.Control)
+	add("rollout.max_failed", o.Rollout.MaxFailureRate)
+	add("rollout.max_slow", o.Rollout.MaxSlowRate)
+	add("duties.hold", strings.Join(o.Leases.Hold, " "))
+	add("duties.lease", o.Leases.LeaseDuration)
+	add("duties.drift", o.Leases.MaxClockDrift)
+	add("duties.list", o.Leases.List)
+}
 
-	m, n := c.Policy, c.Node
-	set := func(field string, v any) { add("settings."+field, v, c.from["settings"]) }
-	set("nodes", m.Nodes)
-	set("zone", m.Zone)
-	set("subscribe", m.MustPoll)
-	set("probes", m.MayHealthCheck)
-	set("cancel", m.MayCancel)
-	set("max_attempts", m.MaxAttempts)
-	set("max_retry_after", m.MaxRetryAfter)
-	set("max_open", n.MaxOpenRequests)
-	set("streams_per_connection", n.MaxStreams)
-	set("connect_timeout", n.ConnectTimeout)
-	set("connection_idle", n.ConnectionIdle)
-	set("longest_wait", n.MaxDeadline)
-	set("origin_kind", m.OriginKind)
-	set("sized_weights", m.WeightByCapacity)
-	set("tick", m.Tick)
-	set("cold", fmt.Sprintf("from %v, warm after %v, falls over past %v", m.SlowStartFloor, m.SlowStartDuration, m.OverloadFactor))
-	set("prices", fmt.Sprintf("connection %v, handshake %v, crossing %v", m.ConnectionCost, m.HandshakeCost, m.CrossZoneCost))
-	for _, cl := range m.Classes {
-		set("class."+cl.Name, fmt.Sprintf("worth %v, aim %v, late %v, %s, window %v, group %v", cl.PriorityWeight, cl.LatencyObjective, cl.LateFraction,
-			effectWords[cl.Effect], cl.DedupWindow, cl.DedupScope))
+func (c *Config) showPolicy(shown *listing) {
+	add := func(field string, value any) { shown.add("settings."+field, value, c.sources["settings"]) }
+	add("nodes", c.Policy.Nodes)
+	add("zone", c.Policy.Zone)
+	add("subscribe", c.Policy.MustPoll)
+	add("probes", c.Policy.MayHealthCheck)
+	add("cancel", c.Policy.MayCancel)
+	add("max_attempts", c.Policy.MaxAttempts)
+	add("max_retry_after", c.Policy.MaxRetryAfter)
+	add("max_open", c.Node.MaxOpenRequests)
+	add("streams_per_connection", c.Node.MaxStreams)
+	add("connect_timeout", c.Node.ConnectTimeout)
+	add("connection_idle", c.Node.ConnectionIdle)
+	add("longest_wait", c.Node.MaxDeadline)
+	add("origin_kind", c.Policy.OriginKind)
+	add("sized_weights", c.Policy.WeightByCapacity)
+	add("tick", c.Policy.Tick)
+	add("cold", fmt.Sprintf("from %v, warm after %v, falls over past %v",
+		c.Policy.SlowStartFloor, c.Policy.SlowStartDuration, c.Policy.OverloadFactor))
+	add("prices", fmt.Sprintf("connection %v, handshake %v, crossing %v",
+		c.Policy.ConnectionCost, c.Policy.HandshakeCost, c.Policy.CrossZoneCost))
+	for _, class := range c.Policy.Classes {
+		add("class."+class.Name, fmt.Sprintf("worth %v, aim %v, late %v, %s, window %v, group %v",
+			class.PriorityWeight, class.LatencyObjective, class.LateFraction,
+			effectNames[class.Effect], class.DedupWindow, class.DedupScope))
 	}
-	for _, t := range m.Tenants {
-		set("tenant."+t.Name, fmt.Sprintf("%v a second", t.Quota))
+	for _, tenant := range c.Policy.Tenants {
+		add("tenant."+tenant.Name, fmt.Sprintf("%v a second", tenant.Quota))
 	}
-	return out
 }
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,128 @@
+package config
+
+import (
+	"net"
+	"slices"
+	"strings"
+	"time"
+
+	"shelfproxy/internal/logs"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/tomlfile"
+)
+
+// validate checks all of the operators' file but its [service] table, which counts only where the platform gives no
+// settings. It returns an *Error for the first field that cannot be used.
+func (o *Operator) validate() error {
+	for _, check := range []func() error{
+		o.validateAddresses,
+		o.validateLog,
+		o.validateNumbers,
+		o.validateDurations,
+		o.validateFleet,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	if shutdown := o.Shutdown; shutdown.LastResponse < shutdown.Grace {
+		return o.invalid("shutdown.last", "%s is before the end of shutdown.grace, %s", shutdown.LastResponse, shutdown.Grace)
+	}
+	return nil
+}
+
+func (o *Operator) validateAddresses() error {
+	for _, address := range []struct{ field, hostPort string }{
+		{"node.listen", o.Node.Listen},
+		{"node.discovery", o.Node.Discovery},
+	} {
+		if _, _, err := net.SplitHostPort(address.hostPort); o.file.Has(address.field) && err != nil {
+			return o.invalid(address.field, "%q is no host and port", address.hostPort)
+		}
+	}
+	return nil
+}
+
+func (o *Operator) validateLog() error {
+	if _, err := logs.Level(o.Log.Level); err != nil {
+		return o.invalid("log.level", "%w", err)
+	}
+	if !slices.Contains(logs.Formats, o.Log.Format) {
+		return o.invalid("log.format", "%q is none of %s", o.Log.Format, strings.Join(logs.Formats, ", "))
+	}
+	return nil
+}
+
+func (o *Operator) validateNumbers() error {
+	for _, number := range []struct {
+		field             string
+		value, least, top float64
+	}{
+		{"limits.cores", o.Limits.Cores, 0, 1024},
+		{"limits.memory_mb", float64(o.Limits.MemoryMB), minMemoryMB, 1 << 20},
+		{"limits.sockets", float64(o.Limits.Sockets), minSockets, 1 << 20},
+		{"listener.share", o.Listener.Share, 0.1, 0.8},
+		{"listener.pipelined", float64(o.Listener.Pipelined), 1, 4096},
+		{"pools.target_share", o.Pools.TargetShare, 0.05, 0.8},
+		{"pools.origin_share", o.Pools.OriginShare, 0.02, 0.5},
+		{"pools.connections", float64(o.Pools.Connections), 1, 4096},
+		{"rollout.servers_out", o.Rollout.MaxEjectedFraction, 0, 1},
+		{"zones.leave_owner", o.Zones.AffinityBudget, 0, 1},
+		{"pools.waiting", float64(o.Pools.Waiting), 1, 65536},
+	} {
+		if !isBetween(number.value, number.least, number.top) {
+			return o.invalid(number.field, "%v is not from %v to %v", number.value, number.least, number.top)
+		}
+	}
+	if sum := o.Listener.Share + o.Pools.TargetShare + o.Pools.OriginShare; sum > 1 {
+		return o.invalid("listener.share", "with pools.target_share and pools.origin_share it makes %.2f, more than 1", sum)
+	}
+	return nil
+}
+
+// isBetween reports whether a number is within bounds; NaN, which TOML can express, is not.
+func isBetween(value, least, top float64) bool { return value >= least && value <= top }
+
+func (o *Operator) validateDurations() error {
+	for _, duration := range []struct {
+		field      string
+		value      tomlfile.Duration
+		least, top time.Duration
+	}{
+		{"listener.write", o.Listener.Write, 100 * time.Millisecond, time.Hour},
+		{"listener.silent", o.Listener.Silent, 100 * time.Millisecond, time.Hour},
+		{"listener.idle", o.Listener.Idle, 100 * time.Millisecond, 24 * time.Hour},
+		{"listener.idle_crowded", o.Listener.IdleCrowded, 10 * time.Millisecond, 24 * time.Hour},
+		{"shutdown.grace", o.Shutdown.Grace, 0, time.Minute},
+		{"shutdown.last", o.Shutdown.LastResponse, 100 * time.Millisecond, 10 * time.Minute},
+	} {
+		if value := duration.value.D(); value < duration.least || value > duration.top {
+			return o.invalid(duration.field, "%s is not from %s to %s", value, duration.least, duration.top)
+		}
+	}
+	return nil
+}
+
+// validateFleet checks what the cores of the rollout, the leases and the membership would reject. The numbers of the
+// nodes are not known yet; any valid ones do.
+func (o *Operator) validateFleet() error {
+	if o.Rollout.NodesOut != 0 {
+		if err := o.Rollout.CoreConfig(0, 1, "", 0, 0).Validate(); err != nil {
+			return o.invalid("rollout", "%w", err)
+		}
+	}
+	for _, name := range o.Leases.Hold {
+		if !slices.Contains(policy.RoleNames[:], name) {
+			return o.invalid("duties.hold", "%q is none of %s", name, strings.Join(policy.RoleNames[:], ", "))
+		}
+	}
+	if len(o.Leases.Hold) > 0 {
+		if err := o.Leases.CoreConfig(0, 1, 0, 0).Validate(); err != nil {
+			return o.invalid("duties", "%w", err)
+		}
+	}
+	if err := o.Membership.CoreConfig(0, 2, 0, 0, 0).Validate(); err != nil {
+		return o.invalid("members", "%w", err)
+	}
+	return nil
+}
