--- /dev/null
+++ b/internal/admission/idle_queue.go
@@ -0,0 +1,42 @@
+package admission
+
+// idleQueue is a doubly linked list of idle connections, the one idle for longest first.
+type idleQueue struct{ head, tail *connection }
+
+// push inserts a connection by the time since when it is idle. That is at the end, but for what a caller reports late.
+func (q *idleQueue) push(c *connection) {
+	before := q.tail
+	for before != nil && before.idleSince > c.idleSince {
+		before = before.previous
+	}
+	c.queue, c.previous = q, before
+	if before == nil {
+		c.next, q.head = q.head, c
+	} else {
+		c.next, before.next = before.next, c
+	}
+	if c.next == nil {
+		q.tail = c
+	} else {
+		c.next.previous = c
+	}
+}
+
+// unlink takes a connection out of the queue that it is in, if any.
+func (c *connection) unlink() {
+	queue := c.queue
+	if queue == nil {
+		return
+	}
+	if c.previous == nil {
+		queue.head = c.next
+	} else {
+		c.previous.next = c.next
+	}
+	if c.next == nil {
+		queue.tail = c.previous
+	} else {
+		c.next.previous = c.previous
+	}
+	c.queue, c.previous, c.next = nil, nil, nil
+}
--- /dev/null
+++ b/internal/admission/memory_pressure.go
@@ -0,0 +1,40 @@
+package admission
+
+import "time"
+
+// MemoryPressure turns what the whole node uses of its limit on memory into the fraction of the sheddable load to shed,
+// from 0 to 1. It extrapolates, since memory fills at a rate, and falls slowly, as the garbage collector gives back late.
+type MemoryPressure struct {
+	Limit int64 // bytes, past which the node is killed; 0 is no limit
+
+	isStarted bool
+	lastUsed  int64 // bytes
+	updatedAt Time
+	level     float64
+}
+
+const (
+	memoryLow          = 0.72                   // fraction of the limit up to which nothing is shed: the collector works to stay below 0.6, which is passed for moments
+	memoryHigh         = 0.90                   // fraction from which on all that may be shed is
+	memoryLookAhead    = 500 * time.Millisecond // over which a rise is extrapolated
+	maxMemoryLookAhead = 0.15                   // fraction of the limit that this may add: a start fills memory fast, and then stops
+	pressureFall       = 0.5                    // of the level in a second at most, while the use falls
+)
+
+// Observe takes the bytes in use now and returns the level.
+func (m *MemoryPressure) Observe(now Time, used int64) float64 {
+	if m.Limit <= 0 {
+		return 0
+	}
+	expected, elapsed := float64(used), now-m.updatedAt
+	if m.isStarted && elapsed > 0 && used > m.lastUsed {
+		rise := float64(used-m.lastUsed) * float64(memoryLookAhead) / float64(elapsed)
+		expected += min(rise, maxMemoryLookAhead*float64(m.Limit))
+	}
+	level := min(1, max(0, (expected/float64(m.Limit)-memoryLow)/(memoryHigh-memoryLow)))
+	if m.isStarted {
+		level = max(level, m.level-pressureFall*elapsed.Seconds())
+	}
+	m.isStarted, m.lastUsed, m.updatedAt, m.level = true, used, now, max(0, level)
+	return m.level
+}
--- /dev/null
+++ b/internal/admission/queue_delay_test.go
@@ -0,0 +1,34 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+// A burst that is worked off has no effect; while a queue stays behind the level rises, and it falls once it does not.
+func TestLevelRisesWhileTheQueueStaysBehind(t *testing.T) {
+	delay := &QueueDelay{Target: 5 * ms, Interval: 100 * ms}
+	observe := func(from, to Time, wait func(i int) time.Duration) {
+		for i := 0; from < to; i++ {
+			delay.Observe(from, wait(i))
+			from += 2 * ms
+		}
+	}
+	observe(0, time.Second, func(i int) time.Duration { return time.Duration(50-i%50) * ms }) // down to 1 ms each time
+	if got := delay.Level(time.Second); got != 0 {
+		t.Errorf("bursts that are worked off: got the level %.2f, want 0", got)
+	}
+	behind := func(int) time.Duration { return 8 * ms }
+	observe(time.Second, 1300*ms, behind)
+	if got := delay.Level(1300 * ms); got <= 0 || got > 0.6 {
+		t.Errorf("behind for 300 ms: got the level %.2f, want above 0 and up to 0.6", got)
+	}
+	observe(1300*ms, 3*time.Second, behind)
+	if got := delay.Level(3 * time.Second); got != 1 {
+		t.Errorf("behind for 2 s: got the level %.2f, want 1", got)
+	}
+	if got := delay.Level(5 * time.Second); got != 0 {
+		t.Errorf("after 2 s without items: got the level %.2f, want 0", got)
+	}
+	delay.Observe(time.Hour, 0) // a long pause costs nothing
+}
--- /dev/null
+++ b/internal/admission/unsent_bytes_test.go
@@ -0,0 +1,34 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+// Too many bytes are unsent to four clients together: the one that has read nothing for longest is closed, and one that
+// reads slowly stays.
+func TestLongestStuckReaderIsClosedFirst(t *testing.T) {
+	policy := DefaultConnectionPolicy(10, time.Second, time.Minute, 50*ms)
+	policy.MaxUnsentBytes, policy.StuckTimeout = 1<<20, 250*ms
+	table := NewConnectionTable(policy)
+	for id := range uint64(4) {
+		table.Accepted(0, id)
+		table.CommandReceived(0, id, CommandRequest)
+		table.AddUnsentBytes(time.Duration(id)*ms, id, 300<<10)
+	}
+	if id, found := table.NextStuck(100 * ms); found {
+		t.Errorf("got %d closed before it can be told stuck from slow", id)
+	}
+	table.AddUnsentBytes(200*ms, 0, -100<<10) // it reads
+	if id, found := table.NextStuck(300 * ms); !found || id != 1 {
+		t.Fatalf("got %d closed, %v, want 1", id, found)
+	}
+	if id, found := table.NextStuck(300 * ms); found {
+		t.Errorf("got %d closed though no longer too much is unsent", id)
+	}
+	table.Closed(301*ms, 1)
+	table.Closed(301*ms, 2)
+	if table.unsent != 500<<10 || len(table.slowReaders) != 2 {
+		t.Errorf("got %d bytes unsent and %d slow readers, want %d and 2", table.unsent, len(table.slowReaders), 500<<10)
+	}
+}
