--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,5 @@
-// Package counters counts what the node takes in, sends and answers.
+// Package counters counts what a node accepts, sends and answers. The names of the counters, in INFO and in the log, are
+// an interface of releases that are in use: they stay what they are.
 package counters
 
 import (
@@ -7,121 +8,157 @@
 	"sync/atomic"
 )
 
-// Counters may be used from any goroutine.
+// Counters may be used from any goroutine, but for Register.
 type Counters struct {
-	Accepted, AcceptFailed, WriteFailed                                          atomic.Int64 // the clients' connections
-	ClosedSilent, ClosedIdle, ClosedForCapacity, ClosedStuck                     atomic.Int64 // closed by the node: said nothing, had no more to say, for room, took no answers
-	Malformed, BadFraming, Duplicate                                             atomic.Int64 // commands that are no request
-	UpstreamConnections, OriginConnections                                       atomic.Int64 // connections to servers
-	DescriptorRebalances                                                         atomic.Int64 // descriptors that were moved from one use to another, in times
-	HealthChecks, Watches, Lists, WatchesBroken, WatchesMalformed, ListsRejected atomic.Int64
-	GossipSent, GossipReceived, GossipForeign, GossipDropped                     atomic.Int64 // datagrams: sent, taken, from elsewhere or too long, lost here
-	Reloads, ReloadsFailed                                                       atomic.Int64 // configurations read again, and those that were no good
-	RejectedForMemory                                                            atomic.Int64 // flows turned away at the door, as those taken hold too much
-	LateResponses                                                                atomic.Int64 // answers of servers that came after their flow's end
-	ClientsDisconnected                                                          atomic.Int64 // flows whose client left first
-	ServedLate                                                                   atomic.Int64 // flows served after their class's aim
-	classes                                                                      []string
-	answers                                                                      []string
-	ends                                                                         []string
-	in, sent                                                                     []atomic.Int64 // by class
-	answered                                                                     []atomic.Int64 // by class and answer
-	ended                                                                        []atomic.Int64 // by class and end
-	more                                                                         []named        // of parts that are switched on
-}
+	// Connections of clients: accepted, failed to be, and those with a failed write.
+	Accepted, AcceptFailed, WriteFailed atomic.Int64
+	// Connections that the node closed: without a complete command, idle, to make space for another, reading nothing.
+	ClosedSilent, ClosedIdle, ClosedForCapacity, ClosedStuck atomic.Int64
+	// Commands that are no request: invalid, without a valid framing, with the id of an open request.
+	Malformed, BadFraming, Duplicate atomic.Int64
+	// Connections opened to cache servers and to the origin.
+	UpstreamConnections, OriginConnections atomic.Int64
+	// Moves of descriptors from one side to another.
+	DescriptorRebalances atomic.Int64
+	// Health checks sent.
+	HealthChecks atomic.Int64
+	// Watches of the endpoint list: opened, broken, with a malformed response; lists received and rejected.
+	Watches, WatchesBroken, WatchesMalformed, Lists, ListsRejected atomic.Int64
+	// Gossip datagrams: sent, received, of unknown senders or too long, dropped here.
+	GossipSent, GossipReceived, GossipForeign, GossipDropped atomic.Int64
+	// Configurations read again, and those that were invalid.
+	Reloads, ReloadsFailed atomic.Int64
+	// Requests rejected as those in progress use too much memory.
+	RejectedForMemory atomic.Int64
+	// Responses of servers that came after the end of their request.
+	LateResponses atomic.Int64
+	// Requests whose client disconnected before the answer.
+	ClientsDisconnected atomic.Int64
+	// Requests served after the latency objective of their class.
+	ServedLate atomic.Int64
 
-type named struct {
-	name string
-	n    *atomic.Int64
+	classes, answers, outcomes []string       // names
+	received, sent             []atomic.Int64 // by class
+	answered                   []atomic.Int64 // by class and answer
+	ended                      []atomic.Int64 // by class and outcome
+	registered                 []registeredCounter
 }
 
-// Register adds a counter of a part that an operator switched on. It must be called before any other goroutine uses c.
-func (c *Counters) Register(name string) *atomic.Int64 {
-	c.more = append(c.more, named{name, new(atomic.Int64)})
-	return c.more[len(c.more)-1].n
+// registeredCounter belongs to a part of the node that is switched on by configuration.
+type registeredCounter struct {
+	name  string
+	count *atomic.Int64
 }
 
-// Total is how many final answers there were, and how many of one kind.
-func (c *Counters) Total(kind int) (answers, ofKind int) {
-	for i := range c.answered {
-		n := int(c.answered[i].Load())
-		if answers += n; i%len(c.answers) == kind {
-			ofKind += n
-		}
+// New returns counters for classes of requests, kinds of final answers and outcomes of attempts.
+func New(classes, answers, outcomes []string) *Counters {
+	return &Counters{
+		classes:  classes,
+		answers:  answers,
+		outcomes: outcomes,
+		received: make([]atomic.Int64, len(classes)),
+		sent:     make([]atomic.Int64, len(classes)),
+		answered: make([]atomic.Int64, len(classes)*len(answers)),
+		ended:    make([]atomic.Int64, len(classes)*len(outcomes)),
 	}
-	return answers, ofKind
 }
 
-// New makes counters for these classes, kinds of final answers and ends of forwards.
-func New(classes, answers, ends []string) *Counters {
-	n := len(classes)
-	return &Counters{classes: classes, answers: answers, ends: ends, in: make([]atomic.Int64, n),
-		sent: make([]atomic.Int64, n), answered: make([]atomic.Int64, n*len(answers)),
-		ended: make([]atomic.Int64, n*len(ends))}
+// Register adds a counter of a part of the node that is switched on by configuration. It must be called before any other
+// goroutine uses c.
+func (c *Counters) Register(name string) *atomic.Int64 {
+	count := new(atomic.Int64)
+	c.registered = append(c.registered, registeredCounter{name: name, count: count})
+	return count
 }
 
-// RequestReceived counts a flow that was taken.
-func (c *Counters) RequestReceived(class int) { c.in[class].Add(1) }
+// RequestReceived counts a request that was accepted.
+func (c *Counters) RequestReceived(class int) { c.received[class].Add(1) }
 
-// AttemptSent counts a forward.
+// AttemptSent counts an attempt.
 func (c *Counters) AttemptSent(class int) { c.sent[class].Add(1) }
 
 // RequestAnswered counts a final answer.
 func (c *Counters) RequestAnswered(class, answer int) { c.answered[class*len(c.answers)+answer].Add(1) }
 
-// AttemptEnded counts the end of a forward.
-func (c *Counters) AttemptEnded(class, end int) { c.ended[class*len(c.ends)+end].Add(1) }
+// AttemptEnded counts the outcome of an attempt.
+func (c *Counters) AttemptEnded(class, outcome int) { c.ended[class*len(c.outcomes)+outcome].Add(1) }
 
-// String is all counters, one name and figure a line.
+// Total returns how many final answers there were, and how many of one kind.
+func (c *Counters) Total(kind int) (answers, ofKind int) {
+	for i := range c.answered {
+		count := int(c.answered[i].Load())
+		answers += count
+		if i%len(c.answers) == kind {
+			ofKind += count
+		}
+	}
+	return answers, ofKind
+}
+
+// String returns all counters, one name and figure a line.
 func (c *Counters) String() string {
-	var b strings.Builder
-	c.Each(func(name string, n int64) { fmt.Fprintf(&b, "%s %d\n", name, n) })
-	return b.String()
+	var text strings.Builder
+	c.Each(func(name string, count int64) { fmt.Fprintf(&text, "%s %d\n", name, count) })
+	return text.String()
 }
 
-// Each calls f with every counter, always in the same order.
-func (c *Counters) Each(f func(name string, n int64)) {
-	line := func(n *atomic.Int64, name string, args ...any) { f(fmt.Sprintf(name, args...), n.Load()) }
-	line(&c.Accepted, "listener_accepted")
-	line(&c.AcceptFailed, "listener_accept_failed")
-	line(&c.WriteFailed, "listener_write_failed")
-	line(&c.ClosedSilent, "listener_closed_silent")
-	line(&c.ClosedIdle, "listener_closed_idle")
-	line(&c.ClosedForCapacity, "listener_closed_for_room")
-	line(&c.ClosedStuck, "listener_closed_stuck")
-	line(&c.Malformed, "commands_malformed")
-	line(&c.BadFraming, "commands_bad_framing")
-	line(&c.Duplicate, "commands_duplicate")
-	line(&c.UpstreamConnections, "target_connections_opened")
-	line(&c.OriginConnections, "origin_connections_opened")
-	line(&c.DescriptorRebalances, "descriptors_moved")
-	line(&c.HealthChecks, "probes_sent")
-	line(&c.Watches, "discovery_watches")
-	line(&c.WatchesBroken, "discovery_watches_broken")
-	line(&c.WatchesMalformed, "discovery_watches_garbage")
-	line(&c.Lists, "discovery_lists")
-	line(&c.ListsRejected, "discovery_lists_refused")
-	line(&c.GossipSent, "peers_told")
-	line(&c.GossipReceived, "peers_heard")
-	line(&c.GossipForeign, "peers_foreign")
-	line(&c.GossipDropped, "peers_dropped")
-	line(&c.Reloads, "reloads")
-	line(&c.ReloadsFailed, "reloads_bad")
-	line(&c.RejectedForMemory, "flows_without_memory")
-	line(&c.LateResponses, "answers_late")
-	line(&c.ClientsDisconnected, "flows_client_left")
-	line(&c.ServedLate, "flows_served_late")
-	for _, m := range c.more {
-		line(m.n, "%s", m.name)
+// Each calls visit with every counter, always in the same order.
+func (c *Counters) Each(visit func(name string, count int64)) {
+	c.eachOfNode(visit)
+	for _, counter := range c.registered {
+		visit(counter.name, counter.count.Load())
 	}
+	c.eachOfClasses(visit)
+}
+
+func (c *Counters) eachOfNode(visit func(name string, count int64)) {
+	for _, counter := range []struct {
+		name  string
+		count *atomic.Int64
+	}{
+		{"listener_accepted", &c.Accepted},
+		{"listener_accept_failed", &c.AcceptFailed},
+		{"listener_write_failed", &c.WriteFailed},
+		{"listener_closed_silent", &c.ClosedSilent},
+		{"listener_closed_idle", &c.ClosedIdle},
+		{"listener_closed_for_room", &c.ClosedForCapacity},
+		{"listener_closed_stuck", &c.ClosedStuck},
+		{"commands_malformed", &c.Malformed},
+		{"commands_bad_framing", &c.BadFraming},
+		{"commands_duplicate", &c.Duplicate},
+		{"target_connections_opened", &c.UpstreamConnections},
+		{"origin_connections_opened", &c.OriginConnections},
+		{"descriptors_moved", &c.DescriptorRebalances},
+		{"probes_sent", &c.HealthChecks},
+		{"discovery_watches", &c.Watches},
+		{"discovery_watches_broken", &c.WatchesBroken},
+		{"discovery_watches_garbage", &c.WatchesMalformed},
+		{"discovery_lists", &c.Lists},
+		{"discovery_lists_refused", &c.ListsRejected},
+		{"peers_told", &c.GossipSent},
+		{"peers_heard", &c.GossipReceived},
+		{"peers_foreign", &c.GossipForeign},
+		{"peers_dropped", &c.GossipDropped},
+		{"reloads", &c.Reloads},
+		{"reloads_bad", &c.ReloadsFailed},
+		{"flows_without_memory", &c.RejectedForMemory},
+		{"answers_late", &c.LateResponses},
+		{"flows_client_left", &c.ClientsDisconnected},
+		{"flows_served_late", &c.ServedLate},
+	} {
+		visit(counter.name, counter.count.Load())
+	}
+}
+
+func (c *Counters) eachOfClasses(visit func(name string, count int64)) {
 	for i, class := range c.classes {
-		line(&c.in[i], "flows_in{class=%q}", class)
-		line(&c.sent[i], "forwards_sent{class=%q}", class)
+		visit(fmt.Sprintf("flows_in{class=%q}", class), c.received[i].Load())
+		visit(fmt.Sprintf("forwards_sent{class=%q}", class), c.sent[i].Load())
 		for j, answer := range c.answers {
-			line(&c.answered[i*len(c.answers)+j], "flows_answered{class=%q,answer=%q}", class, answer)
+			visit(fmt.Sprintf("flows_answered{class=%q,answer=%q}", class, answer), c.answered[i*len(c.answers)+j].Load())
 		}
-		for j, end := range c.ends {
-			line(&c.ended[i*len(c.ends)+j], "forwards_ended{class=%q,end=%q}", class, end)
+		for j, outcome := range c.outcomes {
+			visit(fmt.Sprintf("forwards_ended{class=%q,end=%q}", class, outcome), c.ended[i*len(c.outcomes)+j].Load())
 		}
 	}
 }
