--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs routers on the simulator's wire: batches on standard input, replies on standard
-// output.
+// Command simadapter runs routers in the simulator: it reads batches of events from standard input and writes a reply with
+// the routers' actions for each to standard output. It ends with the input, or with code 1 and a line on standard error.
 package main
 
 import (
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,3 +1,5 @@
+// Package simwire runs routers of package policy in the simulator. It translates between the simulator's lines of JSON
+// (the protocol birch-d007) and the events and actions of the policy.
 package simwire
 
 import (
@@ -11,43 +13,60 @@
 	"shelfproxy/internal/policy"
 )
 
-// Host runs routers over the wire until in ends, one reply line for each batch. Routers share only the
-// server lists that the wire itself sends once for all of them.
+const (
+	readBufferSize  = 1 << 20 // bytes
+	writeBufferSize = 1 << 16 // bytes
+)
+
+// Host runs routers until in ends, and writes one reply line for each batch. Routers share only the lists of servers,
+// which the wire sends once for all of them. An error names the line and the message that it is about.
 func Host(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
-	routers, banks := map[string]*policy.Router{}, map[int][]policy.Server{}
-	for line := 1; ; line++ {
-		text, err := r.ReadBytes('\n')
-		if len(text) > 0 {
-			reply, err := handle(text, routers, banks)
+	reader, writer := bufio.NewReaderSize(in, readBufferSize), bufio.NewWriterSize(out, writeBufferSize)
+	host := host{routers: map[string]*policy.Router{}, banks: map[int][]policy.Server{}}
+	for lineNumber := 1; ; lineNumber++ {
+		line, readErr := reader.ReadBytes('\n')
+		if len(line) > 0 {
+			reply, err := host.handle(line)
 			if err != nil {
-				return fmt.Errorf("line %d: %w", line, err)
+				return fmt.Errorf("line %d: %w", lineNumber, err)
 			}
-			if _, err := w.Write(append(reply, '\n')); err != nil {
-				return fmt.Errorf("write reply: %w", err)
-			}
-			if err := w.Flush(); err != nil {
+			if err := writeLine(writer, reply); err != nil {
 				return fmt.Errorf("write reply: %w", err)
 			}
 		}
-		if errors.Is(err, io.EOF) {
+		if errors.Is(readErr, io.EOF) {
 			return nil
-		} else if err != nil {
-			return fmt.Errorf("read batch: %w", err)
+		}
+		if readErr != nil {
+			return fmt.Errorf("read batch: %w", readErr)
 		}
 	}
 }
 
-func handle(text []byte, routers map[string]*policy.Router, banks map[int][]policy.Server) ([]byte, error) {
+func writeLine(writer *bufio.Writer, text []byte) error {
+	if _, err := writer.Write(append(text, '\n')); err != nil {
+		return err
+	}
+	return writer.Flush()
+}
+
+// host is the routers by name, and the lists of servers by number.
+type host struct {
+	routers map[string]*policy.Router
+	banks   map[int][]policy.Server
+}
+
+// handle hands a batch to the routers that it is for, and returns the reply to it.
+func (h *host) handle(line []byte) ([]byte, error) {
 	var batch Batch
-	if err := json.Unmarshal(text, &batch); err != nil {
+	if err := json.Unmarshal(line, &batch); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
 	}
 	reply := Reply{Parts: []ReplyPart{}}
 	for _, part := range batch.Parts {
 		outputs := []Output{}
 		for i := range part.Inbox {
-			actions, err := dispatch(&part.Inbox[i], part.Router, micros(batch.Now), routers, banks)
+			actions, err := h.dispatch(&part.Inbox[i], part.Router, micros(batch.Now))
 			if err != nil {
 				return nil, err
 			}
@@ -60,45 +79,53 @@
 	return json.Marshal(reply)
 }
 
-func dispatch(m *Message, name string, now policy.Time, routers map[string]*policy.Router,
-	banks map[int][]policy.Server) ([]Output, error) {
-	switch m.Type {
+// dispatch hands one message to a router. What no router is there for, and messages of unknown types, are skipped.
+func (h *host) dispatch(message *Message, name string, now policy.Time) ([]Output, error) {
+	switch message.Type {
 	case "":
 		return nil, errors.New("message: field type: missing")
 	case "CONFIGURE":
-		set, err := config.ParseSettings(m.Setup)
-		if err != nil {
-			err = fmt.Errorf("CONFIGURE: field setup: %w", err)
-		} else {
-			routers[name], err = policy.New(set.Policy, m.Nonce)
-		}
-		if err != nil {
+		if err := h.configure(message, name); err != nil {
 			return []Output{{Type: "BAIL_OUT", ReasonText: err.Error()}}, nil
 		}
 		return nil, nil
 	case "POWER_OFF":
-		delete(routers, name)
+		delete(h.routers, name)
 		return nil, nil
 	case "CATALOG":
-		servers, err := ParseServers(m.Records)
-		banks[m.Bank] = servers
+		servers, err := ParseServers(message.Records)
+		h.banks[message.Bank] = servers
 		return nil, err
 	}
-	router := routers[name]
+	router := h.routers[name]
 	if router == nil {
 		return nil, nil
 	}
-	event, err := m.Event(banks)
+	event, err := message.Event(h.banks)
 	if err != nil || event == nil {
 		return nil, err
 	}
+	return encodeAll(router.Handle(now, event))
+}
+
+// configure starts a router, or starts it anew.
+func (h *host) configure(message *Message, name string) error {
+	settings, err := config.ParseSettings(message.Setup)
+	if err != nil {
+		return fmt.Errorf("CONFIGURE: field setup: %w", err)
+	}
+	h.routers[name], err = policy.New(settings.Policy, message.Seed)
+	return err
+}
+
+func encodeAll(actions []policy.Action) ([]Output, error) {
 	var outputs []Output
-	for _, action := range router.Handle(now, event) {
-		o, err := Encode(action)
+	for _, action := range actions {
+		output, err := Encode(action)
 		if err != nil {
 			return nil, err
 		}
-		outputs = append(outputs, o)
+		outputs = append(outputs, output)
 	}
 	return outputs, nil
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/host_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const setupLine = `{"now":1000000,"parts":[{"router":"router/0","inbox":[{"type":"CONFIGURE","nonce64":7,"setup":` +
+const setupBatch = `{"now":1000000,"parts":[{"router":"router/0","inbox":[{"type":"CONFIGURE","nonce64":7,"setup":` +
 	`{"az":"north","replicas_of_me":2,"something_new":{"x":1},"lanes":[{"name":"get","worth":1,` +
 	`"goal_time":500000,"semantics":"idempotent","key_scope":"all","window":0}],"accounts":[],` +
 	`"machine_types":["box","source"],"family_info":{"mode":"aside","origin_kind":1},"weights":"none",` +
@@ -20,7 +20,7 @@
 	return `{"now":1005000,"parts":[{"router":"router/0","inbox":[` + events + `]}]}`
 }
 
-const ask = `{"type":"ASK","request_id":41,"deadline":2000000,"route_key":"item/a","band":"get"}`
+const requestMessage = `{"type":"ASK","request_id":41,"deadline":2000000,"route_key":"item/a","band":"get"}`
 
 func run(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
@@ -30,7 +30,7 @@
 }
 
 func TestHostAnswersEachBatch(t *testing.T) {
-	out, err := run(t, `{"now":5,"parts":[]}`, setupLine, batch(ask),
+	out, err := run(t, `{"now":5,"parts":[]}`, setupBatch, batch(requestMessage),
 		batch(`{"type":"COMPLETED","request_id":41,"seq_no":0,"server":"10.0.0.1:1","delay_seen":900,"reason":8}`),
 		batch(`{"type":"SOMETHING_NEW"},{"type":"DROPPED","request_id":99}`))
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	got := strings.Split(strings.TrimSpace(out), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d replies, want %d: %s", len(got), len(want), out)
+		t.Fatalf("got %d replies, want %d: %s", len(got), len(want), out)
 	}
 	for i := range want {
 		if got[i] != want[i] {
@@ -54,18 +54,18 @@
 	}
 }
 
-func TestRestartForgetsEverything(t *testing.T) {
-	out, err := run(t, setupLine, batch(`{"type":"POWER_OFF"}`), batch(ask), setupLine, batch(ask))
+func TestRouterThatWasPoweredOffAnswersNothingUntilItIsSetUp(t *testing.T) {
+	out, err := run(t, setupBatch, batch(`{"type":"POWER_OFF"}`), batch(requestMessage), setupBatch, batch(requestMessage))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(out, `"SEND"`); n != 1 {
-		t.Errorf("%d sends, want one, after the restart: %s", n, out)
+	if got := strings.Count(out, `"SEND"`); got != 1 {
+		t.Errorf("got %d sends, want one, after the restart: %s", got, out)
 	}
 }
 
-func TestBadLinesNameMessageAndField(t *testing.T) {
-	for line, want := range map[string]string{
+func TestErrorNamesMessageAndField(t *testing.T) {
+	for text, want := range map[string]string{
 		`{"now":`:                 "batch",
 		batch(`{"request_id":1}`): "field type",
 		batch(`{"type":"ANNOUNCE","scope":"odd"}`):                                     "ANNOUNCE: field scope",
@@ -75,36 +75,36 @@
 		batch(`{"type":"CATALOG","records":[{"server":"","health":"live"}]}`):          "CATALOG: field records.server",
 		batch(`{"type":"ASK","request_id":"text","deadline":2000000,"route_key":"k"}`): "request_id",
 	} {
-		if _, err := run(t, setupLine, line); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v, want it to name %q", line, err, want)
+		if _, err := run(t, setupBatch, text); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got the error %v, want it to name %q", text, err, want)
 		}
 	}
 }
 
-func TestSenselessSettingsBailOut(t *testing.T) {
+func TestInvalidSettingsBailOut(t *testing.T) {
 	for old, change := range map[string]string{
 		`"replicas_of_me":2`: `"replicas_of_me":0`,
 		`"origin_kind":1`:    `"origin_kind":8`,
 		`"idempotent"`:       `"sometimes"`,
 	} {
-		out, err := run(t, strings.Replace(setupLine, old, change, 1))
+		out, err := run(t, strings.Replace(setupBatch, old, change, 1))
 		if err != nil || !strings.Contains(out, "BAIL_OUT") {
-			t.Errorf("%s: %v %s, want a BAIL_OUT", change, err, out)
+			t.Errorf("%s: got %s and the error %v, want a BAIL_OUT", change, out, err)
 		}
 	}
 }
 
-// FuzzHost feeds arbitrary lines after a start: they are refused with a message or skipped, never a panic.
+// FuzzHost feeds arbitrary lines after a start: they are rejected with an error or skipped, and never a panic.
 func FuzzHost(f *testing.F) {
-	f.Add(batch(ask))
+	f.Add(batch(requestMessage))
 	f.Add(batch(`{"type":"MESSAGE","src_peer":-1,"bytes":"zz"}`))
 	f.Add(batch(`{"type":"COMPLETED","request_id":41,"seq_no":-1,"reason":3,"pressure":{"cpu":"x"}}`))
 	f.Add(batch(`{"type":"ANNOUNCE","scope":"delta","bank":2},{"type":"HEALTH","server":"none","reason":1}`))
-	f.Add(strings.Replace(setupLine, `"tick":5000`, `"tick":-5`, 1))
-	f.Fuzz(func(t *testing.T, line string) {
+	f.Add(strings.Replace(setupBatch, `"tick":5000`, `"tick":-5`, 1))
+	f.Fuzz(func(t *testing.T, text string) {
 		var out bytes.Buffer
-		if err := Host(strings.NewReader(setupLine+"\n"+line+"\n"+batch(ask)+"\n"), &out); err != nil && err.Error() == "" {
-			t.Error("an error without a message")
+		if err := Host(strings.NewReader(setupBatch+"\n"+text+"\n"+batch(requestMessage)+"\n"), &out); err != nil && err.Error() == "" {
+			t.Error("got an error without a text")
 		}
 	})
 }
