--- a/internal/admission/memory_pressure.go
+++ b/internal/admission/memory_pressure.go
@@ -14,11 +14,17 @@
 }
 
 const (
-	memoryLow          = 0.72                   // fraction of the limit up to which nothing is shed: the collector works to stay below 0.6, which is passed for moments
-	memoryHigh         = 0.90                   // fraction from which on all that may be shed is
-	memoryLookAhead    = 500 * time.Millisecond // over which a rise is extrapolated
-	maxMemoryLookAhead = 0.15                   // fraction of the limit that this may add: a start fills memory fast, and then stops
-	pressureFall       = 0.5                    // of the level in a second at most, while the use falls
+	// memoryLow is the fraction of the limit up to which nothing is shed. The collector works to stay below 0.6, which is
+	// passed for moments.
+	memoryLow = 0.72
+	// memoryHigh is the fraction of the limit from which on all that may be shed is.
+	memoryHigh = 0.90
+	// memoryLookAhead is how far a rise is extrapolated, and maxMemoryLookAhead the fraction of the limit that this may add:
+	// a start fills memory fast, and then stops.
+	memoryLookAhead    = 500 * time.Millisecond
+	maxMemoryLookAhead = 0.15
+	// pressureFall is how much the level may fall in a second.
+	pressureFall = 0.5
 )
 
 // Observe takes the bytes in use now and returns the level.
