--- a/internal/exit/exit.go
+++ b/internal/exit/exit.go
@@ -1,29 +1,31 @@
-// Package exit gives errors the code that a program ends with, so that scripts can tell the ways of failing apart. The
-// codes themselves are each program's own.
+// Package exit attaches process exit codes to errors, so that scripts can tell the ways in which a program fails apart.
+// The codes themselves are each program's own.
 package exit
 
 import "errors"
 
-type coded struct {
+// codedError is an error with the exit code that the process ends with if the error reaches main.
+type codedError struct {
 	error
 	code int
 }
 
-func (e *coded) Unwrap() error { return e.error }
+// Unwrap returns the error without its code, for errors.Is and errors.As.
+func (e *codedError) Unwrap() error { return e.error }
 
-// With gives an error a code; nil stays nil.
+// With returns err with an exit code attached to it, and nil if err is nil.
 func With(code int, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &coded{err, code}
+	return &codedError{err, code}
 }
 
-// Code is the code of an error, or otherwise where it has none.
-func Code(err error, otherwise int) int {
-	var c *coded
-	if errors.As(err, &c) {
-		return c.code
+// Code returns the exit code attached to err, or fallback if err has none.
+func Code(err error, fallback int) int {
+	var coded *codedError
+	if errors.As(err, &coded) {
+		return coded.code
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"log/slog"
 	"strings"
@@ -10,49 +9,57 @@
 	"time"
 )
 
-// Lines of one event are limited; the next window tells how many were left out, and other events, other components
-// and errors are not touched.
-func TestRepeatedLinesAreLimitedAndCounted(t *testing.T) {
+// TestRepeatedEventsAreLimitedAndCounted: records of one event are limited; the next window's first record counts the dropped
+// ones, and other events, other components and errors are not limited with it.
+func TestRepeatedEventsAreLimitedAndCounted(t *testing.T) {
 	var out bytes.Buffer
-	l := New(&out, Options{Format: "auto"})
-	node, pool := Component(l, "node"), Component(l, "pool")
+	log := New(&out, Options{Format: "auto"})
+	node, pool := Component(log, "node"), Component(log, "pool")
 	start := time.Unix(1000, 0)
-	say := func(l *slog.Logger, at time.Duration, level slog.Level, event string) {
-		r := slog.NewRecord(start.Add(at), level, "text", 0)
-		r.AddAttrs(slog.String(Event, event))
-		l.Handler().Handle(context.Background(), r)
+	write := func(logger *slog.Logger, after time.Duration, level slog.Level, event string) {
+		t.Helper()
+		record := slog.NewRecord(start.Add(after), level, "text", 0)
+		record.AddAttrs(slog.String(Event, event))
+		if err := logger.Handler().Handle(t.Context(), record); err != nil {
+			t.Fatal(err)
+		}
 	}
 	for range burst + 7 {
-		say(node, 0, slog.LevelInfo, "watch_broken")
+		write(node, 0, slog.LevelInfo, "watch_broken")
 	}
-	say(pool, 0, slog.LevelInfo, "watch_broken")
-	say(node, 0, slog.LevelInfo, "other")
-	say(node, 0, slog.LevelError, "watch_broken")
-	if n := strings.Count(out.String(), "\n"); n != burst+3 {
-		t.Fatalf("%d lines, want %d: %s", n, burst+3, &out)
+	write(pool, 0, slog.LevelInfo, "watch_broken")
+	write(node, 0, slog.LevelInfo, "other")
+	write(node, 0, slog.LevelError, "watch_broken")
+	if got, want := strings.Count(out.String(), "\n"), burst+3; got != want {
+		t.Fatalf("%d records, want %d: %s", got, want, &out)
 	}
 	out.Reset()
-	say(node, window, slog.LevelInfo, "watch_broken")
-	var line map[string]any
-	if err := json.Unmarshal(out.Bytes(), &line); err != nil {
-		t.Fatalf("not JSON where there is no terminal: %s", &out)
+	write(node, window, slog.LevelInfo, "watch_broken")
+	var record map[string]any
+	if err := json.Unmarshal(out.Bytes(), &record); err != nil {
+		t.Fatalf("%v: %s, want JSON where there is no terminal", err, &out)
 	}
-	if line["left_out"] != 7.0 || line["component"] != "node" || line["event"] != "watch_broken" {
-		t.Errorf("the next line: %s", &out)
+	for key, want := range map[string]any{droppedKey: 7.0, "component": "node", Event: "watch_broken"} {
+		if got := record[key]; got != want {
+			t.Errorf("the next window's record has %s %v, want %v", key, got, want)
+		}
 	}
 }
 
-func TestLevels(t *testing.T) {
-	for word, ok := range map[string]bool{"debug": true, "warn": true, "loud": false} {
-		if _, err := Level(word); (err == nil) != ok {
-			t.Errorf("%s: %v", word, err)
+func TestLevelAcceptsKnownNamesOnly(t *testing.T) {
+	for name, isKnown := range map[string]bool{"debug": true, "warn": true, "loud": false} {
+		if _, err := Level(name); (err == nil) != isKnown {
+			t.Errorf("level %q: error %v, want known %v", name, err, isKnown)
 		}
 	}
+}
+
+func TestRecordsBelowTheLevelAreNotWritten(t *testing.T) {
 	var out bytes.Buffer
-	l := New(&out, Options{Level: slog.LevelWarn, Format: "text"})
-	l.Info("quiet")
-	l.Warn("loud")
+	log := New(&out, Options{Level: slog.LevelWarn, Format: "text"})
+	log.Info("quiet")
+	log.Warn("loud")
 	if strings.Contains(out.String(), "quiet") || !strings.Contains(out.String(), "msg=loud") {
-		t.Errorf("wrote %s", &out)
+		t.Errorf("wrote %s, want the warning alone, as text", &out)
 	}
 }
