--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,10 @@
-// Package control takes operators' calls of a running node at a Unix socket: HTTP with a path for each call, answered in
-// JSON. The parts of a node that are switched on register theirs. The socket's folder decides who may call.
+// Package control serves the operators' calls to a running process on a Unix socket: HTTP with one path for each call, answered
+// in JSON. The parts of the process that are switched on register their calls. The permissions of the socket's directory decide
+// who may call.
 package control
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,76 +15,81 @@
 	"time"
 )
 
+// Bounds of one call.
 const (
-	longestCall = 4 << 10
-	readWithin  = time.Second
-	writeWithin = 2 * time.Second
+	maxHeaderBytes = 4 << 10
+	readTimeout    = time.Second
+	writeTimeout   = 2 * time.Second
 )
 
-// Handler carries one call out. Its answer is written as JSON. It must not wait for other nodes.
+// Handler carries out one call and returns the value that is written as JSON. It must not wait for other nodes.
 type Handler func(query url.Values) (any, error)
 
-// ErrInUse says that another process takes calls at the path. It may be one that this one replaces, and end.
+// ErrInUse is returned by Serve if another process answers at the path. It may be a predecessor that is about to end.
 var ErrInUse = errors.New("another process answers there")
 
-// ErrBusy says that the part is behind with its own work; the call was not carried out.
+// ErrBusy is returned by a Handler whose part of the process is overloaded. The call was not carried out.
 var ErrBusy = errors.New("busy")
 
-// Server is the socket and its calls.
+// Server is a control socket with its calls.
 type Server struct {
-	path  string
-	look  map[string]Handler // by path; may be made again and again
-	steer map[string]Handler // changes something
+	path     string
+	queries  map[string]Handler // by URL path
+	commands map[string]Handler // by URL path
 }
 
-// New makes a server for a socket at a path; an empty one means none.
+// New returns a server for a socket at path. With an empty path Serve does nothing.
 func New(path string) *Server {
-	return &Server{path: path, look: map[string]Handler{}, steer: map[string]Handler{}}
+	return &Server{path: path, queries: map[string]Handler{}, commands: map[string]Handler{}}
 }
 
-// HandleQuery registers a call that changes nothing (GET).
-func (s *Server) HandleQuery(name string, c Handler) { s.look["/"+name] = c }
+// HandleQuery registers a call that changes nothing (GET). It must not be called after Serve.
+func (s *Server) HandleQuery(name string, handler Handler) { s.queries["/"+name] = handler }
 
-// HandleCommand registers a call that changes something (POST).
-func (s *Server) HandleCommand(name string, c Handler) { s.steer["/"+name] = c }
+// HandleCommand registers a call that changes something (POST). It must not be called after Serve.
+func (s *Server) HandleCommand(name string, handler Handler) { s.commands["/"+name] = handler }
 
-// Serve takes calls until stop is closed. All calls have to be registered before.
+// Serve opens the socket and serves calls until stop is closed. A socket file that a dead process left behind is replaced.
+// Serve returns ErrInUse if another process answers at the path, and nil at once if there is no path or no call.
 func (s *Server) Serve(stop <-chan struct{}) error {
-	if s.path == "" || len(s.look)+len(s.steer) == 0 {
+	if s.path == "" || len(s.queries)+len(s.commands) == 0 {
 		return nil
 	}
-	if c, err := net.Dial("unix", s.path); err == nil { // another process answers there
-		c.Close()
-		return fmt.Errorf("control: %s: %w", s.path, ErrInUse)
-	}
-	os.Remove(s.path) // of a process before
-	ln, err := net.Listen("unix", s.path)
+	listener, err := s.listen()
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	server := &http.Server{ReadTimeout: readWithin, WriteTimeout: writeWithin, MaxHeaderBytes: longestCall, Handler: s}
-	go func() {
+	server := &http.Server{ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes, Handler: s}
+	go func() { // ends with stop, after which Serve returns
 		<-stop
-		server.Close()
+		_ = server.Close() // the socket goes away in any case
 	}()
-	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// ServeHTTP answers one call.
-func (s *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	calls := s.look
-	if q.Method == http.MethodPost {
-		calls = s.steer
+// listen opens the socket unless another process answers there.
+func (s *Server) listen() (net.Listener, error) {
+	// Both calls are local and return at once, so there is nothing to cancel.
+	conn, err := new(net.Dialer).DialContext(context.Background(), "unix", s.path)
+	if err == nil {
+		_ = conn.Close() // nothing was written
+		return nil, fmt.Errorf("%s: %w", s.path, ErrInUse)
 	}
-	call := calls[q.URL.Path]
-	if call == nil || q.Method != http.MethodGet && q.Method != http.MethodPost {
+	_ = os.Remove(s.path) // left by a dead process; if it cannot be removed Listen says why
+	return new(net.ListenConfig).Listen(context.Background(), "unix", s.path)
+}
+
+// ServeHTTP answers one call.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	handler := s.handler(r.Method, r.URL.Path)
+	if handler == nil {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
-	answer, err := call(q.URL.Query())
+	answer, err := handler(r.URL.Query())
 	switch {
 	case errors.Is(err, ErrBusy):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -90,6 +97,18 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(answer)
+		_ = json.NewEncoder(w).Encode(answer) // fails only if the caller is gone
+	}
+}
+
+// handler returns the handler of a call, or nil if there is no such call.
+func (s *Server) handler(method, path string) Handler {
+	switch method {
+	case http.MethodGet:
+		return s.queries[path]
+	case http.MethodPost:
+		return s.commands[path]
+	default:
+		return nil
 	}
 }
