--- a/internal/supervisor/agent/agent.go
+++ b/internal/supervisor/agent/agent.go
@@ -1,226 +1,134 @@
-// Package agent runs the processes of a supervisor. It decides nothing.
+// Package agent runs the processes of a supervisor: it carries out the effects of the core in internal/supervisor and reports
+// the processes' notifications and ends to it. It makes no decisions.
 package agent
 
 import (
 	"context"
-	"errors"
 	"log/slog"
-	"net/url"
 	"os"
-	"os/exec"
-	"strconv"
 	"syscall"
 	"time"
 
-	"shelfproxy/internal/control"
 	"shelfproxy/internal/eventloop"
 	"shelfproxy/internal/logs"
 	"shelfproxy/internal/supervisor"
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// Options are what an agent is made of.
+// Options configure an agent. Command and Listen are called with the number of an instance, from 0.
 type Options struct {
 	Config  supervisor.Config
-	Command func(instance int) (program string, args, env []string) // asked at each start
-	Listen  func(instance int) string                               // where clients come, host and port
+	Command func(instance int) (program string, args, env []string) // called at each start of a process
+	Listen  func(instance int) string                               // host and port of the instance's listening socket
 	Log     *slog.Logger
 }
 
-// Agent is a supervisor with its processes.
+// Agent is a supervisor with its processes. The goroutine in Serve owns the core and the table of processes; all methods may be
+// called from any goroutine.
 type Agent struct {
 	*eventloop.Loop[supervisor.Event, supervisor.Effect]
 	opt     Options
 	core    *supervisor.Core
-	sockets []*os.File // by instance; they outlive all processes
-	running map[int]*os.Process
-	done    chan struct{}
+	sockets []*os.File          // by instance; they outlive all processes
+	running map[int]*os.Process // by the core's number
+	stopped chan struct{}       // closed by the core's loop once all processes have ended after StopRequested
 }
 
-// tick is how often the core looks around.
-const tick = 50 * time.Millisecond
+// tickInterval is how often the core acts on time that has passed, and how long an event that must not be lost waits before it is
+// posted again to a loop that is busy.
+const tickInterval = 50 * time.Millisecond
 
-// New opens the sockets; Serve starts the processes.
+// New opens the instances' listening sockets. Serve starts the processes.
 func New(opt Options) (*Agent, error) {
 	core, err := supervisor.New(opt.Config)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, core: core, running: map[int]*os.Process{}, done: make(chan struct{})}
-	a.Loop = eventloop.New(core, a.do)
+	a := &Agent{opt: opt, core: core, running: map[int]*os.Process{}, stopped: make(chan struct{})}
+	a.Loop = eventloop.New(core, a.apply)
 	for i := range opt.Config.Instances {
-		f, err := handover.ListenFile(opt.Listen(i))
+		socket, err := handover.ListenFile(opt.Listen(i))
 		if err != nil {
 			return nil, err
 		}
-		a.sockets = append(a.sockets, f)
+		a.sockets = append(a.sockets, socket)
 	}
 	return a, nil
 }
 
-// Serve keeps the processes running until all were stopped (supervise.Stop).
+// Serve keeps the processes running until all of them have ended after supervisor.StopRequested.
 func (a *Agent) Serve() {
-	a.Submit(func() { a.Step(supervisor.Tick{}) })
-	a.Run(a.done, tick, func() { a.Step(supervisor.Tick{}) })
+	tick := func() { a.Step(supervisor.Tick{}) }
+	a.Submit(tick) // the first processes start without waiting for the ticker
+	a.Run(a.stopped, tickInterval, tick)
 }
 
-// tell has the core take an event that must not be lost, however far the loop is behind.
-func (a *Agent) tell(ev supervisor.Event) {
+// Signal sends a signal to all processes.
+func (a *Agent) Signal(sig os.Signal) {
+	a.Submit(func() {
+		for _, process := range a.running {
+			a.signal(process, sig)
+		}
+	})
+}
+
+// postUntilTaken posts an event that must not be lost, however busy the loop is.
+func (a *Agent) postUntilTaken(ev supervisor.Event) {
 	for !a.Post(ev) {
 		select {
-		case <-a.done:
+		case <-a.stopped:
 			return
-		case <-time.After(tick):
+		case <-time.After(tickInterval):
 		}
 	}
 }
 
-// Signal sends a signal to all processes.
-func (a *Agent) Signal(s os.Signal) {
-	a.Submit(func() {
-		for _, p := range a.running {
-			p.Signal(s)
-		}
-	})
-}
-
-func (a *Agent) do(e supervisor.Effect) {
-	switch e := e.(type) {
+// apply carries out an effect of the core.
+func (a *Agent) apply(effect supervisor.Effect) {
+	switch e := effect.(type) {
 	case supervisor.Start:
 		a.start(e)
 	case supervisor.Terminate:
-		if p := a.running[e.Process]; p != nil && e.Replaced {
-			p.Signal(handover.ReplacedSignal)
-		} else if p != nil {
-			p.Signal(syscall.SIGTERM)
+		sig := syscall.SIGTERM
+		if e.Replaced {
+			sig = handover.ReplacedSignal
 		}
+		a.signal(a.running[e.Process], sig)
 	case supervisor.Kill:
-		if p := a.running[e.Process]; p != nil {
-			p.Kill()
-		}
+		a.signal(a.running[e.Process], syscall.SIGKILL)
 	case supervisor.Stopped:
-		close(a.done)
+		close(a.stopped)
 	case supervisor.LogEvent:
-		level := slog.LevelInfo
-		switch e.Kind {
-		case supervisor.LogCrashed, supervisor.LogNotReady, supervisor.LogTerminateTimeout, supervisor.LogHalted, supervisor.LogUnhealthy, supervisor.LogHung:
-			level = slog.LevelWarn
-		}
-		attrs := []slog.Attr{slog.String(logs.Event, "instance_"+e.Kind.String())}
-		if e.Instance >= 0 {
-			attrs = append(attrs, slog.Int("instance", e.Instance), slog.Int("process", e.Process))
-		}
-		if e.Kind == supervisor.LogBackoff {
-			attrs = append(attrs, slog.Duration("wait", e.Wait))
-		}
-		a.opt.Log.LogAttrs(context.Background(), level, "supervised processes", attrs...)
+		a.log(e)
 	}
 }
 
-// start starts a process. One that cannot be started has ended.
-func (a *Agent) start(e supervisor.Start) {
-	program, args, env := a.opt.Command(e.Instance)
-	child, err := handover.NewChild(a.sockets[e.Instance])
-	if err == nil {
-		cmd := exec.Command(program, args...)
-		cmd.Env, cmd.ExtraFiles, cmd.Stdout, cmd.Stderr = append(env, child.Env...), child.Files, os.Stdout, os.Stderr
-		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a ^C in the terminal is the supervisor's affair
-		err = cmd.Start()
-		child.CloseInherited()
-		if err == nil {
-			a.running[e.Process] = cmd.Process
-			go a.follow(e, cmd, child)
-			return
-		}
-		child.Discard()
+// signal sends a signal to a process, if there is one. A process that has ended needs none: its end is reported by its watcher.
+func (a *Agent) signal(process *os.Process, sig os.Signal) {
+	if process != nil {
+		_ = process.Signal(sig)
 	}
-	a.opt.Log.Error("a process cannot be started", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
-	go a.tell(supervisor.Exited{Process: e.Process})
 }
 
-// follow hands over what a process says, and its end.
-func (a *Agent) follow(e supervisor.Start, cmd *exec.Cmd, child *handover.Child) {
-	heard := make(chan struct{})
-	go func() {
-		defer close(heard)
-		err := child.ReadNotifications(func() { a.tell(supervisor.Ready{Process: e.Process}) },
-			func(answers, failed int) {
-				a.Post(supervisor.ResponseCounts{Process: e.Process, Responses: answers, Failed: failed})
-			})
-		if errors.Is(err, handover.ErrMalformedNotification) {
-			a.opt.Log.Warn("a process said what makes no sense", logs.Event, "instance_nonsense", "instance", e.Instance, "process", e.Process)
-		}
-	}()
-	err := cmd.Wait()
-	select {
-	case <-heard:
-	case <-time.After(time.Second): // something that it started holds the pipe
+// log writes an event of the core to the log.
+func (a *Agent) log(e supervisor.LogEvent) {
+	attrs := []slog.Attr{slog.String(logs.Event, "instance_"+e.Kind.String())}
+	if e.Instance >= 0 {
+		attrs = append(attrs, slog.Int("instance", e.Instance), slog.Int("process", e.Process))
 	}
-	a.opt.Log.Info("a process ended", logs.Event, "instance_exit", "instance", e.Instance, "process", e.Process, "pid", cmd.Process.Pid,
-		"state", cmd.ProcessState.String())
-	a.Submit(func() { delete(a.running, e.Process) })
-	a.tell(supervisor.Exited{Process: e.Process, Clean: err == nil})
-}
-
-// Overview is what operators see.
-type Overview struct {
-	Halted    bool       `json:"halted"`
-	Instances []Instance `json:"instances"`
-}
-
-// Instance is one of them, with the number of the process that the system knows.
-type Instance struct {
-	supervisor.Status
-	PID    int    `json:"pid"`
-	Listen string `json:"listen"`
+	if e.Kind == supervisor.LogBackoff {
+		attrs = append(attrs, slog.Duration("wait", e.Wait))
+	}
+	a.opt.Log.LogAttrs(context.Background(), level(e.Kind), "supervised processes", attrs...)
 }
 
-// RegisterCalls adds the operators' calls: instances, replace (with instance=N, or all), halt, resume and stop.
-func (a *Agent) RegisterCalls(s *control.Server) {
-	look := func(url.Values) (any, error) {
-		var o Overview
-		if a.Call(func() {
-			var all []supervisor.Status
-			all, o.Halted = a.core.Statuses(a.Now())
-			for _, st := range all {
-				in := Instance{Status: st, Listen: a.opt.Listen(st.Instance)}
-				if p := a.running[st.Process]; p != nil {
-					in.PID = p.Pid
-				}
-				o.Instances = append(o.Instances, in)
-			}
-		}) != nil {
-			return nil, control.ErrBusy
-		}
-		return o, nil
-	}
-	s.HandleQuery("instances", look)
-	steer := func(name string, event func(url.Values) (supervisor.Event, error)) {
-		s.HandleCommand(name, func(q url.Values) (any, error) {
-			ev, err := event(q)
-			if err != nil {
-				return nil, err
-			}
-			if !a.Post(ev) {
-				return nil, control.ErrBusy
-			}
-			return look(nil)
-		})
-	}
-	plain := func(ev supervisor.Event) func(url.Values) (supervisor.Event, error) {
-		return func(url.Values) (supervisor.Event, error) { return ev, nil }
+// level is the log level of an event of the core.
+func level(kind supervisor.LogEventKind) slog.Level {
+	switch kind {
+	case supervisor.LogCrashed, supervisor.LogNotReady, supervisor.LogTerminateTimeout, supervisor.LogHalted,
+		supervisor.LogUnhealthy, supervisor.LogHung:
+		return slog.LevelWarn
+	default:
+		return slog.LevelInfo
 	}
-	steer("halt", plain(supervisor.HaltRequested{}))
-	steer("resume", plain(supervisor.ResumeRequested{}))
-	steer("stop", plain(supervisor.StopRequested{}))
-	steer("replace", func(q url.Values) (supervisor.Event, error) {
-		if !q.Has("instance") {
-			return supervisor.ReplaceAllRequested{}, nil
-		}
-		n, err := strconv.Atoi(q.Get("instance"))
-		if err != nil || n < 0 || n >= a.opt.Config.Instances {
-			return nil, errors.New("instance: there is none of that number")
-		}
-		return supervisor.ReplaceRequested{Instance: n}, nil
-	})
 }
--- /dev/null
+++ b/internal/supervisor/agent/calls.go
@@ -0,0 +1,80 @@
+package agent
+
+import (
+	"errors"
+	"net/url"
+	"strconv"
+
+	"shelfproxy/internal/control"
+	"shelfproxy/internal/supervisor"
+)
+
+// Overview is the state of all instances, as the control socket writes it.
+type Overview struct {
+	Halted    bool       `json:"halted"`
+	Instances []Instance `json:"instances"`
+}
+
+// Instance is the state of one instance with the process ID of the process that serves.
+type Instance struct {
+	supervisor.Status
+	PID    int    `json:"pid"`
+	Listen string `json:"listen"`
+}
+
+// RegisterCalls registers the operators' calls: instances, replace (with instance=N, or all), halt, resume and stop. A command
+// is answered with the overview after it.
+func (a *Agent) RegisterCalls(server *control.Server) {
+	server.HandleQuery("instances", a.overview)
+	handle := func(name string, parse func(url.Values) (supervisor.Event, error)) {
+		server.HandleCommand(name, func(query url.Values) (any, error) {
+			ev, err := parse(query)
+			if err != nil {
+				return nil, err
+			}
+			if !a.Post(ev) {
+				return nil, control.ErrBusy
+			}
+			return a.overview(nil)
+		})
+	}
+	always := func(ev supervisor.Event) func(url.Values) (supervisor.Event, error) {
+		return func(url.Values) (supervisor.Event, error) { return ev, nil }
+	}
+	handle("halt", always(supervisor.HaltRequested{}))
+	handle("resume", always(supervisor.ResumeRequested{}))
+	handle("stop", always(supervisor.StopRequested{}))
+	handle("replace", a.parseReplace)
+}
+
+// overview answers the call "instances".
+func (a *Agent) overview(url.Values) (any, error) {
+	var overview Overview
+	err := a.Call(func() {
+		var statuses []supervisor.Status
+		statuses, overview.Halted = a.core.Statuses(a.Now())
+		for _, status := range statuses {
+			instance := Instance{Status: status, Listen: a.opt.Listen(status.Instance)}
+			if process := a.running[status.Process]; process != nil {
+				instance.PID = process.Pid
+			}
+			overview.Instances = append(overview.Instances, instance)
+		}
+	})
+	if err != nil {
+		return nil, control.ErrBusy
+	}
+	return overview, nil
+}
+
+// parseReplace reads which instance the call "replace" is about.
+func (a *Agent) parseReplace(query url.Values) (supervisor.Event, error) {
+	if !query.Has("instance") {
+		return supervisor.ReplaceAllRequested{}, nil
+	}
+	instance, err := strconv.Atoi(query.Get("instance"))
+	if err != nil || instance < 0 || instance >= a.opt.Config.Instances {
+		return nil, errors.New("instance: there is none of that number")
+	}
+	return supervisor.ReplaceRequested{Instance: instance}, nil
+}
--- /dev/null
+++ b/internal/supervisor/agent/process.go
@@ -0,0 +1,78 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"os"
+	"os/exec"
+	"syscall"
+	"time"
+
+	"shelfproxy/internal/logs"
+	"shelfproxy/internal/supervisor"
+	"shelfproxy/internal/supervisor/handover"
+)
+
+// pipeCloseTimeout bounds how long the end of a process waits for its last notifications: a child that it started may hold the
+// pipe open.
+const pipeCloseTimeout = time.Second
+
+// start starts a process. One that can't be started counts as ended.
+func (a *Agent) start(e supervisor.Start) {
+	cmd, child, err := a.command(e.Instance)
+	if err == nil {
+		err = cmd.Start()
+		child.CloseInherited()
+		if err == nil {
+			a.running[e.Process] = cmd.Process
+			go a.watch(e, cmd, child) // ends when the process has
+			return
+		}
+		child.Discard()
+	}
+	a.opt.Log.Error("a process cannot be started", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
+	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the loop must not wait for itself; ends once it took the event
+}
+
+// command prepares the start of a process of an instance.
+func (a *Agent) command(instance int) (*exec.Cmd, *handover.Child, error) {
+	program, args, env := a.opt.Command(instance)
+	child, err := handover.NewChild(a.sockets[instance])
+	if err != nil {
+		return nil, nil, err
+	}
+	cmd := exec.CommandContext(context.Background(), program, args...) // only the core ends processes
+	cmd.Env, cmd.ExtraFiles = append(env, child.Env...), child.Files
+	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a ^C in the terminal goes to the supervisor alone
+	return cmd, child, nil
+}
+
+// watch reports a process's notifications and its end to the core.
+func (a *Agent) watch(e supervisor.Start, cmd *exec.Cmd, child *handover.Child) {
+	pipeClosed := make(chan struct{}) // closed by readNotifications
+	go a.readNotifications(e, child, pipeClosed)
+	err := cmd.Wait()
+	select {
+	case <-pipeClosed:
+	case <-time.After(pipeCloseTimeout):
+	}
+	a.opt.Log.Info("a process ended", logs.Event, "instance_exit", "instance", e.Instance, "process", e.Process, "pid", cmd.Process.Pid,
+		"state", cmd.ProcessState.String())
+	a.Submit(func() { delete(a.running, e.Process) })
+	a.postUntilTaken(supervisor.Exited{Process: e.Process, Clean: err == nil})
+}
+
+// readNotifications reports a process's notifications until its pipe is closed. Counts may be lost while the loop is busy.
+func (a *Agent) readNotifications(e supervisor.Start, child *handover.Child, pipeClosed chan<- struct{}) {
+	defer close(pipeClosed)
+	err := child.ReadNotifications(
+		func() { a.postUntilTaken(supervisor.Ready{Process: e.Process}) },
+		func(responses, failed int) {
+			a.Post(supervisor.ResponseCounts{Process: e.Process, Responses: responses, Failed: failed})
+		})
+	if errors.Is(err, handover.ErrMalformedNotification) {
+		a.opt.Log.Warn("a process sent a malformed notification", logs.Event, "instance_nonsense",
+			"instance", e.Instance, "process", e.Process)
+	}
+}
--- a/internal/supervisor/core_test.go
+++ b/internal/supervisor/core_test.go
@@ -7,317 +7,384 @@
 	"pgregory.net/rapid"
 )
 
-func config(instances, atOnce int) Config {
-	return Config{Instances: instances, MaxConcurrent: atOnce, ReadyTimeout: 2 * time.Second, ObservationPeriod: time.Second, TerminateTimeout: 3 * time.Second, HangTimeout: 5 * time.Second,
-		MinBackoff: 100 * time.Millisecond, MaxBackoff: 5 * time.Second, MaxFailureRate: 0.2, MinSamples: 10, Seed: 1}
+// tickInterval is the time between two ticks of a harness.
+const tickInterval = 50 * time.Millisecond
+
+func testConfig(instances, maxConcurrent int) Config {
+	return Config{
+		Instances:         instances,
+		MaxConcurrent:     maxConcurrent,
+		ReadyTimeout:      2 * time.Second,
+		ObservationPeriod: time.Second,
+		TerminateTimeout:  3 * time.Second,
+		HangTimeout:       5 * time.Second,
+		MinBackoff:        100 * time.Millisecond,
+		MaxBackoff:        5 * time.Second,
+		MaxFailureRate:    0.2,
+		MinSamples:        10,
+		Seed:              1,
+	}
 }
 
-// world plays the processes that a core wants: what each does is the test's.
-type world struct {
-	t     interface{ Fatalf(string, ...any) }
-	c     *Core
-	now   Time
-	alive map[int]*played
-	notes map[LogEventKind]int
-	done  bool
-	most  int // instances without a process that serves, of those that had one, while no process crashed
+// fatalf is what a harness needs of *testing.T and *rapid.T.
+type fatalf interface {
+	Helper()
+	Fatalf(format string, args ...any)
 }
 
-type played struct {
-	instance     int
-	ready, ended bool // told to end
-	killed       bool
+// harness simulates the processes that a core starts. A test decides what each of them does; after each step the harness checks
+// what must hold at any time.
+type harness struct {
+	t         fatalf
+	core      *Core
+	now       Time
+	alive     map[int]*fakeProcess // by number
+	logged    map[LogEventKind]int
+	isStopped bool
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, cfg Config) *world {
-	c, err := New(cfg)
+type fakeProcess struct {
+	instance      int
+	isReady       bool
+	isTerminating bool
+	isKilled      bool
+}
+
+func newHarness(t fatalf, cfg Config) *harness {
+	t.Helper()
+	core, err := New(cfg)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	w := &world{t: t, c: c, alive: map[int]*played{}, notes: map[LogEventKind]int{}}
-	w.step(Tick{})
-	return w
+	h := &harness{t: t, core: core, alive: map[int]*fakeProcess{}, logged: map[LogEventKind]int{}}
+	h.step(Tick{})
+	return h
 }
 
-func (w *world) step(ev Event) {
-	for _, e := range w.c.Step(w.now, ev) {
-		switch e := e.(type) {
+// step lets the core handle an event, carries out its effects and checks them.
+func (h *harness) step(ev Event) {
+	h.t.Helper()
+	for _, effect := range h.core.Step(h.now, ev) {
+		switch e := effect.(type) {
 		case Start:
-			if w.alive[e.Process] != nil {
-				w.t.Fatalf("process %d is started twice", e.Process)
+			if h.alive[e.Process] != nil {
+				h.t.Fatalf("process %d is started twice", e.Process)
 			}
-			w.alive[e.Process] = &played{instance: e.Instance}
+			h.alive[e.Process] = &fakeProcess{instance: e.Instance}
 		case Terminate:
-			p := w.alive[e.Process]
-			if p == nil || p.ended {
-				w.t.Fatalf("process %d is told to end, and is not there or was told", e.Process)
-			}
-			if !w.c.stopping && !w.serves(p.instance, e.Process) {
-				w.t.Fatalf("process %d of instance %d is told to end, and no other serves", e.Process, p.instance)
-			}
-			p.ended = true
+			h.terminate(e.Process)
 		case Kill:
-			if w.alive[e.Process] == nil {
-				w.t.Fatalf("process %d is killed, and is not there", e.Process)
+			if h.alive[e.Process] == nil {
+				h.t.Fatalf("process %d is killed, and has ended", e.Process)
 			}
-			w.alive[e.Process].killed = true
+			h.alive[e.Process].isKilled = true
 		case Stopped:
-			w.done = true
+			h.isStopped = true
 		case LogEvent:
-			w.notes[e.Kind]++
+			h.logged[e.Kind]++
 		}
 	}
-	w.check()
+	h.check()
+}
+
+// terminate tells a process to terminate, which must happen once, and only when another one serves or all are stopped.
+func (h *harness) terminate(number int) {
+	h.t.Helper()
+	process := h.alive[number]
+	if process == nil || process.isTerminating {
+		h.t.Fatalf("process %d is told to terminate, and has ended or was told before", number)
+	}
+	if !h.core.isStopping && !h.anotherServes(process.instance, number) {
+		h.t.Fatalf("process %d of instance %d is told to terminate, and no other serves", number, process.instance)
+	}
+	process.isTerminating = true
 }
 
-// serves tells whether a process of an instance but one is ready and was not told to end.
-func (w *world) serves(instance, but int) bool {
-	for id, p := range w.alive {
-		if id != but && p.instance == instance && p.ready && !p.ended {
+// anotherServes reports whether a process of an instance other than the given one is ready and was not told to terminate.
+func (h *harness) anotherServes(instance, except int) bool {
+	for number, process := range h.alive {
+		if number != except && process.instance == instance && process.isReady && !process.isTerminating {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) check() {
+// check fails the test if an instance has more than one process that serves or starts, or too many instances are replaced.
+func (h *harness) check() {
+	h.t.Helper()
 	replaced := 0
-	for i := range w.c.all {
-		if w.c.all[i].rolling {
+	for i := range h.core.instances {
+		if h.core.instances[i].isBeingReplaced {
 			replaced++
 		}
-		serve, start := 0, 0
-		for _, p := range w.alive {
+		serving, starting := 0, 0
+		for _, process := range h.alive {
 			switch {
-			case p.instance != i || p.ended:
-			case p.ready:
-				serve++
+			case process.instance != i || process.isTerminating:
+			case process.isReady:
+				serving++
 			default:
-				start++
+				starting++
 			}
 		}
-		if serve > 1 || start > 1 {
-			w.t.Fatalf("instance %d has %d processes that serve and %d that start", i, serve, start)
+		if serving > 1 || starting > 1 {
+			h.t.Fatalf("instance %d has %d processes that serve and %d that start, want one of each at most", i, serving, starting)
 		}
 	}
-	if replaced > w.c.cfg.MaxConcurrent {
-		w.t.Fatalf("%d are replaced at once", replaced)
+	if replaced > h.core.cfg.MaxConcurrent {
+		h.t.Fatalf("%d instances are being replaced, want %d at most", replaced, h.core.cfg.MaxConcurrent)
 	}
 }
 
-func (w *world) ready(id int) { w.alive[id].ready = true; w.step(Ready{id}) }
+func (h *harness) becomeReady(number int) {
+	h.t.Helper()
+	h.alive[number].isReady = true
+	h.step(Ready{number})
+}
 
-func (w *world) exit(id int, clean bool) {
-	delete(w.alive, id)
-	w.step(Exited{id, clean})
+func (h *harness) exit(number int, isClean bool) {
+	h.t.Helper()
+	delete(h.alive, number)
+	h.step(Exited{number, isClean})
 }
 
-// calm has all that was started become ready and all that was told to end go, for a while.
-func (w *world) calm(span time.Duration) {
-	for end := w.now + span; w.now < end; w.now += 50 * time.Millisecond {
-		for id := 1; id <= w.c.lastID; id++ {
-			switch p := w.alive[id]; {
-			case p == nil:
-			case p.ended || p.killed:
-				w.exit(id, !p.killed)
-			case !p.ready:
-				w.ready(id)
+// reportsNoFailure is a report of a process that is idle.
+func reportsNoFailure(number int) ResponseCounts { return ResponseCounts{Process: number} }
+
+// runHealthy lets time pass in which every process becomes ready, reports, and ends when it is told to.
+func (h *harness) runHealthy(duration time.Duration) {
+	h.t.Helper()
+	for end := h.now + duration; h.now < end; h.now += tickInterval {
+		for number := 1; number <= h.core.lastProcess; number++ {
+			switch process := h.alive[number]; {
+			case process == nil:
+			case process.isTerminating || process.isKilled:
+				h.exit(number, !process.isKilled)
+			case !process.isReady:
+				h.becomeReady(number)
 			default:
-				w.step(ResponseCounts{id, 0, 0})
+				h.step(reportsNoFailure(number))
 			}
 		}
-		w.step(Tick{})
+		h.step(Tick{})
 	}
 }
 
-// process is the one that serves at an instance.
-func (w *world) process(instance int) int {
-	if p := w.c.all[instance].current; p != nil {
-		return p.id
+// current is the number of the process that serves at an instance, 0 if there is none.
+func (h *harness) current(instance int) int {
+	if process := h.core.instances[instance].current; process != nil {
+		return process.number
 	}
 	return 0
 }
 
-// TestRoll: what becomes of a roll, by what its first successor does.
-func TestRoll(t *testing.T) {
+// TestReplacingAllHaltsAtUnhealthySuccessor: how far replacing all instances gets depends on what its first successor does; after
+// a halt it can be resumed.
+func TestReplacingAllHaltsAtUnhealthySuccessor(t *testing.T) {
 	for name, test := range map[string]struct {
-		successor func(w *world, id int)
-		replaced  int // of three instances
-		halted    bool
+		successor    func(h *harness, number int)
+		wantReplaced int // of three instances
+		wantHalted   bool
 	}{
-		"all go well":          {func(w *world, id int) { w.ready(id) }, 3, false},
-		"crashes at its start": {func(w *world, id int) { w.exit(id, false) }, 0, true},
-		"is never ready":       {func(w *world, id int) { w.now += 2 * time.Second; w.step(Tick{}); w.exit(id, false) }, 0, true},
-		"ends soon after":      {func(w *world, id int) { w.ready(id); w.now += 300 * time.Millisecond; w.exit(id, false) }, 1, true},
-		"fails more than others": {func(w *world, id int) {
-			w.step(ResponseCounts{w.process(1), 100, 5})
-			w.step(ResponseCounts{w.process(2), 100, 8})
-			w.ready(id)
-			w.step(ResponseCounts{id, 100, 40})
+		"becomes ready":        {func(h *harness, number int) { h.becomeReady(number) }, 3, false},
+		"crashes at its start": {func(h *harness, number int) { h.exit(number, false) }, 0, true},
+		"is never ready": {func(h *harness, number int) {
+			h.now += 2 * time.Second
+			h.step(Tick{})
+			h.exit(number, false)
+		}, 0, true},
+		"crashes soon after": {func(h *harness, number int) {
+			h.becomeReady(number)
+			h.now += 300 * time.Millisecond
+			h.exit(number, false)
 		}, 1, true},
-		"fails as the others do": {func(w *world, id int) {
-			w.step(ResponseCounts{w.process(1), 100, 35})
-			w.step(ResponseCounts{w.process(2), 100, 38})
-			w.ready(id)
-			w.step(ResponseCounts{id, 100, 40})
+		"fails more than others": {func(h *harness, number int) {
+			h.step(ResponseCounts{h.current(1), 100, 5})
+			h.step(ResponseCounts{h.current(2), 100, 8})
+			h.becomeReady(number)
+			h.step(ResponseCounts{number, 100, 40})
+		}, 1, true},
+		"fails as the others do": {func(h *harness, number int) {
+			h.step(ResponseCounts{h.current(1), 100, 35})
+			h.step(ResponseCounts{h.current(2), 100, 38})
+			h.becomeReady(number)
+			h.step(ResponseCounts{number, 100, 40})
 		}, 3, false},
 	} {
-		w := newWorld(t, config(3, 1))
-		w.calm(2 * time.Second)
-		before := []int{w.process(0), w.process(1), w.process(2)}
-		w.step(ReplaceAllRequested{})
-		test.successor(w, w.c.lastID)
-		w.calm(10 * time.Second)
-		replaced := 0
-		for i, id := range before {
-			if w.process(i) != id {
-				replaced++
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, testConfig(3, 1))
+			h.runHealthy(2 * time.Second)
+			before := []int{h.current(0), h.current(1), h.current(2)}
+			h.step(ReplaceAllRequested{})
+			test.successor(h, h.core.lastProcess)
+			h.runHealthy(10 * time.Second)
+			replaced := 0
+			for i, number := range before {
+				if h.current(i) != number {
+					replaced++
+				}
+				if h.current(i) == 0 {
+					t.Errorf("instance %d does not serve", i)
+				}
 			}
-			if w.process(i) == 0 {
-				t.Errorf("%s: instance %d does not serve", name, i)
+			_, halted := h.core.Statuses(h.now)
+			if replaced != test.wantReplaced || halted != test.wantHalted {
+				t.Errorf("%d replaced, halted %v; want %d, %v; logged %v", replaced, halted, test.wantReplaced, test.wantHalted, h.logged)
 			}
-		}
-		if _, halted := w.c.Statuses(w.now); replaced != test.replaced || halted != test.halted || (w.notes[LogAllReplaced] > 0) == halted {
-			t.Errorf("%s: %d replaced, want %d; halted %v, want %v; notes %v", name, replaced, test.replaced, halted, test.halted, w.notes)
-		}
-		if test.halted { // the way on
-			w.step(ResumeRequested{})
-			w.step(ReplaceAllRequested{})
-			w.calm(20 * time.Second)
-			if w.notes[LogAllReplaced] == 0 {
-				t.Errorf("%s: it does not go on", name)
+			if isDone := h.logged[LogAllReplaced] > 0; isDone == halted {
+				t.Errorf("logged that all are replaced: %v, want %v", isDone, !halted)
 			}
-		}
+			if test.wantHalted {
+				h.step(ResumeRequested{})
+				h.step(ReplaceAllRequested{})
+				h.runHealthy(20 * time.Second)
+				if h.logged[LogAllReplaced] == 0 {
+					t.Errorf("replacing does not go on after a resume; logged %v", h.logged)
+				}
+			}
+		})
 	}
 }
 
-// TestCrashes: a process that ends by itself is started again, at once where it went out in order, else later and later.
-func TestCrashes(t *testing.T) {
-	w := newWorld(t, config(1, 1))
-	w.calm(2 * time.Second)
-	w.exit(w.process(0), true)
-	if len(w.alive) != 1 {
-		t.Error("one that went out in order is not started at once")
+// TestCrashedProcessIsRestartedWithBackoff: a process that ends by itself is started again, at once if it drained, else after a
+// growing wait.
+func TestCrashedProcessIsRestartedWithBackoff(t *testing.T) {
+	h := newHarness(t, testConfig(1, 1))
+	h.runHealthy(2 * time.Second)
+	h.exit(h.current(0), true)
+	if got := len(h.alive); got != 1 {
+		t.Errorf("%d processes right after one drained, want 1", got)
 	}
-	waits := 0
+	const pollInterval = 10 * time.Millisecond
+	start := h.now
 	for range 12 {
-		for id := range w.alive {
-			w.exit(id, false)
+		for number := range h.alive {
+			h.exit(number, false)
 		}
-		for len(w.alive) == 0 {
-			w.now += 10 * time.Millisecond
-			waits++
-			w.step(Tick{})
+		for len(h.alive) == 0 {
+			h.now += pollInterval
+			h.step(Tick{})
 		}
 	}
-	if at := time.Duration(waits) * 10 * time.Millisecond; at < 5*time.Second || at > time.Minute {
-		t.Errorf("twelve failed starts took %v", at)
+	if took := h.now - start; took < 5*time.Second || took > time.Minute {
+		t.Errorf("twelve failed starts took %v, want 5s to 1m", took)
 	}
-	w.calm(5 * time.Second)
-	if s, _ := w.c.Statuses(w.now); s[0].Failures != 0 || s[0].State != "serves" {
-		t.Errorf("one that serves again: %+v", s)
+	h.runHealthy(5 * time.Second)
+	if statuses, _ := h.core.Statuses(h.now); statuses[0].Failures != 0 || statuses[0].State != "serves" {
+		t.Errorf("status after the recovery: %+v, want no failures and serves", statuses[0])
 	}
-	w.step(StopRequested{})
-	w.calm(time.Second)
-	if !w.done || len(w.alive) > 0 {
-		t.Errorf("stopped: done %v, %d processes", w.done, len(w.alive))
+	h.step(StopRequested{})
+	h.runHealthy(time.Second)
+	if !h.isStopped || len(h.alive) > 0 {
+		t.Errorf("stopped %v with %d processes left, want true and none", h.isStopped, len(h.alive))
 	}
 }
 
-// TestOverdue: who does not end in time is killed.
-func TestOverdue(t *testing.T) {
-	w := newWorld(t, config(2, 1))
-	w.calm(2 * time.Second)
-	w.step(ReplaceRequested{0})
-	w.ready(w.c.lastID)
+// TestProcessThatDoesNotTerminateIsKilled: a replaced process that does not end in time is killed, once.
+func TestProcessThatDoesNotTerminateIsKilled(t *testing.T) {
+	h := newHarness(t, testConfig(2, 1))
+	h.runHealthy(2 * time.Second)
+	h.step(ReplaceRequested{0})
+	h.becomeReady(h.core.lastProcess)
 	for range 100 {
-		w.now += 50 * time.Millisecond
-		w.step(Tick{})
+		h.now += tickInterval
+		h.step(Tick{})
 	}
-	if w.notes[LogTerminateTimeout] != 1 {
-		t.Errorf("killed %d that were overdue", w.notes[LogTerminateTimeout])
+	if got := h.logged[LogTerminateTimeout]; got != 1 {
+		t.Errorf("%d processes were killed after the terminate timeout, want 1", got)
 	}
 }
 
-// TestHangs: a process that said how it goes and says nothing any more is replaced at once, also while replacing is halted, and
-// killed where it does not end.
-func TestHangs(t *testing.T) {
-	w := newWorld(t, config(2, 1))
-	w.calm(2 * time.Second)
-	hung := w.process(0)
-	w.step(HaltRequested{})
-	w.step(ResponseCounts{hung, 10, 0})
-	w.now += w.c.cfg.HangTimeout
-	w.step(ResponseCounts{w.process(1), 10, 0}) // the other one goes on
-	next := w.c.lastID
-	if w.notes[LogHung] != 1 || next == hung || w.alive[hung].ended {
-		t.Fatalf("%d hang, the last process is %d, the one that hangs was told to end before another serves: %v", w.notes[LogHung], next, w.alive[hung].ended)
+// TestHungProcessIsReplacedWhileHalted: a process that has reported and reports no more is replaced at once, also while replacing
+// is halted, and killed if it does not terminate.
+func TestHungProcessIsReplacedWhileHalted(t *testing.T) {
+	h := newHarness(t, testConfig(2, 1))
+	h.runHealthy(2 * time.Second)
+	hung, healthy := h.current(0), h.current(1)
+	h.step(HaltRequested{})
+	h.step(ResponseCounts{hung, 10, 0})
+	h.now += h.core.cfg.HangTimeout
+	h.step(ResponseCounts{healthy, 10, 0})
+	successor := h.core.lastProcess
+	if h.logged[LogHung] != 1 || successor == hung {
+		t.Fatalf("%d hang and the last process is %d, want one, and a successor of %d", h.logged[LogHung], successor, hung)
+	}
+	if h.alive[hung].isTerminating {
+		t.Fatalf("process %d was told to terminate before its successor serves", hung)
 	}
-	w.ready(next)
-	for range 100 { // it does not end
-		w.now += 50 * time.Millisecond
-		w.step(ResponseCounts{w.process(1), 10, 0})
-		w.step(ResponseCounts{next, 10, 0})
+	h.becomeReady(successor)
+	for range 100 { // the hung process does not end
+		h.now += tickInterval
+		h.step(ResponseCounts{healthy, 10, 0})
+		h.step(ResponseCounts{successor, 10, 0})
 	}
-	if !w.alive[hung].killed || w.process(0) != next || w.notes[LogStarted] != 3 {
-		t.Errorf("killed %v, process %d serves, %d started", w.alive[hung].killed, w.process(0), w.notes[LogStarted])
+	if !h.alive[hung].isKilled || h.current(0) != successor || h.logged[LogStarted] != 3 {
+		t.Errorf("killed %v, process %d serves, %d started; want true, %d, 3",
+			h.alive[hung].isKilled, h.current(0), h.logged[LogStarted], successor)
 	}
 }
 
-// TestAnyOrder: whatever processes and operators do, in whatever order, no instance that serves is told to end before another
-// process of its own does, no more than the settings say are replaced at once, and all is well once all behave.
-func TestAnyOrder(t *testing.T) {
+// TestInstancesServeUnderAnyEvents: whatever processes and operators do, in any order, no process that serves is told to terminate
+// before another one of its instance does, no more than MaxConcurrent instances are replaced at once, and all serve once every
+// process behaves.
+func TestInstancesServeUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 4).Draw(t, "instances")
-		w := newWorld(t, config(n, rapid.IntRange(1, n).Draw(t, "at once")))
+		instances := rapid.IntRange(1, 4).Draw(t, "instances")
+		h := newHarness(t, testConfig(instances, rapid.IntRange(1, instances).Draw(t, "at once")))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			w.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			var ids []int
-			for id := 1; id <= w.c.lastID; id++ {
-				if w.alive[id] != nil {
-					ids = append(ids, id)
-				}
-			}
-			pick := 0
-			if len(ids) > 0 {
-				pick = rapid.SampledFrom(ids).Draw(t, "process")
-			}
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0, 1, 2:
-				if pick > 0 && !w.alive[pick].ready && !w.alive[pick].killed {
-					w.ready(pick)
-				}
-			case 3:
-				if pick > 0 {
-					w.exit(pick, rapid.Bool().Draw(t, "clean"))
-				}
-			case 4:
-				w.step(ReplaceAllRequested{})
-			case 5:
-				w.step(ReplaceRequested{rapid.IntRange(-1, n).Draw(t, "instance")})
-			case 6:
-				w.step(HaltRequested{})
-			case 7:
-				w.step(ResumeRequested{})
-			case 8:
-				w.step(ResponseCounts{pick, rapid.IntRange(0, 50).Draw(t, "answers"), rapid.IntRange(0, 50).Draw(t, "failed")})
-			default:
-				w.step(Tick{})
-			}
+			h.stepAny(t, instances)
 		}
-		w.step(ResumeRequested{})
-		w.calm(time.Minute)
-		w.step(ResumeRequested{}) // a start that failed at the end may have halted it
-		w.calm(time.Minute)
-		for i := range n {
-			if w.process(i) == 0 || w.c.all[i].wanted || len(w.c.all[i].old) > 0 {
-				t.Fatalf("instance %d in the end: %+v", i, w.c.all[i])
+		h.step(ResumeRequested{})
+		h.runHealthy(time.Minute)
+		h.step(ResumeRequested{}) // a start that failed at the end may have halted replacing
+		h.runHealthy(time.Minute)
+		for i := range instances {
+			if in := &h.core.instances[i]; h.current(i) == 0 || in.replaceRequested || len(in.ending) > 0 {
+				t.Fatalf("instance %d in the end: %+v, want it to serve with nothing left to do", i, in)
 			}
 		}
-		w.step(StopRequested{})
-		w.calm(10 * time.Second)
-		if !w.done {
+		h.step(StopRequested{})
+		h.runHealthy(10 * time.Second)
+		if !h.isStopped {
 			t.Fatalf("it does not stop")
 		}
 	})
 }
+
+// stepAny lets time pass and has a process or an operator do anything.
+func (h *harness) stepAny(t *rapid.T, instances int) {
+	h.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
+	var numbers []int
+	for number := 1; number <= h.core.lastProcess; number++ {
+		if h.alive[number] != nil {
+			numbers = append(numbers, number)
+		}
+	}
+	picked := 0
+	if len(numbers) > 0 {
+		picked = rapid.SampledFrom(numbers).Draw(t, "process")
+	}
+	switch rapid.IntRange(0, 9).Draw(t, "what") {
+	case 0, 1, 2:
+		if picked > 0 && !h.alive[picked].isReady && !h.alive[picked].isKilled {
+			h.becomeReady(picked)
+		}
+	case 3:
+		if picked > 0 {
+			h.exit(picked, rapid.Bool().Draw(t, "clean"))
+		}
+	case 4:
+		h.step(ReplaceAllRequested{})
+	case 5:
+		h.step(ReplaceRequested{rapid.IntRange(-1, instances).Draw(t, "instance")})
+	case 6:
+		h.step(HaltRequested{})
+	case 7:
+		h.step(ResumeRequested{})
+	case 8:
+		h.step(ResponseCounts{picked, rapid.IntRange(0, 50).Draw(t, "answers"), rapid.IntRange(0, 50).Draw(t, "failed")})
+	default:
+		h.step(Tick{})
+	}
+}
--- a/internal/supervisor/handover/golden_test.go
+++ b/internal/supervisor/handover/golden_test.go
@@ -12,22 +12,22 @@
 )
 
 // TestGoldenHandover: a process of one release and a supervisor of another understand each other: the variables that a
-// child inherits, the signal, and the lines that it writes.
+// child inherits, the signal, and the notifications that it writes.
 func TestGoldenHandover(t *testing.T) {
 	child, err := NewChild(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer child.Discard()
-	p := &Parent{notify: child.Files[1]}
-	if err := p.ReportReady(); err != nil {
+	parent := &Parent{notify: child.Files[1]}
+	if err := parent.ReportReady(); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.ReportResponses(120, 7); err != nil {
+	if err := parent.ReportResponses(120, 7); err != nil {
 		t.Fatal(err)
 	}
 	child.CloseInherited()
-	said, err := io.ReadAll(child.read)
+	written, err := io.ReadAll(child.read)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,30 +35,31 @@
 	lines.Text("environment", strings.Join(child.Env, " "))
 	lines.Text("files", fmt.Sprint(len(child.Files)))
 	lines.Text("replaced", fmt.Sprint(int(ReplacedSignal)))
-	lines.Hex("notifications", said)
+	lines.Hex("notifications", written)
 	golden.Check(t, "handover.golden", lines.Bytes())
 
-	var heard []string
+	var received []string
 	old := golden.Hex(t, golden.Read(t, "handover.golden"), "notifications")
-	err = listen(bytes.NewReader(old), func() { heard = append(heard, "ready") }, func(answers, failed int) {
-		heard = append(heard, fmt.Sprintf("%d answers, %d failed", answers, failed))
+	err = readNotifications(bytes.NewReader(old), func() { received = append(received, "ready") }, func(responses, failed int) {
+		received = append(received, fmt.Sprintf("%d responses, %d failed", responses, failed))
 	})
-	if got := strings.Join(heard, "; "); err != nil || got != "ready; 120 answers, 7 failed" {
-		t.Errorf("read as %q, %v", got, err)
+	if got, want := strings.Join(received, "; "), "ready; 120 responses, 7 failed"; err != nil || got != want {
+		t.Errorf("read %q with error %v, want %q without one", got, err, want)
 	}
 }
 
-// TestInheritOneSocketOnly: a process takes one listening socket, and passes the variables to no child of its own.
-func TestInheritOneSocketOnly(t *testing.T) {
+// TestInheritRejectsTwoSocketsAndUnsetsVariables: a process takes one listening socket, and passes the variables to no child of
+// its own.
+func TestInheritRejectsTwoSocketsAndUnsetsVariables(t *testing.T) {
 	t.Setenv("LISTEN_FDS", "2")
 	t.Setenv("LISTEN_PID", "")
 	t.Setenv("SHELFPROXY_NOTIFY_FD", "")
 	_, err := Inherit()
 	if err == nil {
-		t.Fatal("two sockets were taken")
+		t.Fatal("two sockets were inherited, want an error")
 	}
-	if _, left := os.LookupEnv("LISTEN_FDS"); left {
-		t.Error("the variable is passed on to children")
+	if value, isSet := os.LookupEnv("LISTEN_FDS"); isSet {
+		t.Errorf("LISTEN_FDS is still %q, want it unset for children", value)
 	}
 	if !strings.Contains(err.Error(), "LISTEN_FDS") {
 		t.Errorf("the error %q does not name the variable", err)
--- /dev/null
+++ b/internal/supervisor/health.go
@@ -0,0 +1,65 @@
+package supervisor
+
+import "slices"
+
+// handleResponseCounts records what a process reports, and halts replacing if it is observed and unhealthy.
+func (c *Core) handleResponseCounts(now Time, e ResponseCounts) {
+	i, p := c.find(e.Process)
+	if p == nil {
+		return
+	}
+	p.responses += float64(e.Responses)
+	p.failed += float64(e.Failed)
+	p.lastReportAt = max(now, 1) // 0 means never
+	in := &c.instances[i]
+	if in.current != p || !in.isObserved || !c.hasEnoughSamples(p) {
+		return
+	}
+	if p.failureRate() > c.usualFailureRate(i)+c.cfg.MaxFailureRate {
+		in.isObserved = false
+		c.log(LogUnhealthy, i, p.number)
+		c.halt(i, p.number)
+	}
+}
+
+// hasEnoughSamples reports whether a process has given enough responses for its failure rate to be judged.
+func (c *Core) hasEnoughSamples(p *process) bool {
+	return p.responses >= float64(max(1, c.cfg.MinSamples))
+}
+
+// usualFailureRate is the lower median of the failure rates of the other instances whose processes are not being observed, and
+// 0 if there are none.
+func (c *Core) usualFailureRate(except int) float64 {
+	var rates []float64
+	for i := range c.instances {
+		in := &c.instances[i]
+		if i != except && in.current != nil && !in.isObserved && c.hasEnoughSamples(in.current) {
+			rates = append(rates, in.current.failureRate())
+		}
+	}
+	if len(rates) == 0 {
+		return 0
+	}
+	slices.Sort(rates)
+	return rates[(len(rates)-1)/2]
+}
+
+// endObservation trusts a current process that has served for the observation period.
+func (c *Core) endObservation(now Time, i int) {
+	in := &c.instances[i]
+	if in.current != nil && now-in.current.readyAt >= c.cfg.ObservationPeriod {
+		in.isObserved, in.failedStarts = false, 0
+	}
+}
+
+// checkHang marks a current process that stopped reporting as hung. It is replaced at once, even while replacing is halted.
+func (c *Core) checkHang(now Time, i int) {
+	p := c.instances[i].current
+	if c.cfg.HangTimeout <= 0 || p == nil || p.isHung || p.lastReportAt == 0 {
+		return
+	}
+	if now-p.lastReportAt >= c.cfg.HangTimeout {
+		p.isHung = true
+		c.log(LogHung, i, p.number)
+	}
+}
