--- a/cmd/shelfproxy/ctl.go
+++ b/cmd/shelfproxy/ctl.go
@@ -4,85 +4,93 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
 	"net/url"
-	"strings"
-	"time"
 
 	"github.com/spf13/cobra"
 
 	"shelfproxy/internal/config"
+	"shelfproxy/internal/control"
 	"shelfproxy/internal/exit"
 )
 
-// callFor bounds an operator's call: the node answers from its own view and waits for no other.
-const callFor = 5 * time.Second
+// ctlVerb is a verb of ctl, which makes one call at the control socket of a node or a supervisor.
+type ctlVerb struct {
+	use, short string
+	call       string // the call's name
+	send       func(ctx context.Context, path, call string, query url.Values) (string, error)
+	args       cobra.PositionalArgs
+	query      func(args []string) url.Values // nil: the call has no parameters
+}
+
+var ctlVerbs = []ctlVerb{
+	{use: "status", short: "Say who is out, and why nothing goes on where it does not",
+		call: "status", send: control.Query, args: cobra.NoArgs},
+	{use: "duties", short: "Say who does what for all, since when and under which token",
+		call: "duties", send: control.Query, args: cobra.NoArgs},
+	{use: "members", short: "Say which nodes of the fleet are there, and since when",
+		call: "members", send: control.Query, args: cobra.NoArgs},
+	{use: "explain KEY", short: "Say where a key goes at this moment, and why not elsewhere",
+		call: "explain", send: control.Query, args: cobra.ExactArgs(1), query: argument("key")},
+	{use: "drain", short: "Have this node go out when the fleet lets it",
+		call: "drain", send: control.Command, args: cobra.NoArgs},
+	{use: "halt", short: "Let no further node go out",
+		call: "halt", send: control.Command, args: cobra.NoArgs},
+	{use: "resume", short: "Let nodes go out again after a halt",
+		call: "resume", send: control.Command, args: cobra.NoArgs},
+	{use: "roll RELEASE", short: "Have every node of another release go out in its turn; the release before is the way back",
+		call: "roll", send: control.Command, args: cobra.ExactArgs(1), query: argument("to")},
+	{use: "instances", short: "Say what the processes of a supervisor do",
+		call: "instances", send: control.Query, args: cobra.NoArgs},
+	{use: "stop", short: "End a supervisor and all its nodes",
+		call: "stop", send: control.Command, args: cobra.NoArgs},
+	{use: "replace [INSTANCE]", short: "Have a supervisor replace the processes of one instance, or of all in turn",
+		call: "replace", send: control.Command, args: cobra.MaximumNArgs(1), query: argument("instance")},
+}
+
+// argument returns a function that passes a verb's argument, if there is one, as a parameter of the call.
+func argument(parameter string) func(args []string) url.Values {
+	return func(args []string) url.Values {
+		if len(args) == 0 {
+			return nil
+		}
+		return url.Values{parameter: args}
+	}
+}
 
-// ctl is the verb for the operators of a running node.
-func ctl(load func() (*config.Config, error)) *cobra.Command {
+// ctlCommand is the verb for the operators of a running node or supervisor.
+func ctlCommand(load func() (*config.Config, error)) *cobra.Command {
 	var path string
-	c := &cobra.Command{Use: "ctl", Short: "Look at and steer what the nodes of a fleet agree on"}
-	c.PersistentFlags().StringVar(&path, "control", "", "the node's socket (rollout.control of the operator's file)")
-	verb := func(use, short, method, call string, args cobra.PositionalArgs, query func([]string) url.Values) {
-		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, words []string) error {
-			at := path
-			if at == "" {
-				cfg, err := load()
-				if err != nil {
-					return err
-				}
-				if at = cfg.Operator.Rollout.Control; at == "" {
-					return exit.With(exitConfig, errors.New("rollout.control: not set, and no --control"))
-				}
+	ctl := &cobra.Command{Use: "ctl", Short: "Look at and steer what the nodes of a fleet agree on"}
+	ctl.PersistentFlags().StringVar(&path, "control", "", "the node's socket (rollout.control of the operator's file)")
+	for _, verb := range ctlVerbs {
+		ctl.AddCommand(&cobra.Command{Use: verb.use, Short: verb.short, Args: verb.args, RunE: func(cmd *cobra.Command, args []string) error {
+			socket, err := controlSocket(path, load)
+			if err != nil {
+				return err
+			}
+			var query url.Values
+			if verb.query != nil {
+				query = verb.query(args)
 			}
-			text, err := callNode(at, method, call, query(words))
-			fmt.Fprint(cmd.OutOrStdout(), text)
+			answer, err := verb.send(cmd.Context(), socket, verb.call, query)
+			fmt.Fprint(cmd.OutOrStdout(), answer)
 			return exit.With(exitFailed, err)
 		}})
 	}
-	none := func([]string) url.Values { return nil }
-	verb("status", "Say who is out, and why nothing goes on where it does not", http.MethodGet, "/status", cobra.NoArgs, none)
-	verb("duties", "Say who does what for all, since when and under which token", http.MethodGet, "/duties", cobra.NoArgs, none)
-	verb("members", "Say which nodes of the fleet are there, and since when", http.MethodGet, "/members", cobra.NoArgs, none)
-	verb("explain KEY", "Say where a key goes at this moment, and why not elsewhere", http.MethodGet, "/explain", cobra.ExactArgs(1),
-		func(words []string) url.Values { return url.Values{"key": words} })
-	verb("drain", "Have this node go out when the fleet lets it", http.MethodPost, "/drain", cobra.NoArgs, none)
-	verb("halt", "Let no further node go out", http.MethodPost, "/halt", cobra.NoArgs, none)
-	verb("resume", "Let nodes go out again after a halt", http.MethodPost, "/resume", cobra.NoArgs, none)
-	verb("roll RELEASE", "Have every node of another release go out in its turn; the release before is the way back", http.MethodPost, "/roll",
-		cobra.ExactArgs(1), func(words []string) url.Values { return url.Values{"to": words[:1]} })
-	verb("instances", "Say what the processes of a supervisor do", http.MethodGet, "/instances", cobra.NoArgs, none)
-	verb("stop", "End a supervisor and all its nodes", http.MethodPost, "/stop", cobra.NoArgs, none)
-	verb("replace [INSTANCE]", "Have a supervisor replace the processes of one instance, or of all in turn", http.MethodPost, "/replace", cobra.MaximumNArgs(1),
-		func(words []string) url.Values {
-			if len(words) == 0 {
-				return nil
-			}
-			return url.Values{"instance": words}
-		})
-	return c
+	return ctl
 }
 
-// callNode makes one call at a node's socket.
-func callNode(path, method, call string, query url.Values) (string, error) {
-	client := http.Client{Timeout: callFor, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{}).DialContext(ctx, "unix", path)
-		}}}
-	req, err := http.NewRequest(method, "http://node"+call+"?"+query.Encode(), nil)
-	if err != nil {
-		return "", err
+// controlSocket returns the path that a flag gave, or else the one that the configuration names.
+func controlSocket(flag string, load func() (*config.Config, error)) (string, error) {
+	if flag != "" {
+		return flag, nil
 	}
-	resp, err := client.Do(req)
+	cfg, err := load()
 	if err != nil {
 		return "", err
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-	if err == nil && resp.StatusCode != http.StatusOK {
-		return "", errors.New(strings.TrimSpace(string(text)))
+	if cfg.Operator.Rollout.Control == "" {
+		return "", exit.With(exitConfig, errors.New("rollout.control: not set, and no --control"))
 	}
-	return string(text), err
+	return cfg.Operator.Rollout.Control, nil
 }
--- a/cmd/shelfproxy/main.go
+++ b/cmd/shelfproxy/main.go
@@ -1,4 +1,5 @@
-// Command shelfproxy is one node between clients, cache servers and an origin. See the README.
+// Command shelfproxy is one node between clients, cache servers and an origin. See the README. This package holds its verbs, flags
+// and printing; internal/daemon runs the node and internal/supervisor/agent the supervisor.
 package main
 
 import (
@@ -10,36 +11,38 @@
 	"github.com/spf13/cobra"
 
 	"shelfproxy/internal/config"
+	"shelfproxy/internal/daemon"
 	"shelfproxy/internal/exit"
 )
 
 // Exit codes, for scripts.
 const (
-	exitFailed = 1 // the node could not start or go on
-	exitConfig = 2 // the configuration is no good
+	exitFailed = 1 // the program could not start or go on, or a call failed
+	exitConfig = 2 // the configuration is invalid
 	exitUsage  = 64
 )
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		// One line, whatever went wrong: on the platform the log is all there is to see.
 		fmt.Fprintln(os.Stderr, "shelfproxy:", err)
 		os.Exit(exit.Code(err, exitUsage))
 	}
 }
 
-func command() *cobra.Command {
+// rootCommand is the program's command line. Without a verb it runs the node.
+func rootCommand() *cobra.Command {
 	var file string
 	load := func() (*config.Config, error) {
 		cfg, err := config.Load(os.Getenv, file)
 		return cfg, exit.With(exitConfig, err)
 	}
-	start := func(*cobra.Command, []string) error {
+	runNode := func(*cobra.Command, []string) error {
 		cfg, err := load()
 		if err != nil {
 			return err
 		}
-		return exit.With(exitFailed, run(cfg, file))
+		return exit.With(exitFailed, daemon.Run(cfg, file))
 	}
 	root := &cobra.Command{
 		Use:   "shelfproxy",
@@ -49,52 +52,67 @@
 			config.FileVariable + " the operator's own; see docs/operating.md.",
 		Example: "  LB_CONFIG=config.json shelfproxy\n  shelfproxy run --file deploy/operator.toml\n" +
 			"  shelfproxy config show --file deploy/operator.toml",
-		Version: version(), Args: cobra.NoArgs, RunE: start, SilenceUsage: true, SilenceErrors: true,
+		Version: version(), Args: cobra.NoArgs, RunE: runNode, SilenceUsage: true, SilenceErrors: true,
 	}
 	root.PersistentFlags().StringVarP(&file, "file", "f", "", "the operator's file (TOML)")
-	root.AddCommand(&cobra.Command{Use: "run", Short: "Run the node (also what no verb means)", Args: cobra.NoArgs, RunE: start})
-	root.AddCommand(&cobra.Command{Use: "check", Short: "Read the configuration and say whether it is good", Args: cobra.NoArgs,
+	root.AddCommand(&cobra.Command{Use: "run", Short: "Run the node (also what no verb means)", Args: cobra.NoArgs, RunE: runNode})
+	root.AddCommand(checkCommand(load), versionCommand(), configCommand(load), ctlCommand(load), fleetCommand())
+	return root
+}
+
+// checkCommand validates the configuration.
+func checkCommand(load func() (*config.Config, error)) *cobra.Command {
+	return &cobra.Command{Use: "check", Short: "Read the configuration and say whether it is good", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := load(); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "configuration is good")
 			return nil
-		}})
-	root.AddCommand(&cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "shelfproxy", version()) }})
-	conf := &cobra.Command{Use: "config", Short: "Look at the configuration"}
-	conf.AddCommand(&cobra.Command{Use: "show", Short: "List every value in force and where it came from", Args: cobra.NoArgs,
+		}}
+}
+
+// configCommand prints the values in force and their sources.
+func configCommand(load func() (*config.Config, error)) *cobra.Command {
+	show := &cobra.Command{Use: "show", Short: "List every value in force and where it came from", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := load()
 			if err != nil {
 				return err
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, s := range cfg.Show() {
-				fmt.Fprintf(w, "%s\t%s\t%s\n", s.Field, s.Value, s.From)
+			const columnGap = 2
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, columnGap, ' ', 0)
+			for _, setting := range cfg.Show() {
+				fmt.Fprintf(table, "%s\t%s\t%s\n", setting.Field, setting.Value, setting.From)
 			}
-			return w.Flush()
-		}})
-	root.AddCommand(conf)
-	root.AddCommand(ctl(load), fleet())
-	return root
+			return table.Flush()
+		}}
+	parent := &cobra.Command{Use: "config", Short: "Look at the configuration"}
+	parent.AddCommand(show)
+	return parent
+}
+
+// versionCommand prints the build's version.
+func versionCommand() *cobra.Command {
+	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "shelfproxy", version()) }}
 }
 
-// version is the revision that the program was built from, as far as the build knows it.
+// version is the revision that the program was built from, as far as the build knows it, and the version of Go.
 func version() string {
+	const shortRevision = 12 // characters
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	v := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			v = s.Value[:min(12, len(s.Value))]
+	revision := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			revision = setting.Value[:min(shortRevision, len(setting.Value))]
 		}
 	}
-	if v == "" || v == "(devel)" {
-		v = "devel"
+	if revision == "" || revision == "(devel)" {
+		revision = "devel"
 	}
-	return v + " " + info.GoVersion
+	return revision + " " + info.GoVersion
 }
--- /dev/null
+++ b/internal/daemon/assemble.go
@@ -0,0 +1,190 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"runtime"
+	"runtime/debug"
+
+	"shelfproxy/internal/admission"
+	"shelfproxy/internal/config"
+	"shelfproxy/internal/counters"
+	"shelfproxy/internal/discovery"
+	"shelfproxy/internal/fleet/peers"
+	"shelfproxy/internal/listener"
+	"shelfproxy/internal/logs"
+	"shelfproxy/internal/node"
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/supervisor/handover"
+	"shelfproxy/internal/upstream"
+	"shelfproxy/internal/upstream/origin"
+	"shelfproxy/internal/upstream/resp"
+)
+
+// assemble creates the node's parts and opens its sockets. The order matters: the policy needs to know whether there is a socket to
+// the other nodes, the agents need the node, and clients can connect only once all the rest is there.
+func assemble(cfg *config.Config, operatorFile string, parent *handover.Parent, terminate <-chan os.Signal) (*Daemon, error) {
+	daemon := newDaemon(cfg, operatorFile, parent)
+	daemon.limitRuntime()
+	daemon.counters = newCounters(cfg)
+	daemon.descriptors = newDescriptors(cfg)
+	if err := daemon.openPeerSocket(terminate); err != nil {
+		return nil, err
+	}
+	if err := daemon.createNode(); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	if err := daemon.createAgents(); err != nil {
+		return nil, err
+	}
+	daemon.receiveDatagrams()
+	if err := daemon.openListener(terminate); err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	return daemon, nil
+}
+
+// newDaemon returns a daemon with its log and channels.
+func newDaemon(cfg *config.Config, operatorFile string, parent *handover.Parent) *Daemon {
+	level, _ := logs.Level(cfg.Operator.Log.Level) // was validated when the configuration was read
+	rootLog := logs.New(os.Stderr, logs.Options{Level: level, Format: cfg.Operator.Log.Format})
+	return &Daemon{
+		cfg:          cfg,
+		operatorFile: operatorFile,
+		rootLog:      rootLog,
+		log:          logs.Component(rootLog, "daemon"),
+		parent:       parent,
+		memory:       newMemoryMonitor(cfg),
+		drainGranted: make(chan struct{}, 1),
+		stopNode:     make(chan struct{}),
+		nodeEnded:    make(chan struct{}),
+	}
+}
+
+// limitRuntime keeps the Go runtime within the node's processor and memory.
+func (d *Daemon) limitRuntime() {
+	if d.cfg.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Ceil(d.cfg.Cores))))
+	}
+	debug.SetMemoryLimit(int64(megabytes(d.cfg.MemoryMB)) * collectorMemoryTenths / 10)
+}
+
+// newCounters returns counters for the configured classes.
+func newCounters(cfg *config.Config) *counters.Counters {
+	outcomes := make([]string, upstream.NumOutcomes())
+	for i := range outcomes {
+		outcomes[i] = upstream.Outcome(i).String()
+	}
+	return counters.New(classNames(cfg), request.ResponseKinds(), outcomes)
+}
+
+func classNames(cfg *config.Config) []string {
+	names := make([]string, len(cfg.Policy.Classes))
+	for i, class := range cfg.Policy.Classes {
+		names[i] = class.Name
+	}
+	return names
+}
+
+func tenantNames(cfg *config.Config) []string {
+	names := make([]string, len(cfg.Policy.Tenants))
+	for i, tenant := range cfg.Policy.Tenants {
+		names[i] = tenant.Name
+	}
+	return names
+}
+
+// openPeerSocket opens the socket to the other nodes if the deployment allows messages and names their addresses. Without it the
+// node serves all the same, on its own judgement; the only error is errTerminated.
+func (d *Daemon) openPeerSocket(terminate <-chan os.Signal) error {
+	if !d.cfg.MayGossip() {
+		return nil
+	}
+	socket, err := d.bindPeerSocket(terminate)
+	if errors.Is(err, errTerminated) {
+		return err
+	}
+	if err != nil {
+		logs.Component(d.rootLog, "peers").Error("no messages are exchanged with other nodes", logs.Event, "peers_unavailable",
+			"error", err.Error())
+	}
+	d.fleet.socket = socket
+	return nil
+}
+
+// bindPeerSocket opens the socket to the other nodes at once, or, beside a predecessor that still uses the address, once that one
+// releases it.
+func (d *Daemon) bindPeerSocket(terminate <-chan os.Signal) (*peers.Socket, error) {
+	if d.parent.Listener != nil {
+		return peers.OpenLater(d.cfg.Peers)
+	}
+	return bind(d, d.cfg.Peers.Listen, terminate, func() (*peers.Socket, error) { return peers.Open(d.cfg.Peers) })
+}
+
+// createNode creates the node with its policy and connection pools.
+func (d *Daemon) createNode() error {
+	settings := d.cfg.Policy
+	settings.MayGossip = d.fleet.socket != nil
+	var gossip func([]byte) error
+	if settings.MayGossip {
+		gossip = d.fleet.socket.Broadcast
+	}
+	created, err := node.New(node.Options{
+		Policy:           settings,
+		Seed:             d.cfg.Seed,
+		MaxOpenRequests:  d.cfg.Node.MaxOpenRequests,
+		MaxRequestBytes:  megabytes(d.cfg.MemoryMB) / requestMemoryDivisor,
+		MaxClientTimeout: d.cfg.Node.MaxDeadline,
+		InitialList:      d.cfg.InitialList,
+		Source:           discoverySource(d.cfg),
+		NewUpstream:      d.upstreamFactory(),
+		Gossip:           gossip,
+		Announce: func(role policy.Role) { // called while the node runs, when the agents have been created
+			if d.fleet.leases != nil {
+				d.fleet.leases.Announce(policy.RoleNames[role])
+			}
+		},
+		Counters: d.counters,
+		Log:      logs.Component(d.rootLog, "node"),
+	})
+	d.node = created
+	return err
+}
+
+// upstreamFactory returns a function that creates the connection pool of a cache server or the origin.
+func (d *Daemon) upstreamFactory() func(discovery.Server, bool, func(*upstream.Attempt, upstream.Response)) node.Upstream {
+	memory := newResponseMemory(d.cfg)
+	toCacheServer, toOrigin := cacheServerLimits(d.cfg), originLimits(d.cfg)
+	return func(server discovery.Server, isOrigin bool, report func(*upstream.Attempt, upstream.Response)) node.Upstream {
+		if isOrigin {
+			codec := origin.Codec{Host: server.Addr, Memory: memory}
+			return upstream.NewPool(server.Addr, codec, toOrigin, d.descriptors.origin, report,
+				func() { d.counters.OriginConnections.Add(1) })
+		}
+		return upstream.NewPool(server.Addr, resp.Codec{Memory: memory}, toCacheServer, d.descriptors.cacheServers, report,
+			func() { d.counters.UpstreamConnections.Add(1) })
+	}
+}
+
+// discoverySource is the discovery service, or the agent on this machine that endpoint lists are pushed to.
+func discoverySource(cfg *config.Config) *discovery.Client {
+	client := &discovery.Client{Addr: cfg.Discovery}
+	if !cfg.Policy.MustPoll {
+		client.CallTimeout = discovery.AgentCallTimeout
+	}
+	return client
+}
+
+// openListener opens the socket for clients. They are served once the listener's goroutine is started.
+func (d *Daemon) openListener(terminate <-chan os.Signal) error {
+	socket, err := d.listen(terminate)
+	if err != nil {
+		return err
+	}
+	maxConnections := d.descriptors.split.Limits()[admission.Clients]
+	d.listener = listener.New(socket, d.node, classNames(d.cfg), tenantNames(d.cfg), listenerLimits(d.cfg, maxConnections), d.counters)
+	return nil
+}
--- /dev/null
+++ b/internal/daemon/sizing_test.go
@@ -0,0 +1,60 @@
+package daemon
+
+import (
+	"testing"
+	"time"
+
+	"shelfproxy/internal/admission"
+	"shelfproxy/internal/config"
+)
+
+// sizedConfig returns a configuration with 1024 descriptors and the operator's defaults for what sizes depend on.
+func sizedConfig(memoryMB int) *config.Config {
+	cfg := &config.Config{MemoryMB: memoryMB, Sockets: 1024, Operator: &config.Operator{}}
+	cfg.Node.ConnectionIdle = 10 * time.Second
+	cfg.Node.MaxStreams = 16
+	cfg.Operator.Listener.Share, cfg.Operator.Listener.Pipelined = 0.5, 128
+	cfg.Operator.Pools.TargetShare, cfg.Operator.Pools.OriginShare = 0.3, 0.1
+	cfg.Operator.Pools.Connections, cfg.Operator.Pools.Waiting = 64, 512
+	return cfg
+}
+
+func TestDescriptorsAreSplitByTheOperatorsFractions(t *testing.T) {
+	got := descriptorSplitPolicy(sizedConfig(192))
+	want := admission.DescriptorSplitPolicy{
+		Start: [admission.NumSides]int{admission.Clients: 496, admission.CacheServers: 297, admission.Origin: 99},
+		Floor: [admission.NumSides]int{admission.Clients: 198, admission.CacheServers: 118, admission.Origin: 39},
+		Step:  21,
+		Hold:  2 * time.Second,
+		Fade:  5 * time.Second,
+	}
+	if got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+func TestPipelinedCommandsAreBoundedByMemory(t *testing.T) {
+	for memoryMB, want := range map[int]int{8: 8, 32: 16, 192: 96, 4096: 128} {
+		if got := listenerLimits(sizedConfig(memoryMB), 1).MaxPipelined; got != want {
+			t.Errorf("%d MB: %d commands, want %d", memoryMB, got, want)
+		}
+	}
+}
+
+func TestUnsentResponsesAreBoundedByMemory(t *testing.T) {
+	if got, want := listenerLimits(sizedConfig(192), 1).MaxUnsentBytes, 32<<20; got != want {
+		t.Errorf("got %d bytes, want %d", got, want)
+	}
+}
+
+func TestOriginTakesOneRequestOnEachConnection(t *testing.T) {
+	cfg := sizedConfig(192)
+	cfg.Policy.HandshakeCost = 1
+	toCacheServer, toOrigin := cacheServerLimits(cfg), originLimits(cfg)
+	if toCacheServer.MaxStreams != 16 || toCacheServer.MaxConnections != 64 || toCacheServer.IdleTimeout != 8*time.Second {
+		t.Errorf("cache servers: %+v, want 16 streams, 64 connections, idle for 8s", toCacheServer)
+	}
+	if toOrigin.MaxStreams != 1 || toOrigin.MaxConnections != 1024 || toOrigin.PipelineWithin != maxPipelineAge {
+		t.Errorf("origin: %+v, want 1 stream, 1024 connections, pipelining within %v", toOrigin, maxPipelineAge)
+	}
+}
