--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -1,10 +1,7 @@
 package control
 
 import (
-	"context"
 	"errors"
-	"net"
-	"net/http"
 	"net/url"
 	"os"
 	"path/filepath"
@@ -15,62 +12,84 @@
 // answerTimeout bounds how long a test waits for a server in this process.
 const answerTimeout = 5 * time.Second
 
-// TestSocketOfRunningServerIsNotReplaced: a successor learns that its predecessor still answers, and does not take the socket
-// away from it; a file that nobody answers at is replaced.
-func TestSocketOfRunningServerIsNotReplaced(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "control")
-	if err := os.WriteFile(path, nil, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	newServer := func() *Server {
-		server := New(path)
-		server.HandleQuery("status", func(url.Values) (any, error) { return "up", nil })
-		return server
+// startServer serves a query and two commands at path until the test ends or stop is called, which waits for the server's end.
+func startServer(t *testing.T, path string) (stop func()) {
+	t.Helper()
+	server := New(path)
+	server.HandleQuery("status", func(query url.Values) (any, error) { return query.Get("key"), nil })
+	server.HandleCommand("drain", func(url.Values) (any, error) { return nil, ErrBusy })
+	server.HandleCommand("roll", func(url.Values) (any, error) { return nil, errors.New("to: which release?") })
+	stopServer, served := make(chan struct{}), make(chan error, 1)
+	go func() { served <- server.Serve(stopServer) }() // stop waits for its end
+	stop = func() {
+		t.Helper()
+		close(stopServer)
+		if err := <-served; err != nil {
+			t.Errorf("Serve = %v, want nil after a stop", err)
+		}
 	}
-	stop, served := make(chan struct{}), make(chan error, 1)
-	go func() { served <- newServer().Serve(stop) }() // the test waits for its end below
 	awaitAnswer(t, path)
-
-	if err := newServer().Serve(t.Context().Done()); !errors.Is(err, ErrInUse) {
-		t.Errorf("server at a path in use: %v, want %v", err, ErrInUse)
-	}
-	awaitAnswer(t, path) // from the first one, still
-	close(stop)
-	if err := <-served; err != nil {
-		t.Errorf("first server ended with %v, want nil", err)
-	}
+	return stop
 }
 
 // awaitAnswer calls status until it is answered.
 func awaitAnswer(t *testing.T, path string) {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return new(net.Dialer).DialContext(ctx, "unix", path)
-		}}}
-	ctx, cancel := context.WithTimeout(t.Context(), answerTimeout)
-	defer cancel()
-	retry := time.NewTicker(time.Millisecond)
+	retry, deadline := time.NewTicker(time.Millisecond), time.After(answerTimeout)
 	defer retry.Stop()
 	for {
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://node/status", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		response, err := client.Do(request)
+		_, err := Query(t.Context(), path, "status", nil)
 		if err == nil {
-			if err := response.Body.Close(); err != nil {
-				t.Error(err)
-			}
-			if response.StatusCode != http.StatusOK {
-				t.Errorf("status answered %s, want 200 OK", response.Status)
-			}
 			return
 		}
 		select {
 		case <-retry.C:
-		case <-ctx.Done():
+		case <-deadline:
 			t.Fatalf("no answer at %s: %v", path, err)
 		}
 	}
 }
+
+// TestSocketOfRunningServerIsNotReplaced: a successor learns that its predecessor still answers, and does not take the socket
+// away from it; a file that nobody answers at is replaced.
+func TestSocketOfRunningServerIsNotReplaced(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "control")
+	if err := os.WriteFile(path, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	stop := startServer(t, path)
+	successor := New(path)
+	successor.HandleQuery("status", func(url.Values) (any, error) { return "successor", nil })
+	if err := successor.Serve(t.Context().Done()); !errors.Is(err, ErrInUse) {
+		t.Errorf("Serve at a path in use = %v, want %v", err, ErrInUse)
+	}
+	awaitAnswer(t, path) // from the first server, still
+	stop()
+}
+
+func TestClientReturnsAnswersAndErrors(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "control")
+	defer startServer(t, path)()
+	if got, err := Query(t.Context(), path, "status", url.Values{"key": {"a b"}}); err != nil || got != "\"a b\"\n" {
+		t.Errorf("status = %q, %v; want the key as JSON", got, err)
+	}
+	for call, want := range map[string]string{"drain": "busy", "roll": "to: which release?", "status": "no such call"} {
+		if got, err := Command(t.Context(), path, call, nil); err == nil || err.Error() != want || got != "" {
+			t.Errorf("%s = %q, %v; want the error %q", call, got, err, want)
+		}
+	}
+}
+
+func TestServeWithoutPathOrCallsEndsAtOnce(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "control")
+	withCalls := New("")
+	withCalls.HandleQuery("status", func(url.Values) (any, error) { return "up", nil })
+	for name, server := range map[string]*Server{"no path": withCalls, "no calls": New(path)} {
+		if err := server.Serve(nil); err != nil {
+			t.Errorf("%s: Serve = %v, want nil", name, err)
+		}
+	}
+	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a server without calls opened its socket: %v", err)
+	}
+}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -54,7 +54,13 @@
 	if isSame || d.fleet.socket == nil {
 		return
 	}
-	if reason := d.rejectPeers(loaded, changed); reason != "" {
+	reason := d.peersConflict(loaded, changed)
+	if reason == "" {
+		if err := d.fleet.socket.UpdatePeers(loaded.Peers); err != nil {
+			reason = err.Error()
+		}
+	}
+	if reason != "" {
 		d.log.Warn("reload: the list of peers in force stays", logs.Event, "reload_waits", "field", "peers", "reason", reason)
 		return
 	}
@@ -73,9 +79,9 @@
 	})
 }
 
-// rejectPeers gives the socket another list of peers and returns "", or returns the reason why that is not safe. Leases are handed
-// over between majorities of the list before and of the list after, which overlap only if these differ by one node.
-func (d *Daemon) rejectPeers(loaded *config.Config, changed int) (reason string) {
+// peersConflict returns the reason why another list of peers is not safe with the agreements that run, or "". Leases are handed over
+// between majorities of the list before and of the list after, which overlap only if these differ by one node.
+func (d *Daemon) peersConflict(loaded *config.Config, changed int) (reason string) {
 	switch {
 	case d.fleet.rollout != nil:
 		return "the rollout agreement runs among the nodes of the start"
@@ -84,9 +90,6 @@
 	case (d.fleet.leases != nil || d.fleet.membership != nil) && loaded.Peers.Self() < 0:
 		return "this node is not among them"
 	}
-	if err := d.fleet.socket.UpdatePeers(loaded.Peers); err != nil {
-		return err.Error()
-	}
 	return ""
 }
 
