--- a/internal/supervisor/agent/golden_test.go
+++ b/internal/supervisor/agent/golden_test.go
@@ -12,7 +12,7 @@
 // TestGoldenOverview: operators' scripts read the overview of instances as JSON.
 func TestGoldenOverview(t *testing.T) {
 	text, err := json.Marshal(Overview{Halted: true, Instances: []Instance{{PID: 7, Listen: "127.0.0.1:7000",
-		Status: supervisor.Status{Instance: 1, Process: 2, State: "serves", For: time.Second}}}})
+		Status: supervisor.Status{Instance: 1, Process: 2, State: "serves", ServingFor: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/supervisor/core_test.go
+++ b/internal/supervisor/core_test.go
@@ -297,7 +297,7 @@
 		t.Errorf("twelve failed starts took %v, want 5s to 1m", took)
 	}
 	machine.runHealthy(5 * time.Second)
-	if statuses, _ := machine.core.Statuses(machine.now); statuses[0].Failures != 0 || statuses[0].State != "serves" {
+	if statuses, _ := machine.core.Statuses(machine.now); statuses[0].FailedStarts != 0 || statuses[0].State != "serves" {
 		t.Errorf("status after the recovery: %+v, want no failures and serves", statuses[0])
 	}
 	machine.step(StopRequested{})
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -10,7 +10,7 @@
 
 // TestGoldenStatus: operators' scripts read the status of instances as JSON.
 func TestGoldenStatus(t *testing.T) {
-	text, err := json.Marshal(Status{Instance: 1, Process: 2, State: "serves", For: time.Second, Wanted: true, Failures: 3, Ending: 4})
+	text, err := json.Marshal(Status{Instance: 1, Process: 2, State: "serves", ServingFor: time.Second, ReplaceRequested: true, FailedStarts: 3, Ending: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -4,22 +4,22 @@
 
 // Status is the state of one instance as operators see it.
 type Status struct {
-	Instance int           `json:"instance"`
-	Process  int           `json:"process"` // the number of the process that serves; 0: none
-	State    string        `json:"state"`   // serves, replaced, hangs, starts or waits
-	For      time.Duration `json:"for_ns"`  // since the process became ready
-	Wanted   bool          `json:"to_be_replaced"`
-	Failures int           `json:"failed_starts"` // in a row
-	Ending   int           `json:"ending"`        // processes that were replaced and have not ended
+	Instance         int           `json:"instance"`
+	Process          int           `json:"process"` // the number of the process that serves; 0: none
+	State            string        `json:"state"`   // serves, replaced, hangs, starts or waits
+	ServingFor       time.Duration `json:"for_ns"`  // since the process became ready
+	ReplaceRequested bool          `json:"to_be_replaced"`
+	FailedStarts     int           `json:"failed_starts"` // in a row
+	Ending           int           `json:"ending"`        // processes that were replaced and have not ended
 }
 
 // Statuses returns the state of each instance, and whether replacing is halted.
 func (c *Core) Statuses(now Time) (all []Status, halted bool) {
 	for i := range c.instances {
 		in := &c.instances[i]
-		status := Status{Instance: i, State: in.state(), Wanted: in.replaceRequested, Failures: in.failedStarts, Ending: len(in.ending)}
+		status := Status{Instance: i, State: in.state(), ReplaceRequested: in.replaceRequested, FailedStarts: in.failedStarts, Ending: len(in.ending)}
 		if in.current != nil {
-			status.Process, status.For = in.current.number, now-in.current.readyAt
+			status.Process, status.ServingFor = in.current.number, now-in.current.readyAt
 		}
 		all = append(all, status)
 	}
