--- a/internal/supervisor/core_test.go
+++ b/internal/supervisor/core_test.go
@@ -7,317 +7,410 @@
 	"pgregory.net/rapid"
 )
 
-func config(instances, atOnce int) Config {
-	return Config{Instances: instances, MaxConcurrent: atOnce, ReadyTimeout: 2 * time.Second, ObservationPeriod: time.Second, TerminateTimeout: 3 * time.Second, HangTimeout: 5 * time.Second,
-		MinBackoff: 100 * time.Millisecond, MaxBackoff: 5 * time.Second, MaxFailureRate: 0.2, MinSamples: 10, Seed: 1}
+// tickInterval is the time between two ticks of a fake machine.
+const tickInterval = 50 * time.Millisecond
+
+func testConfig(instances, maxConcurrent int) Config {
+	return Config{
+		Instances:         instances,
+		MaxConcurrent:     maxConcurrent,
+		ReadyTimeout:      2 * time.Second,
+		ObservationPeriod: time.Second,
+		TerminateTimeout:  3 * time.Second,
+		HangTimeout:       5 * time.Second,
+		MinBackoff:        100 * time.Millisecond,
+		MaxBackoff:        5 * time.Second,
+		MaxFailureRate:    0.2,
+		MinSamples:        10,
+		Seed:              1,
+	}
+}
+
+// fatalf is what a fakeMachine needs of *testing.T and *rapid.T.
+type fatalf interface {
+	Helper()
+	Fatalf(format string, args ...any)
 }
 
-// world plays the processes that a core wants: what each does is the test's.
-type world struct {
-	t     interface{ Fatalf(string, ...any) }
-	c     *Core
-	now   Time
-	alive map[int]*played
-	notes map[LogEventKind]int
-	done  bool
-	most  int // instances without a process that serves, of those that had one, while no process crashed
+// fakeMachine simulates the processes that a core starts. A test decides what each of them does; after each step it checks
+// what must hold at any time.
+type fakeMachine struct {
+	t         fatalf
+	core      *Core
+	now       Time
+	alive     map[int]*fakeProcess // by number
+	logged    map[LogEventKind]int
+	isStopped bool
 }
 
-type played struct {
-	instance     int
-	ready, ended bool // told to end
-	killed       bool
+type fakeProcess struct {
+	instance      int
+	isReady       bool
+	isTerminating bool
+	isKilled      bool
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, cfg Config) *world {
-	c, err := New(cfg)
+func newFakeMachine(t fatalf, cfg Config) *fakeMachine {
+	t.Helper()
+	core, err := New(cfg)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	w := &world{t: t, c: c, alive: map[int]*played{}, notes: map[LogEventKind]int{}}
-	w.step(Tick{})
-	return w
+	m := &fakeMachine{t: t, core: core, alive: map[int]*fakeProcess{}, logged: map[LogEventKind]int{}}
+	m.step(Tick{})
+	return m
 }
 
-func (w *world) step(ev Event) {
-	for _, e := range w.c.Step(w.now, ev) {
-		switch e := e.(type) {
-		case Start:
-			if w.alive[e.Process] != nil {
-				w.t.Fatalf("process %d is started twice", e.Process)
-			}
-			w.alive[e.Process] = &played{instance: e.Instance}
-		case Terminate:
-			p := w.alive[e.Process]
-			if p == nil || p.ended {
-				w.t.Fatalf("process %d is told to end, and is not there or was told", e.Process)
-			}
-			if !w.c.stopping && !w.serves(p.instance, e.Process) {
-				w.t.Fatalf("process %d of instance %d is told to end, and no other serves", e.Process, p.instance)
-			}
-			p.ended = true
-		case Kill:
-			if w.alive[e.Process] == nil {
-				w.t.Fatalf("process %d is killed, and is not there", e.Process)
-			}
-			w.alive[e.Process].killed = true
-		case Stopped:
-			w.done = true
-		case LogEvent:
-			w.notes[e.Kind]++
+// step lets the core handle an event, carries out its effects and checks them.
+func (m *fakeMachine) step(ev Event) {
+	m.t.Helper()
+	for _, effect := range m.core.Step(m.now, ev) {
+		m.apply(effect)
+	}
+	m.check()
+}
+
+func (m *fakeMachine) apply(effect Effect) {
+	m.t.Helper()
+	switch e := effect.(type) {
+	case Start:
+		if m.alive[e.Process] != nil {
+			m.t.Fatalf("process %d is started twice", e.Process)
 		}
+		m.alive[e.Process] = &fakeProcess{instance: e.Instance}
+	case Terminate:
+		m.terminate(e.Process)
+	case Kill:
+		m.kill(e.Process)
+	case Stopped:
+		m.isStopped = true
+	case LogEvent:
+		m.logged[e.Kind]++
 	}
-	w.check()
 }
 
-// serves tells whether a process of an instance but one is ready and was not told to end.
-func (w *world) serves(instance, but int) bool {
-	for id, p := range w.alive {
-		if id != but && p.instance == instance && p.ready && !p.ended {
+func (m *fakeMachine) kill(number int) {
+	m.t.Helper()
+	if m.alive[number] == nil {
+		m.t.Fatalf("process %d is killed, and has ended", number)
+	}
+	m.alive[number].isKilled = true
+}
+
+// terminate tells a process to terminate, which must happen once, and only when another one serves or all are stopped.
+func (m *fakeMachine) terminate(number int) {
+	m.t.Helper()
+	process := m.alive[number]
+	if process == nil || process.isTerminating {
+		m.t.Fatalf("process %d is told to terminate, and has ended or was told before", number)
+	}
+	if !m.core.isStopping && !m.isServedWithout(process.instance, number) {
+		m.t.Fatalf("process %d of instance %d is told to terminate, and no other serves", number, process.instance)
+	}
+	process.isTerminating = true
+}
+
+// isServedWithout reports whether an instance has a process, except for the given one, that is ready and was not told to
+// terminate.
+func (m *fakeMachine) isServedWithout(instance, except int) bool {
+	for number, process := range m.alive {
+		if number != except && process.instance == instance && process.isReady && !process.isTerminating {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) check() {
+// check fails the test if an instance has more than one process that serves or starts, or too many instances are replaced.
+func (m *fakeMachine) check() {
+	m.t.Helper()
 	replaced := 0
-	for i := range w.c.all {
-		if w.c.all[i].rolling {
+	for i := range m.core.instances {
+		if m.core.instances[i].isBeingReplaced {
 			replaced++
 		}
-		serve, start := 0, 0
-		for _, p := range w.alive {
+		serving, starting := 0, 0
+		for _, process := range m.alive {
 			switch {
-			case p.instance != i || p.ended:
-			case p.ready:
-				serve++
+			case process.instance != i || process.isTerminating:
+			case process.isReady:
+				serving++
 			default:
-				start++
+				starting++
 			}
 		}
-		if serve > 1 || start > 1 {
-			w.t.Fatalf("instance %d has %d processes that serve and %d that start", i, serve, start)
+		if serving > 1 || starting > 1 {
+			m.t.Fatalf("instance %d has %d processes that serve and %d that start, want one of each at most", i, serving, starting)
 		}
 	}
-	if replaced > w.c.cfg.MaxConcurrent {
-		w.t.Fatalf("%d are replaced at once", replaced)
+	if replaced > m.core.cfg.MaxConcurrent {
+		m.t.Fatalf("%d instances are being replaced, want %d at most", replaced, m.core.cfg.MaxConcurrent)
 	}
 }
 
-func (w *world) ready(id int) { w.alive[id].ready = true; w.step(Ready{id}) }
+func (m *fakeMachine) becomeReady(number int) {
+	m.t.Helper()
+	m.alive[number].isReady = true
+	m.step(Ready{number})
+}
 
-func (w *world) exit(id int, clean bool) {
-	delete(w.alive, id)
-	w.step(Exited{id, clean})
+func (m *fakeMachine) exit(number int, isClean bool) {
+	m.t.Helper()
+	delete(m.alive, number)
+	m.step(Exited{number, isClean})
 }
 
-// calm has all that was started become ready and all that was told to end go, for a while.
-func (w *world) calm(span time.Duration) {
-	for end := w.now + span; w.now < end; w.now += 50 * time.Millisecond {
-		for id := 1; id <= w.c.lastID; id++ {
-			switch p := w.alive[id]; {
-			case p == nil:
-			case p.ended || p.killed:
-				w.exit(id, !p.killed)
-			case !p.ready:
-				w.ready(id)
+// reportsNoFailure is a report of a process that is idle.
+func reportsNoFailure(number int) ResponseCounts { return ResponseCounts{Process: number} }
+
+// runHealthy lets time pass in which every process becomes ready, reports, and ends when it is told to.
+func (m *fakeMachine) runHealthy(duration time.Duration) {
+	m.t.Helper()
+	for end := m.now + duration; m.now < end; m.now += tickInterval {
+		for number := 1; number <= m.core.lastProcess; number++ {
+			switch process := m.alive[number]; {
+			case process == nil:
+			case process.isTerminating || process.isKilled:
+				m.exit(number, !process.isKilled)
+			case !process.isReady:
+				m.becomeReady(number)
 			default:
-				w.step(ResponseCounts{id, 0, 0})
+				m.step(reportsNoFailure(number))
 			}
 		}
-		w.step(Tick{})
+		m.step(Tick{})
 	}
 }
 
-// process is the one that serves at an instance.
-func (w *world) process(instance int) int {
-	if p := w.c.all[instance].current; p != nil {
-		return p.id
+// current is the number of the process that serves at an instance, 0 if there is none.
+func (m *fakeMachine) current(instance int) int {
+	if process := m.core.instances[instance].current; process != nil {
+		return process.number
 	}
 	return 0
 }
 
-// TestRoll: what becomes of a roll, by what its first successor does.
-func TestRoll(t *testing.T) {
+// allCurrent lists the processes that serve, by instance.
+func (m *fakeMachine) allCurrent() []int {
+	var numbers []int
+	for i := range m.core.instances {
+		numbers = append(numbers, m.current(i))
+	}
+	return numbers
+}
+
+// TestReplacingAllHaltsAtUnhealthySuccessor: how far replacing all instances gets depends on what its first successor does; after
+// a halt it can be resumed.
+func TestReplacingAllHaltsAtUnhealthySuccessor(t *testing.T) {
 	for name, test := range map[string]struct {
-		successor func(w *world, id int)
-		replaced  int // of three instances
-		halted    bool
+		successor    func(m *fakeMachine, number int)
+		wantReplaced int // of three instances
+		wantHalted   bool
 	}{
-		"all go well":          {func(w *world, id int) { w.ready(id) }, 3, false},
-		"crashes at its start": {func(w *world, id int) { w.exit(id, false) }, 0, true},
-		"is never ready":       {func(w *world, id int) { w.now += 2 * time.Second; w.step(Tick{}); w.exit(id, false) }, 0, true},
-		"ends soon after":      {func(w *world, id int) { w.ready(id); w.now += 300 * time.Millisecond; w.exit(id, false) }, 1, true},
-		"fails more than others": {func(w *world, id int) {
-			w.step(ResponseCounts{w.process(1), 100, 5})
-			w.step(ResponseCounts{w.process(2), 100, 8})
-			w.ready(id)
-			w.step(ResponseCounts{id, 100, 40})
+		"becomes ready":        {func(m *fakeMachine, number int) { m.becomeReady(number) }, 3, false},
+		"crashes at its start": {func(m *fakeMachine, number int) { m.exit(number, false) }, 0, true},
+		"is never ready": {func(m *fakeMachine, number int) {
+			m.now += 2 * time.Second
+			m.step(Tick{})
+			m.exit(number, false)
+		}, 0, true},
+		"crashes soon after": {func(m *fakeMachine, number int) {
+			m.becomeReady(number)
+			m.now += 300 * time.Millisecond
+			m.exit(number, false)
+		}, 1, true},
+		"fails more than others": {func(m *fakeMachine, number int) {
+			m.step(ResponseCounts{m.current(1), 100, 5})
+			m.step(ResponseCounts{m.current(2), 100, 8})
+			m.becomeReady(number)
+			m.step(ResponseCounts{number, 100, 40})
 		}, 1, true},
-		"fails as the others do": {func(w *world, id int) {
-			w.step(ResponseCounts{w.process(1), 100, 35})
-			w.step(ResponseCounts{w.process(2), 100, 38})
-			w.ready(id)
-			w.step(ResponseCounts{id, 100, 40})
+		"fails as the others do": {func(m *fakeMachine, number int) {
+			m.step(ResponseCounts{m.current(1), 100, 35})
+			m.step(ResponseCounts{m.current(2), 100, 38})
+			m.becomeReady(number)
+			m.step(ResponseCounts{number, 100, 40})
 		}, 3, false},
 	} {
-		w := newWorld(t, config(3, 1))
-		w.calm(2 * time.Second)
-		before := []int{w.process(0), w.process(1), w.process(2)}
-		w.step(ReplaceAllRequested{})
-		test.successor(w, w.c.lastID)
-		w.calm(10 * time.Second)
-		replaced := 0
-		for i, id := range before {
-			if w.process(i) != id {
-				replaced++
+		t.Run(name, func(t *testing.T) {
+			machine := newFakeMachine(t, testConfig(3, 1))
+			machine.runHealthy(2 * time.Second)
+			before := machine.allCurrent()
+			machine.step(ReplaceAllRequested{})
+			test.successor(machine, machine.core.lastProcess)
+			machine.runHealthy(10 * time.Second)
+			replaced := 0
+			for i, number := range machine.allCurrent() {
+				if number != before[i] {
+					replaced++
+				}
+				if number == 0 {
+					t.Errorf("instance %d does not serve", i)
+				}
 			}
-			if w.process(i) == 0 {
-				t.Errorf("%s: instance %d does not serve", name, i)
+			_, halted := machine.core.Statuses(machine.now)
+			if replaced != test.wantReplaced || halted != test.wantHalted {
+				t.Errorf("%d replaced, halted %v; want %d, %v; logged %v", replaced, halted, test.wantReplaced, test.wantHalted, machine.logged)
 			}
-		}
-		if _, halted := w.c.Statuses(w.now); replaced != test.replaced || halted != test.halted || (w.notes[LogAllReplaced] > 0) == halted {
-			t.Errorf("%s: %d replaced, want %d; halted %v, want %v; notes %v", name, replaced, test.replaced, halted, test.halted, w.notes)
-		}
-		if test.halted { // the way on
-			w.step(ResumeRequested{})
-			w.step(ReplaceAllRequested{})
-			w.calm(20 * time.Second)
-			if w.notes[LogAllReplaced] == 0 {
-				t.Errorf("%s: it does not go on", name)
+			if isDone := machine.logged[LogAllReplaced] > 0; isDone == halted {
+				t.Errorf("logged that all are replaced: %v, want %v", isDone, !halted)
 			}
-		}
+			if test.wantHalted {
+				machine.checkResumes(t)
+			}
+		})
+	}
+}
+
+// checkResumes fails the test unless all instances are replaced after an operator resumes.
+func (m *fakeMachine) checkResumes(t *testing.T) {
+	t.Helper()
+	m.step(ResumeRequested{})
+	m.step(ReplaceAllRequested{})
+	m.runHealthy(20 * time.Second)
+	if m.logged[LogAllReplaced] == 0 {
+		t.Errorf("replacing does not go on after a resume; logged %v", m.logged)
 	}
 }
 
-// TestCrashes: a process that ends by itself is started again, at once where it went out in order, else later and later.
-func TestCrashes(t *testing.T) {
-	w := newWorld(t, config(1, 1))
-	w.calm(2 * time.Second)
-	w.exit(w.process(0), true)
-	if len(w.alive) != 1 {
-		t.Error("one that went out in order is not started at once")
+// TestCrashedProcessIsRestartedWithBackoff: a process that ends by itself is started again, at once if it drained, else after a
+// growing wait.
+func TestCrashedProcessIsRestartedWithBackoff(t *testing.T) {
+	machine := newFakeMachine(t, testConfig(1, 1))
+	machine.runHealthy(2 * time.Second)
+	machine.exit(machine.current(0), true)
+	if got := len(machine.alive); got != 1 {
+		t.Errorf("%d processes right after one drained, want 1", got)
 	}
-	waits := 0
+	const pollInterval = 10 * time.Millisecond
+	start := machine.now
 	for range 12 {
-		for id := range w.alive {
-			w.exit(id, false)
+		for number := range machine.alive {
+			machine.exit(number, false)
 		}
-		for len(w.alive) == 0 {
-			w.now += 10 * time.Millisecond
-			waits++
-			w.step(Tick{})
+		for len(machine.alive) == 0 {
+			machine.now += pollInterval
+			machine.step(Tick{})
 		}
 	}
-	if at := time.Duration(waits) * 10 * time.Millisecond; at < 5*time.Second || at > time.Minute {
-		t.Errorf("twelve failed starts took %v", at)
+	if took := machine.now - start; took < 5*time.Second || took > time.Minute {
+		t.Errorf("twelve failed starts took %v, want 5s to 1m", took)
 	}
-	w.calm(5 * time.Second)
-	if s, _ := w.c.Statuses(w.now); s[0].Failures != 0 || s[0].State != "serves" {
-		t.Errorf("one that serves again: %+v", s)
+	machine.runHealthy(5 * time.Second)
+	if statuses, _ := machine.core.Statuses(machine.now); statuses[0].FailedStarts != 0 || statuses[0].State != "serves" {
+		t.Errorf("status after the recovery: %+v, want no failures and serves", statuses[0])
 	}
-	w.step(StopRequested{})
-	w.calm(time.Second)
-	if !w.done || len(w.alive) > 0 {
-		t.Errorf("stopped: done %v, %d processes", w.done, len(w.alive))
+	machine.step(StopRequested{})
+	machine.runHealthy(time.Second)
+	if !machine.isStopped || len(machine.alive) > 0 {
+		t.Errorf("stopped %v with %d processes left, want true and none", machine.isStopped, len(machine.alive))
 	}
 }
 
-// TestOverdue: who does not end in time is killed.
-func TestOverdue(t *testing.T) {
-	w := newWorld(t, config(2, 1))
-	w.calm(2 * time.Second)
-	w.step(ReplaceRequested{0})
-	w.ready(w.c.lastID)
+// TestProcessThatDoesNotTerminateIsKilled: a replaced process that does not end in time is killed, once.
+func TestProcessThatDoesNotTerminateIsKilled(t *testing.T) {
+	machine := newFakeMachine(t, testConfig(2, 1))
+	machine.runHealthy(2 * time.Second)
+	machine.step(ReplaceRequested{0})
+	machine.becomeReady(machine.core.lastProcess)
 	for range 100 {
-		w.now += 50 * time.Millisecond
-		w.step(Tick{})
+		machine.now += tickInterval
+		machine.step(Tick{})
 	}
-	if w.notes[LogTerminateTimeout] != 1 {
-		t.Errorf("killed %d that were overdue", w.notes[LogTerminateTimeout])
+	if got := machine.logged[LogTerminateTimeout]; got != 1 {
+		t.Errorf("%d processes were killed after the terminate timeout, want 1", got)
 	}
 }
 
-// TestHangs: a process that said how it goes and says nothing any more is replaced at once, also while replacing is halted, and
-// killed where it does not end.
-func TestHangs(t *testing.T) {
-	w := newWorld(t, config(2, 1))
-	w.calm(2 * time.Second)
-	hung := w.process(0)
-	w.step(HaltRequested{})
-	w.step(ResponseCounts{hung, 10, 0})
-	w.now += w.c.cfg.HangTimeout
-	w.step(ResponseCounts{w.process(1), 10, 0}) // the other one goes on
-	next := w.c.lastID
-	if w.notes[LogHung] != 1 || next == hung || w.alive[hung].ended {
-		t.Fatalf("%d hang, the last process is %d, the one that hangs was told to end before another serves: %v", w.notes[LogHung], next, w.alive[hung].ended)
+// TestHungProcessIsReplacedWhileHalted: a process that has reported and reports no more is replaced at once, also while replacing
+// is halted, and killed if it does not terminate.
+func TestHungProcessIsReplacedWhileHalted(t *testing.T) {
+	machine := newFakeMachine(t, testConfig(2, 1))
+	machine.runHealthy(2 * time.Second)
+	hung, healthy := machine.current(0), machine.current(1)
+	machine.step(HaltRequested{})
+	machine.step(ResponseCounts{hung, 10, 0})
+	machine.now += machine.core.cfg.HangTimeout
+	machine.step(ResponseCounts{healthy, 10, 0})
+	successor := machine.core.lastProcess
+	if machine.logged[LogHung] != 1 || successor == hung {
+		t.Fatalf("%d hang and the last process is %d, want one, and a successor of %d", machine.logged[LogHung], successor, hung)
+	}
+	if machine.alive[hung].isTerminating {
+		t.Fatalf("process %d was told to terminate before its successor serves", hung)
 	}
-	w.ready(next)
-	for range 100 { // it does not end
-		w.now += 50 * time.Millisecond
-		w.step(ResponseCounts{w.process(1), 10, 0})
-		w.step(ResponseCounts{next, 10, 0})
+	machine.becomeReady(successor)
+	for range 100 { // the hung process does not end
+		machine.now += tickInterval
+		machine.step(ResponseCounts{healthy, 10, 0})
+		machine.step(ResponseCounts{successor, 10, 0})
 	}
-	if !w.alive[hung].killed || w.process(0) != next || w.notes[LogStarted] != 3 {
-		t.Errorf("killed %v, process %d serves, %d started", w.alive[hung].killed, w.process(0), w.notes[LogStarted])
+	if !machine.alive[hung].isKilled || machine.current(0) != successor || machine.logged[LogStarted] != 3 {
+		t.Errorf("killed %v, process %d serves, %d started; want true, %d, 3",
+			machine.alive[hung].isKilled, machine.current(0), machine.logged[LogStarted], successor)
 	}
 }
 
-// TestAnyOrder: whatever processes and operators do, in whatever order, no instance that serves is told to end before another
-// process of its own does, no more than the settings say are replaced at once, and all is well once all behave.
-func TestAnyOrder(t *testing.T) {
+// TestInstancesServeUnderAnyEvents: whatever processes and operators do, in any order, no process that serves is told to terminate
+// before another one of its instance does, no more than MaxConcurrent instances are replaced at once, and all serve once every
+// process behaves.
+func TestInstancesServeUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 4).Draw(t, "instances")
-		w := newWorld(t, config(n, rapid.IntRange(1, n).Draw(t, "at once")))
+		instances := rapid.IntRange(1, 4).Draw(t, "instances")
+		machine := newFakeMachine(t, testConfig(instances, rapid.IntRange(1, instances).Draw(t, "at once")))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			w.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			var ids []int
-			for id := 1; id <= w.c.lastID; id++ {
-				if w.alive[id] != nil {
-					ids = append(ids, id)
-				}
-			}
-			pick := 0
-			if len(ids) > 0 {
-				pick = rapid.SampledFrom(ids).Draw(t, "process")
-			}
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0, 1, 2:
-				if pick > 0 && !w.alive[pick].ready && !w.alive[pick].killed {
-					w.ready(pick)
-				}
-			case 3:
-				if pick > 0 {
-					w.exit(pick, rapid.Bool().Draw(t, "clean"))
-				}
-			case 4:
-				w.step(ReplaceAllRequested{})
-			case 5:
-				w.step(ReplaceRequested{rapid.IntRange(-1, n).Draw(t, "instance")})
-			case 6:
-				w.step(HaltRequested{})
-			case 7:
-				w.step(ResumeRequested{})
-			case 8:
-				w.step(ResponseCounts{pick, rapid.IntRange(0, 50).Draw(t, "answers"), rapid.IntRange(0, 50).Draw(t, "failed")})
-			default:
-				w.step(Tick{})
-			}
+			machine.stepAny(t, instances)
 		}
-		w.step(ResumeRequested{})
-		w.calm(time.Minute)
-		w.step(ResumeRequested{}) // a start that failed at the end may have halted it
-		w.calm(time.Minute)
-		for i := range n {
-			if w.process(i) == 0 || w.c.all[i].wanted || len(w.c.all[i].old) > 0 {
-				t.Fatalf("instance %d in the end: %+v", i, w.c.all[i])
+		machine.step(ResumeRequested{})
+		machine.runHealthy(time.Minute)
+		machine.step(ResumeRequested{}) // a start that failed at the end may have halted replacing
+		machine.runHealthy(time.Minute)
+		for i := range instances {
+			if in := &machine.core.instances[i]; machine.current(i) == 0 || in.replaceRequested || len(in.ending) > 0 {
+				t.Fatalf("instance %d in the end: %+v, want it to serve with nothing left to do", i, in)
 			}
 		}
-		w.step(StopRequested{})
-		w.calm(10 * time.Second)
-		if !w.done {
+		machine.step(StopRequested{})
+		machine.runHealthy(10 * time.Second)
+		if !machine.isStopped {
 			t.Fatalf("it does not stop")
 		}
 	})
 }
+
+// stepAny lets time pass and has a process or an operator do anything.
+func (m *fakeMachine) stepAny(t *rapid.T, instances int) {
+	m.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
+	var numbers []int
+	for number := 1; number <= m.core.lastProcess; number++ {
+		if m.alive[number] != nil {
+			numbers = append(numbers, number)
+		}
+	}
+	picked := 0
+	if len(numbers) > 0 {
+		picked = rapid.SampledFrom(numbers).Draw(t, "process")
+	}
+	switch rapid.IntRange(0, 9).Draw(t, "what") {
+	case 0, 1, 2:
+		if picked > 0 && !m.alive[picked].isReady && !m.alive[picked].isKilled {
+			m.becomeReady(picked)
+		}
+	case 3:
+		if picked > 0 {
+			m.exit(picked, rapid.Bool().Draw(t, "clean"))
+		}
+	case 4:
+		m.step(ReplaceAllRequested{})
+	case 5:
+		m.step(ReplaceRequested{rapid.IntRange(-1, instances).Draw(t, "instance")})
+	case 6:
+		m.step(HaltRequested{})
+	case 7:
+		m.step(ResumeRequested{})
+	case 8:
+		m.step(ResponseCounts{picked, rapid.IntRange(0, 50).Draw(t, "answers"), rapid.IntRange(0, 50).Draw(t, "failed")})
+	default:
+		m.step(Tick{})
+	}
+}
