--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,124 +13,156 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// Source is where lists come from. A watch in the manner of another service can take its place.
+// AgentCallTimeout bounds a call to a discovery agent. An agent is on the node's own machine and answers at once with what it
+// has. One that does not has to be found quickly, since its recovery counts as the moment at which the node was notified.
+const AgentCallTimeout = 250 * time.Millisecond
+
+const (
+	readBufferBytes = 16 << 10             // of a watch's response read at once
+	minTimerDelay   = 1 * time.Millisecond // between two checks of a deadline
+)
+
+// Source is where endpoint lists come from. An implementation for another discovery service can take its place.
 type Source interface {
-	// Watch reports every change after a version until stop is called; then, or when it breaks, it ends. Its
-	// last report is an error unless it was stopped.
+	// Watch reports every change after a version, from a goroutine of its own, until stop is called or the watch breaks. Unless
+	// it was stopped its last report is an error. stop does not wait: a report may still be in progress when it returns.
 	Watch(after int64, report func(List, error)) (stop func())
 }
 
-// Client speaks to the discovery service at Addr. It moves bytes; a Follower decides.
+// Client is the Source for the discovery service at Addr. It moves bytes and time for a WatchState. Its fields must not change
+// after the first call of Watch, which is safe for concurrent use.
 type Client struct {
 	Addr        string
-	CallTimeout time.Duration // a call is to be answered in; 0 is asking.CallWithin
-	once        sync.Once
-	http        *http.Client
-}
+	CallTimeout time.Duration // bound on connecting and on the response's header; 0 means polling.CallTimeout
 
-// AgentCallTimeout is how long a call of an agent may be unanswered. It is on the node's own machine and answers at once with what it
-// has; where it is silent it has to be found quickly when it no longer is, as what it gets then counts as told.
-const AgentCallTimeout = 250 * time.Millisecond
+	initialize sync.Once
+	http       *http.Client
+}
 
-// WatchPath is that of the call for a watch on what changes after a version.
+// WatchPath is the request path that opens a watch on the changes after a version.
 func WatchPath(after int64) string {
 	return "/discovery/hosts?watch=1&after=" + strconv.FormatInt(after, 10)
 }
 
-// Watch opens a watch of its own connection.
+// Watch opens a watch on a connection of its own. See Source.
+//
+// The watch's goroutine ends when stop is called, when the connection ends or when the watch times out. Nothing waits for it:
+// stop is called from the event loop to which report posts.
 func (c *Client) Watch(after int64, report func(List, error)) (stop func()) {
-	c.once.Do(func() {
-		if c.CallTimeout == 0 {
-			c.CallTimeout = polling.CallTimeout
-		}
-		c.http = &http.Client{Transport: &http.Transport{
-			DialContext:       (&net.Dialer{Timeout: c.CallTimeout}).DialContext,
-			DisableKeepAlives: true, ResponseHeaderTimeout: c.CallTimeout}}
-	})
+	c.initialize.Do(c.newHTTPClient)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		defer cancel()
-		w := &watch{follower: NewWatchState(time.Now(), c.CallTimeout), cancel: cancel, report: report}
-		w.timer = time.AfterFunc(time.Until(w.follower.Deadline()), w.due)
-		defer w.timer.Stop()
-		err := w.follow(ctx, c.http, "http://"+c.Addr+WatchPath(after))
-		if err != nil && (ctx.Err() == nil || w.silent()) {
-			report(List{}, err)
-		}
+		call := newWatchCall(c.CallTimeout, cancel, report)
+		defer call.timer.Stop()
+		call.run(ctx, c.http, "http://"+c.Addr+WatchPath(after))
 	}()
 	return cancel
 }
 
-// chunk is how much of a watch is read at once.
-const chunk = 16 << 10
-
-// watch is the shell round one follower.
-type watch struct {
-	mu       sync.Mutex
-	follower *WatchState
-	over     error // why the follower ended it while the shell waited
-	timer    *time.Timer
-	cancel   func()
-	report   func(List, error)
+func (c *Client) newHTTPClient() {
+	if c.CallTimeout == 0 {
+		c.CallTimeout = polling.CallTimeout
+	}
+	c.http = &http.Client{Transport: &http.Transport{
+		DialContext:           (&net.Dialer{Timeout: c.CallTimeout}).DialContext,
+		DisableKeepAlives:     true,
+		ResponseHeaderTimeout: c.CallTimeout,
+	}}
+}
+
+// watchCall is one watch of a Client. Its goroutine reads the response; its timer ends the call when the watch times out.
+type watchCall struct {
+	cancel func()
+	report func(List, error)
+	timer  *time.Timer
+
+	mu      sync.Mutex // guards what follows
+	state   *WatchState
+	timeout error // set when the timer ended the call
+}
+
+func newWatchCall(callTimeout time.Duration, cancel func(), report func(List, error)) *watchCall {
+	call := &watchCall{cancel: cancel, report: report, state: NewWatchState(time.Now(), callTimeout)}
+	call.timer = time.AfterFunc(time.Until(call.state.Deadline()), call.checkTimeout)
+	return call
 }
 
-// due ends the call where the follower gives it up: whatever the shell waits for breaks.
-func (w *watch) due() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if err := w.follower.CheckTimeout(time.Now()); err != nil {
-		w.over = err
-		w.cancel()
+// checkTimeout runs on the timer. To end the call it cancels the context, which interrupts the goroutine's I/O.
+func (c *watchCall) checkTimeout() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.state.CheckTimeout(time.Now()); err != nil {
+		c.timeout = err
+		c.cancel()
 		return
 	}
-	w.timer.Reset(max(time.Millisecond, time.Until(w.follower.Deadline())))
+	c.timer.Reset(max(minTimerDelay, time.Until(c.state.Deadline())))
+}
+
+func (c *watchCall) hasTimedOut() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.timeout != nil
 }
 
-func (w *watch) silent() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.over != nil
+// withState calls step under the lock, unless the call has timed out: then that is the error.
+func (c *watchCall) withState(step func(state *WatchState, now time.Time) error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.timeout != nil {
+		return c.timeout
+	}
+	return step(c.state, time.Now())
 }
 
-// step makes one call of the follower; what ended it before goes first.
-func (w *watch) step(f func(now time.Time) ([]List, error)) ([]List, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.over != nil {
-		return nil, w.over
+// run makes the call and reports its lists, and the error that ended it unless it was stopped.
+func (c *watchCall) run(ctx context.Context, client *http.Client, url string) {
+	err := c.follow(ctx, client, url)
+	if wasStopped := ctx.Err() != nil && !c.hasTimedOut(); !wasStopped {
+		c.report(List{}, err)
 	}
-	return f(time.Now())
 }
 
-func (w *watch) follow(ctx context.Context, client *http.Client, url string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+// follow makes the call and reports its lists until an error ends it, which it returns.
+func (c *watchCall) follow(ctx context.Context, client *http.Client, url string) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
-		_, err = w.step(func(time.Time) ([]List, error) { return nil, err })
-		return err
+		return c.withState(func(*WatchState, time.Time) error { return err })
 	}
-	defer resp.Body.Close()
-	if _, err := w.step(func(now time.Time) ([]List, error) { return nil, w.follower.ResponseReceived(now, resp.StatusCode) }); err != nil {
+	defer func() { _ = response.Body.Close() }() // the watch has already ended with an error that says more
+	err = c.withState(func(state *WatchState, now time.Time) error { return state.ResponseReceived(now, response.StatusCode) })
+	if err != nil {
 		return err
 	}
-	buf := make([]byte, chunk)
+	buffer := make([]byte, readBufferBytes)
 	for {
-		n, broke := resp.Body.Read(buf)
-		lists, err := w.step(func(now time.Time) ([]List, error) { return w.follower.BytesReceived(now, buf[:n]) })
-		if err == nil && broke != nil {
-			if errors.Is(broke, io.EOF) {
-				broke = nil
-			}
-			_, err = w.step(func(time.Time) ([]List, error) { return nil, w.follower.ConnectionEnded(broke) })
-		}
-		for _, l := range lists {
-			w.report(l, nil)
-		}
-		if err != nil {
+		n, readErr := response.Body.Read(buffer)
+		if err := c.bytesRead(buffer[:n], readErr); err != nil {
 			return err
 		}
 	}
 }
+
+// bytesRead takes the result of one read of the response's body and reports the lists that it completes.
+func (c *watchCall) bytesRead(data []byte, readErr error) error {
+	var lists []List
+	err := c.withState(func(state *WatchState, now time.Time) (err error) {
+		lists, err = state.BytesReceived(now, data)
+		return err
+	})
+	if err == nil && readErr != nil {
+		if errors.Is(readErr, io.EOF) {
+			readErr = nil
+		}
+		err = c.withState(func(state *WatchState, _ time.Time) error { return state.ConnectionEnded(readErr) })
+	}
+	for _, list := range lists {
+		c.report(list, nil)
+	}
+	return err
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenLists: the JSON that discovery sends, and what is made of it; and the call that asks for it.
+// TestGoldenLists: the JSON that discovery sends, how it is read, and the path of the call for it.
 func TestGoldenLists(t *testing.T) {
 	var lines golden.Lines
 	lines.Text("path", WatchPath(42))
@@ -22,16 +22,14 @@
 		`{"generation":8,"instances":[{"instanceId":"s-1","hostPort":"nowhere","lifecycle":"up"}]}`,
 	} {
 		now := time.Unix(1000, 0)
-		f := NewWatchState(now, time.Second)
-		if err := f.ResponseReceived(now, 200); err != nil {
-			t.Fatal(err)
-		}
-		lists, err := f.BytesReceived(now, []byte(text+"\n\n"))
+		watch := openWatch(t, now)
+		lists, err := watch.BytesReceived(now, []byte(text+"\n\n"))
 		lines.Text("sent", fmt.Sprintf("%q", text))
-		for _, l := range lists {
-			lines.Text("list", fmt.Sprintf("version %d, whole %v", l.Version, l.IsFull))
-			for _, s := range l.Servers {
-				lines.Text("server", fmt.Sprintf("%s at %s, zone %q, kind %q, cell %d, state %d, weight %v, started %d", s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMs))
+		for _, list := range lists {
+			lines.Text("list", fmt.Sprintf("version %d, whole %v", list.Version, list.IsFull))
+			for _, server := range list.Servers {
+				lines.Text("server", fmt.Sprintf("%s at %s, zone %q, kind %q, cell %d, state %d, weight %v, started %d",
+					server.ID, server.Addr, server.Zone, server.Kind, server.Cell, server.State, server.Weight, server.StartedMs))
 			}
 		}
 		lines.Text("refused", fmt.Sprint(err != nil))
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,32 @@
+// Package discovery reads the endpoint list of cache servers and origins that the discovery service sends, and follows its
+// changes by a watch.
+//
+// WatchState and ListValidator decide without a clock or I/O of their own. Client is the shell that moves bytes and time for
+// them.
+package discovery
+
+// Server is one entry of the endpoint list.
+type Server struct {
+	ID, Addr, Zone, Kind string
+	Cell                 int
+	State                State
+	Weight               float64
+	StartedMs            int64 // Unix time of the server's start in milliseconds; 0 means long ago
+}
+
+// State is a server's state in the endpoint list.
+type State int
+
+// The states of a server.
+const (
+	Up       State = iota // serves requests
+	Draining              // takes no new requests and finishes those in flight
+	Removed               // no longer exists
+)
+
+// List is an endpoint list as one watch event brings it.
+type List struct {
+	Version int64
+	IsFull  bool // Servers is the complete list; otherwise it holds only the entries that changed
+	Servers []Server
+}
--- /dev/null
+++ b/internal/discovery/watch.go
@@ -0,0 +1,120 @@
+package discovery
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"shelfproxy/internal/discovery/polling"
+)
+
+// watchPhase is the state of a watch.
+type watchPhase int
+
+const (
+	phaseCalling   watchPhase = iota // the call has no response yet
+	phaseStreaming                   // the response's body brings lists
+	phaseEnded                       // an error was returned
+)
+
+// WatchState is one watch as a state machine: it extracts the lists from the bytes of the response and decides when the watch
+// has timed out. It has no clock and no I/O and is not safe for concurrent use: its caller moves the bytes and says when they
+// came.
+//
+// The first error that a method returns ends the watch. From then on BytesReceived, ConnectionEnded and CheckTimeout return
+// nothing.
+//
+// A list is a JSON object. It may be indented and so take several lines. White space separates lists; an empty line between
+// them is a keep-alive. An empty line within a list shows that the list was truncated.
+type WatchState struct {
+	phase    watchPhase
+	deadline time.Time // when the watch times out unless something comes before
+	scanner  objectScanner
+	parser   fastjson.Parser
+}
+
+// NewWatchState begins a watch whose call was just sent and has to be answered within callTimeout.
+func NewWatchState(now time.Time, callTimeout time.Duration) *WatchState {
+	return &WatchState{deadline: now.Add(callTimeout)}
+}
+
+// ResponseReceived takes the HTTP status of the response. It returns a *StatusError for any but 200.
+func (w *WatchState) ResponseReceived(now time.Time, status int) error {
+	if status != http.StatusOK {
+		return w.end(&StatusError{status})
+	}
+	if w.phase == phaseCalling {
+		w.phase = phaseStreaming
+	}
+	w.deadline = now.Add(polling.WatchTimeout)
+	return nil
+}
+
+// BytesReceived takes bytes of the response's body and returns the lists that they complete, in order. The lists that come with
+// an error are valid. The error is ErrMalformed.
+func (w *WatchState) BytesReceived(now time.Time, data []byte) ([]List, error) {
+	if w.phase == phaseEnded {
+		return nil, nil
+	}
+	var lists []List
+	for len(data) > 0 {
+		scan, err := w.scanner.next(data)
+		if err != nil {
+			return lists, w.end(err)
+		}
+		if scan.progressed {
+			w.deadline = now.Add(polling.WatchTimeout)
+		}
+		data = scan.rest
+		if scan.object == nil {
+			continue
+		}
+		list, err := w.parse(scan.object)
+		if err != nil {
+			return lists, w.end(fmt.Errorf("%w: %w", ErrMalformed, err))
+		}
+		lists = append(lists, list)
+	}
+	return lists, nil
+}
+
+func (w *WatchState) parse(object []byte) (List, error) {
+	value, err := w.parser.ParseBytes(object)
+	if err != nil {
+		return List{}, err
+	}
+	return Parse(value)
+}
+
+// ConnectionEnded ends the watch: with cause if the connection broke, with ErrWatchClosed if cause is nil and the response's
+// body just ended. A list that is incomplete by then is dropped.
+func (w *WatchState) ConnectionEnded(cause error) error {
+	switch {
+	case w.phase == phaseEnded:
+		return nil
+	case cause == nil:
+		cause = ErrWatchClosed
+	}
+	return w.end(cause)
+}
+
+// Deadline is the time at which CheckTimeout should be called next. It moves as bytes come in.
+func (w *WatchState) Deadline() time.Time { return w.deadline }
+
+// CheckTimeout ends the watch with ErrCallTimeout or ErrWatchTimeout if its deadline has passed.
+func (w *WatchState) CheckTimeout(now time.Time) error {
+	switch {
+	case w.phase == phaseEnded || now.Before(w.deadline):
+		return nil
+	case w.phase == phaseCalling:
+		return w.end(ErrCallTimeout)
+	}
+	return w.end(ErrWatchTimeout)
+}
+
+func (w *WatchState) end(cause error) error {
+	w.phase = phaseEnded
+	return cause
+}
