--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -11,28 +11,28 @@
 
 // TestGoldenDatagrams: the datagrams of earlier releases are read, and the same bytes are written.
 func TestGoldenDatagrams(t *testing.T) {
-	var all []news
-	for state := Unknown + 1; state < states; state++ {
-		all = append(all, news{node: uint16(state) * 300, life: lifeFrom + uint64(state)<<33 + 5, word: uint8(state) + 7, state: state})
+	var all []update
+	for state := Unknown + 1; state < numStates; state++ {
+		all = append(all, update{node: uint16(state) * 300, incarnation: minIncarnation + uint64(state)<<33 + 5, refutations: uint8(state) + 7, state: state})
 	}
 	messages := []struct {
-		name string
-		m    message
+		name    string
+		message message
 	}{
-		{"ping", message{kind: kindPing, fleet: 0x01020304, seq: 5, news: all}},
-		{"ping_alone", message{kind: kindPing, fleet: 1, seq: 2}},
-		{"ack", message{kind: kindAck, fleet: 1, seq: 2, news: all[:1]}},
-		{"ask", message{kind: kindAsk, fleet: 1, seq: 2, node: 0x1234}},
+		{"ping", message{kind: kindPing, peerListID: 0x01020304, sequence: 5, updates: all}},
+		{"ping_alone", message{kind: kindPing, peerListID: 1, sequence: 2}},
+		{"ack", message{kind: kindAck, peerListID: 1, sequence: 2, updates: all[:1]}},
+		{"ask", message{kind: kindPingRequest, peerListID: 1, sequence: 2, target: 0x1234}},
 	}
 	var lines golden.Lines
 	for _, test := range messages {
-		lines.Hex(test.name, test.m.encode())
+		lines.Hex(test.name, test.message.encode())
 	}
 	golden.Check(t, "datagrams.golden", lines.Bytes())
 	file := golden.Read(t, "datagrams.golden")
 	for _, test := range messages {
-		if got, err := decode(golden.Hex(t, file, test.name)); err != nil || !reflect.DeepEqual(got, test.m) {
-			t.Errorf("%s: read as %+v, %v; want %+v", test.name, got, err, test.m)
+		if got, err := decode(golden.Hex(t, file, test.name)); err != nil || !reflect.DeepEqual(got, test.message) {
+			t.Errorf("%s: read as %+v, %v; want %+v", test.name, got, err, test.message)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 // TestGoldenStatus: operators' scripts read the members as JSON.
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
-	for state := Unknown; state < states; state++ {
+	for state := Unknown; state < numStates; state++ {
 		text, err := json.Marshal(Member{Node: 3, State: state.String(), Incarnation: 1_700_000_000_000, Duration: time.Second})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -2,80 +2,95 @@
 
 import (
 	"encoding/binary"
-	"errors"
 
+	"shelfproxy/internal/fleet/agreement"
 	"shelfproxy/internal/fleet/datagram"
 )
 
-// Every datagram holds the name of the list of nodes, a number that an answer repeats, the node that is asked about, and news of 9
-// bytes each, as many as fit. What a later version says behind the news is skipped.
-const (
-	Magic   = 'M'
-	version = 1
-
-	kindPing = 1
-	kindAck  = 2
-	kindAsk  = 3
+// Magic is the first byte of the datagrams of this package.
+const Magic = 'M'
 
-	fixed    = 4 + 4 + 2 + 1
-	newsSize = 2 + 5 + 1 + 1
-	mostNews = (datagram.MaxPayload - fixed) / newsSize
+var protocol = agreement.Protocol{Magic: Magic, Version: 1}
 
-	// Lives are told as milliseconds since then, in 40 bits.
-	lifeFrom = 1_577_836_800_000 // 2020-01-01
-	lifeMost = 1<<40 - 1
+// The kinds of messages.
+const (
+	kindPing        = 1
+	kindAck         = 2
+	kindPingRequest = 3
 )
 
-var errGarbled = errors.New("membership: no message of this version")
+// A datagram holds the identifier of the list of nodes, a sequence number that an ack repeats, the node that a ping-req is
+// about, the number of updates, and these. What a later version writes behind them is skipped.
+const (
+	fixedBytes  = 4 + 4 + 2 + 1
+	updateBytes = 2 + 5 + 1 + 1
+	maxUpdates  = (datagram.MaxPayload - fixedBytes) / updateBytes
+)
 
-// news is what one datagram says of one node.
-type news struct {
-	node  uint16
-	life  uint64
-	word  uint8
-	state State
-}
+// Incarnations are sent as milliseconds since minIncarnation, in 40 bits.
+const (
+	minIncarnation       = 1_577_836_800_000 // 2020-01-01 in Unix milliseconds
+	maxIncarnationOffset = 1<<40 - 1
+)
 
 type message struct {
-	kind  byte
-	fleet uint32
-	seq   uint32
-	node  uint16 // kindAsk: who is asked about
-	news  []news
+	kind       byte
+	peerListID uint32
+	sequence   uint32
+	target     uint16 // node to ping, of a kindPingRequest
+	updates    []update
 }
 
+// encode returns the message as a datagram. Of more than maxUpdates updates the last ones are dropped.
 func (m message) encode() []byte {
-	n := min(len(m.news), mostNews)
-	b := datagram.Begin(Magic, version, m.kind)
-	b = binary.BigEndian.AppendUint32(b, m.fleet)
-	b = binary.BigEndian.AppendUint32(b, m.seq)
-	b = binary.BigEndian.AppendUint16(b, m.node)
-	b = append(b, byte(n))
-	for _, s := range m.news[:n] {
-		b = binary.BigEndian.AppendUint16(b, s.node)
-		life := min(max(s.life, lifeFrom)-lifeFrom, lifeMost)
-		b = append(b, byte(life>>32))
-		b = binary.BigEndian.AppendUint32(b, uint32(life))
-		b = append(b, s.word, byte(s.state))
+	updates := m.updates[:min(len(m.updates), maxUpdates)]
+	data := protocol.Begin(m.kind)
+	data = binary.BigEndian.AppendUint32(data, m.peerListID)
+	data = binary.BigEndian.AppendUint32(data, m.sequence)
+	data = binary.BigEndian.AppendUint16(data, m.target)
+	data = append(data, byte(len(updates)))
+	for _, u := range updates {
+		data = u.appendTo(data)
 	}
-	return datagram.Seal(b)
+	return datagram.Seal(data)
+}
+
+func (u update) appendTo(data []byte) []byte {
+	offset := min(max(u.incarnation, minIncarnation)-minIncarnation, maxIncarnationOffset)
+	data = binary.BigEndian.AppendUint16(data, u.node)
+	data = append(data, byte(offset>>32))
+	data = binary.BigEndian.AppendUint32(data, uint32(offset))
+	return append(data, u.refutations, byte(u.state))
 }
 
-func decode(b []byte) (m message, err error) {
-	kind, r, ok := datagram.Open(b, Magic, version)
-	if !ok || kind < kindPing || kind > kindAsk {
-		return m, errGarbled
+// decode reads a datagram. Its error is agreement.ErrCorruptMessage.
+func decode(data []byte) (message, error) {
+	kind, fields, err := protocol.Open(data)
+	if err != nil {
+		return message{}, err
+	}
+	if kind < kindPing || kind > kindPingRequest {
+		return message{}, agreement.ErrCorruptMessage
 	}
-	m = message{kind: kind, fleet: r.U32(), seq: r.U32(), node: r.U16()}
-	for range r.U8() {
-		s := news{node: r.U16(), life: lifeFrom + uint64(r.U8())<<32 + uint64(r.U32()), word: r.U8(), state: State(r.U8())}
-		if !r.IsValid() || s.state == Unknown || s.state >= states {
-			return m, errGarbled
+	m := message{kind: kind, peerListID: fields.U32(), sequence: fields.U32(), target: fields.U16()}
+	for range fields.U8() {
+		u := decodeUpdate(fields)
+		if !fields.IsValid() || u.state == Unknown || u.state >= numStates {
+			return message{}, agreement.ErrCorruptMessage
 		}
-		m.news = append(m.news, s)
+		m.updates = append(m.updates, u)
 	}
-	if !r.IsValid() {
-		return m, errGarbled
+	if !fields.IsValid() {
+		return message{}, agreement.ErrCorruptMessage
 	}
 	return m, nil
 }
+
+func decodeUpdate(fields *datagram.Reader) update {
+	return update{
+		node:        fields.U16(),
+		incarnation: minIncarnation + uint64(fields.U8())<<32 + uint64(fields.U32()),
+		refutations: fields.U8(),
+		state:       State(fields.U8()),
+	}
+}
--- /dev/null
+++ b/internal/fleet/membership/probe.go
@@ -0,0 +1,130 @@
+package membership
+
+import "slices"
+
+// absentProbePeriods is how many periods pass between two pings of a node that is dead, has left or is unknown. By them a fleet
+// that was partitioned finds together again.
+const absentProbePeriods = 4
+
+// probe is the ping of the current period.
+type probe struct {
+	node       int
+	sequence   uint32
+	sentAt     Time
+	isPending  bool // no ack was received yet
+	isIndirect bool // other nodes were asked to ping it too
+}
+
+// relay is a ping that this node sends because another one asked it to by a ping-req.
+type relay struct {
+	requester         int
+	requesterSequence uint32 // that the requester's ack has to repeat
+	target            int
+	sequence          uint32 // of this node's own ping
+	sentAt            Time
+}
+
+// startPeriod pings the next node in turn, and now and then one that is not present.
+func (c *Core) startPeriod(now Time) {
+	c.probe.isPending = false
+	c.periodCount++
+	c.probeNext(now)
+	c.pingAbsent()
+}
+
+// probeNext pings the next node in turn that is present, if there is one.
+func (c *Core) probeNext(now Time) {
+	for range c.probeOrder {
+		node := c.nextProbeTarget()
+		if c.members[node].state.isPresent() {
+			c.probe = probe{node: node, sequence: c.sendPing(node), sentAt: now, isPending: true}
+			return
+		}
+	}
+}
+
+// nextProbeTarget returns the next node of the probe order. Once all were returned a new random order begins.
+func (c *Core) nextProbeTarget() int {
+	node := c.probeOrder[c.orderPosition]
+	c.orderPosition++
+	if c.orderPosition == len(c.probeOrder) {
+		c.orderPosition = 0
+		c.shuffleProbeOrder()
+	}
+	return node
+}
+
+func (c *Core) shuffleProbeOrder() {
+	c.random.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
+}
+
+// pingAbsent pings a random node that is not present: in some periods, or in each one if no other node is present.
+func (c *Core) pingAbsent() {
+	var absent []int
+	for _, node := range c.probeOrder {
+		if !c.members[node].state.isPresent() {
+			absent = append(absent, node)
+		}
+	}
+	isAlone := len(absent) == len(c.probeOrder)
+	if len(absent) > 0 && (isAlone || c.periodCount%absentProbePeriods == 0) {
+		c.sendPing(absent[c.random.IntN(len(absent))])
+	}
+}
+
+// sendPing pings a node and returns the sequence number of the ping.
+func (c *Core) sendPing(to int) uint32 {
+	c.sequence++
+	c.send(to, message{kind: kindPing, sequence: c.sequence})
+	return c.sequence
+}
+
+// sendPingRequests asks other nodes to ping the probed one if it has not acknowledged this node's ping in time.
+func (c *Core) sendPingRequests(now Time) {
+	p := &c.probe
+	if !p.isPending || p.isIndirect || now-p.sentAt < c.cfg.ProbeTimeout {
+		return
+	}
+	p.isIndirect = true
+	for _, helper := range c.randomAlive(c.cfg.IndirectProbes, p.node) {
+		c.send(helper, message{kind: kindPingRequest, sequence: p.sequence, target: uint16(p.node)})
+	}
+}
+
+// randomAlive draws up to count other nodes that are alive, but not the excluded one.
+func (c *Core) randomAlive(count, excluded int) []int {
+	var nodes []int
+	for _, node := range c.random.Perm(c.cfg.Nodes) {
+		if len(nodes) < count && node != excluded && node != c.cfg.Self && c.members[node].state == Alive {
+			nodes = append(nodes, node)
+		}
+	}
+	return nodes
+}
+
+// relayPing pings a node for the requester.
+func (c *Core) relayPing(now Time, requester int, requesterSequence uint32, target int) {
+	sequence := c.sendPing(target)
+	c.relays = append(c.relays, relay{requester: requester, requesterSequence: requesterSequence, target: target, sequence: sequence, sentAt: now})
+}
+
+// acknowledged takes an ack, which answers either the ping of this period or relayed ones. For these the requester is
+// answered.
+func (c *Core) acknowledged(from int, sequence uint32) {
+	if c.probe.isPending && c.probe.sequence == sequence {
+		c.probe.isPending = false
+		return
+	}
+	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool {
+		if r.sequence != sequence || r.target != from {
+			return false
+		}
+		c.send(r.requester, message{kind: kindAck, sequence: r.requesterSequence})
+		return true
+	})
+}
+
+// expireRelays forgets relayed pings whose requester does not wait for them any more.
+func (c *Core) expireRelays(now Time) {
+	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool { return now-r.sentAt >= c.cfg.ProbeInterval })
+}
--- /dev/null
+++ b/internal/fleet/membership/simulated_fleet_test.go
@@ -0,0 +1,185 @@
+package membership
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"shelfproxy/internal/fleet/datagram"
+)
+
+const (
+	testInterval    = 500 * time.Millisecond // ProbeInterval of the tests
+	testTimeout     = 100 * time.Millisecond // ProbeTimeout
+	testSuspicion   = 2                      // SuspicionFactor
+	simulationTick  = 25 * time.Millisecond
+	maxTestLatency  = 27 * time.Millisecond // of a datagram
+	convergeTimeout = 2 * time.Minute
+)
+
+// testConfig is the configuration of a node in a fleet of tests.
+func testConfig(self, nodes int) Config {
+	return Config{Self: self, Nodes: nodes, Incarnation: minIncarnation, ProbeInterval: testInterval, ProbeTimeout: testTimeout, SuspicionFactor: testSuspicion}
+}
+
+// newTestCore returns node 0 of a fleet.
+func newTestCore(t interface{ Fatal(args ...any) }, nodes int) *Core {
+	core, err := New(testConfig(0, nodes))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return core
+}
+
+// simulatedFleet plays a fleet: datagrams that are lost, late, doubled and out of order, nodes that are killed, paused and
+// restarted, and partitions.
+type simulatedFleet struct {
+	t            *testing.T
+	random       *rand.Rand
+	now          time.Duration
+	nodes        []*Core // nil: no process
+	startedAt    []time.Duration
+	incarnations []uint64
+	isPaused     []bool
+	isCut        func(a, b int) bool
+	inFlight     []packet
+	lossRate     float64
+
+	changes     map[State]int // changes of a node's state, by the new one
+	falselyDead int           // how often a running node was declared dead
+	bytesSent   int
+	conflicts   []int // incarnation conflicts, by node
+}
+
+type packet struct {
+	arrivesAt time.Duration
+	from, to  int
+	data      []byte
+}
+
+func newSimulatedFleet(t *testing.T, seed uint64, nodes int, lossRate float64) *simulatedFleet {
+	f := &simulatedFleet{
+		t:            t,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		lossRate:     lossRate,
+		nodes:        make([]*Core, nodes),
+		startedAt:    make([]time.Duration, nodes),
+		incarnations: make([]uint64, nodes),
+		isPaused:     make([]bool, nodes),
+		conflicts:    make([]int, nodes),
+		changes:      map[State]int{},
+		isCut:        func(int, int) bool { return false },
+	}
+	for node := range nodes {
+		f.start(node)
+	}
+	return f
+}
+
+// start starts a node, in place of its present process if there is one.
+func (f *simulatedFleet) start(node int) {
+	f.incarnations[node] = max(f.incarnations[node]+1, minIncarnation+uint64(f.now/time.Millisecond))
+	cfg := testConfig(node, len(f.nodes))
+	cfg.Incarnation, cfg.IndirectProbes, cfg.Seed = f.incarnations[node], 3, uint64(node)
+	core, err := New(cfg)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.nodes[node], f.startedAt[node], f.isPaused[node] = core, f.now, false
+}
+
+func (f *simulatedFleet) kill(nodes ...int) {
+	for _, node := range nodes {
+		f.nodes[node] = nil
+	}
+}
+
+func (f *simulatedFleet) isRunning(node int) bool { return f.nodes[node] != nil && !f.isPaused[node] }
+
+// step gives a node an event and carries its effects out.
+func (f *simulatedFleet) step(node int, event Event) {
+	if f.nodes[node] == nil {
+		return
+	}
+	for _, effect := range f.nodes[node].Step(f.now-f.startedAt[node], event) {
+		switch effect := effect.(type) {
+		case Send:
+			f.send(node, effect)
+		case StateChanged:
+			f.changes[effect.To]++
+			if effect.To == Dead && f.isRunning(effect.Node) && !f.isCut(node, effect.Node) {
+				f.falselyDead++
+			}
+		case IncarnationConflict:
+			f.conflicts[node]++
+		}
+	}
+}
+
+// send puts a datagram on the network, a tenth of them twice.
+func (f *simulatedFleet) send(from int, datagramSent Send) {
+	f.bytesSent += len(datagramSent.Data)
+	if len(datagramSent.Data) > datagram.MaxSize {
+		f.t.Fatalf("got a datagram of %d bytes, want %d at most", len(datagramSent.Data), datagram.MaxSize)
+	}
+	for range 1 + f.random.IntN(10)/9 {
+		if f.random.Float64() >= f.lossRate && !f.isCut(from, datagramSent.To) {
+			latency := time.Duration(f.random.Int64N(int64(maxTestLatency)))
+			f.inFlight = append(f.inFlight, packet{f.now + latency, from, datagramSent.To, datagramSent.Data})
+		}
+	}
+}
+
+// advance lets time pass.
+func (f *simulatedFleet) advance(duration time.Duration) {
+	for end := f.now + duration; f.now < end; f.now += simulationTick {
+		packets := f.inFlight
+		f.inFlight = nil
+		for _, p := range packets {
+			if p.arrivesAt > f.now || f.isPaused[p.to] {
+				f.inFlight = append(f.inFlight, p)
+			} else {
+				f.step(p.to, MessageReceived{p.from, p.data})
+			}
+		}
+		for node := range f.nodes {
+			if !f.isPaused[node] {
+				f.step(node, Tick{})
+			}
+		}
+	}
+}
+
+// hasConverged reports whether every running node takes exactly the running ones for present.
+func (f *simulatedFleet) hasConverged() bool {
+	for node, core := range f.nodes {
+		if !f.isRunning(node) {
+			continue
+		}
+		for other, m := range core.members {
+			if m.state.isPresent() != f.isRunning(other) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// converge lets time pass until the fleet has converged, and returns how long that took.
+func (f *simulatedFleet) converge(what string) time.Duration {
+	f.t.Helper()
+	for began := f.now; ; f.advance(simulationTick) {
+		if f.hasConverged() {
+			return f.now - began
+		}
+		if f.now-began > convergeTimeout {
+			f.t.Fatalf("%s: not converged after %v", what, convergeTimeout)
+		}
+	}
+}
+
+// knownTo returns a datagram in which one node says what it knows of another.
+func (f *simulatedFleet) knownTo(node, about int) []byte {
+	core := f.nodes[node]
+	return message{kind: kindAck, peerListID: core.cfg.PeerListID, updates: []update{core.members[about].update(about)}}.encode()
+}
