--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -9,26 +9,33 @@
 
 // TestGoldenDatagrams: the datagrams of earlier releases are read, and the same bytes are written.
 func TestGoldenDatagrams(t *testing.T) {
-	var ledger Buffer
-	ledger.KeyRequested(0x010203)
-	ledger.KeyRequested(0xfffffe)
-	for range 9 { // more than a note counts
-		ledger.AttemptEnded(0x0a0b0c, true)
+	var buffer Buffer
+	buffer.KeyRequested(0x010203)
+	buffer.KeyRequested(0xfffffe)
+	for range 9 { // more than an observation counts
+		buffer.AttemptEnded(0x0a0b0c, true)
 	}
-	ledger.AttemptEnded(0x0a0b0d, false)
-	ledger.AttemptEnded(0x0a0b0d, true)
-	ledger.Recovered(0x112233)
-	ledger.Unresponsive(0x445566)
+	buffer.AttemptEnded(0x0a0b0d, false)
+	buffer.AttemptEnded(0x0a0b0d, true)
+	buffer.Recovered(0x112233)
+	buffer.Unresponsive(0x445566)
 	var lines golden.Lines
-	lines.Hex("keys_and_notes", ledger.Encode())
-	ledger.KeyRequested(7)
-	lines.Hex("a_key_alone", ledger.Encode())
+	lines.Hex("keys_and_notes", buffer.Encode())
+	buffer.KeyRequested(7)
+	lines.Hex("a_key_alone", buffer.Encode())
 	golden.Check(t, "datagrams.golden", lines.Bytes())
 
 	got, err := Decode(golden.Hex(t, golden.Read(t, "datagrams.golden"), "keys_and_notes"))
-	want := Message{Keys: []Fingerprint{0x010203, 0xfffffe}, Observations: []Observation{{Server: 0x0a0b0c, Attempts: 7, Failures: 7}, {Server: 0x0a0b0d, Attempts: 2, Failures: 1},
-		{Server: 0x112233, Recovered: true}, {Server: 0x445566, Unresponsive: true}}}
+	want := Message{
+		Keys: []Fingerprint{0x010203, 0xfffffe},
+		Observations: []Observation{
+			{Server: 0x0a0b0c, Attempts: 7, Failures: 7},
+			{Server: 0x0a0b0d, Attempts: 2, Failures: 1},
+			{Server: 0x112233, Recovered: true},
+			{Server: 0x445566, Unresponsive: true},
+		},
+	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v; want %+v", got, err, want)
+		t.Errorf("got %+v, %v; want %+v", got, err, want)
 	}
 }
