--- /dev/null
+++ b/internal/fleet/peers/socket.go
@@ -0,0 +1,170 @@
+package peers
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// MaxDatagram is the size in bytes of the longest datagram that the platform takes.
+const MaxDatagram = 256
+
+// openInterval is how often OpenLater tries to open its address.
+const openInterval = 20 * time.Millisecond
+
+// Errors of sending. The datagram is lost.
+var (
+	// ErrNotOpen says that another process still has the node's address.
+	ErrNotOpen = errors.New("peers: the node's address is still in use")
+	// ErrTooLong says that a datagram has more than MaxDatagram bytes.
+	ErrTooLong = errors.New("peers: datagram too long")
+	// ErrUnknownNode says that there is no node of the given index.
+	ErrUnknownNode = errors.New("peers: unknown node")
+)
+
+// errListenChanged is the cause of an AddressError for a change of this node's own address.
+var errListenChanged = errors.New("cannot be changed while the node runs")
+
+// Socket sends datagrams to the other nodes and receives theirs. Its methods are safe for concurrent use; Receive has one caller.
+type Socket struct {
+	listen    netip.AddrPort
+	routes    atomic.Pointer[routes]
+	conn      atomic.Pointer[net.UDPConn] // nil until the address was opened
+	opened    chan struct{}               // closed by open
+	closed    chan struct{}               // closed by Close
+	closeOnce sync.Once
+}
+
+// Open opens a node's socket.
+func Open(a Addresses) (*Socket, error) {
+	s, err := newSocket(a)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.open(); err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+// OpenLater returns a node's socket whose address another process may still have. It is opened once that process releases it;
+// until then sending fails with ErrNotOpen and Receive waits.
+//
+// The goroutine that opens it ends when it has succeeded or Close is called.
+func OpenLater(a Addresses) (*Socket, error) {
+	s, err := newSocket(a)
+	if err != nil {
+		return nil, err
+	}
+	go s.openUntilClosed()
+	return s, nil
+}
+
+func newSocket(a Addresses) (*Socket, error) {
+	listen, r, err := a.parse()
+	if err != nil {
+		return nil, err
+	}
+	s := &Socket{listen: listen, opened: make(chan struct{}), closed: make(chan struct{})}
+	s.routes.Store(r)
+	return s, nil
+}
+
+func (s *Socket) open() error {
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(s.listen))
+	if err != nil {
+		return &AddressError{Field: fieldListen, Err: err}
+	}
+	s.conn.Store(conn)
+	close(s.opened)
+	return nil
+}
+
+func (s *Socket) openUntilClosed() {
+	for s.open() != nil {
+		select {
+		case <-s.closed:
+			return
+		case <-time.After(openInterval):
+		}
+	}
+}
+
+// UpdatePeers replaces the addresses of the other nodes. This node's own must stay the same.
+func (s *Socket) UpdatePeers(a Addresses) error {
+	listen, r, err := a.parse()
+	if err != nil {
+		return err
+	}
+	if listen != s.listen {
+		return &AddressError{Field: fieldListen, Err: fmt.Errorf("%w: %s to %s", errListenChanged, s.listen, listen)}
+	}
+	s.routes.Store(r)
+	return nil
+}
+
+// Broadcast sends a datagram to all nodes. A datagram that was sent may be lost all the same.
+func (s *Socket) Broadcast(data []byte) error {
+	return s.write(data, s.routes.Load().broadcast)
+}
+
+// SendTo sends a datagram to one node, by its index. A datagram that was sent may be lost all the same.
+func (s *Socket) SendTo(node int, data []byte) error {
+	nodes := s.routes.Load().nodes
+	if node < 0 || node >= len(nodes) {
+		return fmt.Errorf("%w: index %d of %d", ErrUnknownNode, node, len(nodes))
+	}
+	return s.write(data, nodes[node])
+}
+
+func (s *Socket) write(data []byte, to netip.AddrPort) error {
+	if len(data) > MaxDatagram {
+		return fmt.Errorf("%w: %d bytes, %d are allowed", ErrTooLong, len(data), MaxDatagram)
+	}
+	conn := s.conn.Load()
+	if conn == nil {
+		return ErrNotOpen
+	}
+	_, err := conn.WriteToUDPAddrPort(data, to)
+	return err
+}
+
+// Receive calls received for each datagram of another node, with that node's index, and foreign for each one that is too long or
+// from an address that is no peer's. It returns net.ErrClosed once the socket is closed. The data belong to received.
+func (s *Socket) Receive(received func(from int, data []byte), foreign func(netip.AddrPort)) error {
+	select {
+	case <-s.opened:
+	case <-s.closed:
+		return net.ErrClosed
+	}
+	conn := s.conn.Load()
+	buffer := make([]byte, MaxDatagram+1)
+	for {
+		n, sender, err := conn.ReadFromUDPAddrPort(buffer)
+		if err != nil {
+			return err
+		}
+		address := sender.Addr().Unmap()
+		from, isPeer := s.routes.Load().indices[address]
+		switch {
+		case address == s.listen.Addr(): // this node's own broadcast
+		case !isPeer || n > MaxDatagram:
+			foreign(sender)
+		default:
+			received(from, append([]byte(nil), buffer[:n]...))
+		}
+	}
+}
+
+// Close ends Receive and releases the address.
+func (s *Socket) Close() error {
+	s.closeOnce.Do(func() { close(s.closed) })
+	if conn := s.conn.Load(); conn != nil {
+		return conn.Close()
+	}
+	return nil
+}
