--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip is what nodes tell each other of servers and keys: how many of their recent attempts at a server were slow or
-// failed, whether the server answered at all, and a sample of the keys that they were requested. It has no clock and no I/O; what
-// follows for a request is for the policy to decide.
+// Package gossip exchanges observations of servers and keys among the nodes of a fleet: how many of a node's recent attempts at a
+// server were slow or failed, whether the server answered at all, and a sample of the keys that the node was requested. It has no
+// clock and no I/O; what follows for a request is for the policy to decide.
 //
 // One node of many meets most servers seldom, while all of them together meet each server all the time. It also sees a key that
 // draws a tenth of all requests about as often as any other, and the nodes together would send it to one server before one of
--- a/internal/fleet/membership/agent/agent_test.go
+++ b/internal/fleet/membership/agent/agent_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// TestSuspicionsAreLoggedAtDebug: a node that starts, dies or leaves is told at the default level; one that is suspected and refutes
+// TestSuspicionsAreLoggedAtDebug: a node that starts, dies or leaves is logged at the default level; one that is suspected and refutes
 // it is not.
 func TestSuspicionsAreLoggedAtDebug(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/fleet/membership/dissemination.go
+++ b/internal/fleet/membership/dissemination.go
@@ -21,8 +21,8 @@
 	c.emit(Send{To: to, Data: m.encode()})
 }
 
-// nodesToAnnounce returns the nodes of which a datagram says something: this node first, then those whose updates were sent
-// least often so far. A receiver that is suspect or dead is told so, that it can refute it.
+// nodesToAnnounce returns the nodes about which a datagram holds updates: this node first, then the receiver if it is suspect or
+// dead, so that it can refute it, and then those whose updates were sent least often so far.
 func (c *Core) nodesToAnnounce(receiver int) []int {
 	nodes := []int{c.cfg.Self}
 	if state := c.members[receiver].state; state == Suspect || state == Dead {
