--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -1,5 +1,5 @@
-// Package health judges whether a server is there from nothing but the attempts that are made at it, for deployments where
-// it may not be asked. It has no clock and no I/O; what follows from its word is the module's affair.
+// Package circuitbreaker judges whether a server responds from nothing but the attempts that are made at it, for
+// deployments where health checks are not allowed. It has no clock and no I/O, and acts on nothing itself.
 package circuitbreaker
 
 import "time"
@@ -7,47 +7,51 @@
 // Time is a point on the caller's clock.
 type Time = time.Duration
 
-// Breaker follows one server, or one zone. It opens after failures in a row with no sign of life between, and then lets one
-// attempt through now and then, at growing waits: the attempt is the question. The zero value is closed.
+// Breaker follows one server, or one zone. It opens after failures in a row without a sign of life between them, and
+// then lets a single attempt through now and then, after growing waits: the attempt is the health check. The zero
+// value is closed. A Breaker is not safe for concurrent use.
 type Breaker struct {
-	failed int           // in a row
-	heard  Time          // last sign of life
-	next   Time          // when one may go through
-	wait   time.Duration // 0 while it is closed
-	trial  bool          // the one that went through has not ended
+	consecutiveFailures int
+	lastSeen            Time          // last sign of life
+	trialAt             Time          // when an attempt may go through
+	backoff             time.Duration // 0 while it is closed
+	isTrialInFlight     bool          // the attempt that went through has not ended
 }
 
 const (
-	// Failures in a row that open it. One is a busy moment; with two, one node in a fleet of hundreds is always wrong.
-	enough = 3
-	// Without a sign of life for so long, or a server that is merely crowded, and answers the others, would be left out.
-	quiet   = 500 * time.Millisecond
-	first   = time.Second
-	longest = 8 * time.Second // a server that is back gives its share of the keys up for no longer
+	// failuresToOpen is how many failures in a row open a breaker. One is a busy moment; with two, one node in a
+	// fleet of hundreds is always wrong.
+	failuresToOpen = 3
+	// minQuietTime is how long there has to be no sign of life before a breaker opens. Otherwise a server that is
+	// merely overloaded, and answers others, would be left out.
+	minQuietTime = 500 * time.Millisecond
+
+	firstBackoff = time.Second
+	maxBackoff   = 8 * time.Second // a server that responds again goes without its keys for no longer
 )
 
-// Failed counts an attempt that found nobody, or got no answer, and tells whether the breaker is open.
+// Failed counts an attempt that could not connect or got no answer, and reports whether the breaker is open.
 func (b *Breaker) Failed(now Time) bool {
-	b.failed++
-	if b.failed < enough || now-b.heard < quiet {
+	b.consecutiveFailures++
+	if b.consecutiveFailures < failuresToOpen || now-b.lastSeen < minQuietTime {
 		return false
 	}
-	if b.wait == 0 || b.trial { // else it was under way as it opened
-		b.wait = min(max(first, 2*b.wait), longest)
-		b.next, b.trial = now+b.wait, false
+	if b.backoff == 0 || b.isTrialInFlight { // else the attempt was in flight when it opened
+		b.backoff = min(max(firstBackoff, 2*b.backoff), maxBackoff)
+		b.trialAt, b.isTrialInFlight = now+b.backoff, false
 	}
 	return true
 }
 
-// Answered closes it.
-func (b *Breaker) Answered(now Time) { *b = Breaker{heard: now} }
+// Succeeded closes the breaker: the server responded.
+func (b *Breaker) Succeeded(now Time) { *b = Breaker{lastSeen: now} }
 
-// Open tells whether it is open: nothing goes through until it is due.
-func (b *Breaker) Open(now Time) bool { return b.wait > 0 && now < b.next }
+// IsOpen reports whether no attempt may go through now.
+func (b *Breaker) IsOpen(now Time) bool { return b.backoff > 0 && now < b.trialAt }
 
-// Try takes the one attempt that is due, where one is.
-func (b *Breaker) Try(now Time) {
-	if b.wait > 0 && now >= b.next {
-		b.next, b.trial = now+b.wait, true
+// AttemptStarted counts an attempt. Where the breaker let it through as a trial, no other one goes through meanwhile.
+func (b *Breaker) AttemptStarted(now Time) {
+	if b.backoff > 0 && now >= b.trialAt {
+		b.trialAt, b.isTrialInFlight = now+b.backoff, true
 	}
 }
--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -2,79 +2,108 @@
 
 import "fmt"
 
-// Explanation is what a router makes of one key at this moment, for operators. It decides nothing and changes nothing.
+// Explanation is what a router makes of one key at this moment, for operators. Its JSON is an interface of the
+// control socket.
 type Explanation struct {
-	Key     string              `json:"key"`
-	Heat    float64             `json:"heat"`    // part of an average server's requests that other requests for the key bring
-	Servers []ServerExplanation `json:"servers"` // in the order in which the key would go to them, then those that it would not go to
+	Key string `json:"key"`
+	// Heat is the part of an average server's requests that other requests for the key bring.
+	Heat float64 `json:"heat"`
+	// Servers are in the order in which requests for the key would go to them, then those that get none.
+	Servers []ServerExplanation `json:"servers"`
 	Origin  *OriginExplanation  `json:"origin,omitempty"`
 }
 
-// ServerExplanation is one cache server of a Why.
+// ServerExplanation is one cache server of an Explanation.
 type ServerExplanation struct {
 	Server string   `json:"server"`
 	Zone   string   `json:"zone"`
-	Warmth float64  `json:"warmth"`     // share of its slots that it has as a cold one
-	Keeps  float64  `json:"keeps"`      // share of its slots that it keeps by how it does
-	Slow   float64  `json:"slow_share"` // of its recent answers
-	Out    int      `json:"out"`        // attempts that wait for it
-	Not    []string `json:"not,omitempty"`
+	Warmth float64  `json:"warmth"`        // share of its slots that it has while it warms up
+	Keeps  float64  `json:"keeps"`         // share of its slots that it keeps as an outlier
+	Slow   float64  `json:"slow_share"`    // of its recent answers
+	Out    int      `json:"out"`           // attempts in flight
+	Not    []string `json:"not,omitempty"` // why it gets no requests for the key
 }
 
-// OriginExplanation is how the origin does.
+// OriginExplanation is the state of the origin.
 type OriginExplanation struct {
-	Slow    float64 `json:"slow_share"`
-	Target  float64 `json:"target_ms"` // over which an answer is slow, learned from quiet times
-	Out     int     `json:"out"`
-	Most    int     `json:"most"` // that may be out
-	Waiting int     `json:"waiting"`
+	Slow    float64 `json:"slow_share"` // of its recent answers
+	Target  float64 `json:"target_ms"`  // latency over which an answer is slow, learned from quiet times
+	Out     int     `json:"out"`        // attempts in flight
+	Most    int     `json:"most"`       // that may be in flight
+	Waiting int     `json:"waiting"`    // requests in the queue for it
 }
 
-// Explain tells where a key goes, and why not elsewhere.
+// Explain returns where requests for a key go, and why not elsewhere. It changes nothing.
 func (r *Router) Explain(now Time, key string) Explanation {
-	was := r.now
+	before := r.now
 	r.now = now
-	defer func() { r.now = was }()
-	w := Explanation{Key: key, Heat: r.heat(key), Servers: []ServerExplanation{}}
-	slot, q := mix(hash(key)%slots+1), &request{}
-	seen := map[*server]bool{}
-	for s, at := r.next(slot, 0, q); s != nil; s, at = r.next(slot, at, q) {
-		seen[s] = true
-		w.Servers = append(w.Servers, r.why(s))
+	defer func() { r.now = before }()
+	explanation := Explanation{Key: key, Heat: r.keyPopularity(key), Servers: []ServerExplanation{}}
+	slot, anyRequest := slotOf(key), &request{}
+	isUsed := map[*server]bool{}
+	for srv, at := r.nextServer(slot, 0, anyRequest); srv != nil; srv, at = r.nextServer(slot, at, anyRequest) {
+		isUsed[srv] = true
+		explanation.Servers = append(explanation.Servers, r.explainServer(srv))
 	}
-	for _, s := range r.servers {
-		if seen[s] || s == r.origin || r.set.OriginKind != "" && s.Kind == r.set.OriginKind {
+	for _, srv := range r.servers {
+		if isUsed[srv] || srv == r.origin || r.isOriginKind(srv) {
 			continue
 		}
-		e := r.why(s)
-		for _, reason := range []struct {
-			holds bool
-			text  string
-		}{
-			{!s.listed, "not in the list"}, {s.listed && s.State != Live, "drains, or is gone"},
-			{s.silent && (r.set.MayHealthCheck || s.breaker.Open(now)), "silent"},
-			{r.set.MayHealthCheck && s.Zone != r.set.Zone && r.unreached[s.Zone] >= cutOff, "its zone does not answer"},
-			{s.opinion.KeptFraction < 1 && unit(mix(slot+s.hash)) >= s.opinion.KeptFraction, fmt.Sprintf("does badly and keeps %.2f of its keys, not this one", s.opinion.KeptFraction)},
-		} {
-			if reason.holds {
-				e.Not = append(e.Not, reason.text)
-			}
-		}
-		w.Servers = append(w.Servers, e)
+		unused := r.explainServer(srv)
+		unused.Not = r.exclusionReasons(srv, slot)
+		explanation.Servers = append(explanation.Servers, unused)
+	}
+	if r.origin != nil {
+		explanation.Origin = r.explainOrigin()
+	}
+	return explanation
+}
+
+// exclusionReasons says why a cache server gets no requests for a slot.
+func (r *Router) exclusionReasons(srv *server, slot uint64) (reasons []string) {
+	if !srv.isListed {
+		reasons = append(reasons, "not in the list")
+	}
+	if srv.isListed && srv.State != Live {
+		reasons = append(reasons, "drains, or is gone")
+	}
+	if r.isOut(srv) {
+		reasons = append(reasons, "silent")
+	}
+	if r.isZoneCutOff(srv) {
+		reasons = append(reasons, "its zone does not answer")
+	}
+	if !keepsSlot(srv, slot) {
+		kept := srv.assessment.KeptFraction
+		reasons = append(reasons, fmt.Sprintf("does badly and keeps %.2f of its keys, not this one", kept))
+	}
+	return reasons
+}
+
+// explainServer returns the state of a cache server.
+func (r *Router) explainServer(srv *server) ServerExplanation {
+	gauge, aggregate := srv.gauge, r.cacheGauge // copies, as reading a gauge lets its samples fade
+	if gauge.aggregate != nil {
+		gauge.aggregate = &aggregate
 	}
-	if o := r.origin; o != nil {
-		g := o.gauge
-		slow, _ := g.utilisation(now)
-		w.Origin = &OriginExplanation{Slow: slow, Target: g.target.Seconds() * 1000, Out: len(g.out), Most: r.gate.Limit(), Waiting: r.line.Len()}
+	return ServerExplanation{
+		Server: srv.ID,
+		Zone:   srv.Zone,
+		Warmth: r.slowStartWeight(srv),
+		Keeps:  srv.assessment.KeptFraction,
+		Slow:   gauge.slowFraction(r.now),
+		Out:    len(gauge.inFlight),
 	}
-	return w
 }
 
-func (r *Router) why(s *server) ServerExplanation {
-	g, pool := s.gauge, r.pool // copies: what looks at them lets them fade
-	if g.pool != nil {
-		g.pool = &pool
+// explainOrigin returns the state of the origin, which must be there.
+func (r *Router) explainOrigin() *OriginExplanation {
+	gauge := r.origin.gauge // a copy
+	return &OriginExplanation{
+		Slow:    gauge.slowFraction(r.now),
+		Target:  gauge.target.Seconds() * 1000,
+		Out:     len(gauge.inFlight),
+		Most:    r.originLimiter.Limit(),
+		Waiting: r.originQueue.Len(),
 	}
-	slow, _ := g.utilisation(r.now)
-	return ServerExplanation{Server: s.ID, Zone: s.Zone, Warmth: r.warmth(s), Keeps: s.opinion.KeptFraction, Slow: slow, Out: len(g.out)}
 }
--- a/internal/policy/hash.go
+++ b/internal/policy/hash.go
@@ -2,11 +2,11 @@
 
 import "hash/fnv"
 
-// hash gives a text 64 well-spread bits that are the same at every router.
+// hash returns 64 well-spread bits of a text that are the same at every router.
 func hash(text string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(text))
-	return mix(h.Sum64())
+	digest := fnv.New64a()
+	_, _ = digest.Write([]byte(text)) // a hash never returns an error
+	return mix(digest.Sum64())
 }
 
 // mix spreads the bits of x (the finaliser of splitmix64).
@@ -16,5 +16,5 @@
 	return x ^ x>>31
 }
 
-// unit maps x to the open interval from 0 to 1.
-func unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
+// unitInterval maps x to the open interval from 0 to 1.
+func unitInterval(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
--- /dev/null
+++ b/internal/policy/outcome.go
@@ -0,0 +1,131 @@
+package policy
+
+import (
+	"time"
+
+	"shelfproxy/internal/admission"
+)
+
+// idleCostUnit is how many idle connections at each server Settings.ConnectionCost is for.
+const idleCostUnit = 100
+
+// attemptEnded takes the outcome of an attempt: it updates what is known of the server, and the request takes its
+// next step if it has not ended. Outcomes of attempts that are not in flight are ignored.
+func (r *Router) attemptEnded(e Outcome) {
+	ended := r.openAttempt(e.ID, e.Attempt)
+	if ended == nil {
+		return
+	}
+	req := ended.request
+	r.closeAttempt(ended)
+	if e.Ended || req.isEnded {
+		r.endRequest(req)
+	}
+	r.recordOutcome(ended, e)
+	if req.possiblyExecuted == nil && leavesExecutionOpen(e.Reason) {
+		req.possiblyExecuted = ended
+	}
+	if ended.server == r.origin {
+		r.recordAtOrigin(ended, e)
+	}
+	if req.isEnded || req.inFlight > 0 {
+		return
+	}
+	r.continueAfter(ended, e.Reason)
+}
+
+// closeAttempt takes an attempt out of those in flight.
+func (r *Router) closeAttempt(ended *attempt) {
+	srv := ended.server
+	ended.isInFlight = false
+	ended.request.inFlight--
+	srv.gauge.remove(ended)
+	if r.isIdleCostly() && srv != r.origin && len(srv.gauge.inFlight) == 0 {
+		r.emit(CloseIdle{srv.ID})
+	}
+}
+
+// isIdleCostly reports whether the idle connections of all routers cost more than new ones. Then none is kept open
+// but to the origin.
+func (r *Router) isIdleCostly() bool {
+	return r.settings.ConnectionCost*float64(r.settings.Nodes)/idleCostUnit > r.settings.HandshakeCost
+}
+
+// recordOutcome updates the latency and the liveness of the attempt's server.
+func (r *Router) recordOutcome(ended *attempt, e Outcome) {
+	srv := ended.server
+	switch e.Reason {
+	case Cancelled:
+		if !ended.request.isEnded { // hedged
+			r.observeLatency(srv, e.Took, true)
+		}
+	case TimedOut, NoConnection, Reset:
+		r.recordNoResponse(srv, e)
+	case Succeeded, Errored, Rejected:
+		r.observeLatency(srv, e.Took, e.Reason != Succeeded)
+		if e.Reason == Succeeded && srv != r.origin {
+			r.recordHit(srv, e)
+		}
+		r.markResponsive(srv)
+	case Miss: // says nothing of the load
+		r.markResponsive(srv)
+		srv.hitsToClear = 0 // its cache may be gone
+	case CorruptResponse:
+		r.markResponsive(srv)
+	}
+}
+
+// recordNoResponse takes an attempt that got no response. None of these is by itself a sign that the server is down:
+// a health check decides, or, where none is allowed, several failures in a row that load does not explain.
+func (r *Router) recordNoResponse(srv *server, e Outcome) {
+	if e.Reason == NoConnection {
+		r.failedConnects[srv.Zone]++
+		srv.connectRefused = srv.connectRefused || e.Took < connectRefusedWithin
+	}
+	r.observeLatency(srv, e.Took, true)
+	isOverload := e.Reason == TimedOut && r.cacheGauge.slowFraction(r.now) > calmUtilisation
+	switch {
+	case srv == r.origin:
+	case r.settings.MayHealthCheck && !srv.isUnresponsive:
+		r.checkHealth(srv)
+	case !r.settings.MayHealthCheck && !isOverload && srv.breaker.Failed(r.now) && !srv.isUnresponsive:
+		r.markUnresponsive(srv)
+	}
+}
+
+// recordHit takes an answer of a cache server.
+func (r *Router) recordHit(srv *server, e Outcome) {
+	r.fastestHit += r.fastestHit / riseDivisor
+	if r.fastestHit == 0 || e.Took < r.fastestHit {
+		r.fastestHit = e.Took
+	}
+	r.servedTotal += r.requestWeight / max(1, r.activeServers)
+	countHitAfterRestart(srv)
+}
+
+// recordAtOrigin takes the outcome of a fetch or a write: it moves the limit on attempts in flight, and a fetch that
+// others wait for is over.
+func (r *Router) recordAtOrigin(ended *attempt, e Outcome) {
+	if e.Reason != NeverSent {
+		sample := admission.LatencySample{
+			IsWrite:    ended.request.Write,
+			Latency:    e.Took,
+			IsRejected: e.Reason == Rejected,
+			IsTimedOut: e.Reason == TimedOut,
+		}
+		gauge := &r.origin.gauge
+		r.originLimiter.Observe(r.now, sample, gauge.target, len(gauge.inFlight)+1)
+	}
+	r.completeFlight(ended.request, e.Reason == Succeeded)
+}
+
+// observeLatency takes a latency sample of a server, tells the other routers of a server that is suspect, and
+// assesses it anew.
+func (r *Router) observeLatency(srv *server, latency time.Duration, hasFailed bool) {
+	srv.gauge.observe(r.now, latency, hasFailed)
+	if srv != r.origin {
+		isBad := hasFailed || latency > srv.gauge.target
+		r.gossipSender.AttemptEnded(&srv.assessment, srv.gauge.samples, isBad, r.rng.Float64())
+	}
+	r.assess(srv)
+}
--- /dev/null
+++ b/internal/policy/outlier.go
@@ -0,0 +1,75 @@
+package policy
+
+import (
+	"slices"
+
+	"shelfproxy/internal/policy/outlier"
+)
+
+// assess compares a server with the others anew: one that does worse gives up a part of its slots.
+func (r *Router) assess(srv *server) {
+	srv.assessment.Update(srv.gauge.slowFraction(r.now), r.cacheGauge.slowFraction(r.now))
+	r.limitEjections()
+}
+
+// isEjectionCandidate reports whether the ejection budget counts the server.
+func (r *Router) isEjectionCandidate(srv *server) bool {
+	return srv != r.origin && srv.isListed && !r.isOriginKind(srv)
+}
+
+// ejectionStates returns the cache servers as the ejection budget sees them. The slice is reused by the next call.
+func (r *Router) ejectionStates() []outlier.Server {
+	r.ejectionCandidates = r.ejectionCandidates[:0]
+	for _, srv := range r.servers {
+		if !r.isEjectionCandidate(srv) {
+			continue
+		}
+		state := outlier.Server{
+			Capacity:            r.relativeCapacity(srv),
+			UnavailableFraction: 1 - r.slowStartWeight(srv),
+			EjectionFraction:    srv.assessment.EjectionFraction(),
+			TieBreaker:          srv.hash,
+		}
+		if srv.isUnresponsive || srv.State != Live {
+			state.UnavailableFraction = 1
+		}
+		r.ejectionCandidates = append(r.ejectionCandidates, state)
+	}
+	return r.ejectionCandidates
+}
+
+// isEjectionBudgetSpent reports whether so many cache servers are out that none is taken out on gossip alone.
+func (r *Router) isEjectionBudgetSpent() bool {
+	return r.ejectionBudget.IsBounded() && r.ejectionBudget.IsSpent(r.ejectionStates())
+}
+
+// limitEjections keeps what cache servers give up within the budget, where there is one.
+func (r *Router) limitEjections() {
+	if !r.ejectionBudget.IsBounded() {
+		return
+	}
+	states := r.ejectionStates()
+	r.ejectionGrants = slices.Grow(r.ejectionGrants[:0], len(states))[:len(states)]
+	isLimited := r.ejectionBudget.Grant(states, r.ejectionGrants)
+	next := 0
+	for _, srv := range r.servers {
+		if next < len(states) && states[next].TieBreaker == srv.hash {
+			srv.assessment.LimitEjection(r.ejectionGrants[next])
+			next++
+		}
+	}
+	r.logEjectionLimit(isLimited)
+}
+
+// logEjectionLimit logs when the budget begins and ceases to be too small for the outliers.
+func (r *Router) logEjectionLimit(isLimited bool) {
+	if isLimited == r.isEjectionLimited {
+		return
+	}
+	r.isEjectionLimited = isLimited
+	if isLimited {
+		r.logf("too many cache servers are out: outliers keep their keys")
+	} else {
+		r.logf("the cache servers that are out are within the ejection budget again")
+	}
+}
--- /dev/null
+++ b/internal/policy/upkeep.go
@@ -0,0 +1,50 @@
+package policy
+
+import (
+	"time"
+
+	"shelfproxy/internal/policy/locality"
+)
+
+const (
+	upkeepInterval = 250 * time.Millisecond
+	upkeepToken    = uint64(1) << 62 // timer tokens from here on are not request ids
+)
+
+// startUpkeep starts the periodic work with the first endpoint update. Routers that start together do not do it in
+// step.
+func (r *Router) startUpkeep() {
+	if r.isTimerRunning {
+		return
+	}
+	r.isTimerRunning = true
+	r.polls.Start(r.now)
+	r.emit(SetTimer{At: r.now + r.jitter(upkeepInterval), Token: upkeepToken})
+}
+
+// upkeep is the periodic work: it looks for servers that no longer respond, hedges slow reads, and polls discovery.
+func (r *Router) upkeep() {
+	r.emit(SetTimer{At: r.now + upkeepInterval, Token: upkeepToken})
+	r.pruneKeyCounts()
+	for _, srv := range r.servers {
+		if !r.servesKeys(srv) {
+			continue
+		}
+		r.assess(srv)
+		r.hedgeSlowReads(srv)
+		r.checkIfQuiet(srv)
+	}
+	if r.settings.CrossZoneCost > 0 && r.origin != nil {
+		r.crossZoneWeight.Step(locality.Load{
+			HomeFraction:      r.zoneFraction,
+			OriginUtilisation: r.origin.gauge.slowFraction(r.now),
+			ZoneUtilisation:   r.zoneGauge.slowFraction(r.now),
+			CacheUtilisation:  r.cacheGauge.slowFraction(r.now),
+			OriginWaiting:     r.originQueue.Len(),
+		})
+	}
+	r.sendGossip()
+	if r.settings.MustPoll && r.polls.Due(r.now) {
+		r.emit(Subscribe{})
+	}
+}
