--- a/internal/policy/decay/counts_test.go
+++ b/internal/policy/decay/counts_test.go
@@ -8,58 +8,70 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestHeatFollowsShares: 700 requests a second in front of 200 servers; a key that draws a tenth of them is 20 servers'
-// shares, seen within two seconds, and gone again within a few.
-func TestHeatFollowsShares(t *testing.T) {
-	var k KeyCounts
-	now, n := Time(0), 0
-	run := func(d time.Duration, hot bool) {
-		for end := now + d; now < end; now += time.Second / 700 {
-			n++
-			key := gossip.Fingerprint(n)
-			if hot && n%10 == 0 {
-				key = 0
+// TestPopularityFollowsRequests: 700 requests a second in front of 200 servers; a key that draws a tenth of them is the
+// load of 20 servers, seen within two seconds, and over again within a few.
+func TestPopularityFollowsRequests(t *testing.T) {
+	const (
+		servers = 200
+		hotKey  = gossip.Fingerprint(0)
+	)
+	var counts KeyCounts
+	now, requests := Time(0), 0
+	run := func(span time.Duration, isHot bool) {
+		for end := now + span; now < end; now += time.Second / 700 {
+			requests++
+			key := gossip.Fingerprint(requests)
+			if isHot && requests%10 == 0 {
+				key = hotKey
 			}
-			k.Add(now, key, 200)
+			counts.Add(now, key, servers)
 		}
 	}
 	run(20*time.Second, false)
-	if h := k.Popularity(0, 200); h != 0 {
-		t.Errorf("a key that nobody asks for has a heat of %.2f", h)
+	if got := counts.Popularity(hotKey, servers); got != 0 {
+		t.Errorf("key without requests: got a popularity of %.2f, want 0", got)
 	}
 	run(250*time.Millisecond, true)
-	early := k.Popularity(0, 200)
+	early := counts.Popularity(hotKey, servers)
 	run(10*time.Second, true)
-	late := k.Popularity(0, 200)
+	late := counts.Popularity(hotKey, servers)
 	run(15*time.Second, false)
-	if gone := k.Popularity(0, 200); early < 0.5 || late < 15 || late > 25 || gone > 0.2 {
-		t.Errorf("after 0.25 s %.2f, after 10 s %.2f, 15 s after its end %.2f", early, late, gone)
+	if after := counts.Popularity(hotKey, servers); early < 0.5 || late < 15 || late > 25 || after > 0.2 {
+		t.Errorf("got a popularity of %.2f after 0.25 s, %.2f after 10 s, %.2f 15 s after its end, "+
+			"want at least 0.5, about 20, at most 0.2", early, late, after)
 	}
 }
 
-// TestKeysAreForgotten: nothing grows with a day's length.
-func TestKeysAreForgotten(t *testing.T) {
-	var k KeyCounts
+// TestUnusedKeysAreDropped: the number of keys does not grow with a day's length.
+func TestUnusedKeysAreDropped(t *testing.T) {
+	var counts KeyCounts
 	most := 0
 	for i := range 200_000 {
 		now := Time(i) * 10 * time.Millisecond
-		k.Add(now, gossip.Fingerprint(i), 200)
-		k.Prune(now)
-		most = max(most, k.Len())
+		counts.Add(now, gossip.Fingerprint(i), 200)
+		counts.Prune(now)
+		most = max(most, counts.Len())
 	}
 	if most > 20_000 {
-		t.Errorf("%d keys are kept", most)
+		t.Errorf("got up to %d keys, want at most 20000", most)
 	}
 }
 
-func TestFade(t *testing.T) {
+// TestFadeIsSlowBelowEnough: what is above enough falls to 1/e in a window, the rest in a longer one.
+func TestFadeIsSlowBelowEnough(t *testing.T) {
+	const enough, window, sparseWindow = 10, time.Second, 10 * time.Second
 	for _, test := range []struct {
-		n    float64
-		dt   time.Duration
-		want string
-	}{{100, 0, "100.00"}, {100, time.Second, "36.79"}, {4, time.Second, "3.62"}, {100, 10 * time.Second, "3.68"}} {
-		if got := fmt.Sprintf("%.2f", Fade(test.n, test.dt, time.Second, 10, 10*time.Second)); got != test.want {
-			t.Errorf("%v after %v: %s, want %s", test.n, test.dt, got, test.want)
+		count   float64
+		elapsed time.Duration
+		want    string
+	}{
+		{100, 0, "100.00"},
+		{100, time.Second, "36.79"},
+		{4, time.Second, "3.62"},
+		{100, 10 * time.Second, "3.68"},
+	} {
+		if got := fmt.Sprintf("%.2f", Fade(test.count, test.elapsed, window, enough, sparseWindow)); got != test.want {
+			t.Errorf("%v after %v: got %s, want %s", test.count, test.elapsed, got, test.want)
 		}
 	}
 }
--- a/internal/policy/explain_test.go
+++ b/internal/policy/explain_test.go
@@ -5,23 +5,30 @@
 	"testing"
 )
 
-// TestExplainNamesTheServersOfAKey: the first server named for a key is the one that its request goes to, those that
-// it does not go to are named with their reasons, and looking changes nothing.
+// TestExplainNamesTheServersOfAKey: the first server named for a key is the one that requests for it go to, those that
+// get none are named with their reasons, and looking changes nothing.
 func TestExplainNamesTheServersOfAKey(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(5)...)
-	owner := driver.router.Explain(driver.now, "k").Servers[0].Server
-	before := fmt.Sprint(driver.router.cacheGauge.samples, driver.router.requestTotal, driver.router.keyCounts.Len(), len(driver.router.requests))
-	why := driver.router.Explain(driver.now, "k")
-	if len(why.Servers) != 5 || why.Servers[0].Server != owner || fmt.Sprint(driver.router.cacheGauge.samples, driver.router.requestTotal, driver.router.keyCounts.Len(), len(driver.router.requests)) != before {
-		t.Fatalf("two looks: %+v, first %s", why, owner)
+	state := func() string {
+		router := driver.router
+		return fmt.Sprint(router.cacheGauge.samples, router.requestTotal, router.keyCounts.Len(), len(router.requests))
 	}
-	if _, actions := driver.request("high", "k", nil); driver.sentTo(actions) != owner {
-		t.Errorf("k goes to %v, explained as %s", actions, owner)
+	ownerID := driver.router.Explain(driver.now, "k").Servers[0].Server
+	before := state()
+	explanation := driver.router.Explain(driver.now, "k")
+	if len(explanation.Servers) != 5 || explanation.Servers[0].Server != ownerID {
+		t.Fatalf("second look: got %+v, want 5 servers, %s first", explanation, ownerID)
 	}
-	driver.router.serverByID[owner].isUnresponsive = true
-	why = driver.router.Explain(driver.now, "k")
-	last := why.Servers[len(why.Servers)-1]
-	if why.Servers[0].Server == owner || last.Server != owner || fmt.Sprint(last.Not) != "[silent]" {
-		t.Errorf("a silent owner: %+v", why)
+	if got := state(); got != before {
+		t.Fatalf("state after a look: got %s, want %s", got, before)
+	}
+	if _, actions := driver.request("high", "k", nil); driver.sentTo(actions) != ownerID {
+		t.Errorf("request: got %v, want a send to %s as explained", actions, ownerID)
+	}
+	driver.router.serverByID[ownerID].isUnresponsive = true
+	explanation = driver.router.Explain(driver.now, "k")
+	last := explanation.Servers[len(explanation.Servers)-1]
+	if explanation.Servers[0].Server == ownerID || last.Server != ownerID || fmt.Sprint(last.Not) != "[silent]" {
+		t.Errorf("unresponsive owner: got %+v, want %s last, as it is silent", explanation, ownerID)
 	}
 }
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -8,6 +8,10 @@
 
 const ms = time.Millisecond
 
+// originID is the origin of the routers under test; their cache servers have other names.
+const originID = "o"
+
+// testSettings are those of a router that may do everything but gossip.
 func testSettings() Settings {
 	return Settings{
 		Nodes: 2, OriginKind: "origin", OverQuotaFraction: 0.1, MayHealthCheck: true, MayCancel: true,
@@ -18,8 +22,14 @@
 			{Name: "middle", PriorityWeight: 5, LatencyObjective: 500 * ms},
 			{Name: "low", PriorityWeight: 1, LatencyObjective: 500 * ms},
 			{Name: "late", PriorityWeight: 10, LatencyObjective: 500 * ms, LateFraction: 0.3},
-			{Name: "keyed", PriorityWeight: 10, LatencyObjective: time.Second, Effect: Deduplicated, DedupWindow: 800 * ms},
-			{Name: "keyed-zone", PriorityWeight: 10, LatencyObjective: time.Second, Effect: Deduplicated, DedupScope: SameZone, DedupWindow: 800 * ms},
+			{
+				Name: "keyed", PriorityWeight: 10, LatencyObjective: time.Second,
+				Effect: Deduplicated, DedupWindow: 800 * ms,
+			},
+			{
+				Name: "keyed-zone", PriorityWeight: 10, LatencyObjective: time.Second,
+				Effect: Deduplicated, DedupScope: SameZone, DedupWindow: 800 * ms,
+			},
 			{Name: "unsafe", PriorityWeight: 10, LatencyObjective: time.Second, Effect: AtMostOnce},
 		},
 		Tenants: []Tenant{{Name: "t", Quota: 20}},
@@ -32,17 +42,18 @@
 	router    *Router
 	now       Time
 	nextID    uint64
-	sendCount map[uint64]int
+	sendCount map[uint64]int // by request
 }
 
+// newDriver returns the driver of a router that has a list of the origin and of the cache servers.
 func newDriver(t *testing.T, settings Settings, servers ...string) *routerDriver {
 	t.Helper()
-	r, err := New(settings, 1)
+	router, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	driver := &routerDriver{t: t, router: r, now: 100 * time.Second, nextID: 1, sendCount: map[uint64]int{}}
-	list := EndpointUpdate{Scope: CachedList, Servers: []Server{{ID: "o", Kind: "origin", Zone: "a"}}}
+	driver := &routerDriver{t: t, router: router, now: 100 * time.Second, nextID: 1, sendCount: map[uint64]int{}}
+	list := EndpointUpdate{Scope: CachedList, Servers: []Server{{ID: originID, Kind: "origin", Zone: "a"}}}
 	for _, id := range servers {
 		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Zone: "a", Capacity: 1})
 	}
@@ -50,84 +61,122 @@
 	return driver
 }
 
-func (driver *routerDriver) handle(ev Event) []Action {
-	actions := driver.router.Handle(driver.now, ev)
-	for _, a := range actions {
-		if s, ok := a.(Send); ok {
-			driver.sendCount[s.ID]++
-		}
+// newTrainedDriver returns the driver of a router that knows its origin to answer in 50 ms when it is quiet. It has the
+// cache servers s1 to s3 and those named.
+func newTrainedDriver(t *testing.T, more ...string) *routerDriver {
+	t.Helper()
+	driver := newDriver(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
+	driver.feedOrigin(80, 50*ms, Succeeded)
+	return driver
+}
+
+// handle gives the router an event at the driver's time.
+func (driver *routerDriver) handle(event Event) []Action {
+	actions := driver.router.Handle(driver.now, event)
+	for _, send := range actionsOf[Send](actions) {
+		driver.sendCount[send.ID]++
 	}
 	return actions
 }
 
+// request sends the router a read with two seconds to its deadline, changed by the function if there is one.
 func (driver *routerDriver) request(class, key string, change func(*Request)) (uint64, []Action) {
-	q := Request{ID: driver.nextID, Class: class, Key: key, Deadline: driver.now + 2*time.Second}
+	event := Request{ID: driver.nextID, Class: class, Key: key, Deadline: driver.now + 2*time.Second}
 	if change != nil {
-		change(&q)
+		change(&event)
 	}
 	driver.nextID++
-	return q.ID, driver.handle(q)
+	return event.ID, driver.handle(event)
 }
 
+// asWrite changes a request into a write.
+func asWrite(request *Request) { request.Write = true }
+
+// ofTenant changes a request into one of the tenant with a quota.
+func ofTenant(request *Request) { request.Tenant = "t" }
+
+// requestMiss sends the router a read that its cache server misses.
+func (driver *routerDriver) requestMiss(class, key string, change func(*Request)) (uint64, []Action) {
+	id, actions := driver.request(class, key, change)
+	if len(actionsOf[Send](actions)) == 1 {
+		actions = driver.endAttempt(id, Miss, ms)
+	}
+	return id, actions
+}
+
+// endAttempt ends the last attempt of a request; one that succeeded ends the request.
 func (driver *routerDriver) endAttempt(id uint64, reason Reason, took time.Duration) []Action {
-	ended := reason == Succeeded
-	return driver.handle(Outcome{ID: id, Attempt: driver.sendCount[id] - 1, Reason: reason, Took: took, Ended: ended})
+	return driver.handle(Outcome{
+		ID: id, Attempt: driver.sendCount[id] - 1, Reason: reason, Took: took, Ended: reason == Succeeded,
+	})
 }
 
-func actionsOf[A Action](actions []Action) (found []A) {
-	for _, a := range actions {
-		if v, ok := a.(A); ok {
-			found = append(found, v)
-		}
-	}
-	return found
+// runUpkeep has the router do its periodic work.
+func (driver *routerDriver) runUpkeep() []Action {
+	return driver.handle(TimerFired{Token: upkeepToken})
 }
 
-func (driver *routerDriver) sentTo(actions []Action) string {
-	driver.t.Helper()
-	sends := actionsOf[Send](actions)
-	if len(sends) != 1 {
-		driver.t.Fatalf("want one send, got %v", actions)
-	}
-	return sends[0].Server
+// restart tells the router that a cache server, which the list now has in the zone, has just restarted.
+func (driver *routerDriver) restart(id, zone string) {
+	driver.update(Server{ID: id, Kind: "cache", Zone: zone, Capacity: 1, StartedAt: driver.now})
 }
 
-func asWrite(q *Request) { q.Write = true }
+// update tells the router that entries of the endpoint list changed.
+func (driver *routerDriver) update(changed ...Server) {
+	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: changed})
+}
 
-// feedOrigin gives the origin fetches that took as long as said, each from its own miss.
-func (driver *routerDriver) feedOrigin(n int, took time.Duration, reason Reason) {
-	for range n {
+// feedOrigin has the router time writes at the origin that each took as long.
+func (driver *routerDriver) feedOrigin(count int, took time.Duration, reason Reason) {
+	for range count {
 		id, _ := driver.request("high", fmt.Sprint("feed", driver.nextID), asWrite)
 		driver.now += 10 * ms
 		driver.endAttempt(id, reason, took)
 	}
 }
 
+// readOtherKeys has other keys read, so that one that a test repeats is not the most of all requests.
+func (driver *routerDriver) readOtherKeys(count int) {
+	for range count {
+		id, _ := driver.request("high", fmt.Sprint("other", driver.nextID), nil)
+		driver.endAttempt(id, Succeeded, ms)
+	}
+}
+
+// ownerOf returns the id of the cache server that owns the key.
 func (driver *routerDriver) ownerOf(key string) string {
-	s, _ := driver.router.nextServer(slotOf(key), 0, &request{})
-	return s.ID
+	srv, _ := driver.router.nextServer(slotOf(key), 0, &request{})
+	return srv.ID
 }
 
-// readOtherKeys has other keys read, so that a repeated one is not the most of all requests.
-func (driver *routerDriver) readOtherKeys(n int) {
-	for range n {
-		id, _ := driver.request("high", fmt.Sprint("other", driver.nextID), nil)
-		driver.endAttempt(id, Succeeded, ms)
+// keyOwnedBy returns a key that starts with the prefix and that the server owns.
+func (driver *routerDriver) keyOwnedBy(id, prefix string) string {
+	driver.t.Helper()
+	for i := range 1000 {
+		if key := fmt.Sprint(prefix, i); driver.ownerOf(key) == id {
+			return key
+		}
 	}
+	driver.t.Fatalf("none of 1000 keys is owned by %s", id)
+	return ""
 }
 
-// newTrainedDriver is a router whose origin answers in 50 ms when it is quiet.
-func newTrainedDriver(t *testing.T, more ...string) *routerDriver {
-	driver := newDriver(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
-	driver.feedOrigin(80, 50*ms, Succeeded)
-	return driver
+// sentTo returns the server of the only send among the actions.
+func (driver *routerDriver) sentTo(actions []Action) string {
+	driver.t.Helper()
+	sends := actionsOf[Send](actions)
+	if len(sends) != 1 {
+		driver.t.Fatalf("got %v, want one send", actions)
+	}
+	return sends[0].Server
 }
 
-// requestMiss asks for a key and has its cache server miss it.
-func (driver *routerDriver) requestMiss(class, key string, change func(*Request)) (uint64, []Action) {
-	id, actions := driver.request(class, key, change)
-	if len(actionsOf[Send](actions)) == 1 {
-		actions = driver.endAttempt(id, Miss, ms)
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) (found []A) {
+	for _, action := range actions {
+		if typed, ok := action.(A); ok {
+			found = append(found, typed)
+		}
 	}
-	return id, actions
+	return found
 }
--- a/internal/policy/healthcheck_test.go
+++ b/internal/policy/healthcheck_test.go
@@ -6,127 +6,148 @@
 	"time"
 )
 
-// A spoilt answer or one broken connection is no death: the map stays, and the spoilt read is asked for again where
-// its object is. Nor is a probe whose connection breaks; two without an answer take the server out.
+// TestCorruptResponsesAndResetsAreNoSignOfDeath: after a corrupt response or a broken connection the server keeps its
+// keys, and the read with the corrupt response is retried where its object is. Nor is a health check whose connection
+// breaks a sign; two without an answer take the server out.
 func TestCorruptResponsesAndResetsAreNoSignOfDeath(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
-	owner := driver.ownerOf("k")
+	ownerID := driver.ownerOf("k")
 	id, _ := driver.request("low", "k", nil)
-	if to := driver.sentTo(driver.endAttempt(id, CorruptResponse, ms)); to != owner {
-		t.Errorf("asked %s again, want the owner %s", to, owner)
+	if got := driver.sentTo(driver.endAttempt(id, CorruptResponse, ms)); got != ownerID {
+		t.Errorf("second attempt: got %s, want the owner %s", got, ownerID)
 	}
-	if to := driver.sentTo(driver.endAttempt(id, CorruptResponse, ms)); to == owner {
-		t.Error("asked the owner a third time")
+	if got := driver.sentTo(driver.endAttempt(id, CorruptResponse, ms)); got == ownerID {
+		t.Errorf("third attempt: got the owner %s, want another server", got)
 	}
 	driver.now += ms
 	id, _ = driver.request("low", "k", nil)
 	actions := driver.endAttempt(id, Reset, ms)
-	if driver.sentTo(actions) == owner || len(actionsOf[HealthCheck](actions)) != 1 || driver.ownerOf("k") != owner {
-		t.Errorf("after a reset %v, owner %s", actions, driver.ownerOf("k"))
+	if driver.sentTo(actions) == ownerID || len(actionsOf[HealthCheck](actions)) != 1 || driver.ownerOf("k") != ownerID {
+		t.Errorf("after a reset: got %v and owner %s, want another server, a health check and owner %s",
+			actions, driver.ownerOf("k"), ownerID)
 	}
-	for _, tt := range []struct {
-		probe Reason
-		out   bool
+	for _, test := range []struct {
+		result  Reason
+		wantOut bool
 	}{{Reset, false}, {Reset, false}, {NoConnection, false}, {NoConnection, true}} {
 		driver.now += ms
-		if driver.handle(HealthChecked{Server: owner, Reason: tt.probe}); driver.ownerOf("k") == owner == tt.out {
-			t.Errorf("after a probe that ended as %d: out of the map %v, want %v", tt.probe, !tt.out, tt.out)
+		driver.handle(HealthChecked{Server: ownerID, Reason: test.result})
+		if isOut := driver.ownerOf("k") != ownerID; isOut != test.wantOut {
+			t.Errorf("after a health check with result %d: out %v, want %v", test.result, isOut, test.wantOut)
 		}
 	}
 }
 
+// TestServerIsOutAfterTwoFailedHealthChecks: what is in flight at it is cancelled and tried elsewhere, and once it
+// responds again it warms up.
 func TestServerIsOutAfterTwoFailedHealthChecks(t *testing.T) {
-	tests := []struct {
-		name   string
-		probes []Reason
-		silent bool
+	for _, test := range []struct {
+		name    string
+		results []Reason
+		wantOut bool
 	}{
-		{"answered probe", []Reason{Succeeded}, false},
-		{"turned away: the probe found a crowded process", []Reason{Rejected, Rejected}, false},
-		{"one failed probe of a crowded server", []Reason{TimedOut, Succeeded}, false},
-		{"two failed probes", []Reason{TimedOut, TimedOut}, true},
-	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
+		{"answered", []Reason{Succeeded}, false},
+		{"rejected: the process is overloaded", []Reason{Rejected, Rejected}, false},
+		{"one failed at an overloaded server", []Reason{TimedOut, Succeeded}, false},
+		{"two failed", []Reason{TimedOut, TimedOut}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
 			driver := newDriver(t, testSettings(), "s1", "s2")
 			for i := range 40 {
 				id, _ := driver.request("high", fmt.Sprint(i), nil)
 				driver.now += 20 * ms
 				driver.endAttempt(id, Succeeded, 20*ms)
 			}
-			id, actions := driver.request("high", "k", func(q *Request) { q.Deadline += time.Minute })
-			lost := driver.sentTo(actions)
-			for driver.now += 2 * time.Second; len(actionsOf[HealthCheck](actions)) == 0; driver.now += upkeepInterval {
-				actions = driver.handle(TimerFired{upkeepToken})
-			}
+			id, actions := driver.request("high", "k", func(request *Request) { request.Deadline += time.Minute })
+			serverID := driver.sentTo(actions)
+			driver.now += 2 * time.Second
+			driver.awaitHealthCheck()
 			actions = nil
-			for _, reason := range tt.probes {
+			for _, result := range test.results {
 				driver.now += 300 * ms
-				actions = append(actions, driver.handle(HealthChecked{Server: lost, Reason: reason})...)
+				actions = append(actions, driver.handle(HealthChecked{Server: serverID, Reason: result})...)
 			}
-			if cancels := actionsOf[Cancel](actions); (len(cancels) == 1 && cancels[0].ID == id) != tt.silent {
-				t.Fatalf("cancelled %v, want so: %v", cancels, tt.silent)
+			cancels := actionsOf[Cancel](actions)
+			if isOut := len(cancels) == 1 && cancels[0].ID == id; isOut != test.wantOut {
+				t.Fatalf("got cancels %v, want the read cancelled: %v", cancels, test.wantOut)
 			}
-			if !tt.silent {
+			if !test.wantOut {
 				return
 			}
-			if to := driver.sentTo(driver.endAttempt(id, Cancelled, time.Second)); to == lost {
-				t.Error("repeated on the silent server")
+			if got := driver.sentTo(driver.endAttempt(id, Cancelled, time.Second)); got == serverID {
+				t.Errorf("retry: got the unresponsive server %s, want another one", got)
 			}
 			driver.now += 3 * time.Second
-			driver.handle(HealthChecked{Server: lost, Reason: Succeeded})
-			if s := driver.router.serverByID[lost]; s.isUnresponsive || driver.router.slowStartWeight(s) > 0.3 {
-				t.Error("after an answered probe the server should be back, and cold")
+			driver.handle(HealthChecked{Server: serverID, Reason: Succeeded})
+			srv := driver.router.serverByID[serverID]
+			if weight := driver.router.slowStartWeight(srv); srv.isUnresponsive || weight > 0.3 {
+				t.Errorf("after an answer: unresponsive %v, slow start weight %.2f, want it back and warming up",
+					srv.isUnresponsive, weight)
 			}
 		})
 	}
 }
 
+// awaitHealthCheck runs upkeep until a health check starts.
+func (driver *routerDriver) awaitHealthCheck() {
+	driver.t.Helper()
+	for range 1000 {
+		hasChecked := len(actionsOf[HealthCheck](driver.runUpkeep())) > 0
+		driver.now += upkeepInterval
+		if hasChecked {
+			return
+		}
+	}
+	driver.t.Fatal("no health check in 1000 rounds of upkeep")
+}
+
+// TestOneFailedConnectIsNoSignOfDeath: the cause may be a full connection table. The request goes elsewhere and the
+// server is checked.
 func TestOneFailedConnectIsNoSignOfDeath(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	id, actions := driver.request("high", "k", nil)
-	first := driver.sentTo(actions)
+	failedAt := driver.sentTo(actions)
 	actions = driver.endAttempt(id, NoConnection, 250*ms)
-	if driver.sentTo(actions) == first || len(actionsOf[HealthCheck](actions)) != 1 {
-		t.Errorf("want the next server and a probe, got %v", actions)
+	if driver.sentTo(actions) == failedAt || len(actionsOf[HealthCheck](actions)) != 1 {
+		t.Errorf("got %v, want a send to the next server and a health check", actions)
 	}
-	if driver.router.serverByID[first].isUnresponsive {
-		t.Error("one failed connect took the server out of the map")
+	if driver.router.serverByID[failedAt].isUnresponsive {
+		t.Error("one failed connect took the server out")
 	}
 }
 
+// TestRechecksArePacedByTheFleetSize: the more routers there are, the less often each checks an unresponsive server.
 func TestRechecksArePacedByTheFleetSize(t *testing.T) {
-	for routers, want := range map[int][2]int{2: {15, 20}, 400: {4, 5}} {
+	for routers, want := range map[int]struct{ least, most int }{2: {15, 20}, 400: {4, 5}} {
 		settings := testSettings()
 		settings.Nodes = routers
 		driver := newDriver(t, settings, "s1", "s2")
 		driver.router.markUnresponsive(driver.router.serverByID["s1"])
-		probes := 0
+		got := 0
 		for range 80 { // twenty seconds
 			driver.now += upkeepInterval
-			for _, p := range actionsOf[HealthCheck](driver.handle(TimerFired{upkeepToken})) {
-				if p.Server == "s1" {
-					probes++
+			for _, check := range actionsOf[HealthCheck](driver.runUpkeep()) {
+				if check.Server == "s1" {
+					got++
 					driver.handle(HealthChecked{Server: "s1", Reason: TimedOut})
 				}
 			}
 		}
-		if probes < want[0] || probes > want[1] {
-			t.Errorf("%d routers: each probes a silent server %d times in 20 s, want %v", routers, probes, want)
+		if got < want.least || got > want.most {
+			t.Errorf("%d routers: got %d health checks of one in 20 s, want %d to %d", routers, got, want.least, want.most)
 		}
 	}
 }
 
-// TestUnresponsiveServerIsFoundWithoutHealthChecks: where servers may not be asked, one that nobody answers at is
-// left out after a few attempts, is tried by one request at a time, and takes its keys again when it answers. The
-// other zone is not given up.
+// TestUnresponsiveServerIsFoundWithoutHealthChecks: where health checks are not allowed, a server that nobody can connect
+// to is left out after a few attempts, gets one attempt at a time, and takes its keys again when it answers. Its zone is
+// not given up.
 func TestUnresponsiveServerIsFoundWithoutHealthChecks(t *testing.T) {
 	settings := testSettings()
 	settings.MayHealthCheck, settings.Zone = false, "a"
 	driver := newDriver(t, settings, "s1", "s2")
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "far", Kind: "cache", Zone: "b", Capacity: 1}}})
-	dead, at := true, map[int]int{}
-	phase := func(n int, span time.Duration) {
+	driver.update(Server{ID: "far", Kind: "cache", Zone: "b", Capacity: 1})
+	attemptsAtFar := func(span time.Duration, isDown bool) (count int) {
 		for end := driver.now + span; driver.now < end; driver.now += 20 * ms {
 			id, actions := driver.request("high", fmt.Sprint("k", driver.nextID), nil)
 			for range 4 {
@@ -134,30 +155,28 @@
 				if len(sends) == 0 {
 					break
 				}
+				reason, took := Succeeded, 10*ms
 				if sends[0].Server == "far" {
-					at[n]++
-					if dead {
-						actions = driver.endAttempt(id, NoConnection, 150*ms)
-						continue
+					count++
+					if isDown {
+						reason, took = NoConnection, 150*ms
 					}
 				}
-				actions = driver.endAttempt(id, Succeeded, 10*ms)
+				actions = driver.endAttempt(id, reason, took)
 			}
 			if driver.nextID%12 == 0 {
-				driver.handle(TimerFired{Token: upkeepToken})
+				driver.runUpkeep()
 			}
 		}
+		return count
+	}
+	if got := attemptsAtFar(4*time.Second, true); got < 3 || got > 20 {
+		t.Errorf("first 4 s at a server that is down: got %d attempts, want 3 to 20", got)
+	}
+	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
+		t.Errorf("20 s at a server that was given up: got %d attempts, want 1 to 6", got)
 	}
-	phase(0, 4*time.Second)
-	phase(1, 20*time.Second)
-	dead = false
-	phase(2, 30*time.Second) // it is taken to be cold at first
-	switch {
-	case at[0] < 3 || at[0] > 20:
-		t.Errorf("%d attempts in the first 4 s at a server that is gone", at[0])
-	case at[1] == 0 || at[1] > 6:
-		t.Errorf("%d attempts in 20 s at a server that was given up, want a few", at[1])
-	case at[2] < 300:
-		t.Errorf("%d of 1500 requests in 30 s at a server that is back", at[2])
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // it warms up at first
+		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
 	}
 }
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
+// TestHotKeyIsSpreadOverServers: a key that half of all requests are for is not left to its owner.
 func TestHotKeyIsSpreadOverServers(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4")
-	to := map[string]int{}
+	sends := map[string]int{} // of the hot key, by server
 	for i := range 400 {
 		key := "hot"
 		if i%2 == 0 {
@@ -15,79 +16,83 @@
 		}
 		_, actions := driver.request("high", key, nil)
 		if key == "hot" {
-			to[driver.sentTo(actions)]++
+			sends[driver.sentTo(actions)]++
 		}
 	}
-	if len(to) < 3 {
-		t.Errorf("half of all requests went to %v", to)
+	if len(sends) < 3 {
+		t.Errorf("half of all requests went to %v, want at least 3 servers", sends)
 	}
 }
 
 // TestFleetSpreadsHotKeySoonerWithGossip: each of 100 routers has 10 requests a second for 50 servers, and from one
-// moment on a tenth of them are for one key. A router alone sees it once a second; together they spread it within
-// one.
+// moment on a tenth of them are for one key. A router alone sees it once a second; together they spread it within one.
 func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
-	share := map[bool]float64{}
-	for _, peers := range []bool{false, true} {
-		fleet := newFleet(t, 100, peers, 0.1, serverIDs(50)...)
-		owner, at, all := fleet.drivers[0].ownerOf("hot"), 0, 0
-		for n := range 1150 {
-			heard := fleet.deliverable()
+	const hotFrom, countFrom, steps = 1000, 1050, 1150
+	ownerShare := map[bool]float64{} // by whether there is gossip
+	for _, mayGossip := range []bool{false, true} {
+		fleet := newFleet(t, 100, mayGossip, 0.1, serverIDs(50)...)
+		ownerID, atOwner, total := fleet.drivers[0].ownerOf("hot"), 0, 0
+		for step := range steps {
+			received := fleet.deliverable()
 			for i, driver := range fleet.drivers {
-				fleet.advanceOne(n, i, heard, neverDown)
-				if (n+i)%10 != 0 {
+				fleet.tick(step, i, received, neverDown)
+				if (step+i)%10 != 0 {
 					continue
 				}
-				key := fleet.drawKey(n > 1000)
+				key := fleet.drawKey(step > hotFrom)
 				id, actions := driver.request("high", key, nil)
 				fleet.carryOut(i, actions, neverDown)
-				if key == "hot" && n >= 1050 {
-					if all++; driver.sentTo(actions) == owner {
-						at++
+				if key == "hot" && step >= countFrom {
+					total++
+					if driver.sentTo(actions) == ownerID {
+						atOwner++
 					}
 				}
 				fleet.carryOut(i, driver.endAttempt(id, Succeeded, 10*ms), neverDown)
 			}
 		}
-		share[peers] = float64(at) / float64(all)
-		t.Logf("peers %v: the owner gets %.2f of the requests for the hot key", peers, share[peers])
+		ownerShare[mayGossip] = float64(atOwner) / float64(total)
+		t.Logf("gossip %v: the owner gets %.2f of the requests for the hot key", mayGossip, ownerShare[mayGossip])
 	}
-	if share[true] > 0.6*share[false] {
-		t.Errorf("the owner of a hot key keeps %.2f of its requests, %.2f where nothing is told", share[true], share[false])
+	if ownerShare[true] > 0.6*ownerShare[false] {
+		t.Errorf("the owner of a hot key keeps %.2f of its requests, %.2f without gossip, want at most 0.6 of that",
+			ownerShare[true], ownerShare[false])
 	}
 }
 
-// TestHotKeysOfSmallServersAreSpreadSooner: what is a server's fair share goes by its size.
+// TestHotKeysOfSmallServersAreSpreadSooner: a server's fair share goes by its capacity.
 func TestHotKeysOfSmallServersAreSpreadSooner(t *testing.T) {
+	const small, large = 1.0, 9.0
 	settings := testSettings()
 	settings.WeightByCapacity = true
 	driver := newDriver(t, settings)
-	list := EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: "o", Kind: "origin"}}}
+	list := EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: originID, Kind: "origin"}}}
 	for i, id := range serverIDs(20) {
-		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Capacity: []float64{1, 9}[i%2]})
+		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Capacity: []float64{small, large}[i%2]})
 	}
 	driver.handle(list)
 	driver.readOtherKeys(400)
-	to := map[float64]map[string]bool{1: {}, 9: {}} // by the owner's size
+	isSpread := map[float64]map[string]bool{small: {}, large: {}} // keys, by the capacity of the owner
 	for i := range 40 {
 		key := fmt.Sprint("warm", i)
-		s, _ := driver.router.nextServer(slotOf(key), 0, &request{})
+		owner, _ := driver.router.nextServer(slotOf(key), 0, &request{})
+		spread := isSpread[owner.Capacity]
 		for range 6 { // 0.15 to 0.25 of a mean server's share at the end; a small one's is 0.2, a large one's 1.8
 			id, actions := driver.request("high", key, nil)
-			if to[s.Capacity][key] = to[s.Capacity][key] || driver.sentTo(actions) != s.ID; true {
-				driver.endAttempt(id, Succeeded, ms)
-			}
+			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
+			driver.endAttempt(id, Succeeded, ms)
 		}
 	}
-	count := func(m map[string]bool) (share float64) {
-		for _, moved := range m {
-			if moved {
-				share += 1 / float64(len(m))
+	spreadFraction := func(keys map[string]bool) (fraction float64) {
+		for _, hasMoved := range keys {
+			if hasMoved {
+				fraction += 1 / float64(len(keys))
 			}
 		}
-		return share
+		return fraction
 	}
-	if small, large := count(to[1]), count(to[9]); small < 0.5 || large > 0.1 {
-		t.Errorf("%.2f of the keys of small servers are spread and %.2f of large ones', want most and none", small, large)
+	ofSmall, ofLarge := spreadFraction(isSpread[small]), spreadFraction(isSpread[large])
+	if ofSmall < 0.5 || ofLarge > 0.1 {
+		t.Errorf("%.2f of the keys of small servers are spread and %.2f of large ones', want most and none", ofSmall, ofLarge)
 	}
 }
--- a/internal/policy/limits_test.go
+++ b/internal/policy/limits_test.go
@@ -11,9 +11,9 @@
 
 // Bounds on the files of this package and of those below it.
 const (
-	maxFileLines      = 400
-	maxLineCharacters = 120
-	tabCharacters     = 4
+	maxFileLines  = 400
+	maxColumns    = 120
+	tabCharacters = 4
 )
 
 // TestSourceFilesStayShort keeps each file that is not a test within what new staff can read.
@@ -48,8 +48,8 @@
 	}
 	for i, line := range lines {
 		wide := strings.ReplaceAll(line, "\t", strings.Repeat(" ", tabCharacters))
-		if got := utf8.RuneCountInString(wide); got > maxLineCharacters {
-			t.Errorf("%s:%d has %d characters, want at most %d", path, i+1, got, maxLineCharacters)
+		if got := utf8.RuneCountInString(wide); got > maxColumns {
+			t.Errorf("%s:%d has %d characters, want at most %d", path, i+1, got, maxColumns)
 		}
 	}
 }
--- a/internal/policy/locality/weight_test.go
+++ b/internal/policy/locality/weight_test.go
@@ -6,68 +6,81 @@
 	"pgregory.net/rapid"
 )
 
-func TestReach(t *testing.T) {
+// redirectedFraction returns the fraction of requests that leave their owner for a server of the own zone, which has a
+// fraction of all servers, at a weight of the other zones' servers.
+func redirectedFraction(home, weight float64) float64 { return home/(home+(1-home)*weight) - home }
+
+// TestWeightFollowsTheLoad: it falls while all is quiet and rises where the own zone, all zones or the origin have more
+// than they can carry.
+func TestWeightFollowsTheLoad(t *testing.T) {
 	quiet := Load{OriginUtilisation: 0.1, ZoneUtilisation: 0.1, CacheUtilisation: 0.1}
 	for name, test := range map[string]struct {
-		load   Load
-		closer bool
+		load      Load
+		wantFalls bool
 	}{
 		"all is quiet":                                 {quiet, true},
 		"nothing is known":                             {Load{}, true},
-		"the origin is crowded":                        {Load{OriginUtilisation: 0.3}, false},
+		"the origin is overloaded":                     {Load{OriginUtilisation: 0.3}, false},
 		"requests wait for the origin":                 {Load{OriginWaiting: 1}, false},
 		"all servers are slow":                         {Load{ZoneUtilisation: 0.3, CacheUtilisation: 0.3}, false},
 		"the own zone has more than it can carry":      {Load{ZoneUtilisation: 0.19, CacheUtilisation: 0.05}, false},
 		"the own zone is a little slower than others":  {Load{ZoneUtilisation: 0.1, CacheUtilisation: 0.05}, true},
 		"other zones are slow, and few servers are ok": {Load{ZoneUtilisation: 0, CacheUtilisation: 0.15}, true},
 	} {
-		r := CrossZoneWeight{AffinityBudget: 1}
+		crossZone := CrossZoneWeight{AffinityBudget: 1}
 		for range 20 {
-			r.Step(quiet)
+			crossZone.Step(quiet)
 		}
-		before := r.Weight()
-		r.Step(test.load)
-		if got := r.Weight() < before; got != test.closer {
-			t.Errorf("%s: the weight went from %.3f to %.3f", name, before, r.Weight())
+		before := crossZone.Weight()
+		crossZone.Step(test.load)
+		if got := crossZone.Weight(); got < before != test.wantFalls {
+			t.Errorf("%s: the weight went from %.3f to %.3f, want it to fall: %v", name, before, got, test.wantFalls)
 		}
 	}
 }
 
-// It stays within its bounds whatever comes, and a crowd brings all servers back within seconds of steps.
-func TestReachIsBounded(t *testing.T) {
+// TestWeightStaysWithinBounds: whatever the load, and an overload brings all servers back within seconds of steps.
+func TestWeightStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(0, 1)
-		r := CrossZoneWeight{AffinityBudget: share.Draw(t, "leave")}
-		home := share.Draw(t, "home")
+		fraction := rapid.Float64Range(0, 1)
+		crossZone := CrossZoneWeight{AffinityBudget: fraction.Draw(t, "affinity budget")}
+		home := fraction.Draw(t, "home")
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
-			r.Step(Load{HomeFraction: home, OriginUtilisation: share.Draw(t, "origin"), ZoneUtilisation: share.Draw(t, "near"), CacheUtilisation: share.Draw(t, "all"),
-				OriginWaiting: rapid.IntRange(0, 2).Draw(t, "waiting")})
-			w := r.Weight()
-			if w < minZoneWeight-1e-9 || w > 1 {
-				t.Fatalf("weight %v", w)
+			crossZone.Step(Load{
+				HomeFraction:      home,
+				OriginUtilisation: fraction.Draw(t, "origin"),
+				ZoneUtilisation:   fraction.Draw(t, "zone"),
+				CacheUtilisation:  fraction.Draw(t, "cache"),
+				OriginWaiting:     rapid.IntRange(0, 2).Draw(t, "waiting"),
+			})
+			weight := crossZone.Weight()
+			if weight < minZoneWeight-1e-9 || weight > 1 {
+				t.Fatalf("got a weight of %v, want from %v to 1", weight, minZoneWeight)
 			}
-			if left := home/(home+(1-home)*w) - home; left > r.AffinityBudget+1e-6 {
-				t.Fatalf("%v of the requests leave at weight %v with %v of the servers at home, %v may", left, w, home, r.AffinityBudget)
+			if got := redirectedFraction(home, weight); got > crossZone.AffinityBudget+1e-6 {
+				t.Fatalf("weight %v, %v of the servers at home: got %v of the requests leaving, want at most %v",
+					weight, home, got, crossZone.AffinityBudget)
 			}
 		}
 		for range 16 { // 4 s
-			r.Step(Load{HomeFraction: home, OriginUtilisation: 1})
+			crossZone.Step(Load{HomeFraction: home, OriginUtilisation: 1})
 		}
-		if r.Weight() < 0.999 {
-			t.Fatalf("weight %v after 4 s of a crowd", r.Weight())
+		if got := crossZone.Weight(); got < 0.999 {
+			t.Fatalf("after 4 s of an overload: got a weight of %v, want 1", got)
 		}
 	})
 }
 
-// TestLeaveIsUsed: where all is quiet the budget is used, whatever the share of the own zone.
-func TestLeaveIsUsed(t *testing.T) {
+// TestAffinityBudgetIsUsed: where all is quiet the budget is used, whatever the share of the own zone.
+func TestAffinityBudgetIsUsed(t *testing.T) {
 	for _, home := range []float64{0.1, 0.25, 0.5, 0.9} {
-		r := CrossZoneWeight{AffinityBudget: DefaultAffinityBudget}
+		crossZone := CrossZoneWeight{AffinityBudget: DefaultAffinityBudget}
 		for range 200 {
-			r.Step(Load{HomeFraction: home})
+			crossZone.Step(Load{HomeFraction: home})
 		}
-		if left := home/(home+(1-home)*r.Weight()) - home; left < 0.9*DefaultAffinityBudget {
-			t.Errorf("with %v of the servers at home %v of the requests leave, %v may", home, left, DefaultAffinityBudget)
+		if got := redirectedFraction(home, crossZone.Weight()); got < 0.9*DefaultAffinityBudget {
+			t.Errorf("%v of the servers at home: got %v of the requests leaving, want about %v",
+				home, got, DefaultAffinityBudget)
 		}
 	}
 }
--- a/internal/policy/originqueue_test.go
+++ b/internal/policy/originqueue_test.go
@@ -2,25 +2,31 @@
 
 import (
 	"fmt"
-	"shelfproxy/internal/admission"
 	"testing"
 	"time"
+
+	"shelfproxy/internal/admission"
 )
 
+// TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin: writes beyond a quota go to an origin that is well; at one that is
+// overloaded they wait behind those within it.
 func TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin(t *testing.T) {
 	driver := newTrainedDriver(t)
-	excess := func(q *Request) { q.Write, q.Tenant = true, "t" }
-	for range 10 {
-		driver.request("high", "k", excess)
+	writeOfTenant := func(request *Request) {
+		asWrite(request)
+		ofTenant(request)
+	}
+	for range 10 { // uses up the quota
+		driver.request("high", "k", writeOfTenant)
 	}
-	if _, actions := driver.request("high", "k", excess); driver.sentTo(actions) != "o" {
-		t.Error("an excess write waited though the origin is well")
+	if _, actions := driver.request("high", "k", writeOfTenant); driver.sentTo(actions) != originID {
+		t.Errorf("quiet origin: got %v, want the write beyond the quota sent", actions)
 	}
 	driver.feedOrigin(60, time.Second, TimedOut)
-	driver.request("high", "k", excess) // it takes the last place
-	driver.request("high", "k", excess)
-	if _, actions := driver.request("high", "k", excess); len(actionsOf[Send](actions)) > 0 {
-		t.Error("an excess write was sent to an origin far over its maximum")
+	driver.request("high", "k", writeOfTenant) // it takes the last slot
+	driver.request("high", "k", writeOfTenant)
+	if _, actions := driver.request("high", "k", writeOfTenant); len(actionsOf[Send](actions)) > 0 {
+		t.Errorf("overloaded origin: got %v, want the write beyond the quota to wait", actions)
 	}
 	within, _ := driver.request("high", "k", asWrite)
 	for id := range within {
@@ -29,63 +35,65 @@
 		}
 		for _, next := range actionsOf[Send](driver.endAttempt(id, Succeeded, 50*ms)) {
 			if next.ID != within {
-				t.Errorf("request %d went before the write within its share, %d", next.ID, within)
+				t.Errorf("next in the queue: got request %d, want the write within its quota, %d", next.ID, within)
 			}
 			return
 		}
 	}
-	t.Error("no write of those that wait went on as the origin got room")
+	t.Error("no write in the queue was sent as the origin had a slot again")
 }
 
 // TestOriginQueueServesWritesThenPopularFetches: with the origin full, writes go first, then the fetch that most wait
-// for; what can't be in time any more is refused, and those who waited for its fetch go on.
+// for; what can't be in time any more is rejected, and those who waited for its fetch go on.
 func TestOriginQueueServesWritesThenPopularFetches(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
-	first, _ := driver.request("high", "w0", asWrite)
+	inFlight, _ := driver.request("high", "w0", asWrite)
 	driver.now += 10 * ms
-	hot, actions := driver.requestMiss("low", "hot", nil)
-	if len(actionsOf[Send](actions)) != 0 {
-		t.Fatalf("a fetch went to an origin that is full: %v", actions)
+	popular, actions := driver.requestMiss("low", "popular", nil)
+	if sends := actionsOf[Send](actions); len(sends) != 0 {
+		t.Fatalf("full origin: got %v, want the fetch to wait", sends)
 	}
 	for range 3 {
-		driver.request("low", "hot", nil)
+		driver.request("low", "popular", nil)
 	}
-	put, _ := driver.request("low", "w1", asWrite)
+	write, _ := driver.request("low", "w1", asWrite)
 	lone, _ := driver.requestMiss("low", "lone", nil)
-	for _, want := range []uint64{put, hot} {
-		sends := actionsOf[Send](driver.endAttempt(first, Succeeded, 50*ms))
-		if len(sends) == 0 || sends[0].ID != want || sends[0].Server != "o" {
-			t.Fatalf("%v went on, want request %d", sends, want)
+	for _, want := range []uint64{write, popular} {
+		sends := actionsOf[Send](driver.endAttempt(inFlight, Succeeded, 50*ms))
+		if len(sends) == 0 || sends[0].ID != want || sends[0].Server != originID {
+			t.Fatalf("next in the queue: got %v, want request %d at the origin", sends, want)
 		}
-		first = want
+		inFlight = want
 	}
 	driver.now += 400 * ms // the rest can't be answered within 500 ms
 	if got := actionsOf[Reject](driver.handle(TimerFired{Token: lone})); len(got) != 1 || got[0].ID != lone {
-		t.Errorf("refused %v, want the lone fetch", got)
+		t.Errorf("too late: got %v rejected, want the lone fetch %d", got, lone)
 	}
-	if driver.router.originQueue.Len() != 0 || driver.router.flights["lone"] != nil {
-		t.Error("the line or the flight outlived the request")
+	if got := driver.router.originQueue.Len(); got != 0 || driver.router.flights["lone"] != nil {
+		t.Errorf("after the rejection: got %d in the queue, flight %v, want neither", got, driver.router.flights["lone"])
 	}
 }
 
-// TestSlowOriginGetsFewerAttempts: the more its answers are late the less is out there, whatever asks.
+// TestSlowOriginGetsFewerAttempts: the more of the origin's answers are late the fewer attempts are in flight there,
+// however many requests come.
 func TestSlowOriginGetsFewerAttempts(t *testing.T) {
 	driver := newTrainedDriver(t)
 	most := 0
-	var out []uint64
+	var inFlight []uint64
 	for i := range 12000 {
 		driver.now += 5 * ms
-		if id, actions := driver.request("high", fmt.Sprint("k", i), asWrite); len(actionsOf[Send](actions)) == 1 {
-			out = append(out, id)
+		id, actions := driver.request("high", fmt.Sprint("k", i), asWrite)
+		if len(actionsOf[Send](actions)) == 1 {
+			inFlight = append(inFlight, id)
 		}
-		if i%20 == 0 && len(out) > 0 { // ten answers a second, of 200 writes a second, in their order
-			id := out[0]
-			took := driver.now - driver.router.requests[id].attempts[0].sentAt
-			sends := actionsOf[Send](driver.endAttempt(id, Succeeded, took))
-			out = out[1:]
-			for _, s := range sends {
-				out = append(out, s.ID)
+		if i%20 == 0 && len(inFlight) > 0 { // ten answers a second, of 200 writes a second, in their order
+			oldest := inFlight[0]
+			took := driver.now - driver.router.requests[oldest].attempts[0].sentAt
+			sends := actionsOf[Send](driver.endAttempt(oldest, Succeeded, took))
+			inFlight = inFlight[1:]
+			for _, send := range sends {
+				inFlight = append(inFlight, send.ID)
 			}
 		}
 		if i > 8000 {
@@ -93,6 +101,6 @@
 		}
 	}
 	if most > 8 {
-		t.Errorf("%d are out at an origin that takes 10 a second", most)
+		t.Errorf("got up to %d in flight at an origin that answers 10 a second, want at most 8", most)
 	}
 }
--- a/internal/policy/outlier/budget_test.go
+++ b/internal/policy/outlier/budget_test.go
@@ -8,9 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is n servers of one size.
-func fleet(n int, change func(i int, s *Server)) []Server {
-	servers := make([]Server, n)
+// tolerance is how far sums of floating point numbers may be off.
+const tolerance = 1e-9
+
+// newFleet returns servers of capacity 1, each changed by the function.
+func newFleet(count int, change func(i int, server *Server)) []Server {
+	servers := make([]Server, count)
 	for i := range servers {
 		servers[i] = Server{Capacity: 1, TieBreaker: uint64(i)}
 		change(i, &servers[i])
@@ -18,94 +21,126 @@
 	return servers
 }
 
-func ejected(servers []Server, granted []float64) (sum float64) {
-	for i, s := range servers {
-		sum += s.Capacity * (1 - s.UnavailableFraction) * granted[i]
+// outliers changes the servers with the indexes into outliers.
+func outliers(from, until int, ejectionFraction float64) func(int, *Server) {
+	return func(i int, server *Server) {
+		if i >= from && i < until {
+			server.EjectionFraction = ejectionFraction
+		}
 	}
-	return sum
 }
 
-func TestGrant(t *testing.T) {
-	bad := func(from, to int, wants float64) func(int, *Server) {
-		return func(i int, s *Server) {
-			if i >= from && i < to {
-				s.EjectionFraction = wants
-			}
+// unavailable changes the servers with lower indexes into ones that are out in part or whole.
+func unavailable(until int, fraction float64) func(int, *Server) {
+	return func(i int, server *Server) {
+		if i < until {
+			server.UnavailableFraction = fraction
+		}
+	}
+}
+
+// both makes two changes.
+func both(first, other func(int, *Server)) func(int, *Server) {
+	return func(i int, server *Server) {
+		first(i, server)
+		other(i, server)
+	}
+}
+
+// ejected returns the capacity that the servers give up.
+func ejected(servers []Server, granted []float64) (capacity float64) {
+	for i, server := range servers {
+		capacity += server.Capacity * (1 - server.UnavailableFraction) * granted[i]
+	}
+	return capacity
+}
+
+// TestGrantEjectsTheWorstWithinTheBudget: outliers give up what they would while the budget lasts, and what is
+// unavailable counts against it.
+func TestGrantEjectsTheWorstWithinTheBudget(t *testing.T) {
+	everyEighth := func(i int, server *Server) {
+		if i%8 == 0 {
+			server.EjectionFraction = 0.95
 		}
 	}
 	for name, test := range map[string]struct {
-		share   float64
-		servers []Server
-		want    float64 // sizes given up by judgment
-		short   bool
+		maxFraction float64
+		servers     []Server
+		wantEjected float64 // capacity
+		wantLimited bool
 	}{
-		"no bound":                       {0, fleet(10, bad(0, 8, 0.95)), 7.6, false},
-		"within the budget":              {0.34, fleet(12, bad(0, 3, 0.95)), 2.85, false},
-		"more than the budget":           {0.34, fleet(12, bad(0, 9, 0.95)), 4.08, true},
-		"some drain":                     {0.34, fleet(12, func(i int, s *Server) { s.UnavailableFraction = b2f(i < 3); bad(3, 9, 1)(i, s) }), 1.08, true},
-		"more drain than the budget has": {0.25, fleet(12, func(i int, s *Server) { s.UnavailableFraction = b2f(i < 6); bad(6, 9, 1)(i, s) }), 0, true},
-		"cold ones count by what they lack": {0.5, fleet(10, func(i int, s *Server) {
-			if i < 4 {
-				s.UnavailableFraction = 0.75
-			}
-			bad(4, 10, 1)(i, s)
-		}), 2, true},
-		"300 servers, one in eight bad": {0.34, fleet(300, func(i int, s *Server) { s.EjectionFraction = 0.95 * b2f(i%8 == 0) }), 36.1, false},
-		"one server":                    {0.34, fleet(1, bad(0, 1, 1)), 0.34, true},
+		"no bound":                       {0, newFleet(10, outliers(0, 8, 0.95)), 7.6, false},
+		"within the budget":              {0.34, newFleet(12, outliers(0, 3, 0.95)), 2.85, false},
+		"more than the budget":           {0.34, newFleet(12, outliers(0, 9, 0.95)), 4.08, true},
+		"some drain":                     {0.34, newFleet(12, both(unavailable(3, 1), outliers(3, 9, 1))), 1.08, true},
+		"more drain than the budget has": {0.25, newFleet(12, both(unavailable(6, 1), outliers(6, 9, 1))), 0, true},
+		"some warm up and lack a part":   {0.5, newFleet(10, both(unavailable(4, 0.75), outliers(4, 10, 1))), 2, true},
+		"300 servers, one in eight bad":  {0.34, newFleet(300, everyEighth), 36.1, false},
+		"one server":                     {0.34, newFleet(1, outliers(0, 1, 1)), 0.34, true},
 	} {
 		granted := make([]float64, len(test.servers))
-		short := Budget{test.share}.Grant(test.servers, granted)
-		if got := ejected(test.servers, granted); math.Abs(got-test.want) > 1e-9 || short != test.short {
-			t.Errorf("%s: %v given up, want %v; short %v", name, got, test.want, short)
+		isLimited := Budget{test.maxFraction}.Grant(test.servers, granted)
+		if got := ejected(test.servers, granted); math.Abs(got-test.wantEjected) > tolerance {
+			t.Errorf("%s: got a capacity of %v ejected, want %v", name, got, test.wantEjected)
+		}
+		if isLimited != test.wantLimited {
+			t.Errorf("%s: got limited %v, want %v", name, isLimited, test.wantLimited)
 		}
 	}
 }
 
-func b2f(b bool) float64 {
-	if b {
-		return 1
-	}
-	return 0
-}
-
-// TestGrantKeepsTheBudget: whatever there is, no more is given up than the budget has left, the worst go first, and the
-// order in which servers are named changes nothing.
-func TestGrantKeepsTheBudget(t *testing.T) {
+// TestGrantStaysWithinTheBudget: whatever the servers are, no more is ejected than the budget has left, the worst go
+// first, and the order in which servers are named changes nothing.
+func TestGrantStaysWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		unit := rapid.Float64Range(0, 1)
-		servers := fleet(rapid.IntRange(1, 40).Draw(t, "servers"), func(i int, s *Server) {
-			s.Capacity, s.UnavailableFraction, s.EjectionFraction = rapid.Float64Range(0.1, 5).Draw(t, "size"), unit.Draw(t, "out"), unit.Draw(t, "wants")
+		fraction := rapid.Float64Range(0, 1)
+		servers := newFleet(rapid.IntRange(1, 40).Draw(t, "servers"), func(_ int, server *Server) {
+			server.Capacity = rapid.Float64Range(0.1, 5).Draw(t, "capacity")
+			server.UnavailableFraction = fraction.Draw(t, "unavailable")
+			server.EjectionFraction = fraction.Draw(t, "ejection")
 		})
-		b := Budget{rapid.Float64Range(0.01, 0.99).Draw(t, "share")}
+		budget := Budget{rapid.Float64Range(0.01, 0.99).Draw(t, "max fraction")}
 		granted := make([]float64, len(servers))
-		short := b.Grant(servers, granted)
-		all, out := 0.0, 0.0
-		for _, s := range servers {
-			all, out = all+s.Capacity, out+s.Capacity*s.UnavailableFraction
+		isLimited := budget.Grant(servers, granted)
+		total, unavailable := 0.0, 0.0
+		for _, server := range servers {
+			total, unavailable = total+server.Capacity, unavailable+server.Capacity*server.UnavailableFraction
 		}
-		if given := ejected(servers, granted); given > max(0, all*b.MaxFraction-out)+1e-9 {
-			t.Fatalf("%v given up where %v were left", given, all*b.MaxFraction-out)
+		left := total*budget.MaxFraction - unavailable
+		if got := ejected(servers, granted); got > max(0, left)+tolerance {
+			t.Fatalf("got a capacity of %v ejected, want at most %v", got, max(0, left))
 		}
-		for i, s := range servers {
-			if granted[i] < 0 || granted[i] > s.EjectionFraction {
-				t.Fatalf("server %d gives up %v and wants to give up %v", i, granted[i], s.EjectionFraction)
-			}
-			for j, o := range servers {
-				if s.EjectionFraction > o.EjectionFraction && o.UnavailableFraction < 1 && s.UnavailableFraction < 1 && granted[i] < s.EjectionFraction-1e-9 && granted[j] > 1e-9 {
-					t.Fatalf("server %d got less than the better server %d", i, j)
-				}
+		checkWorstGoFirst(t, servers, granted)
+
+		reversed, reversedGrants := slices.Clone(servers), make([]float64, len(servers))
+		slices.Reverse(reversed)
+		if got := budget.Grant(reversed, reversedGrants); got != isLimited {
+			t.Fatalf("servers reversed: got limited %v, want %v", got, isLimited)
+		}
+		slices.Reverse(reversedGrants)
+		for i, want := range granted {
+			if got := reversedGrants[i]; math.Abs(got-want) > tolerance {
+				t.Fatalf("servers reversed: got %v granted to server %d, want %v", got, i, want)
 			}
 		}
-		turned, again := slices.Clone(servers), make([]float64, len(servers))
-		slices.Reverse(turned)
-		if b.Grant(turned, again) != short {
-			t.Fatal("another order, another verdict")
+	})
+}
+
+// checkWorstGoFirst checks that nobody gives up more than its fraction, and nothing that a worse server could.
+func checkWorstGoFirst(t *rapid.T, servers []Server, granted []float64) {
+	t.Helper()
+	for i, worse := range servers {
+		if granted[i] < 0 || granted[i] > worse.EjectionFraction {
+			t.Fatalf("got %v granted to server %d, want from 0 to %v", granted[i], i, worse.EjectionFraction)
 		}
-		slices.Reverse(again)
-		for i := range again {
-			if math.Abs(again[i]-granted[i]) > 1e-9 {
-				t.Fatalf("another order, another grant for server %d", i)
+		if worse.UnavailableFraction >= 1 || granted[i] >= worse.EjectionFraction-tolerance {
+			continue
+		}
+		for j, better := range servers {
+			isBetter := worse.EjectionFraction > better.EjectionFraction && better.UnavailableFraction < 1
+			if isBetter && granted[j] > tolerance {
+				t.Fatalf("server %d was limited to %v while the better server %d got %v", i, granted[i], j, granted[j])
 			}
 		}
-	})
+	}
 }
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -2,107 +2,119 @@
 
 import (
 	"fmt"
-	"shelfproxy/internal/fleet/gossip"
 	"testing"
 	"time"
+
+	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestOutliersKeepTheirKeysPastTheEjectionBudget: with a quarter of the servers drained and more bad than the budget
-// has left, the bad ones keep keys; and one that others say is silent stays until this router's own probe fails.
+// TestOutliersKeepTheirKeysPastTheEjectionBudget: with a quarter of the servers drained and more outliers than the budget
+// has left, outliers keep keys; and one that other nodes say is unresponsive stays until a health check of this router
+// fails.
 func TestOutliersKeepTheirKeysPastTheEjectionBudget(t *testing.T) {
-	share := func(budget float64) (kept float64) {
+	retainedFraction := func(budget float64) (fraction float64) {
 		settings := testSettings()
 		settings.MaxEjectedFraction, settings.MayGossip, settings.Nodes = budget, true, 3
-		driver := newDriver(t, settings, serverIDs(12)...)
-		var out []Server
-		for _, id := range serverIDs(3) {
-			s := driver.router.serverByID[id].Server
-			s.State = Draining
-			out = append(out, s)
+		ids := serverIDs(12)
+		driver := newDriver(t, settings, ids...)
+		serverByID := driver.router.serverByID
+		var draining []Server
+		for _, id := range ids[:3] {
+			entry := serverByID[id].Server
+			entry.State = Draining
+			draining = append(draining, entry)
 		}
-		driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: out})
+		driver.update(draining...)
 		for range 40 {
 			driver.now += 50 * ms
-			for i, id := range serverIDs(12) {
-				driver.router.observeLatency(driver.router.serverByID[id], 10*ms, i >= 3 && i < 7)
+			for i, id := range ids {
+				driver.router.observeLatency(serverByID[id], 10*ms, i >= 3 && i < 7)
 			}
 		}
-		for _, id := range serverIDs(12)[3:7] {
-			kept += driver.router.serverByID[id].assessment.KeptFraction / 4
+		for _, id := range ids[3:7] {
+			fraction += serverByID[id].assessment.KeptFraction / 4
 		}
-		note := gossip.Buffer{}
-		note.Unresponsive(driver.router.serverByID["s20"].assessment.Fingerprint)
-		word := note.Encode()
+		accused := serverByID["s20"]
+		buffer := gossip.Buffer{}
+		buffer.Unresponsive(accused.assessment.Fingerprint)
+		datagram := buffer.Encode()
 		driver.now += time.Second
-		driver.handle(GossipReceived{From: 1, Data: word})
-		driver.handle(GossipReceived{From: 2, Data: word})
-		if over := budget > 0; driver.router.serverByID["s20"].isUnresponsive == over {
-			t.Errorf("budget %v: a server is taken out on the word of others: %v", budget, !over)
+		driver.handle(GossipReceived{From: 1, Data: datagram})
+		driver.handle(GossipReceived{From: 2, Data: datagram})
+		if wantOut := budget == 0; accused.isUnresponsive != wantOut {
+			t.Errorf("budget %v: a server is out on gossip alone: %v, want %v", budget, accused.isUnresponsive, wantOut)
 		}
-		return kept
+		return fraction
 	}
-	none, some, full := share(0), share(0.4), share(0.25)
-	if none > 0.3 || some <= none || some > 0.8 || full < 0.99 {
-		t.Errorf("four bad servers keep %v of their keys without a budget, %v with 0.4, %v with 0.25", none, some, full)
+	unlimited, some, full := retainedFraction(0), retainedFraction(0.4), retainedFraction(0.25)
+	if unlimited > 0.3 || some <= unlimited || some > 0.8 || full < 0.99 {
+		t.Errorf("four outliers keep %v of their keys without a budget, %v with 0.4, %v with 0.25, "+
+			"want at most 0.3, from there to 0.8, and all", unlimited, some, full)
 	}
 }
 
-// TestOutliersGiveUpSlots: what is slow or fails far more often than the others keeps few of its slots, the same
-// ones at every router, and has them back once it is well again.
+// TestOutliersGiveUpSlots: a server that is slow or fails far more often than the others keeps few of its slots, the same
+// ones at every router, and has them back once it is well again. Where all are slow none is an outlier.
 func TestOutliersGiveUpSlots(t *testing.T) {
-	tests := []struct {
-		name string
-		hurt func(driver *routerDriver, id uint64)
-		bad  []string
-		want float64 // most of the slots of a bad server that may stay with it
-		all  bool    // every server is bad: a crowd
+	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6"}
+	for _, test := range []struct {
+		name        string
+		reason      Reason // how attempts at bad servers end
+		took        time.Duration
+		bad         []string
+		maxRetained float64 // of the slots of a bad server
 	}{
-		{"errors", func(driver *routerDriver, id uint64) { driver.endAttempt(id, Errored, ms) }, []string{"s1"}, 0.3, false},
-		{"slow", func(driver *routerDriver, id uint64) { driver.endAttempt(id, Succeeded, 2*time.Second) }, []string{"s1"}, 0.3, false},
-		{"moved on from", func(driver *routerDriver, id uint64) { driver.endAttempt(id, Cancelled, time.Second) }, []string{"s1"}, 0.3, false},
-		{"a crowd", func(driver *routerDriver, id uint64) { driver.endAttempt(id, Succeeded, 2*time.Second) }, []string{"s1", "s2", "s3", "s4", "s5", "s6"}, 1, true},
-	}
-	for _, test := range tests {
+		{"errors", Errored, ms, ids[:1], 0.3},
+		{"slow", Succeeded, 2 * time.Second, ids[:1], 0.3},
+		{"hedged", Cancelled, time.Second, ids[:1], 0.3},
+		{"all are slow", Succeeded, 2 * time.Second, ids, 1},
+	} {
 		t.Run(test.name, func(t *testing.T) {
-			driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4", "s5", "s6")
-			bad := map[string]bool{}
+			driver := newDriver(t, testSettings(), ids...)
+			isBad := map[string]bool{}
 			for _, id := range test.bad {
-				bad[id] = true
-			}
-			before := map[string]int{}
-			owners := func() map[string]int {
-				count := map[string]int{}
-				for i := range 600 {
-					count[driver.ownerOf(fmt.Sprint("key", i))]++
-				}
-				return count
+				isBad[id] = true
 			}
-			before = owners()
+			before := driver.countOwned(600)
 			for i := range 240 {
 				id, actions := driver.request("high", fmt.Sprint("key", i), nil)
-				if to := driver.sentTo(actions); bad[to] {
-					test.hurt(driver, id)
+				if isBad[driver.sentTo(actions)] {
+					driver.endAttempt(id, test.reason, test.took)
 				} else {
 					driver.endAttempt(id, Succeeded, ms)
 				}
 				driver.now += 5 * ms
 			}
-			after := owners()
-			if left := float64(after["s1"]) / float64(before["s1"]); !test.all && (left > test.want || left == 0) {
-				t.Errorf("s1 kept %.2f of its slots, want some, at most %.2f", left, test.want)
-			} else if test.all && left < 0.8 {
-				t.Errorf("s1 kept %.2f of its slots though all were slow", left)
+			after := driver.countOwned(600)
+			retained := float64(after["s1"]) / float64(before["s1"])
+			if len(test.bad) == len(ids) {
+				if retained < 0.8 {
+					t.Errorf("s1 kept %.2f of its slots though all were slow, want at least 0.8", retained)
+				}
+				return
+			}
+			if retained > test.maxRetained || retained == 0 {
+				t.Errorf("s1 kept %.2f of its slots, want some, at most %.2f", retained, test.maxRetained)
 			}
-			if !test.all && after["s2"] < before["s2"] {
-				t.Errorf("s2 lost slots: %d, had %d", after["s2"], before["s2"])
+			if after["s2"] < before["s2"] {
+				t.Errorf("s2 has %d slots, want the %d that it had at least", after["s2"], before["s2"])
 			}
 			for range 12 { // nothing bad is seen any more
 				driver.now += time.Second
-				driver.handle(TimerFired{Token: upkeepToken})
+				driver.runUpkeep()
 			}
-			if !test.all && owners()["s1"] < before["s1"]*9/10 {
-				t.Errorf("s1 has %d of its %d slots long after", owners()["s1"], before["s1"])
+			if got := driver.countOwned(600)["s1"]; got < before["s1"]*9/10 {
+				t.Errorf("long after s1 has %d slots, want nearly all of %d", got, before["s1"])
 			}
 		})
 	}
 }
+
+// countOwned returns how many of the keys key0, key1 and so on each server owns.
+func (driver *routerDriver) countOwned(keys int) map[string]int {
+	count := map[string]int{}
+	for i := range keys {
+		count[driver.ownerOf(fmt.Sprint("key", i))]++
+	}
+	return count
+}
--- a/internal/policy/roles_test.go
+++ b/internal/policy/roles_test.go
@@ -2,152 +2,192 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"testing"
 	"time"
 )
 
-// TestFleetSizeSetsThePaceOfChecksAndPolls: the routers that are there probe a silent server at the pace of the whole
-// fleet, and spread calls for the list over the time that the whole fleet would; where they cannot be told, those of
-// the settings count.
+// holder is the router of a simulated fleet that has the role.
+const holder = 7
+
+// assign gives one router the role.
+func (fleet *simulatedFleet) assign(role Role) {
+	for i, driver := range fleet.drivers {
+		responsibility := AssignedElsewhere
+		if i == holder {
+			responsibility = AssignedHere
+		}
+		driver.handle(RoleAssigned{Role: role, Responsibility: responsibility})
+	}
+}
+
+// TestFleetSizeSetsThePaceOfChecksAndPolls: the routers that are there check an unresponsive server at the pace of the
+// whole fleet, and spread polls over the time that the whole fleet would; 0 means as many as configured.
 func TestFleetSizeSetsThePaceOfChecksAndPolls(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MayGossip, settings.DrainGrace = 60, true, 2500*ms
-	driver := newDriver(t, settings, serverIDs(4)...)
-	probe, call := driver.router.recheckInterval(), driver.router.polls.SpreadOver
-	driver.handle(FleetSize{Nodes: 30})
-	if driver.router.recheckInterval() != probe/2 || driver.router.polls.SpreadOver >= call {
-		t.Errorf("half are there: a probe after %v, calls over %v; %v and %v with all", driver.router.recheckInterval(), driver.router.polls.SpreadOver, probe, call)
+	router := newDriver(t, settings, serverIDs(4)...).router
+	interval, spread := router.recheckInterval(), router.polls.SpreadOver
+	router.Handle(router.now, FleetSize{Nodes: 30})
+	if got := router.recheckInterval(); got != interval/2 {
+		t.Errorf("half of the fleet: got a recheck after %v, want %v", got, interval/2)
 	}
-	driver.handle(FleetSize{})
-	if driver.router.recheckInterval() != probe || driver.router.polls.SpreadOver != call {
-		t.Errorf("not told: a probe after %v, calls over %v; want %v and %v", driver.router.recheckInterval(), driver.router.polls.SpreadOver, probe, call)
+	if got := router.polls.SpreadOver; got >= spread {
+		t.Errorf("half of the fleet: got polls spread over %v, want less than %v", got, spread)
+	}
+	router.Handle(router.now, FleetSize{})
+	if got := router.recheckInterval(); got != interval {
+		t.Errorf("as configured: got a recheck after %v, want %v", got, interval)
+	}
+	if got := router.polls.SpreadOver; got != spread {
+		t.Errorf("as configured: got polls spread over %v, want %v", got, spread)
 	}
 }
 
-// TestAssignedHealthCheckerChecksForAll: with the duty to probe at one router, a server that is silent for 20 s costs
-// a fleet a fraction of the probes, and all have it back no later than without.
-func TestAssignedHealthCheckerChecksForAll(t *testing.T) {
-	const routers = 60
-	type result struct {
-		probes int
-		back   time.Duration // until nine in ten have it back
+// checkResult is what an outage of a server for 20 s costs a fleet.
+type checkResult struct {
+	healthChecks int           // in the last 17 s of the outage
+	recovery     time.Duration // until nine in ten routers have the server back
+}
+
+// playOutage returns what an outage costs a fleet of 60 routers, with or without a HealthChecker.
+func playOutage(t *testing.T, hasRole bool, lossRate float64) (result checkResult) {
+	t.Helper()
+	const (
+		routers   = 60
+		downID    = "s20"
+		downFrom  = 200
+		knownFrom = downFrom + 300 // all know by then
+		downUntil = 2200
+	)
+	fleet := newFleet(t, routers, true, lossRate, serverIDs(40)...)
+	fleet.rng = rand.New(rand.NewPCG(9, 9))
+	if hasRole {
+		fleet.assign(HealthChecker)
 	}
-	play := func(duty bool, lost float64) (r result) {
-		fleet := newFleet(t, routers, true, lost, serverIDs(40)...)
-		fleet.rng = rand.New(rand.NewPCG(9, 9))
-		if duty {
-			for i, driver := range fleet.drivers {
-				who := AssignedElsewhere
-				if i == 7 {
-					who = AssignedHere
-				}
-				driver.handle(RoleAssigned{HealthChecker, who})
-			}
+	for step := range 6000 {
+		if step == knownFrom {
+			fleet.healthChecks = 0
 		}
-		const from, until = 200, 2200
-		for n := range 6000 {
-			if n == from+300 { // all know by then that it is silent
-				fleet.healthChecks = 0
-			}
-			fleet.advanceAll(n, func(s string) Reason {
-				if s == "s20" && n >= from && n < until {
-					return NoConnection
-				}
-				return Succeeded
-			})
-			if n == until-1 {
-				r.probes = fleet.healthChecks
-			}
-			back := 0
-			for _, driver := range fleet.drivers {
-				if !driver.router.serverByID["s20"].isUnresponsive {
-					back++
-				}
-			}
-			if n >= until && back >= routers*9/10 {
-				r.back = time.Duration(n-until) * 10 * ms
-				return r
+		fleet.serveStep(step, func(server string) Reason {
+			if server == downID && step >= downFrom && step < downUntil {
+				return NoConnection
 			}
+			return Succeeded
+		})
+		if step == downUntil-1 {
+			result.healthChecks = fleet.healthChecks
+		}
+		if step >= downUntil && routers-fleet.countUnresponsive(downID) >= routers*9/10 {
+			result.recovery = time.Duration(step-downUntil) * stepTime
+			return result
 		}
-		t.Fatalf("duty %v: it never came back", duty)
-		return r
 	}
-	for _, lost := range []float64{0, 0.1} {
-		alone, one := play(false, lost), play(true, lost)
-		t.Logf("%.0f%% lost: %d probes in 17 s without the duty, back after %v; %d with it, back after %v", lost*100, alone.probes, alone.back, one.probes, one.back)
-		if one.probes*3 > alone.probes || one.back > alone.back+500*ms {
-			t.Errorf("%.0f%% lost: %+v with the duty, %+v without", lost*100, one, alone)
+	t.Fatalf("role assigned %v: the server never came back", hasRole)
+	return result
+}
+
+// TestAssignedHealthCheckerChecksForAll: with the role assigned, a server that is unresponsive for 20 s costs a fleet a
+// fraction of the health checks, and all have it back no later than without.
+func TestAssignedHealthCheckerChecksForAll(t *testing.T) {
+	for _, lossRate := range []float64{0, 0.1} {
+		unassigned, assigned := playOutage(t, false, lossRate), playOutage(t, true, lossRate)
+		t.Logf("%.0f%% of the datagrams lost: %+v with the role, %+v without", lossRate*100, assigned, unassigned)
+		if assigned.healthChecks*3 > unassigned.healthChecks || assigned.recovery > unassigned.recovery+500*ms {
+			t.Errorf("%.0f%% of the datagrams lost: got %+v with the role, %+v without, "+
+				"want a third of the health checks and 500 ms more at most", lossRate*100, assigned, unassigned)
 		}
 	}
 }
 
-// TestAssignedPollerPollsForAll: while the list does not answer for eight seconds, one router calls for all and tells
-// the others when it answers again. They call as soon as without, and two thirds as often at most; with every word
-// lost each still calls, as soon as the rule on what counts as told wants.
-func TestAssignedPollerPollsForAll(t *testing.T) {
+// pollResult is what an outage of discovery costs a fleet.
+type pollResult struct {
+	failedPolls int
+	recovery    time.Duration // until all routers have the list again
+}
+
+// discoveryOutage is a discovery that does not answer for a while.
+type discoveryOutage struct {
+	length    time.Duration
+	hasList   []bool // by router
+	missing   int    // routers without the list
+	announced bool   // in this step
+	result    pollResult
+}
+
+// carryOut answers the polls of a router and keeps its announcements.
+func (outage *discoveryOutage) carryOut(at time.Duration, index int, driver *routerDriver, actions []Action) {
+	for len(actions) > 0 {
+		action := actions[0]
+		actions = actions[1:]
+		switch action.(type) {
+		case Subscribe:
+			scope := DeltaUpdate
+			if at < outage.length {
+				scope = PollFailed
+				outage.result.failedPolls++
+			} else if !outage.hasList[index] {
+				outage.hasList[index] = true
+				outage.missing--
+			}
+			actions = append(actions, driver.handle(EndpointUpdate{Scope: scope})...)
+		case Announce:
+			outage.announced = true
+		}
+	}
+}
+
+// playDiscoveryOutage returns what an outage of eight seconds costs a fleet of 80 routers, with or without a
+// DiscoveryPoller.
+func playDiscoveryOutage(t *testing.T, hasRole bool, lossRate float64) pollResult {
+	t.Helper()
 	const routers = 80
-	type result struct {
-		failed int
-		last   time.Duration // until all have the list again
+	fleet := newFleet(t, routers, true, 0, "s1")
+	outage := discoveryOutage{length: 8 * time.Second, hasList: make([]bool, routers), missing: routers}
+	for _, driver := range fleet.drivers {
+		driver.router.settings.MustPoll = true
+		driver.handle(EndpointUpdate{Scope: PollFailed}) // the watch of each breaks
+	}
+	if hasRole {
+		fleet.assign(DiscoveryPoller)
 	}
-	play := func(duty bool, lost float64) (r result) {
-		fleet := newFleet(t, routers, true, 0, "s1")
-		down := 8 * time.Second
-		var words []int // routers that said so, and when
-		have := make([]bool, routers)
+	for step := 0; ; step++ {
+		at := time.Duration(step) * stepTime
+		wasAnnounced := outage.announced
+		outage.announced = false
 		for i, driver := range fleet.drivers {
-			driver.router.settings.MustPoll = true
-			driver.handle(EndpointUpdate{Scope: PollFailed}) // the watch of each breaks
-			if who := AssignedElsewhere; duty {
-				if i == 7 {
-					who = AssignedHere
-				}
-				driver.handle(RoleAssigned{DiscoveryPoller, who})
+			driver.now += stepTime
+			var actions []Action
+			if wasAnnounced && fleet.rng.Float64() >= lossRate {
+				actions = append(actions, driver.handle(RoleAnnouncement{DiscoveryPoller})...)
 			}
-		}
-		for n := 0; ; n++ {
-			at := time.Duration(n) * 10 * ms
-			heard := len(words)
-			for i, driver := range fleet.drivers {
-				driver.now += 10 * ms
-				var acts []Action
-				if heard > 0 && fleet.rng.Float64() >= lost {
-					acts = append(acts, driver.handle(RoleAnnouncement{DiscoveryPoller})...)
-				}
-				if (n+i)%25 == 0 {
-					acts = append(acts, driver.handle(TimerFired{Token: upkeepToken})...)
-				}
-				for len(acts) > 0 {
-					a := acts[0]
-					acts = acts[1:]
-					switch a.(type) {
-					case Subscribe:
-						if at < down {
-							r.failed++
-							acts = append(acts, driver.handle(EndpointUpdate{Scope: PollFailed})...)
-						} else {
-							have[i] = true
-							acts = append(acts, driver.handle(EndpointUpdate{Scope: DeltaUpdate})...)
-						}
-					case Announce:
-						words = append(words, i)
-					}
-				}
-			}
-			words = words[heard:]
-			if !slices.Contains(have, false) {
-				r.last = at - down
-				return r
-			}
-			if at > time.Minute {
-				t.Fatalf("duty %v: not all have the list", duty)
+			if isUpkeepStep(step, i) {
+				actions = append(actions, driver.runUpkeep()...)
 			}
+			outage.carryOut(at, i, driver, actions)
+		}
+		if outage.missing == 0 {
+			outage.result.recovery = at - outage.length
+			return outage.result
+		}
+		if at > time.Minute {
+			t.Fatalf("role assigned %v: %d of %d routers never have the list", hasRole, outage.missing, routers)
 		}
 	}
-	alone, one, deaf := play(false, 0), play(true, 0), play(true, 1)
-	t.Logf("%d calls failed without the duty, all had the list %v after; %d with it, %v; with every word lost %d, %v", alone.failed, alone.last, one.failed, one.last, deaf.failed, deaf.last)
-	if one.failed*3 > alone.failed*2 || one.last > 6*time.Second || deaf.last > 4500*ms {
-		t.Errorf("%+v alone, %+v with the duty, %+v with every word lost", alone, one, deaf)
+}
+
+// TestAssignedPollerPollsForAll: while discovery does not answer, one router polls for all and announces when it answers
+// again. All have the list as soon as without, and poll two thirds as often at most; with every announcement lost each
+// still polls as soon as the bound on when a router counts as notified wants.
+func TestAssignedPollerPollsForAll(t *testing.T) {
+	unassigned, assigned := playDiscoveryOutage(t, false, 0), playDiscoveryOutage(t, true, 0)
+	unheard := playDiscoveryOutage(t, true, 1)
+	t.Logf("%+v without the role, %+v with it, %+v with every announcement lost", unassigned, assigned, unheard)
+	if assigned.failedPolls*3 > unassigned.failedPolls*2 {
+		t.Errorf("got %d failed polls with the role, want at most two thirds of %d",
+			assigned.failedPolls, unassigned.failedPolls)
+	}
+	if assigned.recovery > 6*time.Second || unheard.recovery > 4500*ms {
+		t.Errorf("got the list after %v, with every announcement lost after %v, want at most 6 s and 4.5 s",
+			assigned.recovery, unheard.recovery)
 	}
 }
--- a/internal/policy/routing_test.go
+++ b/internal/policy/routing_test.go
@@ -2,138 +2,148 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 )
 
-func TestOnlyKeysOfTheMissingServerMove(t *testing.T) {
-	owners := func(servers ...string) map[string]string {
+// addFarServers lists cache servers far0, far1 and so on in another zone.
+func (driver *routerDriver) addFarServers(count int) {
+	var far []Server
+	for i := range count {
+		far = append(far, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Capacity: 1})
+	}
+	driver.update(far...)
+}
+
+// isFar reports whether a server is one of addFarServers.
+func isFar(id string) bool { return strings.HasPrefix(id, "far") }
+
+// TestOnlyKeysOfTheMissingServerChangeOwner: with one server less, all keys of the others stay where they are.
+func TestOnlyKeysOfTheMissingServerChangeOwner(t *testing.T) {
+	ownersOf := func(servers ...string) map[string]string {
 		driver := newDriver(t, testSettings(), servers...)
-		m := map[string]string{}
+		owners := map[string]string{}
 		for i := range 300 {
 			key := fmt.Sprint("key", i)
-			m[key] = driver.ownerOf(key)
+			owners[key] = driver.ownerOf(key)
 		}
-		return m
+		return owners
 	}
-	with, without := owners("s1", "s2", "s3", "s4"), owners("s1", "s2", "s3")
-	moved := 0
-	for key, owner := range with {
-		if owner == "s4" {
-			moved++
-		} else if without[key] != owner {
-			t.Errorf("%s moved from %s to %s though only s4 left", key, owner, without[key])
+	with, without := ownersOf("s1", "s2", "s3", "s4"), ownersOf("s1", "s2", "s3")
+	ofMissing := 0
+	for key, want := range with {
+		if want == "s4" {
+			ofMissing++
+		} else if got := without[key]; got != want {
+			t.Errorf("without s4: got owner %s of %s, want %s as before", got, key, want)
 		}
 	}
-	if moved < 30 || moved > 130 {
-		t.Errorf("s4 had %d of 300 keys, want about a quarter", moved)
+	if ofMissing < 30 || ofMissing > 130 {
+		t.Errorf("s4 owned %d of 300 keys, want about a quarter", ofMissing)
 	}
 }
 
+// TestDrainingAndRemovedServersGetNoRequests: their keys go to the other cache server, without one to the origin, and
+// without any server requests are rejected.
 func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
 	for _, list := range []EndpointUpdate{
 		{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", State: Draining}}},
 		{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", State: Removed}}},
-		{Scope: FullUpdate, Servers: []Server{{ID: "o", Kind: "origin"}, {ID: "s2", Kind: "cache"}}},
+		{Scope: FullUpdate, Servers: []Server{{ID: originID, Kind: "origin"}, {ID: "s2", Kind: "cache"}}},
 	} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
 		driver.handle(list)
 		for i := range 50 {
 			if _, actions := driver.request("high", fmt.Sprint(i), nil); driver.sentTo(actions) != "s2" {
-				t.Fatal("sent to a server that drains or is gone")
+				t.Fatalf("after %+v: got %v, want a send to s2", list, actions)
 			}
 		}
-		driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s2", Kind: "cache", State: Removed}}})
-		if _, actions := driver.request("high", "x", nil); driver.sentTo(actions) != "o" {
-			t.Error("without cache servers a read should go to the origin")
+		driver.update(Server{ID: "s2", Kind: "cache", State: Removed})
+		if _, actions := driver.request("high", "x", nil); driver.sentTo(actions) != originID {
+			t.Errorf("without cache servers: got %v, want a send to the origin", actions)
 		}
 		driver.handle(EndpointUpdate{Scope: FullUpdate})
 		if _, actions := driver.request("high", "y", nil); len(actionsOf[Reject](actions)) != 1 {
-			t.Errorf("without any server: %v, want a refusal", actions)
+			t.Errorf("without any server: got %v, want a rejection", actions)
 		}
 	}
 }
 
+// TestUnreachableZoneGetsNoRequests: after a few failed connects no server of the zone is tried any more, until one of
+// them shows a sign of life.
 func TestUnreachableZoneGetsNoRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "a"
 	driver := newDriver(t, settings, "s1", "s2")
-	far := EndpointUpdate{Scope: DeltaUpdate}
-	for i := range 8 {
-		far.Servers = append(far.Servers, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Capacity: 1})
-	}
-	driver.handle(far)
-	toFar := func(n int, reason Reason) (sent int) {
-		for range n {
+	driver.addFarServers(8)
+	attemptsAtFar := func(requests int, reason Reason) (count int) {
+		for range requests {
 			id, actions := driver.request("high", fmt.Sprint("z", driver.nextID), nil)
 			driver.now += 20 * ms
-			if server := driver.sentTo(actions); server[0] == 'f' {
-				sent++
+			driver.sentTo(actions)
+			for sends := actionsOf[Send](actions); len(sends) == 1 && isFar(sends[0].Server); sends = actionsOf[Send](actions) {
+				count++
 				actions = driver.endAttempt(id, reason, 20*ms)
-				for len(actionsOf[Send](actions)) == 1 && actionsOf[Send](actions)[0].Server[0] == 'f' {
-					sent++
-					actions = driver.endAttempt(id, reason, 20*ms)
-				}
 			}
 			if driver.router.requests[id] != nil {
 				driver.endAttempt(id, Succeeded, 20*ms)
 			}
 		}
-		return sent
+		return count
 	}
-	if n := toFar(50, NoConnection); n > zoneCutOffFailures {
-		t.Errorf("%d attempts into a zone that is cut off, want %d", n, zoneCutOffFailures)
+	if got := attemptsAtFar(50, NoConnection); got > zoneCutOffFailures {
+		t.Errorf("unreachable zone: got %d attempts, want at most %d", got, zoneCutOffFailures)
 	}
-	driver.handle(HealthChecked{Server: "far3", Reason: Succeeded}) // a sign of life from any of its servers
-	if n := toFar(50, Succeeded); n == 0 {
-		t.Error("a zone that is back in reach is still left out")
+	driver.handle(HealthChecked{Server: "far3", Reason: Succeeded})
+	if got := attemptsAtFar(50, Succeeded); got == 0 {
+		t.Error("zone that is reachable again: got no attempts, want some")
 	}
 }
 
-// TestReadsStayInTheirZoneWhereCrossingHasACost: where crossing zones has a price and all is calm, nearly all reads
-// go to servers of the own zone; a crowd at the origin brings the others back, and none of it happens without a
-// price.
+// TestReadsStayInTheirZoneWhereCrossingHasACost: while all is quiet nearly all reads go to servers of the own zone; an
+// overloaded origin brings the others back, and none of it happens where crossing zones costs nothing.
 func TestReadsStayInTheirZoneWhereCrossingHasACost(t *testing.T) {
-	for _, price := range []float64{0, 0.13} {
+	for _, cost := range []float64{0, 0.13} {
 		settings := testSettings()
-		settings.Zone, settings.CrossZoneCost, settings.AffinityBudget = "a", price, 1
+		settings.Zone, settings.CrossZoneCost, settings.AffinityBudget = "a", cost, 1
 		driver := newDriver(t, settings, "s1", "s2", "s3")
-		far := EndpointUpdate{Scope: DeltaUpdate}
-		for i := range 3 {
-			far.Servers = append(far.Servers, Server{ID: fmt.Sprint("far", i), Kind: "cache", Zone: "b", Capacity: 1})
+		driver.addFarServers(3)
+		start := driver.crossingFraction(2*time.Second, 20*ms)
+		driver.crossingFraction(30*time.Second, 20*ms)
+		quiet := driver.crossingFraction(5*time.Second, 20*ms)
+		driver.crossingFraction(5*time.Second, time.Second)
+		overloaded := driver.crossingFraction(5*time.Second, time.Second)
+		switch {
+		case cost == 0 && (quiet < 0.35 || quiet > 0.65):
+			t.Errorf("without a cost %.2f of the reads crossed, want about half", quiet)
+		case cost > 0 && (start < 0.25 || quiet > 0.08 || overloaded < 0.35):
+			t.Errorf("%.2f of the reads crossed at the start, %.2f when all was quiet, %.2f with an overloaded origin, "+
+				"want at least 0.25, at most 0.08, at least 0.35", start, quiet, overloaded)
 		}
-		driver.handle(far)
-		cross := func(span time.Duration, took time.Duration) (share float64) {
-			n, away := 0, 0
-			for end := driver.now + span; driver.now < end; driver.now += 25 * ms {
-				id, actions := driver.request("high", fmt.Sprint("k", driver.nextID), nil)
-				n++
-				for _, s := range actionsOf[Send](actions) {
-					if len(s.Server) > 2 {
-						away++
-					}
-				}
-				driver.endAttempt(id, Succeeded, 10*ms)
-				w, actions := driver.request("high", fmt.Sprint("w", driver.nextID), asWrite)
-				if len(actionsOf[Send](actions)) == 1 {
-					driver.endAttempt(w, Succeeded, took)
-				}
-				if n%10 == 0 {
-					driver.handle(TimerFired{Token: upkeepToken})
-				}
+	}
+}
+
+// crossingFraction sends reads, and writes that the origin takes a while for, and returns the fraction of the reads that
+// went to far servers.
+func (driver *routerDriver) crossingFraction(span, originLatency time.Duration) float64 {
+	reads, crossed := 0, 0
+	for end := driver.now + span; driver.now < end; driver.now += 25 * ms {
+		read, actions := driver.request("high", fmt.Sprint("k", driver.nextID), nil)
+		reads++
+		for _, send := range actionsOf[Send](actions) {
+			if isFar(send.Server) {
+				crossed++
 			}
-			return float64(away) / float64(n)
 		}
-		start := cross(2*time.Second, 20*ms)
-		cross(30*time.Second, 20*ms)
-		calm := cross(5*time.Second, 20*ms)
-		cross(5*time.Second, time.Second)
-		crowd := cross(5*time.Second, time.Second)
-		switch {
-		case price == 0 && (calm < 0.35 || calm > 0.65):
-			t.Errorf("without a price %.2f of the reads crossed", calm)
-		case price > 0 && (start < 0.25 || calm > 0.08 || crowd < 0.35):
-			t.Errorf("%.2f of the reads crossed at the start, %.2f when all was calm, %.2f in a crowd", start, calm, crowd)
+		driver.endAttempt(read, Succeeded, 10*ms)
+		write, actions := driver.request("high", fmt.Sprint("w", driver.nextID), asWrite)
+		if len(actionsOf[Send](actions)) == 1 {
+			driver.endAttempt(write, Succeeded, originLatency)
+		}
+		if reads%10 == 0 {
+			driver.runUpkeep()
 		}
 	}
+	return float64(crossed) / float64(reads)
 }
--- a/internal/policy/shedding.go
+++ b/internal/policy/shedding.go
@@ -52,21 +52,24 @@
 		excess = min(maxUtilisation-criticalMaxUtilisation,
 			utilisation-criticalTargetMultiple*threshold) // never before the others
 	}
-	return excess > 0 && r.isInShedShare(rank, excess/threshold)
+	return excess > 0 && r.isSelectedForShedding(rank, excess/threshold)
 }
 
-// isInShedShare reports whether this request is one of the given share of a bucket's requests that are to be
+// isSelectedForShedding reports whether this request is one of the given share of a bucket's requests that are to be
 // rejected, spread evenly.
-func (r *Router) isInShedShare(rank bucket, share float64) bool {
-	whole, rest := math.Modf(r.shedDebt[rank] + min(1, share))
-	r.shedDebt[rank] = rest
-	return whole >= 1
+func (r *Router) isSelectedForShedding(rank bucket, fraction float64) bool {
+	rejections, debt := math.Modf(r.shedDebt[rank] + min(1, fraction))
+	r.shedDebt[rank] = debt
+	return rejections >= 1
 }
 
 // shedsForLoad reports whether the request is shed as the node is behind with its own work: a share of what may be
 // shed is.
 func (r *Router) shedsForLoad(req *request) bool {
-	return r.loadLevel > 0 && req.bucket != critical && r.isInShedShare(req.bucket, r.loadLevel*float64(req.bucket))
+	if r.loadLevel <= 0 || req.bucket == critical {
+		return false
+	}
+	return r.isSelectedForShedding(req.bucket, r.loadLevel*float64(req.bucket))
 }
 
 // isCrowdedFor reports whether the first attempt of a read is shed at its cache server, where cache servers are the
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -6,76 +6,75 @@
 	"time"
 )
 
+// TestLowestPriorityWeightIsShedFirst: the more fetches are slow, the more classes of reads are shed, never writes.
 func TestLowestPriorityWeightIsShedFirst(t *testing.T) {
-	refused := func(driver *routerDriver, class string) (n int) {
-		for i := range 40 {
-			id, actions := driver.request(class, fmt.Sprint(class, "-", driver.nextID, i), nil)
-			if len(actionsOf[Reject](actions)) == 0 {
-				actions = driver.endAttempt(id, Miss, ms)
-			}
-			n += len(actionsOf[Reject](actions))
-			if len(actionsOf[Send](actions)) == 1 {
-				driver.handle(ClientDisconnected{id})
-				driver.endAttempt(id, Cancelled, ms)
-			}
-		}
-		return n
-	}
-	tests := []struct {
-		name              string
-		slow              int // of 20 fetches over the target
-		took              time.Duration
-		low, middle, high bool
+	for _, test := range []struct {
+		name    string
+		fetches int
+		slow    int // of them
+		took    time.Duration
+		shed    map[string]bool // by class
 	}{
-		{"quiet", 0, 50 * ms, false, false, false},
-		{"no recent fetches", -1, 0, false, false, false},
-		{"half over the target", 10, 200 * ms, true, false, false},
-		{"six in ten over the target", 12, 200 * ms, true, true, false},
-		{"nearly all over the maximum", 19, 900 * ms, true, true, true},
-	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
-			for class, want := range map[string]bool{"low": tt.low, "middle": tt.middle, "high": tt.high} {
+		{"quiet", 20, 0, 0, nil},
+		{"no recent fetches", 0, 0, 0, nil},
+		{"half over the target", 20, 10, 200 * ms, map[string]bool{"low": true}},
+		{"six in ten over the target", 20, 12, 200 * ms, map[string]bool{"low": true, "middle": true}},
+		{"nearly all over the maximum", 20, 19, 900 * ms, map[string]bool{"low": true, "middle": true, "high": true}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			for _, class := range []string{"low", "middle", "high"} {
 				driver := newTrainedDriver(t)
 				driver.now += 20 * time.Second
-				for i := range 20 {
-					took := 50 * ms
-					if i >= 20-tt.slow {
-						took = tt.took
-					}
-					if tt.slow >= 0 {
-						driver.feedOrigin(1, took, Succeeded)
-					}
-				}
-				if n := refused(driver, class); n > 0 != want {
-					t.Errorf("%s: %d of 40 misses refused, want some: %v", class, n, want)
+				driver.feedOrigin(test.fetches-test.slow, 50*ms, Succeeded)
+				driver.feedOrigin(test.slow, test.took, Succeeded)
+				if got := driver.countRejectedMisses(class, 40); got > 0 != test.shed[class] {
+					t.Errorf("%s: got %d of 40 misses rejected, want some: %v", class, got, test.shed[class])
 				}
-				if id, actions := driver.request("high", "w", asWrite); len(actionsOf[Send](actions)) != 1 {
-					t.Errorf("write %d was not sent: %v", id, actions)
+				if _, actions := driver.request("high", "w", asWrite); len(actionsOf[Send](actions)) != 1 {
+					t.Errorf("write: got %v, want it sent", actions)
 				}
 			}
 		})
 	}
 }
 
-// A slow machine, or the one with the popular key, is not crowded as long as it answers well inside the aim, or has
-// next to nothing in hand. Reads of a crowded one go past it while the origin is quiet, and are refused when not.
+// countRejectedMisses sends reads that their cache servers miss and returns how many are rejected. The clients of the
+// others disconnect.
+func (driver *routerDriver) countRejectedMisses(class string, reads int) (rejected int) {
+	for i := range reads {
+		id, actions := driver.request(class, fmt.Sprint(class, "-", driver.nextID, i), nil)
+		if len(actionsOf[Reject](actions)) == 0 {
+			actions = driver.endAttempt(id, Miss, ms)
+		}
+		rejected += len(actionsOf[Reject](actions))
+		if len(actionsOf[Send](actions)) == 1 {
+			driver.handle(ClientDisconnected{id})
+			driver.endAttempt(id, Cancelled, ms)
+		}
+	}
+	return rejected
+}
+
+// TestReadsPassACrowdedCacheServer: a slow server, or the one with the popular key, is not crowded as long as it answers
+// well within the objective, or has next to nothing in flight. Reads of a crowded one go to the origin while that is
+// quiet, and are rejected when it is not.
 func TestReadsPassACrowdedCacheServer(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		took         time.Duration
-		inHand       int
-		originBusy   bool
-		past, refuse bool
+		inFlight     int
+		isOriginBusy bool
+		wantPassing  bool
+		wantRejects  bool
 	}{
-		{150 * ms, 5, false, false, false},
-		{400 * ms, 0, false, false, false},
-		{400 * ms, 5, false, true, false},
-		{400 * ms, 5, true, false, true},
+		{took: 150 * ms, inFlight: 5},
+		{took: 400 * ms, inFlight: 0},
+		{took: 400 * ms, inFlight: 5, wantPassing: true},
+		{took: 400 * ms, inFlight: 5, isOriginBusy: true, wantRejects: true},
 	} {
 		driver := newTrainedDriver(t)
 		driver.readOtherKeys(40)
 		for i := range 200 {
-			driver.router.origin.gauge.observe(driver.now, 10*ms, tt.originBusy && i%3 == 0)
+			driver.router.origin.gauge.observe(driver.now, 10*ms, test.isOriginBusy && i%3 == 0)
 		}
 		var keys []string // of one server, among others
 		for i := 0; len(keys) < 40; i++ {
@@ -83,135 +82,150 @@
 				keys = append(keys, key)
 			}
 		}
-		past, refused := 0, 0
+		passing, rejected := 0, 0
 		for i, key := range keys {
 			id, actions := driver.request("low", key, nil)
-			refused += len(actionsOf[Reject](actions))
-			if sends := actionsOf[Send](actions); len(sends) > 0 && sends[0].Server == "o" {
-				past++
-			} else if len(sends) > 0 && i >= tt.inHand {
-				driver.endAttempt(id, Succeeded, tt.took)
+			rejected += len(actionsOf[Reject](actions))
+			if sends := actionsOf[Send](actions); len(sends) > 0 && sends[0].Server == originID {
+				passing++
+			} else if len(sends) > 0 && i >= test.inFlight {
+				driver.endAttempt(id, Succeeded, test.took)
 			}
 		}
-		if past > 0 != tt.past || refused > 0 != tt.refuse {
-			t.Errorf("%+v: %d went past, %d refused", tt, past, refused)
+		if passing > 0 != test.wantPassing || rejected > 0 != test.wantRejects {
+			t.Errorf("%+v: got %d reads past the server and %d rejected", test, passing, rejected)
 		}
 	}
 }
 
+// TestOverQuotaRequestsAreShedFirst: under the same load, requests beyond a tenant's quota are shed and others are not.
 func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	driver := newTrainedDriver(t)
-	of := func(q *Request) { q.Tenant = "t" }
-	for range 10 { // uses up the tenant's share at this router
-		driver.request("high", "k", of)
+	for range 10 { // uses up the tenant's quota at this router
+		driver.request("high", "k", ofTenant)
 	}
-	for _, s := range driver.router.servers {
-		for i := range 200 {
-			s.gauge.observe(driver.now, 50*ms, i%2 == 0) // past the lowest threshold only; the origin is not quiet
+	for _, srv := range driver.router.servers {
+		for i := range 200 { // past the lowest threshold only; the origin is not quiet
+			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
 		}
 	}
-	over, within := 0, 0
+	beyond, within := 0, 0
 	for i := range 60 {
-		_, actions := driver.request("high", fmt.Sprint("x", i), of)
-		over += len(actionsOf[Reject](actions))
+		_, actions := driver.request("high", fmt.Sprint("x", i), ofTenant)
+		beyond += len(actionsOf[Reject](actions))
 		_, actions = driver.request("high", fmt.Sprint("y", i), nil)
 		within += len(actionsOf[Reject](actions))
 	}
-	if over == 0 || within > 0 {
-		t.Errorf("refused %d beyond the share and %d within, want some and none", over, within)
+	if beyond == 0 || within > 0 {
+		t.Errorf("got %d rejected beyond the quota and %d within it, want some and none", beyond, within)
 	}
 }
 
+// TestSmallQuotaIsNotTakenForExcess: a tenant with less than one request a second at this router is not over its quota
+// with each of them.
 func TestSmallQuotaIsNotTakenForExcess(t *testing.T) {
 	settings := testSettings()
-	settings.Nodes = 40 // so the share is half a request a second here
+	settings.Nodes = 40 // so that the quota is half a request a second here
 	driver := newDriver(t, settings, "s1")
-	of := func(q *Request) { q.Tenant = "t" }
-	beyond := func(gap time.Duration) (n int) {
+	countOverQuota := func(gap time.Duration) (count int) {
 		for range 30 {
-			id, _ := driver.request("high", "k", of)
+			id, _ := driver.request("high", "k", ofTenant)
 			if driver.router.requests[id].isOverQuota {
-				n++
+				count++
 			}
 			driver.endAttempt(id, Succeeded, 50*ms)
 			driver.now += gap
 		}
-		return n
+		return count
 	}
-	if n := beyond(2500 * ms); n > 0 {
-		t.Errorf("%d of 30 requests within the share were taken for excess", n)
+	if got := countOverQuota(2500 * ms); got > 0 {
+		t.Errorf("within the quota: got %d of 30 requests over it, want none", got)
 	}
-	if n := beyond(500 * ms); n < 15 {
-		t.Errorf("%d of 30 requests at four times the share were taken for excess, want most", n)
+	if got := countOverQuota(500 * ms); got < 15 {
+		t.Errorf("at four times the quota: got %d of 30 requests over it, want most", got)
 	}
 }
 
+// TestRoutersDoNotShedInStep: routers under the same load do not all reject the same of their misses.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	first := map[int]int{} // routers by the miss that each refuses first
+	firstRejected := map[int]int{} // routers by the miss that each rejects first
 	for seed := range uint64(60) {
-		r, err := New(testSettings(), seed)
+		router, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := gauge{objectives: r.newObjectives(), samples: 100, overTarget: 120 * shedThresholds[degraded], fadedAt: r.now} // a fifth of the way up the curve
-		for i := 1; i < 1000; i++ {
-			if r.shouldShed(degraded, &g) {
-				first[i]++
+		loaded := gauge{ // a fifth of the way from the threshold to where all is shed
+			objectives: router.newObjectives(),
+			samples:    100,
+			overTarget: 120 * shedThresholds[degraded],
+			fadedAt:    router.now,
+		}
+		for miss := 1; miss < 1000; miss++ {
+			if router.shouldShed(degraded, &loaded) {
+				firstRejected[miss]++
 				break
 			}
 		}
 	}
-	if len(first) < 4 {
-		t.Errorf("60 routers refuse their first miss at only %d different places: %v", len(first), first)
+	if len(firstRejected) < 4 {
+		t.Errorf("60 routers reject their first miss at these places: %v, want at least 4", firstRejected)
 	}
 }
 
-// While the node is behind with its own work a share of what may be refused is, the lowest worth first; writes and
-// critical reads never are.
+// TestLoadLevelShedsTheLowestPriorityWeight: while the node is behind with its own work a share of what may be shed is,
+// the lowest weight first; writes and critical reads never are.
 func TestLoadLevelShedsTheLowestPriorityWeight(t *testing.T) {
 	driver := newTrainedDriver(t)
-	refused := func(class string, change func(*Request)) (n int) {
+	countRejected := func(class string, change func(*Request)) (count int) {
 		for range 100 {
 			id, actions := driver.request(class, fmt.Sprint("s", driver.nextID), change)
 			if len(actionsOf[Reject](actions)) > 0 {
-				n++
+				count++
 				continue
 			}
 			driver.now += ms
 			driver.endAttempt(id, Succeeded, ms)
 		}
-		return n
+		return count
 	}
 	driver.handle(LoadLevel{Level: 0.25})
-	low, middle, high, writes := refused("low", nil), refused("middle", nil), refused("high", nil), refused("low", asWrite)
+	low, middle, high := countRejected("low", nil), countRejected("middle", nil), countRejected("high", nil)
+	writes := countRejected("low", asWrite)
 	if low < 60 || middle < 15 || middle > 35 || high != 0 || writes != 0 {
-		t.Errorf("refused of 100: low %d, middle %d, high %d, writes %d", low, middle, high, writes)
+		t.Errorf("got %d low, %d middle, %d high reads and %d writes of 100 each rejected, "+
+			"want at least 60, 15 to 35, none and none", low, middle, high, writes)
 	}
 	driver.handle(LoadLevel{})
-	if n := refused("low", nil); n != 0 {
-		t.Errorf("%d refused when it is no longer behind", n)
+	if got := countRejected("low", nil); got != 0 {
+		t.Errorf("no longer behind: got %d rejected, want none", got)
 	}
 }
 
-// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold: a share of slow hits far under the threshold of fetches
-// sends reads past a crowded server while the origin is quiet.
+// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold: a share of slow hits far under the threshold of fetches sends
+// reads past a crowded server while the origin is quiet.
 func TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold(t *testing.T) {
 	driver := newTrainedDriver(t)
-	s := driver.router.serverByID[driver.ownerOf("k")]
+	crowded := driver.router.serverByID[driver.ownerOf("k")]
 	for i := range 100 {
+		latency := 20 * ms
+		if i%5 == 0 {
+			latency = 400 * ms
+		}
 		driver.now += 10 * ms
-		s.gauge.observe(driver.now, map[bool]time.Duration{true: 400 * ms, false: 20 * ms}[i%5 == 0], false)
+		crowded.gauge.observe(driver.now, latency, false)
 	}
-	past := 0
+	passing := 0
 	for i := range 40 {
 		driver.request("low", "k", nil)
-		_, actions := driver.request("low", fmt.Sprint("k", i, "x"), nil)
-		if driver.ownerOf(fmt.Sprint("k", i, "x")) == s.ID && len(actionsOf[Send](actions)) == 1 && driver.sentTo(actions) == "o" {
-			past++
+		key := fmt.Sprint("k", i, "x")
+		_, actions := driver.request("low", key, nil)
+		sends := actionsOf[Send](actions)
+		if driver.ownerOf(key) == crowded.ID && len(sends) == 1 && sends[0].Server == originID {
+			passing++
 		}
 		driver.feedOrigin(1, 50*ms, Succeeded)
 	}
-	if past == 0 {
+	if passing == 0 {
 		t.Error("no read went past a server with a fifth of its answers slow")
 	}
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -3,73 +3,73 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"shelfproxy/internal/fleet/gossip"
-	"strconv"
 	"testing"
 	"time"
+
+	"shelfproxy/internal/fleet/gossip"
 )
 
+// isAdmitted reports whether a server that warms up takes a request for the key, where it was a candidate for as many.
+func (driver *routerDriver) isAdmitted(srv *server, key string, offered float64) bool {
+	srv.offered = offered
+	return driver.router.admitsDuringSlowStart(srv, &request{Request: Request{Key: key}})
+}
+
+// TestRestartedServerStaysWithinItsBudget: a server that restarted gets a part of its keys, and all of them when it is
+// warm. A hot key must not overload it either.
 func TestRestartedServerStaysWithinItsBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
-	cold := func(n int) (sent int) {
-		for i := range n {
+	countSent := func(requests int) (count int) {
+		for i := range requests {
 			id, actions := driver.request("high", fmt.Sprint("c", driver.nextID, i), nil)
 			if driver.sentTo(actions) == "s3" {
-				sent++
+				count++
 			}
 			driver.now += 5 * ms
 			driver.endAttempt(id, Succeeded, 5*ms)
 		}
-		return sent
+		return count
 	}
-	warm := cold(600)
+	warm := countSent(600)
 	driver.now += upkeepInterval
-	driver.handle(TimerFired{upkeepToken})
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s3", Kind: "cache", StartedAt: driver.now, Capacity: 1}}})
-	if fresh := cold(600); fresh == 0 || fresh > warm*6/10 {
-		t.Errorf("a server that just started was sent %d, when warm %d", fresh, warm)
+	driver.runUpkeep()
+	driver.restart("s3", "")
+	if got := countSent(600); got == 0 || got > warm*6/10 {
+		t.Errorf("just started: got %d requests, %d when warm, want some and at most 0.6 of that", got, warm)
 	}
 	driver.now += 21 * time.Second
-	if back := cold(600); back < warm*8/10 {
-		t.Errorf("a warm server was sent %d, want about %d", back, warm)
-	}
-	// One hot key must not push it over either: all reads of a key it owns come at once.
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s3", Kind: "cache", StartedAt: driver.now, Capacity: 1}}})
-	owned := ""
-	for i := 0; owned == "" && i < 1000; i++ {
-		if key := fmt.Sprint("o", i); driver.ownerOf(key) == "s3" {
-			owned = key
-		}
+	if got := countSent(600); got < warm*8/10 {
+		t.Errorf("warm again: got %d requests, want about %d", got, warm)
 	}
-	sent := 0
+	// All reads of a key that it owns come at once.
+	driver.restart("s3", "")
+	key := driver.keyOwnedBy("s3", "o")
+	got := 0
 	for range 200 {
-		if _, actions := driver.request("high", owned, nil); driver.sentTo(actions) == "s3" {
-			sent++
+		if _, actions := driver.request("high", key, nil); driver.sentTo(actions) == "s3" {
+			got++
 		}
 	}
-	// An average server is asked for about 100 in the window of popularity.
-	if limit := 3 * 0.2 * 110; float64(sent) > limit {
-		t.Errorf("a surge sent %d to a cold server, want at most %.0f", sent, limit)
+	// An average server gets about 100 requests in the window of popularity.
+	if limit := 3 * 0.2 * 110; float64(got) > limit {
+		t.Errorf("hot key while it warms up: got %d requests, want at most %.0f", got, limit)
 	}
 }
 
+// TestManyRoutersTogetherSpareARestartedServer: each of 400 routers sees few requests, a third of them for a key of the
+// server that restarted.
 func TestManyRoutersTogetherSpareARestartedServer(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 400
-	names := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
-	driver := newDriver(t, settings, names...)
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", StartedAt: driver.now, Capacity: 1}}})
-	hot := "" // a key that s1 owns even when cold
-	for i := 0; hot == ""; i++ {
-		if key := fmt.Sprint("h", i); driver.ownerOf(key) == "s1" {
-			hot = key
-		}
-	}
+	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
+	driver := newDriver(t, settings, ids...)
+	driver.restart("s1", "")
+	hot := driver.keyOwnedBy("s1", "h") // also while it warms up
 	sent, offered := 0, 0
 	for seed := range uint64(settings.Nodes) {
-		driver := newDriver(t, settings, names...)
+		driver := newDriver(t, settings, ids...)
 		driver.router.rng = rand.New(rand.NewPCG(seed, 1))
-		for i := range 40 { // a popular key of s1 brings a third of all requests
+		for i := range 40 {
 			driver.now += 500 * ms
 			key := fmt.Sprint("x", i)
 			if i%3 == 0 {
@@ -78,7 +78,7 @@
 			id, actions := driver.request("high", key, nil)
 			driver.handle(Outcome{ID: id, Reason: Succeeded, Took: ms, Ended: true})
 			if i == 20 {
-				driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", StartedAt: driver.now, Capacity: 1}}})
+				driver.restart("s1", "")
 			}
 			if i > 20 && i <= 26 {
 				offered++
@@ -88,226 +88,234 @@
 			}
 		}
 	}
-	// An average server gets a tenth; the cold one can do at least a fifth of what it could when warm, and the
-	// rule allows three times that.
+	// An average server gets a tenth; one that warms up can do at least a fifth of what it could when warm, and the
+	// overload factor allows three times that.
 	if limit := offered / 10 * 2 * 3 / 10; sent == 0 || sent > limit {
-		t.Errorf("a cold server with a hot key was sent %d of %d, want some and at most %d", sent, offered, limit)
+		t.Errorf("got %d of %d requests at a restarted server with a hot key, want some and at most %d", sent, offered, limit)
 	}
 }
 
+// TestPartsOfHotKeysCountAgainstTheSlowStartBudget: hot keys of other servers are spread over one that warms up, within
+// its budget.
 func TestPartsOfHotKeysCountAgainstTheSlowStartBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
-	var hot []string // keys that s1 does not own but is next for, when cold
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", StartedAt: driver.now, Capacity: 1}}})
+	driver.restart("s1", "")
+	var hot []string // keys that s1 does not own but is next for while it warms up
 	for i := 0; len(hot) < 3; i++ {
-		slot := slotOf(fmt.Sprint("h", i))
-		_, at := driver.router.nextServer(slot, 0, &request{})
-		if s, _ := driver.router.nextServer(slot, at, &request{}); s.ID == "s1" {
-			hot = append(hot, fmt.Sprint("h", i))
+		key := fmt.Sprint("h", i)
+		_, score := driver.router.nextServer(slotOf(key), 0, &request{})
+		if next, _ := driver.router.nextServer(slotOf(key), score, &request{}); next.ID == "s1" {
+			hot = append(hot, key)
 		}
 	}
-	sent := 0
+	got := 0
 	for i := range 600 {
 		driver.now += 5 * ms
 		id, actions := driver.request("high", hot[i%3], nil)
 		if driver.sentTo(actions) == "s1" {
-			sent++
+			got++
 		}
 		driver.endAttempt(id, Succeeded, 5*ms)
 	}
-	// Spread evenly s1 would get an eighth, 75; it can do at least a fifth of that, and the rule allows thrice.
-	if sent > 45 {
-		t.Errorf("parts of three hot keys brought %d of 600 requests to a cold server, want at most 45", sent)
+	// Spread evenly s1 would get an eighth, 75; it can do at least a fifth of that, and the overload factor is 3.
+	if got > 45 {
+		t.Errorf("three hot keys: got %d of 600 requests at a server that warms up, want at most 45", got)
 	}
 }
 
+// TestSlowStartBudgetFollowsAnswersNotDemand: in a storm clients ask again and again, and one request in ten is answered.
 func TestSlowStartBudgetFollowsAnswersNotDemand(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
-	for i := range 600 { // a storm: clients ask again and again, one request in ten is answered
+	for i := range 600 {
 		id, actions := driver.request("high", fmt.Sprint("k", i), nil)
 		if i%10 == 0 && len(actionsOf[Send](actions)) == 1 {
 			driver.endAttempt(id, Succeeded, 5*ms)
 		}
 		driver.handle(ClientDisconnected{id})
 	}
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s3", Kind: "cache", StartedAt: driver.now, Capacity: 1}}})
-	cold, taken := driver.router.serverByID["s3"], 0
-	cold.offered = 0
-	for range 100 {
-		cold.offered++
-		if driver.router.admitsDuringSlowStart(cold, &request{Request: Request{Key: "k1"}}) {
-			taken++
+	driver.restart("s3", "")
+	restarted, admitted := driver.router.serverByID["s3"], 0
+	for offered := range 100 {
+		if driver.isAdmitted(restarted, "k1", float64(offered+1)) {
+			admitted++
 		}
 	}
-	// Each server answered 20. Three times a fifth of that is 12, and the first few pass before it is known as hot.
-	if taken == 0 || taken > 45 {
-		t.Errorf("%d of 100 requests may go to a cold server while an average one answers 20, want 1 to 45", taken)
+	// Each server answered 20. Three times a fifth of that is 12, and the first few pass before the key is known as hot.
+	if admitted == 0 || admitted > 45 {
+		t.Errorf("got %d of 100 requests admitted while an average server answers 20, want 1 to 45", admitted)
 	}
 }
 
 // TestFleetSparesTheRestartedOwnerOfAHotKey: a tenth of all requests are for one key when the server that owns it
-// starts anew. Each of 300 routers would send its first one there, as it knows of no other; a third of them have only
-// started themselves. Any 1.5 s bring it less than would push it over, were it to grow no warmer meanwhile.
+// restarts. Each of 300 routers would send its first one there, as it knows of no other; a third of them have only just
+// started themselves. Any 1.5 s bring the server less than would overload it, were it to grow no warmer meanwhile.
 func TestFleetSparesTheRestartedOwnerOfAHotKey(t *testing.T) {
-	fleet := newFleet(t, 300, true, 0.1, serverIDs(50)...)
-	owner := fleet.drivers[0].ownerOf("hot")
-	const steps, start = 1400, 800
-	sent, all := make([]int, steps), 0
-	for n := range steps {
-		if n == start {
-			for i, driver := range fleet.drivers {
-				if i%3 == 0 {
-					now := driver.now
-					*driver = *newDriver(t, driver.router.settings, serverIDs(50)...)
-					driver.now = now
-					driver.router.rng = rand.New(rand.NewPCG(uint64(i), 8))
-				}
-				driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: owner, Kind: "cache", Zone: "a", Capacity: 1, StartedAt: driver.now}}})
-			}
+	const (
+		steps, restartAt = 1400, 800
+		servers          = 50
+		window           = 150 // steps in 1.5 s
+	)
+	fleet := newFleet(t, 300, true, 0.1, serverIDs(servers)...)
+	ownerID := fleet.drivers[0].ownerOf("hot")
+	sent, requests := make([]int, steps), 0 // sent to the owner, by step
+	for step := range steps {
+		if step == restartAt {
+			fleet.restartOwnerAndThird(ownerID, serverIDs(servers))
 		}
-		heard := fleet.deliverable()
+		received := fleet.deliverable()
 		for i, driver := range fleet.drivers {
-			fleet.advanceOne(n, i, heard, neverDown)
-			if (n+i)%20 != 0 { // 5 requests a second: two thirds of a second until a router meets the key twice
+			fleet.tick(step, i, received, neverDown)
+			if (step+i)%20 != 0 { // 5 requests a second: two thirds of a second until a router meets the key twice
 				continue
 			}
-			key := fleet.drawKey(true)
-			id, actions := driver.request("high", key, nil)
-			to := driver.sentTo(actions)
-			if all++; to == owner {
-				sent[n]++
+			id, actions := driver.request("high", fleet.drawKey(true), nil)
+			requests++
+			if driver.sentTo(actions) == ownerID {
+				sent[step]++
 			}
 			fleet.carryOut(i, actions, neverDown)
 			fleet.carryOut(i, driver.endAttempt(id, Succeeded, 10*ms), neverDown)
 		}
 	}
 	settings := fleet.drivers[0].router.settings
-	fair := float64(all) / steps * 150 / 50 // of one server in 1.5 s
-	most, total := 0, 0
-	for n := start; n+150 <= steps; n++ {
-		in := 0
-		for _, k := range sent[n : n+150] {
-			in += k
-		}
-		most = max(most, in)
-	}
-	for _, k := range sent[start:] {
-		total += k
+	fair := float64(requests) / steps * window / servers // of one server
+	most, total := 0, sum(sent[restartAt:])
+	for step := restartAt; step+window <= steps; step++ {
+		most = max(most, sum(sent[step:step+window]))
 	}
-	t.Logf("at most %d in 1.5 s, %d in 6 s; a warm server is asked %.0f in 1.5 s", most, total, fair)
+	t.Logf("at most %d in 1.5 s, %d in 6 s; a warm server gets %.0f in 1.5 s", most, total, fair)
 	if limit := settings.OverloadFactor * settings.SlowStartFloor * fair; float64(most) > limit || total == 0 {
-		t.Errorf("%d requests reached the cold server in 1.5 s, %.0f push it over; %d in all", most, limit, total)
+		t.Errorf("got %d requests at the restarted server in 1.5 s, %d in all, want at most %.0f, which overload it, and some",
+			most, total, limit)
+	}
+}
+
+// sum returns the sum of the counts.
+func sum(counts []int) (total int) {
+	for _, count := range counts {
+		total += count
+	}
+	return total
+}
+
+// restartOwnerAndThird restarts every third router, which forgets all, and tells all routers that the owner restarted.
+func (fleet *simulatedFleet) restartOwnerAndThird(ownerID string, servers []string) {
+	for i, driver := range fleet.drivers {
+		if i%3 == 0 {
+			now := driver.now
+			*driver = *newDriver(driver.t, driver.router.settings, servers...)
+			driver.now = now
+			driver.router.rng = rand.New(rand.NewPCG(uint64(i), 8))
+		}
+		driver.restart(ownerID, "a")
 	}
 }
 
-// TestSlowStartAdmitsByPopularityAtAllRouters: a router that was asked nothing of a cold server lets it have an
-// ordinary key, and one in many of the requests for a key that the others tell of.
+// TestSlowStartAdmitsByPopularityAtAllRouters: a router that had no request for a server that warms up lets it have an
+// ordinary key, and one in many of the requests for a key that is popular at the other routers.
 func TestSlowStartAdmitsByPopularityAtAllRouters(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 300
 	driver := newDriver(t, settings, serverIDs(50)...)
 	driver.readOtherKeys(400)
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s20", Kind: "cache", Zone: "a", Capacity: 1, StartedAt: driver.now}}})
-	for i := range 400 { // half of what the others tell
+	driver.restart("s20", "a")
+	for i := range 400 { // half of what the others report
 		for _, key := range []string{"hot", fmt.Sprint("ordinary", i%200)} {
 			driver.router.keyCounts.Add(driver.now, gossip.FingerprintOf(hash(key)), 50)
 		}
 	}
-	cold := driver.router.serverByID["s20"]
-	taken := func(key string) (n int) {
+	countAdmitted := func(key string) (count int) {
 		for range 1000 {
-			if cold.offered = 0; driver.router.admitsDuringSlowStart(cold, &request{Request: Request{Key: key}}) {
-				n++
+			if driver.isAdmitted(driver.router.serverByID["s20"], key, 0) {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	if ordinary, hot := taken("ordinary7"), taken("hot"); ordinary < 500 || hot == 0 || hot > 150 {
-		t.Errorf("of 1000 lots a cold server has %d for an ordinary key and %d for a hot one", ordinary, hot)
+	if ordinary, hot := countAdmitted("ordinary7"), countAdmitted("hot"); ordinary < 500 || hot == 0 || hot > 150 {
+		t.Errorf("got %d of 1000 requests admitted for an ordinary key and %d for a hot one, want at least 500 and 1 to 150",
+			ordinary, hot)
 	}
 }
 
-// TestSlowStartBudgetDoesNotGrowWhenOthersLeave: what one server answers is judged by how many there were as it did.
-// Half of them go: a cold one bears no more than it did a moment before.
-func TestSlowStartBudgetDoesNotGrowWhenOthersLeave(t *testing.T) {
-	settings := testSettings()
-	driver := newDriver(t, settings, serverIDs(8)...)
+// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved: what one server answers is judged by how many there were as it
+// did. Half of them go: one that warms up takes no more than it did a moment before.
+func TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved(t *testing.T) {
+	driver := newDriver(t, testSettings(), serverIDs(8)...)
 	for i := range 400 {
 		driver.now += 5 * ms
-		id, _ := driver.request("high", "k"+strconv.Itoa(i), nil)
+		id, _ := driver.request("high", fmt.Sprint("k", i), nil)
 		driver.endAttempt(id, Succeeded, 10*ms)
 	}
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", Zone: "a", Capacity: 1, StartedAt: driver.now}}})
-	taken := func() (n int) {
-		cold := driver.router.serverByID["s1"]
+	driver.restart("s1", "a")
+	countAdmitted := func() (count int) {
 		for range 4000 {
-			cold.offered = 30 * driver.router.requestWeight
-			if driver.router.admitsDuringSlowStart(cold, &request{Request: Request{Key: "k1"}}) {
-				n++
+			if driver.isAdmitted(driver.router.serverByID["s1"], "k1", 30*driver.router.requestWeight) {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	before := taken()
-	var gone []Server
+	before := countAdmitted()
+	var removed []Server
 	for _, id := range serverIDs(8)[4:] {
-		gone = append(gone, Server{ID: id, Kind: "cache", Zone: "a", Capacity: 1, State: Removed})
+		removed = append(removed, Server{ID: id, Kind: "cache", Zone: "a", Capacity: 1, State: Removed})
 	}
-	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: gone})
-	if after := taken(); before == 0 || after > before*5/4 {
-		t.Errorf("of 4000 lots it had %d, and %d once half of the others had left", before, after)
+	driver.update(removed...)
+	if got := countAdmitted(); before == 0 || got > before*5/4 {
+		t.Errorf("got %d of 4000 requests admitted once half of the servers were removed, %d before, want at most 5/4 of that",
+			got, before)
 	}
 }
 
-// A server that was silent and answers again counts as cold, as it may have restarted. That it was only cut off shows
-// by what it still holds; that it restarted by a connect that was refused meanwhile, a miss or the list.
+// TestUnreachableServerIsDistinguishedFromRestartedOne: a server that was unresponsive and answers again warms up, as it
+// may have restarted. That it was only unreachable shows by hits; that it restarted by a connect that was refused
+// meanwhile, by a miss, or by the list.
 func TestUnreachableServerIsDistinguishedFromRestartedOne(t *testing.T) {
 	for name, test := range map[string]struct {
-		meanwhile Reason // how an attempt ended while it was silent
-		took      time.Duration
-		answers   []Reason
-		cold      bool
+		meanwhile     Reason // how an attempt ended while it was unresponsive
+		took          time.Duration
+		answers       []Reason
+		wantWarmingUp bool
 	}{
-		"nothing shown yet":            {TimedOut, time.Second, nil, true},
-		"it still holds its copies":    {TimedOut, time.Second, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, false},
-		"it holds some and lacks some": {TimedOut, time.Second, []Reason{Succeeded, Miss, Succeeded, Succeeded, Succeeded, Succeeded}, true},
-		"it refused a connect":         {NoConnection, 2 * ms, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, true},
-		"a connect never came up":      {NoConnection, 250 * ms, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, false},
+		"nothing shown yet":     {TimedOut, time.Second, nil, true},
+		"hits":                  {TimedOut, time.Second, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, false},
+		"hits and a miss":       {TimedOut, time.Second, []Reason{Succeeded, Miss, Succeeded, Succeeded, Succeeded, Succeeded}, true},
+		"a connect was refused": {NoConnection, 2 * ms, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, true},
+		"a connect timed out":   {NoConnection, 250 * ms, []Reason{Succeeded, Succeeded, Succeeded, Succeeded}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			driver := newDriver(t, testSettings(), "s1")
 			driver.readOtherKeys(20)
 			srv := driver.router.serverByID["s1"]
-			driver.request("high", "lost", func(q *Request) { q.Deadline += time.Minute })
-			lost := driver.nextID - 1
-			var actions []Action
-			for driver.now += 2 * time.Second; len(actionsOf[HealthCheck](actions)) == 0; driver.now += upkeepInterval {
-				actions = driver.handle(TimerFired{upkeepToken})
-			}
+			pending, _ := driver.request("high", "pending", func(request *Request) { request.Deadline += time.Minute })
+			driver.now += 2 * time.Second
+			driver.awaitHealthCheck()
 			for range 2 {
 				driver.now += 300 * ms
 				driver.handle(HealthChecked{Server: "s1", Reason: TimedOut})
 			}
 			if !srv.isUnresponsive {
-				t.Fatal("not silent")
+				t.Fatal("after two failed health checks the server is not unresponsive")
 			}
 			driver.now += 2 * time.Second
-			driver.handle(Outcome{ID: lost, Attempt: 0, Reason: test.meanwhile, Took: test.took})
+			driver.handle(Outcome{ID: pending, Attempt: 0, Reason: test.meanwhile, Took: test.took})
 			driver.now += time.Second
 			driver.handle(HealthChecked{Server: "s1", Reason: Succeeded})
-			if srv.isUnresponsive || driver.router.slowStartWeight(srv) > 0.3 {
-				t.Fatal("it is not back, or not taken to be cold at first")
+			if weight := driver.router.slowStartWeight(srv); srv.isUnresponsive || weight > 0.3 {
+				t.Fatalf("after an answer: unresponsive %v, slow start weight %.2f, want it back and warming up",
+					srv.isUnresponsive, weight)
 			}
 			for i, reason := range test.answers {
 				id, actions := driver.request("high", fmt.Sprint("k", i), nil)
-				for driver.sentTo(actions) != "s1" { // for a cold server lots are drawn; the others go to the origin
+				for driver.sentTo(actions) != "s1" { // what it does not admit goes to the origin
 					driver.endAttempt(id, Succeeded, 5*ms)
 					id, actions = driver.request("high", fmt.Sprint("k", i, driver.nextID), nil)
 				}
-				driver.handle(Outcome{ID: id, Attempt: 0, Server: "s1", Reason: reason, Took: 5 * ms, Ended: reason == Succeeded})
+				driver.handle(Outcome{ID: id, Server: "s1", Reason: reason, Took: 5 * ms, Ended: reason == Succeeded})
 			}
-			if cold := driver.router.slowStartWeight(srv) < 1; cold != test.cold {
-				t.Errorf("counts as cold: %v, want %v", cold, test.cold)
+			if got := driver.router.isWarmingUp(srv); got != test.wantWarmingUp {
+				t.Errorf("after its answers: warming up %v, want %v", got, test.wantWarmingUp)
 			}
 		})
 	}
--- a/internal/policy/utilisation_test.go
+++ b/internal/policy/utilisation_test.go
@@ -6,46 +6,57 @@
 	"time"
 )
 
+// originUtilisation returns the share of the origin's recent answers over the target and over the maximum.
+func (driver *routerDriver) originUtilisation() (overTarget, overMax float64) {
+	return driver.router.origin.gauge.utilisation(driver.now)
+}
+
+// TestTargetIsLearnedOnlyInQuietTimes: an overloaded origin must not pass for the normal one.
 func TestTargetIsLearnedOnlyInQuietTimes(t *testing.T) {
 	driver := newTrainedDriver(t)
-	target := driver.router.origin.gauge.target
+	before := driver.router.origin.gauge.target
 	driver.feedOrigin(200, 900*ms, Succeeded)
-	if got := driver.router.origin.gauge.target; got > target*5/4 {
-		t.Errorf("a crowded origin moved the target from %v to %v", target, got)
+	if got := driver.router.origin.gauge.target; got > before*5/4 {
+		t.Errorf("after an overload: got a target of %v, want about %v as before", got, before)
 	}
 }
 
+// TestFetchesInFlightCountAsSlow: a stalled origin answers nothing that could be measured.
 func TestFetchesInFlightCountAsSlow(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 20 {
 		driver.request("high", fmt.Sprint("stalled", driver.nextID), asWrite)
 	}
 	driver.now += 3 * time.Second
-	if target, maximum := driver.router.origin.gauge.utilisation(driver.now); target < 0.5 || maximum < 0.5 {
-		t.Errorf("utilisation %.2f/%.2f with 20 fetches stalled, want over 0.5", target, maximum)
+	if overTarget, overMax := driver.originUtilisation(); overTarget < 0.5 || overMax < 0.5 {
+		t.Errorf("20 fetches stalled: got utilisation %.2f/%.2f, want over 0.5", overTarget, overMax)
 	}
 }
 
+// TestFewFetchesAreJudgedByTheLatest: a router with a fetch every two seconds sees an overload, and that it is over.
 func TestFewFetchesAreJudgedByTheLatest(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.now += time.Minute
-	for range 4 { // one fetch in two seconds
+	for range 4 {
 		driver.now += 2 * time.Second
 		driver.feedOrigin(1, 900*ms, Succeeded)
 	}
-	if target, _ := driver.router.origin.gauge.utilisation(driver.now); target < shedThresholds[degraded] {
-		t.Errorf("utilisation %.2f after four slow fetches in eight seconds, want past a threshold", target)
+	if got, _ := driver.originUtilisation(); got < shedThresholds[degraded] {
+		t.Errorf("four slow fetches in eight seconds: got utilisation %.2f, want at least %.2f",
+			got, shedThresholds[degraded])
 	}
 	driver.now += time.Minute
-	if target, _ := driver.router.origin.gauge.utilisation(driver.now); target > 0.05 {
-		t.Errorf("utilisation %.2f after a minute without fetches, want none", target)
+	if got, _ := driver.originUtilisation(); got > 0.05 {
+		t.Errorf("a minute without fetches: got utilisation %.2f, want none", got)
 	}
 }
 
+// TestOverloadFromTheStartIsSeen: what is three times the shortest objective from the first fetch on is not learned as
+// normal.
 func TestOverloadFromTheStartIsSeen(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
-	driver.feedOrigin(12, 1500*ms, Succeeded) // three times the shortest aim, from the first fetch on
-	if target, maximum := driver.router.origin.gauge.utilisation(driver.now); target < 0.9 || maximum < 0.9 {
-		t.Errorf("utilisation %.2f/%.2f of an origin that was jammed from the start", target, maximum)
+	driver.feedOrigin(12, 1500*ms, Succeeded)
+	if overTarget, overMax := driver.originUtilisation(); overTarget < 0.9 || overMax < 0.9 {
+		t.Errorf("got utilisation %.2f/%.2f, want over 0.9", overTarget, overMax)
 	}
 }
