--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -6,31 +6,32 @@
 // control socket.
 type Explanation struct {
 	Key string `json:"key"`
-	// Heat is the part of an average server's requests that other requests for the key bring.
-	Heat float64 `json:"heat"`
+	// Popularity is the part of an average server's requests that other requests for the key bring.
+	Popularity float64 `json:"heat"`
 	// Servers are in the order in which requests for the key would go to them, then those that get none.
 	Servers []ServerExplanation `json:"servers"`
-	Origin  *OriginExplanation  `json:"origin,omitempty"`
+	// Origin is nil where none is listed for work.
+	Origin *OriginExplanation `json:"origin,omitempty"`
 }
 
 // ServerExplanation is one cache server of an Explanation.
 type ServerExplanation struct {
-	Server string   `json:"server"`
-	Zone   string   `json:"zone"`
-	Warmth float64  `json:"warmth"`        // share of its slots that it has while it warms up
-	Keeps  float64  `json:"keeps"`         // share of its slots that it keeps as an outlier
-	Slow   float64  `json:"slow_share"`    // of its recent answers
-	Out    int      `json:"out"`           // attempts in flight
-	Not    []string `json:"not,omitempty"` // why it gets no requests for the key
+	Server           string   `json:"server"`
+	Zone             string   `json:"zone"`
+	SlowStartWeight  float64  `json:"warmth"`     // share of its slots that it has while it warms up
+	KeptFraction     float64  `json:"keeps"`      // share of its slots that it keeps as an outlier
+	SlowFraction     float64  `json:"slow_share"` // share of its recent answers that were slow
+	InFlight         int      `json:"out"`        // attempts
+	ExclusionReasons []string `json:"not,omitempty"`
 }
 
 // OriginExplanation is the state of the origin.
 type OriginExplanation struct {
-	Slow    float64 `json:"slow_share"` // of its recent answers
-	Target  float64 `json:"target_ms"`  // latency over which an answer is slow, learned from quiet times
-	Out     int     `json:"out"`        // attempts in flight
-	Most    int     `json:"most"`       // that may be in flight
-	Waiting int     `json:"waiting"`    // requests in the queue for it
+	SlowFraction float64 `json:"slow_share"` // share of its recent answers that were slow
+	TargetMillis float64 `json:"target_ms"`  // latency over which an answer is slow, learned from quiet times
+	InFlight     int     `json:"out"`        // attempts
+	MaxInFlight  int     `json:"most"`
+	Queued       int     `json:"waiting"` // requests
 }
 
 // Explain returns where requests for a key go, and why not elsewhere. It changes nothing.
@@ -38,7 +39,7 @@
 	before := r.now
 	r.now = now
 	defer func() { r.now = before }()
-	explanation := Explanation{Key: key, Heat: r.keyPopularity(key), Servers: []ServerExplanation{}}
+	explanation := Explanation{Key: key, Popularity: r.keyPopularity(key), Servers: []ServerExplanation{}}
 	slot, anyRequest := slotOf(key), &request{}
 	isUsed := map[*server]bool{}
 	for srv, at := r.nextServer(slot, 0, anyRequest); srv != nil; srv, at = r.nextServer(slot, at, anyRequest) {
@@ -50,7 +51,7 @@
 			continue
 		}
 		unused := r.explainServer(srv)
-		unused.Not = r.exclusionReasons(srv, slot)
+		unused.ExclusionReasons = r.exclusionReasons(srv, slot)
 		explanation.Servers = append(explanation.Servers, unused)
 	}
 	if r.origin != nil {
@@ -87,12 +88,12 @@
 		gauge.aggregate = &aggregate
 	}
 	return ServerExplanation{
-		Server: srv.ID,
-		Zone:   srv.Zone,
-		Warmth: r.slowStartWeight(srv),
-		Keeps:  srv.assessment.KeptFraction,
-		Slow:   gauge.slowFraction(r.now),
-		Out:    len(gauge.inFlight),
+		Server:          srv.ID,
+		Zone:            srv.Zone,
+		SlowStartWeight: r.slowStartWeight(srv),
+		KeptFraction:    srv.assessment.KeptFraction,
+		SlowFraction:    gauge.slowFraction(r.now),
+		InFlight:        len(gauge.inFlight),
 	}
 }
 
@@ -100,10 +101,10 @@
 func (r *Router) explainOrigin() *OriginExplanation {
 	gauge := r.origin.gauge // a copy
 	return &OriginExplanation{
-		Slow:    gauge.slowFraction(r.now),
-		Target:  gauge.target.Seconds() * 1000,
-		Out:     len(gauge.inFlight),
-		Most:    r.originLimiter.Limit(),
-		Waiting: r.originQueue.Len(),
+		SlowFraction: gauge.slowFraction(r.now),
+		TargetMillis: gauge.target.Seconds() * 1000,
+		InFlight:     len(gauge.inFlight),
+		MaxInFlight:  r.originLimiter.Limit(),
+		Queued:       r.originQueue.Len(),
 	}
 }
--- a/internal/policy/explain_test.go
+++ b/internal/policy/explain_test.go
@@ -28,7 +28,7 @@
 	driver.router.serverByID[ownerID].isUnresponsive = true
 	explanation = driver.router.Explain(driver.now, "k")
 	last := explanation.Servers[len(explanation.Servers)-1]
-	if explanation.Servers[0].Server == ownerID || last.Server != ownerID || fmt.Sprint(last.Not) != "[silent]" {
+	if explanation.Servers[0].Server == ownerID || last.Server != ownerID || fmt.Sprint(last.ExclusionReasons) != "[silent]" {
 		t.Errorf("unresponsive owner: got %+v, want %s last, as it is silent", explanation, ownerID)
 	}
 }
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -9,16 +9,24 @@
 
 // TestGoldenExplanation: operators' scripts read the explanation of a key's place as JSON.
 func TestGoldenExplanation(t *testing.T) {
+	full := Explanation{
+		Key:        "anna",
+		Popularity: 0.5,
+		Servers: []ServerExplanation{
+			{Server: "s-1", Zone: "a", SlowStartWeight: 1, KeptFraction: 0.5, SlowFraction: 0.25, InFlight: 3},
+			{Server: "s-2", ExclusionReasons: []string{"silent"}},
+		},
+		Origin: &OriginExplanation{SlowFraction: 0.1, TargetMillis: 20, InFlight: 1, MaxInFlight: 2, Queued: 3},
+	}
 	var lines golden.Lines
 	for _, test := range []struct {
-		name string
-		why  Explanation
+		name        string
+		explanation Explanation
 	}{
-		{"full", Explanation{Key: "anna", Heat: 0.5, Servers: []ServerExplanation{{Server: "s-1", Zone: "a", Warmth: 1, Keeps: 0.5, Slow: 0.25, Out: 3},
-			{Server: "s-2", Not: []string{"silent"}}}, Origin: &OriginExplanation{Slow: 0.1, Target: 20, Out: 1, Most: 2, Waiting: 3}}},
+		{"full", full},
 		{"without origin", Explanation{Key: "", Servers: []ServerExplanation{}}},
 	} {
-		text, err := json.Marshal(test.why)
+		text, err := json.Marshal(test.explanation)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -125,33 +125,33 @@
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
 // validate returns a *SettingsError that names the first field which makes no sense.
-func (settings *Settings) validate() error {
+func (s *Settings) validate() error {
 	checks := []fieldCheck{
-		{settings.Nodes >= 1, "Nodes", mustBeAtLeastOne},
-		{settings.MaxAttempts >= 1, "MaxAttempts", mustBeAtLeastOne},
-		{isFraction(settings.SlowStartFloor), "SlowStartFloor", mustBeFromZeroToOne},
-		{settings.SlowStartDuration >= 0, "SlowStartDuration", mustNotBeNegative},
-		{settings.OverloadFactor > 0, "OverloadFactor", mustBePositive},
-		{settings.OverQuotaFraction >= 0, "OverQuotaFraction", mustNotBeNegative},
-		{settings.MaxPollInterval >= 0, "MaxPollInterval", mustNotBeNegative},
-		{settings.DrainGrace >= 0, "DrainGrace", mustNotBeNegative},
-		{settings.Tick >= 0, "Tick", mustNotBeNegative},
-		{settings.MaxRetryAfter >= 0, "MaxRetryAfter", mustNotBeNegative},
-		{settings.ConnectionCost >= 0, "ConnectionCost", mustNotBeNegative},
-		{settings.HandshakeCost >= 0, "HandshakeCost", mustNotBeNegative},
-		{settings.CrossZoneCost >= 0, "CrossZoneCost", mustNotBeNegative},
-		{isFraction(settings.AffinityBudget), "AffinityBudget", mustBeFromZeroToOne},
-		{isFraction(settings.MaxEjectedFraction), "MaxEjectedFraction", mustBeFromZeroToOne},
-		{len(settings.Classes) > 0, "Classes", mustNotBeEmpty},
+		{s.Nodes >= 1, "Nodes", mustBeAtLeastOne},
+		{s.MaxAttempts >= 1, "MaxAttempts", mustBeAtLeastOne},
+		{isFraction(s.SlowStartFloor), "SlowStartFloor", mustBeFromZeroToOne},
+		{s.SlowStartDuration >= 0, "SlowStartDuration", mustNotBeNegative},
+		{s.OverloadFactor > 0, "OverloadFactor", mustBePositive},
+		{s.OverQuotaFraction >= 0, "OverQuotaFraction", mustNotBeNegative},
+		{s.MaxPollInterval >= 0, "MaxPollInterval", mustNotBeNegative},
+		{s.DrainGrace >= 0, "DrainGrace", mustNotBeNegative},
+		{s.Tick >= 0, "Tick", mustNotBeNegative},
+		{s.MaxRetryAfter >= 0, "MaxRetryAfter", mustNotBeNegative},
+		{s.ConnectionCost >= 0, "ConnectionCost", mustNotBeNegative},
+		{s.HandshakeCost >= 0, "HandshakeCost", mustNotBeNegative},
+		{s.CrossZoneCost >= 0, "CrossZoneCost", mustNotBeNegative},
+		{isFraction(s.AffinityBudget), "AffinityBudget", mustBeFromZeroToOne},
+		{isFraction(s.MaxEjectedFraction), "MaxEjectedFraction", mustBeFromZeroToOne},
+		{len(s.Classes) > 0, "Classes", mustNotBeEmpty},
 	}
-	for _, class := range settings.Classes {
+	for _, class := range s.Classes {
 		path := func(field string) string { return fmt.Sprintf("Classes[%q].%s", class.Name, field) }
 		checks = append(checks,
 			fieldCheck{class.PriorityWeight >= 0, path("PriorityWeight"), mustNotBeNegative},
 			fieldCheck{class.LatencyObjective > 0, path("LatencyObjective"), mustBePositive},
 			fieldCheck{class.DedupWindow >= 0, path("DedupWindow"), mustNotBeNegative})
 	}
-	for _, tenant := range settings.Tenants {
+	for _, tenant := range s.Tenants {
 		path := fmt.Sprintf("Tenants[%q].Quota", tenant.Name)
 		checks = append(checks, fieldCheck{tenant.Quota >= 0, path, mustNotBeNegative})
 	}
