--- /dev/null
+++ b/internal/policy/healthcheck_test.go
@@ -0,0 +1,182 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestCorruptResponsesAndResetsAreNoSignOfDeath: after a corrupt response or a broken connection the server keeps its
+// keys, and the read with the corrupt response is retried where its object is. Nor is a health check whose connection
+// breaks a sign; two without an answer take the server out.
+func TestCorruptResponsesAndResetsAreNoSignOfDeath(t *testing.T) {
+	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
+	ownerID := driver.ownerOf("k")
+	id, _ := driver.request("low", "k", nil)
+	if got := driver.sentTo(driver.endAttempt(id, CorruptResponse, ms)); got != ownerID {
+		t.Errorf("second attempt: got %s, want the owner %s", got, ownerID)
+	}
+	if got := driver.sentTo(driver.endAttempt(id, CorruptResponse, ms)); got == ownerID {
+		t.Errorf("third attempt: got the owner %s, want another server", got)
+	}
+	driver.now += ms
+	id, _ = driver.request("low", "k", nil)
+	actions := driver.endAttempt(id, Reset, ms)
+	if driver.sentTo(actions) == ownerID || len(actionsOf[HealthCheck](actions)) != 1 || driver.ownerOf("k") != ownerID {
+		t.Errorf("after a reset: got %v and owner %s, want another server, a health check and owner %s",
+			actions, driver.ownerOf("k"), ownerID)
+	}
+	for _, test := range []struct {
+		result  Reason
+		wantOut bool
+	}{{Reset, false}, {Reset, false}, {NoConnection, false}, {NoConnection, true}} {
+		driver.now += ms
+		driver.handle(HealthChecked{Server: ownerID, Reason: test.result})
+		if isOut := driver.ownerOf("k") != ownerID; isOut != test.wantOut {
+			t.Errorf("after a health check with result %d: out %v, want %v", test.result, isOut, test.wantOut)
+		}
+	}
+}
+
+// TestServerIsOutAfterTwoFailedHealthChecks: what is in flight at it is cancelled and tried elsewhere, and once it
+// responds again it warms up.
+func TestServerIsOutAfterTwoFailedHealthChecks(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		results []Reason
+		wantOut bool
+	}{
+		{"answered", []Reason{Succeeded}, false},
+		{"rejected: the process is overloaded", []Reason{Rejected, Rejected}, false},
+		{"one failed at an overloaded server", []Reason{TimedOut, Succeeded}, false},
+		{"two failed", []Reason{TimedOut, TimedOut}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			driver := newDriver(t, testSettings(), "s1", "s2")
+			for i := range 40 {
+				id, _ := driver.request("high", fmt.Sprint(i), nil)
+				driver.now += 20 * ms
+				driver.endAttempt(id, Succeeded, 20*ms)
+			}
+			id, actions := driver.request("high", "k", func(request *Request) { request.Deadline += time.Minute })
+			serverID := driver.sentTo(actions)
+			driver.now += 2 * time.Second
+			driver.awaitHealthCheck()
+			actions = nil
+			for _, result := range test.results {
+				driver.now += 300 * ms
+				actions = append(actions, driver.handle(HealthChecked{Server: serverID, Reason: result})...)
+			}
+			cancels := actionsOf[Cancel](actions)
+			if isOut := len(cancels) == 1 && cancels[0].ID == id; isOut != test.wantOut {
+				t.Fatalf("got cancels %v, want the read cancelled: %v", cancels, test.wantOut)
+			}
+			if !test.wantOut {
+				return
+			}
+			if got := driver.sentTo(driver.endAttempt(id, Cancelled, time.Second)); got == serverID {
+				t.Errorf("retry: got the unresponsive server %s, want another one", got)
+			}
+			driver.now += 3 * time.Second
+			driver.handle(HealthChecked{Server: serverID, Reason: Succeeded})
+			srv := driver.router.serverByID[serverID]
+			if weight := driver.router.slowStartWeight(srv); srv.isUnresponsive || weight > 0.3 {
+				t.Errorf("after an answer: unresponsive %v, slow start weight %.2f, want it back and warming up",
+					srv.isUnresponsive, weight)
+			}
+		})
+	}
+}
+
+// awaitHealthCheck runs upkeep until a health check starts.
+func (driver *routerDriver) awaitHealthCheck() {
+	driver.t.Helper()
+	for range 1000 {
+		hasChecked := len(actionsOf[HealthCheck](driver.runUpkeep())) > 0
+		driver.now += upkeepInterval
+		if hasChecked {
+			return
+		}
+	}
+	driver.t.Fatal("no health check in 1000 rounds of upkeep")
+}
+
+// TestOneFailedConnectIsNoSignOfDeath: the cause may be a full connection table. The request goes elsewhere and the
+// server is checked.
+func TestOneFailedConnectIsNoSignOfDeath(t *testing.T) {
+	driver := newDriver(t, testSettings(), "s1", "s2")
+	id, actions := driver.request("high", "k", nil)
+	failedAt := driver.sentTo(actions)
+	actions = driver.endAttempt(id, NoConnection, 250*ms)
+	if driver.sentTo(actions) == failedAt || len(actionsOf[HealthCheck](actions)) != 1 {
+		t.Errorf("got %v, want a send to the next server and a health check", actions)
+	}
+	if driver.router.serverByID[failedAt].isUnresponsive {
+		t.Error("one failed connect took the server out")
+	}
+}
+
+// TestRechecksArePacedByTheFleetSize: the more routers there are, the less often each checks an unresponsive server.
+func TestRechecksArePacedByTheFleetSize(t *testing.T) {
+	for routers, want := range map[int]struct{ least, most int }{2: {15, 20}, 400: {4, 5}} {
+		settings := testSettings()
+		settings.Nodes = routers
+		driver := newDriver(t, settings, "s1", "s2")
+		driver.router.markUnresponsive(driver.router.serverByID["s1"])
+		got := 0
+		for range 80 { // twenty seconds
+			driver.now += upkeepInterval
+			for _, check := range actionsOf[HealthCheck](driver.runUpkeep()) {
+				if check.Server == "s1" {
+					got++
+					driver.handle(HealthChecked{Server: "s1", Reason: TimedOut})
+				}
+			}
+		}
+		if got < want.least || got > want.most {
+			t.Errorf("%d routers: got %d health checks of one in 20 s, want %d to %d", routers, got, want.least, want.most)
+		}
+	}
+}
+
+// TestUnresponsiveServerIsFoundWithoutHealthChecks: where health checks are not allowed, a server that nobody can connect
+// to is left out after a few attempts, gets one attempt at a time, and takes its keys again when it answers. Its zone is
+// not given up.
+func TestUnresponsiveServerIsFoundWithoutHealthChecks(t *testing.T) {
+	settings := testSettings()
+	settings.MayHealthCheck, settings.Zone = false, "a"
+	driver := newDriver(t, settings, "s1", "s2")
+	driver.update(Server{ID: "far", Kind: "cache", Zone: "b", Capacity: 1})
+	attemptsAtFar := func(span time.Duration, isDown bool) (count int) {
+		for end := driver.now + span; driver.now < end; driver.now += 20 * ms {
+			id, actions := driver.request("high", fmt.Sprint("k", driver.nextID), nil)
+			for range 4 {
+				sends := actionsOf[Send](actions)
+				if len(sends) == 0 {
+					break
+				}
+				reason, took := Succeeded, 10*ms
+				if sends[0].Server == "far" {
+					count++
+					if isDown {
+						reason, took = NoConnection, 150*ms
+					}
+				}
+				actions = driver.endAttempt(id, reason, took)
+			}
+			if driver.nextID%12 == 0 {
+				driver.runUpkeep()
+			}
+		}
+		return count
+	}
+	if got := attemptsAtFar(4*time.Second, true); got < 3 || got > 20 {
+		t.Errorf("first 4 s at a server that is down: got %d attempts, want 3 to 20", got)
+	}
+	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
+		t.Errorf("20 s at a server that was given up: got %d attempts, want 1 to 6", got)
+	}
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // it warms up at first
+		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
+	}
+}
--- /dev/null
+++ b/internal/policy/hotkey_test.go
@@ -0,0 +1,98 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestHotKeyIsSpreadOverServers: a key that half of all requests are for is not left to its owner.
+func TestHotKeyIsSpreadOverServers(t *testing.T) {
+	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4")
+	sends := map[string]int{} // of the hot key, by server
+	for i := range 400 {
+		key := "hot"
+		if i%2 == 0 {
+			key = fmt.Sprint("k", i)
+		}
+		_, actions := driver.request("high", key, nil)
+		if key == "hot" {
+			sends[driver.sentTo(actions)]++
+		}
+	}
+	if len(sends) < 3 {
+		t.Errorf("half of all requests went to %v, want at least 3 servers", sends)
+	}
+}
+
+// TestFleetSpreadsHotKeySoonerWithGossip: each of 100 routers has 10 requests a second for 50 servers, and from one
+// moment on a tenth of them are for one key. A router alone sees it once a second; together they spread it within one.
+func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
+	const hotFrom, countFrom, steps = 1000, 1050, 1150
+	ownerShare := map[bool]float64{} // by whether there is gossip
+	for _, mayGossip := range []bool{false, true} {
+		fleet := newFleet(t, 100, mayGossip, 0.1, serverIDs(50)...)
+		ownerID, atOwner, total := fleet.drivers[0].ownerOf("hot"), 0, 0
+		for step := range steps {
+			received := fleet.deliverable()
+			for i, driver := range fleet.drivers {
+				fleet.tick(step, i, received, neverDown)
+				if (step+i)%10 != 0 {
+					continue
+				}
+				key := fleet.drawKey(step > hotFrom)
+				id, actions := driver.request("high", key, nil)
+				fleet.carryOut(i, actions, neverDown)
+				if key == "hot" && step >= countFrom {
+					total++
+					if driver.sentTo(actions) == ownerID {
+						atOwner++
+					}
+				}
+				fleet.carryOut(i, driver.endAttempt(id, Succeeded, 10*ms), neverDown)
+			}
+		}
+		ownerShare[mayGossip] = float64(atOwner) / float64(total)
+		t.Logf("gossip %v: the owner gets %.2f of the requests for the hot key", mayGossip, ownerShare[mayGossip])
+	}
+	if ownerShare[true] > 0.6*ownerShare[false] {
+		t.Errorf("the owner of a hot key keeps %.2f of its requests, %.2f without gossip, want at most 0.6 of that",
+			ownerShare[true], ownerShare[false])
+	}
+}
+
+// TestHotKeysOfSmallServersAreSpreadSooner: a server's fair share goes by its capacity.
+func TestHotKeysOfSmallServersAreSpreadSooner(t *testing.T) {
+	const small, large = 1.0, 9.0
+	settings := testSettings()
+	settings.WeightByCapacity = true
+	driver := newDriver(t, settings)
+	list := EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: originID, Kind: "origin"}}}
+	for i, id := range serverIDs(20) {
+		list.Servers = append(list.Servers, Server{ID: id, Kind: "cache", Capacity: []float64{small, large}[i%2]})
+	}
+	driver.handle(list)
+	driver.readOtherKeys(400)
+	isSpread := map[float64]map[string]bool{small: {}, large: {}} // keys, by the capacity of the owner
+	for i := range 40 {
+		key := fmt.Sprint("warm", i)
+		owner, _ := driver.router.nextServer(slotOf(key), 0, &request{})
+		spread := isSpread[owner.Capacity]
+		for range 6 { // 0.15 to 0.25 of a mean server's share at the end; a small one's is 0.2, a large one's 1.8
+			id, actions := driver.request("high", key, nil)
+			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
+			driver.endAttempt(id, Succeeded, ms)
+		}
+	}
+	spreadFraction := func(keys map[string]bool) (fraction float64) {
+		for _, hasMoved := range keys {
+			if hasMoved {
+				fraction += 1 / float64(len(keys))
+			}
+		}
+		return fraction
+	}
+	ofSmall, ofLarge := spreadFraction(isSpread[small]), spreadFraction(isSpread[large])
+	if ofSmall < 0.5 || ofLarge > 0.1 {
+		t.Errorf("%.2f of the keys of small servers are spread and %.2f of large ones', want most and none", ofSmall, ofLarge)
+	}
+}
--- /dev/null
+++ b/internal/policy/roles_test.go
@@ -0,0 +1,193 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// holder is the router of a simulated fleet that has the role.
+const holder = 7
+
+// assign gives one router the role.
+func (fleet *simulatedFleet) assign(role Role) {
+	for i, driver := range fleet.drivers {
+		responsibility := AssignedElsewhere
+		if i == holder {
+			responsibility = AssignedHere
+		}
+		driver.handle(RoleAssigned{Role: role, Responsibility: responsibility})
+	}
+}
+
+// TestFleetSizeSetsThePaceOfChecksAndPolls: the routers that are there check an unresponsive server at the pace of the
+// whole fleet, and spread polls over the time that the whole fleet would; 0 means as many as configured.
+func TestFleetSizeSetsThePaceOfChecksAndPolls(t *testing.T) {
+	settings := testSettings()
+	settings.Nodes, settings.MayGossip, settings.DrainGrace = 60, true, 2500*ms
+	router := newDriver(t, settings, serverIDs(4)...).router
+	interval, spread := router.recheckInterval(), router.polls.SpreadOver
+	router.Handle(router.now, FleetSize{Nodes: 30})
+	if got := router.recheckInterval(); got != interval/2 {
+		t.Errorf("half of the fleet: got a recheck after %v, want %v", got, interval/2)
+	}
+	if got := router.polls.SpreadOver; got >= spread {
+		t.Errorf("half of the fleet: got polls spread over %v, want less than %v", got, spread)
+	}
+	router.Handle(router.now, FleetSize{})
+	if got := router.recheckInterval(); got != interval {
+		t.Errorf("as configured: got a recheck after %v, want %v", got, interval)
+	}
+	if got := router.polls.SpreadOver; got != spread {
+		t.Errorf("as configured: got polls spread over %v, want %v", got, spread)
+	}
+}
+
+// checkResult is what an outage of a server for 20 s costs a fleet.
+type checkResult struct {
+	healthChecks int           // in the last 17 s of the outage
+	recovery     time.Duration // until nine in ten routers have the server back
+}
+
+// playOutage returns what an outage costs a fleet of 60 routers, with or without a HealthChecker.
+func playOutage(t *testing.T, hasRole bool, lossRate float64) (result checkResult) {
+	t.Helper()
+	const (
+		routers   = 60
+		downID    = "s20"
+		downFrom  = 200
+		knownFrom = downFrom + 300 // all know by then
+		downUntil = 2200
+	)
+	fleet := newFleet(t, routers, true, lossRate, serverIDs(40)...)
+	fleet.rng = rand.New(rand.NewPCG(9, 9))
+	if hasRole {
+		fleet.assign(HealthChecker)
+	}
+	for step := range 6000 {
+		if step == knownFrom {
+			fleet.healthChecks = 0
+		}
+		fleet.serveStep(step, func(server string) Reason {
+			if server == downID && step >= downFrom && step < downUntil {
+				return NoConnection
+			}
+			return Succeeded
+		})
+		if step == downUntil-1 {
+			result.healthChecks = fleet.healthChecks
+		}
+		if step >= downUntil && routers-fleet.countUnresponsive(downID) >= routers*9/10 {
+			result.recovery = time.Duration(step-downUntil) * stepTime
+			return result
+		}
+	}
+	t.Fatalf("role assigned %v: the server never came back", hasRole)
+	return result
+}
+
+// TestAssignedHealthCheckerChecksForAll: with the role assigned, a server that is unresponsive for 20 s costs a fleet a
+// fraction of the health checks, and all have it back no later than without.
+func TestAssignedHealthCheckerChecksForAll(t *testing.T) {
+	for _, lossRate := range []float64{0, 0.1} {
+		unassigned, assigned := playOutage(t, false, lossRate), playOutage(t, true, lossRate)
+		t.Logf("%.0f%% of the datagrams lost: %+v with the role, %+v without", lossRate*100, assigned, unassigned)
+		if assigned.healthChecks*3 > unassigned.healthChecks || assigned.recovery > unassigned.recovery+500*ms {
+			t.Errorf("%.0f%% of the datagrams lost: got %+v with the role, %+v without, "+
+				"want a third of the health checks and 500 ms more at most", lossRate*100, assigned, unassigned)
+		}
+	}
+}
+
+// pollResult is what an outage of discovery costs a fleet.
+type pollResult struct {
+	failedPolls int
+	recovery    time.Duration // until all routers have the list again
+}
+
+// discoveryOutage is a discovery that does not answer for a while.
+type discoveryOutage struct {
+	length    time.Duration
+	hasList   []bool // by router
+	missing   int    // routers without the list
+	announced bool   // in this step
+	result    pollResult
+}
+
+// carryOut answers the polls of a router and keeps its announcements.
+func (outage *discoveryOutage) carryOut(at time.Duration, index int, driver *routerDriver, actions []Action) {
+	for len(actions) > 0 {
+		action := actions[0]
+		actions = actions[1:]
+		switch action.(type) {
+		case Subscribe:
+			scope := DeltaUpdate
+			if at < outage.length {
+				scope = PollFailed
+				outage.result.failedPolls++
+			} else if !outage.hasList[index] {
+				outage.hasList[index] = true
+				outage.missing--
+			}
+			actions = append(actions, driver.handle(EndpointUpdate{Scope: scope})...)
+		case Announce:
+			outage.announced = true
+		}
+	}
+}
+
+// playDiscoveryOutage returns what an outage of eight seconds costs a fleet of 80 routers, with or without a
+// DiscoveryPoller.
+func playDiscoveryOutage(t *testing.T, hasRole bool, lossRate float64) pollResult {
+	t.Helper()
+	const routers = 80
+	fleet := newFleet(t, routers, true, 0, "s1")
+	outage := discoveryOutage{length: 8 * time.Second, hasList: make([]bool, routers), missing: routers}
+	for _, driver := range fleet.drivers {
+		driver.router.settings.MustPoll = true
+		driver.handle(EndpointUpdate{Scope: PollFailed}) // the watch of each breaks
+	}
+	if hasRole {
+		fleet.assign(DiscoveryPoller)
+	}
+	for step := 0; ; step++ {
+		at := time.Duration(step) * stepTime
+		wasAnnounced := outage.announced
+		outage.announced = false
+		for i, driver := range fleet.drivers {
+			driver.now += stepTime
+			var actions []Action
+			if wasAnnounced && fleet.rng.Float64() >= lossRate {
+				actions = append(actions, driver.handle(RoleAnnouncement{DiscoveryPoller})...)
+			}
+			if isUpkeepStep(step, i) {
+				actions = append(actions, driver.runUpkeep()...)
+			}
+			outage.carryOut(at, i, driver, actions)
+		}
+		if outage.missing == 0 {
+			outage.result.recovery = at - outage.length
+			return outage.result
+		}
+		if at > time.Minute {
+			t.Fatalf("role assigned %v: %d of %d routers never have the list", hasRole, outage.missing, routers)
+		}
+	}
+}
+
+// TestAssignedPollerPollsForAll: while discovery does not answer, one router polls for all and announces when it answers
+// again. All have the list as soon as without, and poll two thirds as often at most; with every announcement lost each
+// still polls as soon as the bound on when a router counts as notified wants.
+func TestAssignedPollerPollsForAll(t *testing.T) {
+	unassigned, assigned := playDiscoveryOutage(t, false, 0), playDiscoveryOutage(t, true, 0)
+	unheard := playDiscoveryOutage(t, true, 1)
+	t.Logf("%+v without the role, %+v with it, %+v with every announcement lost", unassigned, assigned, unheard)
+	if assigned.failedPolls*3 > unassigned.failedPolls*2 {
+		t.Errorf("got %d failed polls with the role, want at most two thirds of %d",
+			assigned.failedPolls, unassigned.failedPolls)
+	}
+	if assigned.recovery > 6*time.Second || unheard.recovery > 4500*ms {
+		t.Errorf("got the list after %v, with every announcement lost after %v, want at most 6 s and 4.5 s",
+			assigned.recovery, unheard.recovery)
+	}
+}
--- /dev/null
+++ b/internal/policy/shedding_test.go
@@ -0,0 +1,231 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestLowestPriorityWeightIsShedFirst: the more fetches are slow, the more classes of reads are shed, never writes.
+func TestLowestPriorityWeightIsShedFirst(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		fetches int
+		slow    int // of them
+		took    time.Duration
+		shed    map[string]bool // by class
+	}{
+		{"quiet", 20, 0, 0, nil},
+		{"no recent fetches", 0, 0, 0, nil},
+		{"half over the target", 20, 10, 200 * ms, map[string]bool{"low": true}},
+		{"six in ten over the target", 20, 12, 200 * ms, map[string]bool{"low": true, "middle": true}},
+		{"nearly all over the maximum", 20, 19, 900 * ms, map[string]bool{"low": true, "middle": true, "high": true}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			for _, class := range []string{"low", "middle", "high"} {
+				driver := newTrainedDriver(t)
+				driver.now += 20 * time.Second
+				driver.feedOrigin(test.fetches-test.slow, 50*ms, Succeeded)
+				driver.feedOrigin(test.slow, test.took, Succeeded)
+				if got := driver.countRejectedMisses(class, 40); got > 0 != test.shed[class] {
+					t.Errorf("%s: got %d of 40 misses rejected, want some: %v", class, got, test.shed[class])
+				}
+				if _, actions := driver.request("high", "w", asWrite); len(actionsOf[Send](actions)) != 1 {
+					t.Errorf("write: got %v, want it sent", actions)
+				}
+			}
+		})
+	}
+}
+
+// countRejectedMisses sends reads that their cache servers miss and returns how many are rejected. The clients of the
+// others disconnect.
+func (driver *routerDriver) countRejectedMisses(class string, reads int) (rejected int) {
+	for i := range reads {
+		id, actions := driver.request(class, fmt.Sprint(class, "-", driver.nextID, i), nil)
+		if len(actionsOf[Reject](actions)) == 0 {
+			actions = driver.endAttempt(id, Miss, ms)
+		}
+		rejected += len(actionsOf[Reject](actions))
+		if len(actionsOf[Send](actions)) == 1 {
+			driver.handle(ClientDisconnected{id})
+			driver.endAttempt(id, Cancelled, ms)
+		}
+	}
+	return rejected
+}
+
+// TestReadsPassACrowdedCacheServer: a slow server, or the one with the popular key, is not crowded as long as it answers
+// well within the objective, or has next to nothing in flight. Reads of a crowded one go to the origin while that is
+// quiet, and are rejected when it is not.
+func TestReadsPassACrowdedCacheServer(t *testing.T) {
+	for _, test := range []struct {
+		took         time.Duration
+		inFlight     int
+		isOriginBusy bool
+		wantPassing  bool
+		wantRejects  bool
+	}{
+		{took: 150 * ms, inFlight: 5},
+		{took: 400 * ms, inFlight: 0},
+		{took: 400 * ms, inFlight: 5, wantPassing: true},
+		{took: 400 * ms, inFlight: 5, isOriginBusy: true, wantRejects: true},
+	} {
+		driver := newTrainedDriver(t)
+		driver.readOtherKeys(40)
+		for i := range 200 {
+			driver.router.origin.gauge.observe(driver.now, 10*ms, test.isOriginBusy && i%3 == 0)
+		}
+		var keys []string // of one server, among others
+		for i := 0; len(keys) < 40; i++ {
+			if key := fmt.Sprint("k", i); driver.ownerOf(key) == "s1" {
+				keys = append(keys, key)
+			}
+		}
+		passing, rejected := 0, 0
+		for i, key := range keys {
+			id, actions := driver.request("low", key, nil)
+			rejected += len(actionsOf[Reject](actions))
+			if sends := actionsOf[Send](actions); len(sends) > 0 && sends[0].Server == originID {
+				passing++
+			} else if len(sends) > 0 && i >= test.inFlight {
+				driver.endAttempt(id, Succeeded, test.took)
+			}
+		}
+		if passing > 0 != test.wantPassing || rejected > 0 != test.wantRejects {
+			t.Errorf("%+v: got %d reads past the server and %d rejected", test, passing, rejected)
+		}
+	}
+}
+
+// TestOverQuotaRequestsAreShedFirst: under the same load, requests beyond a tenant's quota are shed and others are not.
+func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
+	driver := newTrainedDriver(t)
+	for range 10 { // uses up the tenant's quota at this router
+		driver.request("high", "k", ofTenant)
+	}
+	for _, srv := range driver.router.servers {
+		for i := range 200 { // past the lowest threshold only; the origin is not quiet
+			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
+		}
+	}
+	beyond, within := 0, 0
+	for i := range 60 {
+		_, actions := driver.request("high", fmt.Sprint("x", i), ofTenant)
+		beyond += len(actionsOf[Reject](actions))
+		_, actions = driver.request("high", fmt.Sprint("y", i), nil)
+		within += len(actionsOf[Reject](actions))
+	}
+	if beyond == 0 || within > 0 {
+		t.Errorf("got %d rejected beyond the quota and %d within it, want some and none", beyond, within)
+	}
+}
+
+// TestSmallQuotaIsNotTakenForExcess: a tenant with less than one request a second at this router is not over its quota
+// with each of them.
+func TestSmallQuotaIsNotTakenForExcess(t *testing.T) {
+	settings := testSettings()
+	settings.Nodes = 40 // so that the quota is half a request a second here
+	driver := newDriver(t, settings, "s1")
+	countOverQuota := func(gap time.Duration) (count int) {
+		for range 30 {
+			id, _ := driver.request("high", "k", ofTenant)
+			if driver.router.requests[id].isOverQuota {
+				count++
+			}
+			driver.endAttempt(id, Succeeded, 50*ms)
+			driver.now += gap
+		}
+		return count
+	}
+	if got := countOverQuota(2500 * ms); got > 0 {
+		t.Errorf("within the quota: got %d of 30 requests over it, want none", got)
+	}
+	if got := countOverQuota(500 * ms); got < 15 {
+		t.Errorf("at four times the quota: got %d of 30 requests over it, want most", got)
+	}
+}
+
+// TestRoutersDoNotShedInStep: routers under the same load do not all reject the same of their misses.
+func TestRoutersDoNotShedInStep(t *testing.T) {
+	firstRejected := map[int]int{} // routers by the miss that each rejects first
+	for seed := range uint64(60) {
+		router, err := New(testSettings(), seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		loaded := gauge{ // a fifth of the way from the threshold to where all is shed
+			objectives: router.newObjectives(),
+			samples:    100,
+			overTarget: 120 * shedThresholds[degraded],
+			fadedAt:    router.now,
+		}
+		for miss := 1; miss < 1000; miss++ {
+			if router.shouldShed(degraded, &loaded) {
+				firstRejected[miss]++
+				break
+			}
+		}
+	}
+	if len(firstRejected) < 4 {
+		t.Errorf("60 routers reject their first miss at these places: %v, want at least 4", firstRejected)
+	}
+}
+
+// TestLoadLevelShedsTheLowestPriorityWeight: while the node is behind with its own work a share of what may be shed is,
+// the lowest weight first; writes and critical reads never are.
+func TestLoadLevelShedsTheLowestPriorityWeight(t *testing.T) {
+	driver := newTrainedDriver(t)
+	countRejected := func(class string, change func(*Request)) (count int) {
+		for range 100 {
+			id, actions := driver.request(class, fmt.Sprint("s", driver.nextID), change)
+			if len(actionsOf[Reject](actions)) > 0 {
+				count++
+				continue
+			}
+			driver.now += ms
+			driver.endAttempt(id, Succeeded, ms)
+		}
+		return count
+	}
+	driver.handle(LoadLevel{Level: 0.25})
+	low, middle, high := countRejected("low", nil), countRejected("middle", nil), countRejected("high", nil)
+	writes := countRejected("low", asWrite)
+	if low < 60 || middle < 15 || middle > 35 || high != 0 || writes != 0 {
+		t.Errorf("got %d low, %d middle, %d high reads and %d writes of 100 each rejected, "+
+			"want at least 60, 15 to 35, none and none", low, middle, high, writes)
+	}
+	driver.handle(LoadLevel{})
+	if got := countRejected("low", nil); got != 0 {
+		t.Errorf("no longer behind: got %d rejected, want none", got)
+	}
+}
+
+// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold: a share of slow hits far under the threshold of fetches sends
+// reads past a crowded server while the origin is quiet.
+func TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold(t *testing.T) {
+	driver := newTrainedDriver(t)
+	crowded := driver.router.serverByID[driver.ownerOf("k")]
+	for i := range 100 {
+		latency := 20 * ms
+		if i%5 == 0 {
+			latency = 400 * ms
+		}
+		driver.now += 10 * ms
+		crowded.gauge.observe(driver.now, latency, false)
+	}
+	passing := 0
+	for i := range 40 {
+		driver.request("low", "k", nil)
+		key := fmt.Sprint("k", i, "x")
+		_, actions := driver.request("low", key, nil)
+		sends := actionsOf[Send](actions)
+		if driver.ownerOf(key) == crowded.ID && len(sends) == 1 && sends[0].Server == originID {
+			passing++
+		}
+		driver.feedOrigin(1, 50*ms, Succeeded)
+	}
+	if passing == 0 {
+		t.Error("no read went past a server with a fifth of its answers slow")
+	}
+}
