--- a/internal/testbed/simulation/known_faults_test.go
+++ b/internal/testbed/simulation/known_faults_test.go
@@ -23,11 +23,11 @@
 }
 
 var knownFaults = []knownFault{
-	{"resent after it may have run", "internal/policy/brain.go", "if q.risk == nil || q.class.Effect == Idempotent {", "if q != nil {", nil, false},
-	{"refused after it may have run", "internal/policy/brain.go", "if q.risk == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.DedupScope == AllServers {", "if c != nil {", nil, false},
-	{"drained servers get new work", "internal/policy/router.go", "return !origin && s.listed && s.State == Live", "return !origin && s.listed",
+	{"resent after it may have run", "internal/policy/retry.go", "if req.possiblyExecuted == nil || req.class.Effect == Idempotent {\n\t\treturn true\n\t}\n\tearlier", "if req != nil {\n\t\treturn true\n\t}\n\tearlier", nil, false},
+	{"refused after it may have run", "internal/policy/retry.go", "return req.class.Effect == Deduplicated && req.class.DedupScope == AllServers", "return true", nil, false},
+	{"drained servers get new work", "internal/policy/server.go", "return !r.isOriginKind(srv) && srv.isListed && srv.State == Live", "return !r.isOriginKind(srv) && srv.isListed",
 		&knownFault{file: "internal/upstream/core.go", old: "p.addr, p.left = addr, left", new: "left = false\n\tp.addr, p.left = addr, left"}, false},
-	{"watch never found silent", "internal/discovery/polling/asking.go", "WatchTimeout = 3 * time.Second", "WatchTimeout = 3 * time.Hour", nil, false},
+	{"watch never found silent", "internal/discovery/polling/schedule.go", "WatchTimeout = 3 * time.Second", "WatchTimeout = 5 * time.Hour", nil, false},
 	{"answered twice", "internal/listener/core.go", "c.slots = append(c.slots[:0:0], c.slots[n:]...)", "c.slots = append(c.slots[:0:0], c.slots[n-1:]...)", nil, false},
 	{"deadline too late", "internal/node/core.go", "deadline: f.ReceivedAt.Add(max(wait-transit, time.Millisecond))", "deadline: f.ReceivedAt.Add(wait + 200*time.Millisecond)", nil, false},
 	{"dirty connection handed on", "internal/upstream/core.go", "case c.Decoder.Buffered() > 0 && (len(c.pending) == 0 || !c.pending[0].written):", "case c == nil:",
@@ -39,7 +39,7 @@
 	{"room of long answers leaks", "internal/upstream/resp/target.go", "d.room.Release(d.took)", "d.room.Release(0)", nil, false},
 	{"garbage of clients is not answered", "internal/listener/core.go", "l.finish(now, c, fx)\n\t\t\tl.wake(c, fx)", "", nil, false},
 	{"given up as if not written", "internal/upstream/core.go", "p.unqueue(now, f, fx)\n\treturn f.written", "p.unqueue(now, f, fx)\n\treturn false", nil, false},
-	{"cold budget ignored", "internal/policy/brain.go", "if r.warmth(s) < 1 {", "if r.warmth(s) < 0 {", &knownFault{file: "internal/policy/brain.go", old: "weight := r.warmth(s)", new: "weight := 1.0"}, false},
+	{"cold budget ignored", "internal/policy/hotkey.go", "if r.isWarmingUp(srv) {", "if srv == nil {", &knownFault{file: "internal/policy/routing.go", old: "weight := r.slowStartWeight(srv)", new: "weight := 1.0"}, false},
 
 	{"a duty is held past its lease", "internal/fleet/lease/core.go", "d.held && now < d.until {", "d.held {", &knownFault{file: "internal/fleet/lease/core.go",
 		old: "if d.held && now >= d.until {", new: "if c == nil {"}, true},
@@ -52,9 +52,9 @@
 	{"a slot is granted twice", "internal/fleet/rollout/core.go", "case g.Slot == a.Slot || same && g.Zone == a.Zone:", "case false && same:", nil, true},
 	{"an order takes back an operator's wish", "internal/fleet/rollout/core.go", "return c.asked || seen", "return c.asked && c.order.Epoch == 0 || seen", nil, true},
 	{"the way back keeps slots", "internal/fleet/rollout/core.go", "if c.trying || c.held { // the way back", "if c.trying && c.held { // the way back", nil, true},
-	{"nobody refutes that it is dead", "internal/fleet/membership/core.go", "me.word = n.word + 1", "", nil, true},
-	{"suspects never die", "internal/fleet/membership/core.go", "m.state == Suspect && now-m.since >= c.SuspicionTimeout()", "m.state == Left", nil, true},
-	{"the dead are never asked", "internal/fleet/membership/core.go", "if len(away) > 0 && (", "if len(away) > 99 && (", nil, true},
+	{"nobody refutes that it is dead", "internal/fleet/membership/suspicion.go", "self.refutations = u.refutations + 1", "", nil, true},
+	{"suspects never die", "internal/fleet/membership/suspicion.go", "m.state == Suspect && now-m.since >= c.SuspicionTimeout()", "m.state == Left", nil, true},
+	{"the dead are never asked", "internal/fleet/membership/probe.go", "if len(absent) > 0 && (", "if len(absent) > 99 && (", nil, true},
 }
 
 // moduleRoot is the project's root, seen from this package.
