--- a/internal/testbed/model/doc.go
+++ b/internal/testbed/model/doc.go
@@ -9,7 +9,7 @@
 // part's draws never shift another's. The same seed, specification and events give the same effects and the same
 // Hash, whatever the machine does: nothing iterates over a map.
 //
-// Nothing below this package is imported but the hash; packages above it may read its exported fields, and only
+// Of this module it imports only eventqueue; packages above it may read its exported fields, and only
 // Step and Tick change anything.
 package model
 
--- a/internal/testbed/model/portal.go
+++ b/internal/testbed/model/portal.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -9,6 +8,8 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"shelfproxy/internal/testbed/eventqueue"
 )
 
 // Spec is all that a portal is made of.
@@ -155,11 +156,10 @@
 
 // System is all of it. It is not safe for concurrent use.
 type System struct {
-	spec    Spec
-	now     Time
-	due     timers
-	nextDue uint64
-	out     []Effect
+	spec   Spec
+	now    Time
+	events eventqueue.Queue
+	out    []Effect
 
 	servers []*server // in the order in which they came; those long gone are dropped
 	bySlot  map[int]*server
@@ -276,10 +276,10 @@
 
 // NextEvent is when Tick is wanted next; Never is not.
 func (p *System) NextEvent() Time {
-	if len(p.due) == 0 {
-		return Never
+	if at, ok := p.events.Next(); ok {
+		return at
 	}
-	return p.due[0].at
+	return Never
 }
 
 // Hash is that of the event log so far.
@@ -339,10 +339,9 @@
 
 // pass does what is due up to now, each at its own time.
 func (p *System) pass(now Time) {
-	for len(p.due) > 0 && p.due[0].at <= now {
-		t := heap.Pop(&p.due).(*timer)
-		p.now = max(p.now, t.at)
-		t.run()
+	for event, ok := p.events.PopDue(now); ok; event, ok = p.events.PopDue(now) {
+		p.now = max(p.now, event.At)
+		event.Run()
 	}
 	p.now = max(p.now, now)
 }
@@ -931,30 +930,4 @@
 	p.tellWatches()
 }
 
-// timers is a heap of what is due; of equals the one booked first goes first.
-type timers []*timer
-
-type timer struct {
-	at     Time
-	number uint64
-	run    func()
-}
-
-func (p *System) at(t Time, run func()) {
-	p.nextDue++
-	heap.Push(&p.due, &timer{max(t, p.now), p.nextDue, run})
-}
-
-func (h timers) Len() int { return len(h) }
-func (h timers) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].number < h[j].number
-}
-func (h timers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *timers) Push(x any)   { *h = append(*h, x.(*timer)) }
-func (h *timers) Pop() any {
-	end := len(*h) - 1
-	t := (*h)[end]
-	(*h)[end] = nil
-	*h = (*h)[:end]
-	return t
-}
+func (p *System) at(t Time, run func()) { p.events.Schedule(max(t, p.now), run) }
