--- a/internal/testbed/eventqueue/queue.go
+++ b/internal/testbed/eventqueue/queue.go
@@ -40,8 +40,8 @@
 	return q.events[0].At, true
 }
 
-// PopDue removes and returns the earliest event if its time is not after now; ok is false if there is none.
-func (q *Queue) PopDue(now time.Duration) (event Event, ok bool) {
+// PopUntil removes and returns the earliest event if its time is not after now; ok is false if there is none.
+func (q *Queue) PopUntil(now time.Duration) (event Event, ok bool) {
 	if at, pending := q.Next(); !pending || at > now {
 		return Event{}, false
 	}
--- a/internal/testbed/eventqueue/queue_test.go
+++ b/internal/testbed/eventqueue/queue_test.go
@@ -19,7 +19,7 @@
 		if queue.Len() != len(times) {
 			t.Fatalf("length %d, want %d", queue.Len(), len(times))
 		}
-		for event, ok := queue.PopDue(5); ok; event, ok = queue.PopDue(5) {
+		for event, ok := queue.PopUntil(5); ok; event, ok = queue.PopUntil(5) {
 			event.Run()
 		}
 		want := make([]int, len(times))
@@ -33,12 +33,12 @@
 	})
 }
 
-func TestOnlyDueEventsArePopped(t *testing.T) {
+func TestPopUntilLeavesLaterEvents(t *testing.T) {
 	var queue Queue
 	if _, ok := queue.Next(); ok {
 		t.Error("an empty queue has a next event")
 	}
-	if _, ok := queue.PopDue(time.Hour); ok {
+	if _, ok := queue.PopUntil(time.Hour); ok {
 		t.Error("an empty queue has a due event")
 	}
 	queue.Schedule(2*time.Second, func() {})
@@ -46,10 +46,10 @@
 	if at, ok := queue.Next(); !ok || at != time.Second {
 		t.Errorf("next event at %s, %v; want 1s, true", at, ok)
 	}
-	if _, ok := queue.PopDue(time.Second - 1); ok {
+	if _, ok := queue.PopUntil(time.Second - 1); ok {
 		t.Error("an event was popped before its time")
 	}
-	if event, ok := queue.PopDue(time.Second); !ok || event.At != time.Second {
+	if event, ok := queue.PopUntil(time.Second); !ok || event.At != time.Second {
 		t.Errorf("popped an event at %s, %v; want 1s, true", event.At, ok)
 	}
 	if queue.Len() != 1 {
--- a/internal/testbed/model/cache.go
+++ b/internal/testbed/model/cache.go
@@ -2,55 +2,59 @@
 
 import "container/list"
 
-// cache is the memory of a box: it holds copies by bytes and gives up the oldest ones, by last use (LRU) or by
-// arrival (FIFO).
+// cache is the memory of a cache server. It holds values up to a number of bytes and evicts the least recently used
+// (LRU) or the first stored (FIFO) beyond it.
 type cache struct {
-	limit, used int64
+	limit, used int64 // bytes
 	fifo        bool
-	order       *list.List // the next to go is at the back
+	order       *list.List // of Copy; the next one to evict is at the back
 	byKey       map[string]*list.Element
 }
 
-// Copy is what a box or the origin holds for a key. Versions of a key count its writes.
+// Copy is what a cache server or the origin holds for a key.
 type Copy struct {
 	Key     string
-	Version int64
-	Size    int // bytes of the value
+	Version int64 // number of writes of the key
+	Size    int   // bytes of the value
 }
 
-// overhead is what a copy takes beside its key and value.
-const overhead = 64
+// copyOverhead is the memory that a copy takes beside its key and value, in bytes.
+const copyOverhead = 64
 
 func newCache(limit int64, fifo bool) *cache {
 	return &cache{limit: limit, fifo: fifo, order: list.New(), byKey: map[string]*list.Element{}}
 }
 
+// get returns the copy of a key. An LRU cache counts it as a use.
 func (c *cache) get(key string) (Copy, bool) {
-	e := c.byKey[key]
-	if e == nil {
+	element := c.byKey[key]
+	if element == nil {
 		return Copy{}, false
 	}
 	if !c.fifo {
-		c.order.MoveToFront(e)
+		c.order.MoveToFront(element)
 	}
-	return e.Value.(Copy), true
+	return element.Value.(Copy), true
 }
 
-func (c *cache) put(v Copy) {
-	c.drop(v.Key)
-	size := v.bytes()
+// put stores a copy in place of an earlier one of its key and evicts others to make room. A copy that is larger than
+// the whole cache is not stored.
+func (c *cache) put(value Copy) {
+	c.remove(value.Key)
+	size := value.bytes()
 	if size > c.limit {
 		return
 	}
-	c.byKey[v.Key] = c.order.PushFront(v)
+	c.byKey[value.Key] = c.order.PushFront(value)
 	for c.used += size; c.used > c.limit; {
-		c.drop(c.order.Back().Value.(Copy).Key)
+		c.remove(c.order.Back().Value.(Copy).Key)
 	}
 }
 
-func (c *cache) drop(key string) {
-	if e := c.byKey[key]; e != nil {
-		c.used -= c.order.Remove(e).(Copy).bytes()
+// remove removes the copy of a key, if there is one.
+func (c *cache) remove(key string) {
+	if element := c.byKey[key]; element != nil {
+		c.used -= c.order.Remove(element).(Copy).bytes()
 		delete(c.byKey, key)
 	}
 }
@@ -60,4 +64,5 @@
 	c.byKey, c.used = map[string]*list.Element{}, 0
 }
 
-func (v Copy) bytes() int64 { return int64(v.Size+len(v.Key)) + overhead }
+// bytes returns the memory that a copy takes.
+func (v Copy) bytes() int64 { return int64(v.Size+len(v.Key)) + copyOverhead }
--- a/internal/testbed/model/doc.go
+++ b/internal/testbed/model/doc.go
@@ -1,16 +1,16 @@
-// Package model is the portal that nodes serve, as plain state machines: cache boxes, the origin, the roster that
-// discovery tells, the links between them, and what goes wrong. It has no clock, sockets or goroutines. Whoever
-// drives it calls Portal.Step with a time and an event and carries out the effects that come back, and calls
-// Portal.Tick when Portal.Wake says so. The emulator drives it in real time on sockets; a virtual clock can drive it
-// as well, and nothing here may know which one does.
+// Package model simulates the system that the nodes serve: cache servers, the origin, the discovery service, the
+// network between them, and faults. It consists of plain state machines without a clock, sockets or goroutines.
+// A driver calls System.Step with a time and an event and carries out the effects that it returns, and calls
+// System.Advance at the time that System.NextEvent gives. The emulator drives it in real time with sockets, the
+// simulation with a virtual clock; the package must not depend on which of them does.
 //
-// Times are durations since the start of the run and must not go back. Work is the time that a core of speed 1
-// needs. Every random draw comes from a stream of its own, named by the part that draws and the seed, so that one
-// part's draws never shift another's. The same seed, specification and events give the same effects and the same
-// Hash, whatever the machine does: nothing iterates over a map.
+// Times are durations since the start of the run and must not go back. Work is measured as the time that a core of
+// speed 1 needs for it. Each part draws its random numbers from a stream of its own, derived from the seed and the
+// part's name, so that the draws of one part never shift those of another. The same seed, specification and events
+// give the same effects and the same Hash on every machine; to this end nothing iterates over a map.
 //
-// Of this module it imports only eventqueue; packages above it may read its exported fields, and only
-// Step and Tick change anything.
+// Of this module it imports only eventqueue. Packages above it may read its exported fields; only Step and Advance
+// change its state. A System is not safe for concurrent use.
 package model
 
 import (
@@ -27,15 +27,16 @@
 // Never is later than any time of a run.
 const Never = Time(math.MaxInt64)
 
-// RandomStream is a source of random numbers of its own for one part, by its name. Two parts never share one.
+// RandomStream returns the source of random numbers of the part with the given name. Parts with different names have
+// independent streams.
 func RandomStream(seed uint64, part string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(part)))
 }
 
-// DrawBetween draws evenly from a range.
+// DrawBetween draws a number evenly from the range [least, most).
 func DrawBetween(r *rand.Rand, least, most float64) float64 { return least + (most-least)*r.Float64() }
 
-// span is Between for times.
-func span(r *rand.Rand, least, most Time) Time {
-	return least + Time(float64(most-least)*r.Float64())
+// drawDuration is DrawBetween for durations.
+func drawDuration(r *rand.Rand, least, most time.Duration) time.Duration {
+	return least + time.Duration(float64(most-least)*r.Float64())
 }
--- a/internal/testbed/model/link.go
+++ b/internal/testbed/model/link.go
@@ -5,37 +5,35 @@
 	"time"
 )
 
-// LinkSpec is the network between a node and a server.
+// LinkSpec describes the network between a node and a server.
 type LinkSpec struct {
-	SameLeast, SameMost   time.Duration // one way inside a zone
-	CrossLeast, CrossMost time.Duration // and between two
-	Loss                  float64       // share of messages that come a retransmission later
-	Retransmit            time.Duration
+	SameLeast, SameMost   time.Duration // range of the one-way delay within a zone
+	CrossLeast, CrossMost time.Duration // range of the one-way delay between zones
+	Loss                  float64       // fraction of the messages that are lost once and sent again
+	Retransmit            time.Duration // delay that a loss adds
 }
 
-// link is one direction of one connection. It keeps the order of what is sent.
+// link is one direction of a connection. It keeps the order of the messages.
 type link struct {
-	rand  *rand.Rand
-	last  Time // the latest arrival so far
-	delay time.Duration
+	random      *rand.Rand
+	lastArrival Time // the latest one so far
+	delay       time.Duration
 }
 
-func newLink(spec *LinkSpec, r *rand.Rand, same bool) *link {
-	l := &link{rand: r}
-	if same {
-		l.delay = span(r, spec.SameLeast, spec.SameMost)
-	} else {
-		l.delay = span(r, spec.CrossLeast, spec.CrossMost)
+func newLink(spec *LinkSpec, random *rand.Rand, isSameZone bool) *link {
+	least, most := spec.CrossLeast, spec.CrossMost
+	if isSameZone {
+		least, most = spec.SameLeast, spec.SameMost
 	}
-	return l
+	return &link{random: random, delay: drawDuration(random, least, most)}
 }
 
-// arrival is when what is sent now arrives. extra and loss are what faults add.
-func (l *link) arrival(now Time, spec *LinkSpec, extra time.Duration, loss float64) Time {
-	at := now + l.delay + extra
-	if p := spec.Loss + loss; p > 0 && l.rand.Float64() < p {
+// arrival returns when a message that is sent now arrives. extraLoss is the probability of loss that faults add.
+func (l *link) arrival(now Time, spec *LinkSpec, extraLoss float64) Time {
+	at := now + l.delay
+	if loss := spec.Loss + extraLoss; loss > 0 && l.random.Float64() < loss {
 		at += spec.Retransmit
 	}
-	l.last = max(l.last, at)
-	return l.last
+	l.lastArrival = max(l.lastArrival, at)
+	return l.lastArrival
 }
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -2,134 +2,13 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
-	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-var standard = &CacheServerKind{Name: "standard", Cores: 2, Speed: 1, Slots: 16, Queue: 8, SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second,
-	Memory: 1 << 20, MaxConnections: 50, ConnectionWork: time.Millisecond, HealthCheckWork: time.Millisecond, MissWork: 0.1, ErrorRate: 0.01,
-	Cancel: CancelQueued, OverloadFactor: 3, OverloadWindow: 1500 * time.Millisecond}
-
-func spec(seed uint64, boxes int, faults ...Fault) Spec {
-	s := Spec{Seed: seed, Nodes: []NodeSpec{{"n0", "a"}, {"n1", "b"}}, OriginZone: "a",
-		Origin: OriginSpec{Median: 20 * time.Millisecond, Sigma: 0.3, Parallel: 20, Queue: 50, Window: 4 * time.Second, ValueSize: 100,
-			OverloadMultiple: 4, OverloadWindow: time.Second, OverloadStall: 3 * time.Second},
-		Discovery: DiscoverySpec{MinLag: 500 * time.Millisecond, MaxLag: 900 * time.Millisecond, Call: time.Millisecond,
-			PerEntry: 100 * time.Microsecond, Timeout: 2 * time.Second, Heartbeat: 2 * time.Second},
-		Link: LinkSpec{SameLeast: 100 * time.Microsecond, SameMost: 300 * time.Microsecond, CrossLeast: time.Millisecond,
-			CrossMost: 2 * time.Millisecond, Retransmit: 200 * time.Millisecond},
-		Classes: []ClassSpec{{"read", 10 * time.Millisecond, 20 * time.Millisecond}, {"write", 20 * time.Millisecond, 30 * time.Millisecond}},
-		Faults:  faults}
-	for i := range boxes {
-		s.CacheServers = append(s.CacheServers, CacheServerSpec{Kind: standard, Zone: string(rune('a' + i%2)), Speed: 1})
-	}
-	return s
-}
-
-// driver plays nodes without sockets and without a clock: it sends reads to boxes and, after a miss, to the origin.
-type driver struct {
-	*System
-	t       time.Duration
-	rand    *rand.Rand
-	doors   map[int]AcceptorState // of node 0
-	conns   map[int]ConnID        // by slot
-	bySlot  map[ConnID]int
-	next    uint64
-	answers []Response
-	resets  int
-	told    []DiscoveryReply
-	ran     []RequestExecuted
-	fell    []string
-}
-
-func drive(s Spec) *driver {
-	d := &driver{System: New(s), rand: RandomStream(s.Seed, "driver"), doors: map[int]AcceptorState{}, conns: map[int]ConnID{},
-		bySlot: map[ConnID]int{}}
-	d.take(d.Start())
-	return d
-}
-
-func (d *driver) take(effects []Effect) {
-	for _, e := range effects {
-		switch e := e.(type) {
-		case Acceptor:
-			if e.Node == 0 {
-				d.doors[e.Slot] = e.State
-			}
-		case Reset:
-			d.resets++
-			delete(d.conns, d.bySlot[e.Conn])
-		case Response:
-			d.answers = append(d.answers, e)
-			if e.Outcome == Miss {
-				d.send(0, e.Request, "read", false)
-			}
-		case DiscoveryReply:
-			d.told = append(d.told, e)
-		case RequestExecuted:
-			d.ran = append(d.ran, e)
-		case ServerOverloaded:
-			d.fell = append(d.fell, e.Server)
-		}
-	}
-}
-
-// until passes time, doing what is due at its own moment.
-func (d *driver) until(t time.Duration) {
-	for d.NextEvent() <= t {
-		d.take(d.Advance(d.NextEvent()))
-	}
-	d.t = t
-	d.take(d.Advance(t))
-}
-
-// send sends a request to a slot, where its door is open, and tells whether it could. The key is that of the id.
-func (d *driver) send(slot int, id, class string, write bool) bool {
-	if state, ok := d.doors[slot]; !ok || state != Accepting {
-		return false
-	}
-	c, ok := d.conns[slot]
-	if !ok {
-		d.next++
-		c = ConnID(d.next)
-		d.conns[slot], d.bySlot[c] = c, slot
-		d.take(d.Step(d.t, Connect{Conn: c, Node: 0, Slot: slot}))
-	}
-	d.next++
-	var key int
-	fmt.Sscanf(id, "%d", &key)
-	d.take(d.Step(d.t, RequestArrived{Request{Conn: c, Seq: d.next, ID: id, Key: fmt.Sprint("k", key%40), Class: class, Write: write,
-		Size: 10, Deadline: d.t + 2*time.Second}}))
-	return true
-}
-
-// day sends reads and writes at a rate for a while.
-func (d *driver) day(length time.Duration, every time.Duration) {
-	for i := 0; d.t < length; i++ {
-		d.until(d.t + every)
-		if i%20 == 0 {
-			d.send(0, fmt.Sprint(i), "write", true)
-			continue
-		}
-		slots := []int{}
-		for s, state := range d.doors {
-			if s != 0 && state == Accepting {
-				slots = append(slots, s)
-			}
-		}
-		slices.Sort(slots)
-		if len(slots) > 0 {
-			d.send(slots[d.rand.IntN(len(slots))], fmt.Sprint(i), "read", false)
-		}
-	}
-	d.until(length + 10*time.Second)
-}
-
-var everything = []Fault{
+var oneFaultOfEachKind = []Fault{
 	{Kind: Deploy, At: time.Second, For: 4 * time.Second, Batch: 0.3, DrainFor: 500 * time.Millisecond, SameSlot: 0.5, Select: Selector{Share: 0.8}},
 	{Kind: Freeze, At: 2 * time.Second, For: time.Second, Select: Selector{Count: 1}},
 	{Kind: Partition, At: 2500 * time.Millisecond, For: time.Second, Select: Selector{Count: 1}},
@@ -144,118 +23,117 @@
 	{Kind: Shrink, At: 7 * time.Second, For: time.Second, Select: Selector{Count: 2}},
 }
 
-// The same seed gives the same log twice, to the last event; another seed another one. A stream that one part
-// draws from more often does not shift the others.
-func TestSameSeedSameEvents(t *testing.T) {
+// The same seed gives the same event log twice, another seed another one.
+func TestSameSeedGivesSameEventLog(t *testing.T) {
 	hash := func(seed uint64) uint64 {
-		d := drive(spec(seed, 8, everything...))
-		d.day(9*time.Second, 5*time.Millisecond)
-		return d.Hash()
+		driver := newDriver(t, testSpec(seed, 8, oneFaultOfEachKind...))
+		driver.generateLoad(9*time.Second, 5*time.Millisecond)
+		return driver.Hash()
 	}
-	if a, b, c := hash(1), hash(1), hash(2); a != b || a == c {
-		t.Errorf("hashes %x and %x of one seed, %x of another", a, b, c)
+	if first, repeated, other := hash(1), hash(1), hash(2); first != repeated || first == other {
+		t.Errorf("hashes %x and %x of one seed, %x of another; want the first two alike and the third different", first, repeated, other)
 	}
-	if a, b := RandomStream(1, "x").Uint64(), RandomStream(1, "y").Uint64(); a == b {
-		t.Error("two parts draw the same")
-	}
-}
-
-// entries is the list by id.
-func (d *driver) entries() map[string]Entry {
-	m := map[string]Entry{}
-	for _, e := range d.List().Entries {
-		m[e.ID] = e
+	if x, y := RandomStream(1, "x").Uint64(), RandomStream(1, "y").Uint64(); x == y {
+		t.Errorf("two parts draw the same number %x, want different ones", x)
 	}
-	return m
 }
 
-// A read misses, is fetched, and is a hit then; a write voids the copy, and no box returns the old record.
-func TestCopies(t *testing.T) {
-	d := drive(spec(1, 1))
-	ask := func(id string, write bool, slot int) Response {
-		n := len(d.answers)
-		d.send(slot, id, map[bool]string{false: "read", true: "write"}[write], write)
-		d.until(d.t + time.Second)
-		if len(d.answers) == n {
-			t.Fatalf("%s: no answer", id)
+// A read that misses is stored from the origin and is a hit afterwards; a write invalidates the copy, so that no cache
+// server returns the old record.
+func TestMissFillsCacheAndWriteInvalidatesIt(t *testing.T) {
+	driver := newDriver(t, testSpec(1, 1))
+	send := func(slot int, id, class string, write bool) Response {
+		t.Helper()
+		before := len(driver.responses)
+		driver.send(slot, id, class, write)
+		driver.runUntil(driver.now + time.Second)
+		if len(driver.responses) == before {
+			t.Fatalf("request %s got no response", id)
 		}
-		return d.answers[len(d.answers)-1]
+		return driver.responses[len(driver.responses)-1]
 	}
-	if a := ask("40", false, 1); a.Outcome != Hit || a.Server != OriginID || a.Copy.Version != 0 {
-		t.Errorf("the first read: %+v", a)
+	if got := send(1, "40", "read", false); got.Outcome != Hit || got.Server != OriginID || got.Copy.Version != 0 {
+		t.Errorf("first read: %+v, want a value of version 0 from the origin", got)
 	}
-	if a := ask("80", false, 1); a.Outcome != Hit || a.Server != "box-0" {
-		t.Errorf("the second read: %+v", a)
+	if got := send(1, "80", "read", false); got.Outcome != Hit || got.Server != "box-0" {
+		t.Errorf("second read: %+v, want a hit at box-0", got)
 	}
-	if a := ask("120", true, 0); a.Outcome != Written || a.Copy.Version != 1 {
-		t.Errorf("the write: %+v", a)
+	if got := send(0, "120", "write", true); got.Outcome != Written || got.Copy.Version != 1 {
+		t.Errorf("write: %+v, want a receipt for version 1", got)
 	}
-	if a := ask("160", false, 1); a.Server != OriginID || a.Copy.Version != 1 {
-		t.Errorf("the read after the write: %+v", a)
+	if got := send(1, "160", "read", false); got.Server != OriginID || got.Copy.Version != 1 {
+		t.Errorf("read after the write: %+v, want version 1 from the origin", got)
 	}
-	if len(d.ran) != 4 {
-		t.Errorf("%d requests ran, want 4: %+v", len(d.ran), d.ran)
+	if len(driver.executed) != 4 {
+		t.Errorf("%d requests were executed, want 4: %+v", len(driver.executed), driver.executed)
 	}
 }
 
-// A box that follows at the address of one that has gone is cold, has another id, and what was on its way to the
-// old one is answered by nobody.
-func TestReplacedAtTheSameAddress(t *testing.T) {
-	d := drive(spec(1, 1, Fault{Kind: Deploy, At: time.Second, For: time.Second, Batch: 1, DrainFor: time.Second, SameSlot: 1}))
-	d.send(1, "1", "read", false)
-	d.until(1999 * time.Millisecond)
-	if e := d.entries()["box-0"]; e.State != Draining {
-		t.Fatalf("before its end the roster says %+v", e)
-	}
-	n := len(d.answers)
-	d.send(1, "2", "read", false)
-	d.until(2100 * time.Millisecond)
-	if d.resets != 1 || len(d.answers) > n && d.answers[n].Outcome != RejectedUnseen {
-		t.Errorf("%d resets, answers %+v", d.resets, d.answers[n:])
-	}
-	d.until(4 * time.Second)
-	all := d.entries()
-	e, ok := all["box-1"]
-	if _, old := all["box-0"]; old || !ok || e.Slot != 1 || e.Started == 0 || e.State != Up {
-		t.Errorf("the roster says %+v", all)
-	}
-	n = len(d.answers)
-	d.send(1, "1", "read", false) // a key that the old one held
-	d.until(4100 * time.Millisecond)
-	if len(d.answers) == n || d.answers[n].Outcome != Miss {
-		t.Errorf("the new one answers %+v", d.answers[n:])
+// A server that replaces another at the same address has another id and an empty cache, and requests in flight to the
+// old one are not answered by the new one.
+func TestReplacementAtSameAddressHasNewIDAndEmptyCache(t *testing.T) {
+	driver := newDriver(t, testSpec(1, 1, Fault{Kind: Deploy, At: time.Second, For: time.Second, Batch: 1, DrainFor: time.Second, SameSlot: 1}))
+	driver.send(1, "1", "read", false)
+	driver.runUntil(1999 * time.Millisecond)
+	if old := driver.listedByID()["box-0"]; old.State != Draining {
+		t.Fatalf("entry before the replacement: %+v, want draining", old)
+	}
+	before := len(driver.responses)
+	driver.send(1, "2", "read", false)
+	driver.runUntil(2100 * time.Millisecond)
+	if driver.resets != 1 || len(driver.responses) > before && driver.responses[before].Outcome != RejectedUnseen {
+		t.Errorf("%d resets, responses %+v; want 1 reset and no response but a rejection", driver.resets, driver.responses[before:])
+	}
+	driver.runUntil(4 * time.Second)
+	listed := driver.listedByID()
+	replacement, ok := listed["box-1"]
+	if _, old := listed["box-0"]; old || !ok || replacement.Slot != 1 || replacement.Started == 0 || replacement.State != Up {
+		t.Errorf("list %+v, want box-1 alone, up in slot 1 with a start time", listed)
+	}
+	before = len(driver.responses)
+	driver.send(1, "1", "read", false) // a key that the old one had
+	driver.runUntil(4100 * time.Millisecond)
+	if len(driver.responses) == before || driver.responses[before].Outcome != Miss {
+		t.Errorf("responses of the replacement: %+v, want a miss", driver.responses[before:])
 	}
 }
 
-// Two faults on one box that overlap and end in the other order leave it as it was, and only at the end of both.
-func TestOverlappingFaults(t *testing.T) {
-	d := drive(spec(1, 1, Fault{Kind: Freeze, At: time.Second, For: 3 * time.Second}, Fault{Kind: Freeze, At: 2 * time.Second, For: time.Second},
+// Two faults of the same kind on one server that overlap end with the later one, and leave the server as it was.
+func TestOverlappingFaultsEndWithTheLastOne(t *testing.T) {
+	driver := newDriver(t, testSpec(1, 1, Fault{Kind: Freeze, At: time.Second, For: 3 * time.Second}, Fault{Kind: Freeze, At: 2 * time.Second, For: time.Second},
 		Fault{Kind: Kill, At: 10 * time.Second, For: 4 * time.Second}, Fault{Kind: Kill, At: 11 * time.Second, For: time.Second}))
-	d.until(3500 * time.Millisecond)
-	d.send(1, "1", "read", false)
-	d.until(3900 * time.Millisecond)
-	if len(d.answers) != 0 {
-		t.Error("a frozen box answered as the shorter of two freezes ended")
+	driver.runUntil(3500 * time.Millisecond)
+	driver.send(1, "1", "read", false)
+	driver.runUntil(3900 * time.Millisecond)
+	if len(driver.responses) != 0 {
+		t.Errorf("a frozen server responded after the shorter of two freezes: %+v", driver.responses)
 	}
-	d.until(5 * time.Second)
-	if len(d.answers) == 0 {
-		t.Error("the box did not go on after both")
+	driver.runUntil(5 * time.Second)
+	if len(driver.responses) == 0 {
+		t.Error("no response after both freezes")
 	}
-	for at, want := range map[time.Duration]AcceptorState{12500 * time.Millisecond: Refusing} {
-		if d.until(at); d.doors[1] != want {
-			t.Errorf("at %s the door is %v", at, d.doors[1])
-		}
+	driver.runUntil(12500 * time.Millisecond)
+	if driver.acceptors[1] != Refusing {
+		t.Errorf("acceptor after the shorter of two kills: %v, want %v", driver.acceptors[1], Refusing)
 	}
-	d.until(20 * time.Second)
-	if e := d.entries()["box-0"]; d.doors[1] != Accepting || e.State != Up || e.Started != 14*time.Second {
-		t.Errorf("after both kills: door %v, entry %+v", d.doors[1], e)
+	driver.runUntil(20 * time.Second)
+	if entry := driver.listedByID()["box-0"]; driver.acceptors[1] != Accepting || entry.State != Up || entry.Started != 14*time.Second {
+		t.Errorf("after both kills: acceptor %v, entry %+v; want accepting and up, started at 14s", driver.acceptors[1], entry)
 	}
 }
 
-// Whatever faults there are, each state they change is back at its end, and a portal with work goes on.
-func TestFaultsUndoThemselves(t *testing.T) {
+// hasActiveFault reports whether a fault is still active on a server. A server that crashed stays killed.
+func (srv *server) hasActiveFault() bool {
+	hasCrashed := srv.cache != nil && srv.cache.hasCrashed
+	return srv.kills != 0 && !hasCrashed || srv.freezes != 0 || srv.stalls != 0 || srv.drains != 0 ||
+		len(srv.slowdowns)+len(srv.corruption)+len(srv.packetLoss) != 0 || srv.partitions[0]+srv.partitions[1] != 0 ||
+		srv.origin != nil && (srv.origin.stallFaults != 0 || srv.origin.slowdown < 0.99 || srv.origin.slowdown > 1.01)
+}
+
+// Whatever faults there are, each state that they change is as before after their end, and the system answers requests.
+func TestEndedFaultsHaveNoEffect(t *testing.T) {
+	kinds := []FaultKind{Drain, Kill, Freeze, Partition, Slow, Stall, Flap, CorruptResponse, PacketLoss, DiscoveryLag, DiscoveryDown, DiscoveryEmpty, OriginSlow, OriginStall}
 	rapid.Check(t, func(r *rapid.T) {
-		kinds := []FaultKind{Drain, Kill, Freeze, Partition, Slow, Stall, Flap, CorruptResponse, PacketLoss, DiscoveryLag, DiscoveryDown, DiscoveryEmpty, OriginSlow, OriginStall}
 		var faults []Fault
 		for range rapid.IntRange(1, 8).Draw(r, "faults") {
 			faults = append(faults, Fault{Kind: rapid.SampledFrom(kinds).Draw(r, "kind"),
@@ -264,134 +142,132 @@
 				Factor: 0.5, Share: 0.3, Lag: time.Second, Period: 500 * time.Millisecond,
 				Select: Selector{Count: rapid.IntRange(0, 2).Draw(r, "count")}})
 		}
-		d := drive(spec(rapid.Uint64().Draw(r, "seed"), 3, faults...))
-		d.day(3*time.Second, 20*time.Millisecond)
-		d.until(30 * time.Second)
-		for _, s := range d.servers {
-			if s.kills != 0 && !s.fell() || s.frozen != 0 || s.stalled != 0 || s.draining != 0 || len(s.slow)+len(s.spoilt)+len(s.lossy) != 0 ||
-				s.cuts[0]+s.cuts[1] != 0 || s.origin != nil && (s.origin.down != 0 || s.origin.factor < 0.99 || s.origin.factor > 1.01) {
-				r.Fatalf("%s is left as %+v", s.id, s)
+		driver := newDriver(t, testSpec(rapid.Uint64().Draw(r, "seed"), 3, faults...))
+		driver.generateLoad(3*time.Second, 20*time.Millisecond)
+		driver.runUntil(30 * time.Second)
+		for _, srv := range driver.servers {
+			if srv.hasActiveFault() {
+				r.Fatalf("%s after all faults: %+v, want none active", srv.id, srv)
 			}
 		}
-		if d.roster.lag != 0 || d.roster.down != 0 || d.roster.hidden != 0 {
-			r.Fatalf("the roster is left as %+v", d.roster)
+		if driver.discovery.extraLag != 0 || driver.discovery.outages != 0 || driver.discovery.emptyFaults != 0 {
+			r.Fatalf("discovery service after all faults: %+v, want none active", driver.discovery)
 		}
-		n := len(d.answers)
-		if d.send(1, "7", "read", false) {
-			if d.until(40 * time.Second); len(d.answers) == n {
-				r.Fatal("no answer at the end")
+		before := len(driver.responses)
+		if driver.send(1, "7", "read", false) {
+			if driver.runUntil(40 * time.Second); len(driver.responses) == before {
+				r.Fatal("no response after all faults")
 			}
 		}
 	})
 }
 
-func (s *server) fell() bool { return s.box != nil && s.box.fallen }
-
-// A cold box that is sent more than three times what it can do falls over and stays down; a warm one only queues.
-func TestColdBoxPushedOver(t *testing.T) {
-	for _, cold := range []bool{false, true} {
-		sp := spec(1, 1)
-		kind := *standard
+// A server in slow start that gets more than three times its capacity crashes; one that is warm only queues.
+func TestOverloadCrashesServerInSlowStartOnly(t *testing.T) {
+	for _, warmingUp := range []bool{false, true} {
+		spec := testSpec(1, 1)
+		kind := *standardKind
 		kind.MissWork, kind.Slots, kind.Queue = 1, 1000, 1000
-		sp.CacheServers[0].Kind = &kind
-		if cold {
-			sp.Faults = []Fault{{Kind: Kill, At: time.Millisecond, For: time.Millisecond}}
+		spec.CacheServers[0].Kind = &kind
+		if warmingUp {
+			spec.Faults = []Fault{{Kind: Kill, At: time.Millisecond, For: time.Millisecond}}
 		}
-		d := drive(sp)
-		d.until(10 * time.Millisecond)
+		driver := newDriver(t, spec)
+		driver.runUntil(10 * time.Millisecond)
 		for i := range 500 {
-			d.until(d.t + 4*time.Millisecond) // 250 a second of 15 ms: 3.75 cores' worth, of 0.4 when cold
-			d.send(1, fmt.Sprint(i), "read", false)
+			driver.runUntil(driver.now + 4*time.Millisecond) // 250 a second of 15 ms: 3.75 cores' worth, of 0.4 in slow start
+			driver.send(1, fmt.Sprint(i), "read", false)
 		}
-		if len(d.fell) > 0 != cold {
-			t.Errorf("cold %v: fell over %v", cold, d.fell)
+		if len(driver.overloaded) > 0 != warmingUp {
+			t.Errorf("slow start %v: crashed %v", warmingUp, driver.overloaded)
 		}
 	}
 }
 
-// Calls of discovery are handled one after another; a watch gets what changed, and ends when discovery goes down.
-func TestRoster(t *testing.T) {
-	d := drive(spec(1, 2, Fault{Kind: Drain, At: 3 * time.Second, For: time.Second, Select: Selector{IDs: []string{"box-1"}}},
+// Calls of the discovery service are answered one after another; a watch gets the changes, and ends with an outage.
+func TestWatchGetsChangesUntilDiscoveryFails(t *testing.T) {
+	driver := newDriver(t, testSpec(1, 2, Fault{Kind: Drain, At: 3 * time.Second, For: time.Second, Select: Selector{IDs: []string{"box-1"}}},
 		Fault{Kind: DiscoveryDown, At: 8 * time.Second, For: time.Second}))
-	v := d.List().Version
-	d.take(d.Step(0, DiscoveryCall{Call: 1, Watch: true, After: v}))
-	d.take(d.Step(0, DiscoveryCall{Call: 2}))
-	d.until(time.Second)
-	if len(d.told) != 2 || d.told[0].Call != 1 || len(d.told[0].List.Entries) != 0 || !d.told[1].List.IsFull || len(d.told[1].List.Entries) != 3 || !d.told[1].Ends {
-		t.Fatalf("told %+v", d.told)
-	}
-	d.until(7 * time.Second)
-	var said []string
-	for _, to := range d.told[2:] {
-		if to.List != nil {
-			said = append(said, fmt.Sprint(to.List.Entries[0].ID, " ", to.List.Entries[0].State, " ", to.List.Version-v))
+	version := driver.List().Version
+	driver.carryOut(driver.Step(0, DiscoveryCall{Call: 1, Watch: true, After: version}))
+	driver.carryOut(driver.Step(0, DiscoveryCall{Call: 2}))
+	driver.runUntil(time.Second)
+	if len(driver.replies) != 2 || driver.replies[0].Call != 1 || len(driver.replies[0].List.Entries) != 0 || !driver.replies[1].List.IsFull || len(driver.replies[1].List.Entries) != 3 || !driver.replies[1].Ends {
+		t.Fatalf("replies %+v, want no changes for call 1, then the full list of 3 for call 2", driver.replies)
+	}
+	driver.runUntil(7 * time.Second)
+	var changes []string
+	for _, reply := range driver.replies[2:] {
+		if reply.List != nil {
+			changes = append(changes, fmt.Sprint(reply.List.Entries[0].ID, " ", reply.List.Entries[0].State, " ", reply.List.Version-version))
 		}
 	}
-	if fmt.Sprint(said) != "[box-1 draining 1 box-1 up 2]" {
-		t.Errorf("the watch said %v", said)
+	if got, want := fmt.Sprint(changes), "[box-1 draining 1 box-1 up 2]"; got != want {
+		t.Errorf("changes that the watch got: %s, want %s", got, want)
 	}
-	d.until(8500 * time.Millisecond)
-	if last := d.told[len(d.told)-1]; !last.Ends || !last.Failed {
-		t.Errorf("as discovery went down: %+v", last)
+	driver.runUntil(8500 * time.Millisecond)
+	if last := driver.replies[len(driver.replies)-1]; !last.Ends || !last.Failed {
+		t.Errorf("reply as the outage began: %+v, want failed", last)
 	}
-	d.take(d.Step(8600*time.Millisecond, DiscoveryCall{Call: 3}))
-	if last := d.told[len(d.told)-1]; last.Call != 3 || !last.Failed {
-		t.Errorf("while it is down: %+v", last)
+	driver.carryOut(driver.Step(8600*time.Millisecond, DiscoveryCall{Call: 3}))
+	if last := driver.replies[len(driver.replies)-1]; last.Call != 3 || !last.Failed {
+		t.Errorf("reply during the outage: %+v, want failed for call 3", last)
 	}
 }
 
-// The work that a box does in a time is what its cores can do, however many requests share them.
-func TestBoxSharesItsCores(t *testing.T) {
-	for n, want := range map[int]time.Duration{1: 100 * time.Millisecond, 2: 100 * time.Millisecond, 8: 400 * time.Millisecond} {
-		b := newBox(standard, 1, 0, false, RandomStream(1, "t"))
-		b.memory.put(Copy{Key: "k"})
-		for i := range n {
-			b.arrive(0, &Request{Key: "k", Seq: uint64(i), Work: 100 * time.Millisecond}, true)
+// The work that a server does in a time is what its cores can do, however many requests share them.
+func TestCoresAreDividedEvenlyAmongRequests(t *testing.T) {
+	for requests, want := range map[int]time.Duration{1: 100 * time.Millisecond, 2: 100 * time.Millisecond, 8: 400 * time.Millisecond} {
+		server := newCacheServer(standardKind, 1, 0, false, RandomStream(1, "t"))
+		server.memory.put(Copy{Key: "k"})
+		for i := range requests {
+			server.receive(&Request{Key: "k", Seq: uint64(i), Work: 100 * time.Millisecond}, true)
 		}
-		b.fill(0)
-		at := b.wake()
-		b.advance(at)
-		if done := b.finish(at); len(done) != n || at < want || at > want+time.Microsecond {
-			t.Errorf("%d requests: %d done at %s, want %s", n, len(done), at, want)
+		server.startWaiting(0)
+		at := server.nextFinish()
+		server.advance(at)
+		if finished := server.finish(at); len(finished) != requests || at < want || at > want+time.Microsecond {
+			t.Errorf("%d requests: %d finished at %s, want all at %s", requests, len(finished), at, want)
 		}
 	}
 }
 
-func TestCacheGivesUpByBytes(t *testing.T) {
-	for fifo, lost := range map[bool]string{true: "a", false: "b"} {
-		c := newCache(3*(10+1+overhead), fifo)
-		for _, k := range []string{"a", "b", "c"} {
-			c.put(Copy{Key: k, Size: 10})
+func TestFullCacheEvictsByItsOrder(t *testing.T) {
+	for fifo, evicted := range map[bool]string{true: "a", false: "b"} {
+		cache := newCache(3*(10+1+copyOverhead), fifo)
+		for _, key := range []string{"a", "b", "c"} {
+			cache.put(Copy{Key: key, Size: 10})
 		}
-		c.get("a")
-		c.put(Copy{Key: "d", Size: 10})
-		for _, k := range []string{"a", "b", "c", "d"} {
-			if _, ok := c.get(k); ok == (k == lost) {
-				t.Errorf("FIFO %v: %s held: %v", fifo, k, ok)
+		cache.get("a")
+		cache.put(Copy{Key: "d", Size: 10})
+		for _, key := range []string{"a", "b", "c", "d"} {
+			if _, got := cache.get(key); got != (key != evicted) {
+				t.Errorf("FIFO %v: %s is cached: %v, want %v", fifo, key, got, key != evicted)
 			}
 		}
 	}
 }
 
-// A request that is at a box when the list begins to say that it drains is finished and answered; one that comes then
-// is turned away.
-func TestChangeOfTheListCrossesARequest(t *testing.T) {
-	sp := spec(1, 1, Fault{Kind: Drain, At: time.Second, For: 5 * time.Second})
-	kind := *standard
+// A request in execution when the list begins to say that its server drains is finished and answered; one that arrives
+// afterwards is rejected.
+func TestDrainingServerFinishesRequestsAndRejectsNewOnes(t *testing.T) {
+	spec := testSpec(1, 1, Fault{Kind: Drain, At: time.Second, For: 5 * time.Second})
+	kind := *standardKind
 	kind.MissWork, kind.ErrorRate = 1, 0
-	sp.CacheServers[0].Kind = &kind
-	sp.Classes[0] = ClassSpec{"read", 800 * time.Millisecond, 800 * time.Millisecond}
-	sp.Discovery.MinLag, sp.Discovery.MaxLag = 10*time.Millisecond, 10*time.Millisecond
-	d := drive(sp)
-	d.until(900 * time.Millisecond)
-	d.send(1, "1", "read", false)
-	d.until(1100 * time.Millisecond)
-	if e := d.entries()["box-0"]; e.State != Draining || len(d.answers) != 0 {
-		t.Fatalf("%+v with %d answers while the request is at work", e, len(d.answers))
-	}
-	d.send(1, "2", "read", false)
-	d.until(4 * time.Second)
-	if len(d.answers) < 2 || d.answers[0].Request != "2" || d.answers[0].Outcome != RejectedUnseen || d.answers[1].Request != "1" || d.answers[1].Outcome != Miss {
-		t.Errorf("answers %+v", d.answers)
+	spec.CacheServers[0].Kind = &kind
+	spec.Classes[0] = ClassSpec{"read", 800 * time.Millisecond, 800 * time.Millisecond}
+	spec.Discovery.MinLag, spec.Discovery.MaxLag = 10*time.Millisecond, 10*time.Millisecond
+	driver := newDriver(t, spec)
+	driver.runUntil(900 * time.Millisecond)
+	driver.send(1, "1", "read", false)
+	driver.runUntil(1100 * time.Millisecond)
+	if entry := driver.listedByID()["box-0"]; entry.State != Draining || len(driver.responses) != 0 {
+		t.Fatalf("entry %+v with %d responses, want draining and none while the request is in execution", entry, len(driver.responses))
+	}
+	driver.send(1, "2", "read", false)
+	driver.runUntil(4 * time.Second)
+	got := driver.responses
+	if len(got) < 2 || got[0].Request != "2" || got[0].Outcome != RejectedUnseen || got[1].Request != "1" || got[1].Outcome != Miss {
+		t.Errorf("responses %+v, want a rejection of 2 and then a miss for 1", got)
 	}
 }
--- /dev/null
+++ b/internal/testbed/model/system.go
@@ -0,0 +1,164 @@
+package model
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"shelfproxy/internal/testbed/eventqueue"
+)
+
+// System is the emulated system. It is not safe for concurrent use.
+type System struct {
+	spec    Spec
+	now     Time
+	events  eventqueue.Queue
+	effects []Effect // since the last call of a driver
+	started bool
+
+	servers     []*server // in the order in which they were added; retired ones are removed
+	bySlot      map[int]*server
+	slots       int // number of slots that were ever used
+	nextID      int // of cache servers
+	origin      *server
+	discovery   *discoveryService
+	connections map[ConnID]*connection
+	classes     map[string]ClassSpec
+	misses      map[string]*cacheMiss // by the id of the request
+	missOrder   []*cacheMiss          // in the order of their times
+
+	discoveryLagRandom, linkRandom, corruptionRandom *rand.Rand
+
+	hash     *xxhash.Digest
+	logEntry []byte             // buffer of logEvent
+	Trace    func(entry []byte) // receives each line of the event log, if set; it must not keep the slice
+}
+
+// New makes a system. Start brings it into the state of time 0.
+func New(spec Spec) *System {
+	sys := &System{
+		spec:        spec,
+		bySlot:      map[int]*server{},
+		connections: map[ConnID]*connection{},
+		classes:     map[string]ClassSpec{},
+		misses:      map[string]*cacheMiss{},
+		hash:        xxhash.New(),
+		discovery:   &discoveryService{spec: spec.Discovery},
+
+		discoveryLagRandom: RandomStream(spec.Seed, "lags"),
+		linkRandom:         RandomStream(spec.Seed, "links"),
+		corruptionRandom:   RandomStream(spec.Seed, "spoilt"),
+	}
+	for _, class := range spec.Classes {
+		sys.classes[class.Name] = class
+	}
+	return sys
+}
+
+// Start starts the origin and the cache servers and schedules the faults. A second call does nothing.
+func (sys *System) Start() []Effect {
+	if sys.started {
+		return nil
+	}
+	sys.started = true
+	sys.origin = sys.addServer(&server{id: OriginID, zone: sys.spec.OriginZone, origin: newOrigin(sys.spec.Origin, sys.spec.Seed)})
+	sys.discovery.set(sys.listEntry(sys.origin))
+	for _, spec := range sys.spec.CacheServers {
+		srv := sys.addCacheServer(spec, sys.slots, false)
+		sys.discovery.set(sys.listEntry(srv))
+	}
+	for i, fault := range sys.spec.Faults {
+		sys.schedule(fault.At, func() { sys.beginFault(i) })
+	}
+	return sys.takeEffects()
+}
+
+// Step processes an event and whatever was scheduled before it. Time must not go back; a time before the latest one
+// counts as the latest.
+func (sys *System) Step(now Time, event Event) []Effect {
+	sys.runScheduled(now)
+	switch event := event.(type) {
+	case Connect:
+		sys.connect(event)
+	case Closed:
+		sys.connectionClosed(event.Conn)
+	case RequestArrived:
+		sys.requestArrived(event)
+	case HealthCheck:
+		sys.healthCheck(event)
+	case DiscoveryCall:
+		sys.beginDiscoveryCall(event)
+	case DiscoveryCancelled:
+		sys.logEvent("hang-up", strconv.FormatUint(event.Call, 10))
+		sys.cancelDiscoveryCall(event.Call)
+	}
+	return sys.takeEffects()
+}
+
+// Advance runs what is scheduled up to now.
+func (sys *System) Advance(now Time) []Effect {
+	sys.runScheduled(now)
+	return sys.takeEffects()
+}
+
+// NextEvent returns the time at which Advance has to be called next, or Never.
+func (sys *System) NextEvent() Time {
+	if at, ok := sys.events.Next(); ok {
+		return at
+	}
+	return Never
+}
+
+// Hash returns the hash of the event log so far.
+func (sys *System) Hash() uint64 { return sys.hash.Sum64() }
+
+// List returns the full list as the discovery service has it now.
+func (sys *System) List() List { return sys.discovery.fullList() }
+
+// ServerOf returns the id of the server that a connection leads to, or "" once the connection has ended.
+func (sys *System) ServerOf(id ConnID) string {
+	if conn := sys.connections[id]; conn != nil {
+		return conn.server.id
+	}
+	return ""
+}
+
+// runScheduled runs what is scheduled up to now, each event at its own time.
+func (sys *System) runScheduled(now Time) {
+	for event, ok := sys.events.PopUntil(now); ok; event, ok = sys.events.PopUntil(now) {
+		sys.now = max(sys.now, event.At)
+		event.Run()
+	}
+	sys.now = max(sys.now, now)
+}
+
+// schedule runs work at a time, now at the earliest.
+func (sys *System) schedule(at Time, run func()) { sys.events.Schedule(max(at, sys.now), run) }
+
+// scheduleAfter runs work after a delay.
+func (sys *System) scheduleAfter(delay time.Duration, run func()) { sys.schedule(sys.now+delay, run) }
+
+// emit adds an effect for the driver.
+func (sys *System) emit(effect Effect) { sys.effects = append(sys.effects, effect) }
+
+func (sys *System) takeEffects() []Effect {
+	effects := sys.effects
+	sys.effects = nil
+	return effects
+}
+
+// logEvent adds an entry to the event log: the time, the name of the event and its fields.
+func (sys *System) logEvent(name string, fields ...string) {
+	entry := strconv.AppendInt(sys.logEntry[:0], int64(sys.now), 10)
+	entry = append(append(entry, ' '), name...)
+	for _, field := range fields {
+		entry = append(append(entry, ' '), field...)
+	}
+	sys.logEntry = append(entry, '\n')
+	_, _ = sys.hash.Write(sys.logEntry) // a hash never fails
+	if sys.Trace != nil {
+		sys.Trace(sys.logEntry)
+	}
+}
