--- /dev/null
+++ b/internal/testbed/invariants/request.go
@@ -0,0 +1,119 @@
+package invariants
+
+import (
+	"fmt"
+	"time"
+)
+
+// request is what is known of a client's request.
+type request struct {
+	id, class  string
+	isAccepted bool // a node accepted it from a client of the testbed
+	isOver     bool // it was answered, or nothing is owed for it any more
+	node       int  // that accepted it
+	deadline   time.Duration
+	attempts   []*attempt
+	executions int
+	madeBy     map[string]bool // servers that made a value for it
+	history    []string
+	forgetAt   time.Duration
+}
+
+// isOpen reports whether a final answer is owed.
+func (r *request) isOpen() bool { return r.isAccepted && !r.isOver }
+
+// addHistory adds an entry to the history of a request.
+func (r *request) addHistory(now time.Duration, format string, args ...any) {
+	if len(r.history) < maxHistory {
+		r.history = append(r.history, fmt.Sprintf("%.3f ", now.Seconds())+fmt.Sprintf(format, args...))
+	}
+}
+
+// requestByID returns what is known of a request, and remembers one that is seen for the first time.
+func (c *Checker) requestByID(now time.Duration, id, class string) *request {
+	req := c.requests[id]
+	if req == nil {
+		req = &request{id: id, class: class, madeBy: map[string]bool{}, forgetAt: now + rememberWithoutDeadline}
+		c.requests[id] = req
+		c.requestOrder = append(c.requestOrder, req)
+	}
+	return req
+}
+
+// RequestSent reports that a client wrote the last byte of a request to a node, whose machine had accepted the
+// connection. The deadline is a time of the run.
+func (c *Checker) RequestSent(now time.Duration, id, class string, node int, deadline time.Duration) {
+	req := c.requestByID(now, id, class)
+	req.isAccepted, req.node, req.deadline, req.forgetAt = true, node, deadline, deadline+rememberAfterDeadline
+	req.addHistory(now, "accepted by node %d, deadline %.3f", node, deadline.Seconds())
+	c.counts.Requests++
+}
+
+// RequestAnswered reports that a client read the last byte of an answer. madeFor is the id of the request that a value
+// names; it is ignored for other answers.
+func (c *Checker) RequestAnswered(now time.Duration, id string, final Final, madeFor string) {
+	req := c.requests[id]
+	if req == nil || !req.isAccepted {
+		c.report(MissingAnswer, now, req, "an answer for %s, which no client sent", id)
+		return
+	}
+	req.addHistory(now, "%s", final)
+	if req.isOver {
+		c.report(MissingAnswer, now, req, "a second final answer for %s", id)
+		return
+	}
+	req.isOver = true
+	c.counts.Answered++
+	if now > req.deadline+c.tolerances.Grace {
+		c.report(MissingAnswer, now, req, "%s was answered %s past its deadline", id, (now - req.deadline).Round(time.Millisecond))
+	}
+	switch final {
+	case Served:
+		c.checkValue(now, req, madeFor)
+	case Rejected:
+		c.checkRejection(now, req)
+	case Failed: // an error promises nothing
+	}
+}
+
+// checkValue checks that a value that a client got was made for its request.
+func (c *Checker) checkValue(now time.Duration, req *request, madeFor string) {
+	switch {
+	case madeFor != req.id:
+		c.report(MissingAnswer, now, req, "%s was served what was made for %q", req.id, madeFor)
+	case len(req.madeBy) == 0:
+		c.report(MissingAnswer, now, req, "%s was served a value that no server made for it", req.id)
+	}
+}
+
+// checkRejection checks that a request that was rejected had no effect, if its class makes this matter.
+func (c *Checker) checkRejection(now time.Duration, req *request) {
+	executed := req.possiblyExecuted()
+	if executed != nil && c.classes[req.class].Effect == AtMostOnce {
+		c.report(RejectedAfterExecution, now, req, "%s of class %s was rejected after an attempt at %s that may have been executed",
+			req.id, req.class, executed.server)
+	}
+}
+
+// ConnectionEnded reports that a node closed the connection on which it owed an answer. With unread the node may not
+// have read the request; this breaks no invariant.
+func (c *Checker) ConnectionEnded(now time.Duration, id string, unread bool) {
+	req := c.requests[id]
+	if req == nil || req.isOver {
+		return
+	}
+	req.isOver = true
+	req.addHistory(now, "connection ended")
+	if !unread {
+		c.report(MissingAnswer, now, req, "node %d ended the connection of %s without an answer", req.node, id)
+	}
+}
+
+// ClientDisconnected reports that nothing is owed for a request any more: its client disconnected, or the testbed
+// itself ended the node.
+func (c *Checker) ClientDisconnected(now time.Duration, id string) {
+	if req := c.requests[id]; req != nil && !req.isOver {
+		req.isOver = true
+		req.addHistory(now, "client disconnected")
+	}
+}
