--- /dev/null
+++ b/internal/testbed/scenario/parse.go
@@ -0,0 +1,56 @@
+package scenario
+
+import (
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+
+	"shelfproxy/internal/tomlfile"
+)
+
+// Read reads a scenario from a file. An error names the file, the line and the field.
+func Read(path string) (*Scenario, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("scenario: %w", err)
+	}
+	return Parse(path, text)
+}
+
+// Parse reads a scenario from a text. The path gives its name and is part of error messages.
+func Parse(path string, text []byte) (*Scenario, error) {
+	scenario := Default()
+	scenario.Name = strings.TrimSuffix(path[strings.LastIndexByte(path, '/')+1:], ".toml")
+	// A list in the file replaces that of the defaults, it does not extend it.
+	defaultKinds, defaultClasses := scenario.Kinds, scenario.Classes
+	scenario.Kinds, scenario.Classes = nil, nil
+	file, err := tomlfile.Parse(path, text, scenario)
+	if err != nil {
+		return nil, err
+	}
+	scenario.file = file
+	if scenario.Kinds == nil {
+		scenario.Kinds = defaultKinds
+	} else {
+		scenario.fillKinds(defaultKinds[standardKind])
+	}
+	if scenario.Classes == nil {
+		scenario.Classes = defaultClasses
+	}
+	return scenario, scenario.validate()
+}
+
+// fillKinds gives the kinds of a file the values of the standard kind for the fields that they leave out.
+func (s *Scenario) fillKinds(standard CacheServerKind) {
+	from := reflect.ValueOf(standard)
+	for i := range s.Kinds {
+		to := reflect.ValueOf(&s.Kinds[i]).Elem()
+		for n := range to.NumField() {
+			key := to.Type().Field(n).Tag.Get("toml")
+			if key != "name" && !s.file.Has(fmt.Sprintf("kind[%d].%s", i, key)) {
+				to.Field(n).Set(from.Field(n))
+			}
+		}
+	}
+}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -40,43 +41,44 @@
 		"[[fault]]\nkind = 'kill'\nzone = 'cellar'":                     "s.toml:3: fault[0].zone: there is no zone \"cellar\"",
 	} {
 		if _, err := read(t, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: error %v, want one with %q", text, err, want)
 		}
 	}
 }
 
-// Every scenario that is shipped is good, and a seed draws the same plan from it each time.
-func TestShippedScenarios(t *testing.T) {
-	files, _ := filepath.Glob("../../../scenarios/*.toml")
-	if len(files) < 6 {
-		t.Fatalf("found %v", files)
+// Every scenario in scenarios/ is valid, and a seed always draws the same plan from it.
+func TestShippedScenariosAreValid(t *testing.T) {
+	paths, err := filepath.Glob("../../../scenarios/*.toml")
+	if err != nil || len(paths) < 6 {
+		t.Fatalf("found the scenarios %v, error %v; want 6 at least", paths, err)
 	}
 	kinds := map[model.FaultKind]bool{}
-	for _, f := range files {
-		s, err := Read(f)
+	for _, path := range paths {
+		scenario, err := Read(path)
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		if s.About == "" || s.Name+".toml" != filepath.Base(f) {
-			t.Errorf("%s: name %q, about %q", f, s.Name, s.About)
+		if scenario.About == "" || scenario.Name+".toml" != filepath.Base(path) {
+			t.Errorf("%s: name %q and about %q, want the name of the file and a description", path, scenario.Name, scenario.About)
 		}
-		a, b, c := s.Draw(1), s.Draw(1), s.Draw(2)
-		if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a.Spec.CacheServers, c.Spec.CacheServers) {
-			t.Errorf("%s: the seed does not tell plans apart, or one draws two", f)
+		plan, repeated, other := scenario.Draw(1), scenario.Draw(1), scenario.Draw(2)
+		if !reflect.DeepEqual(plan, repeated) {
+			t.Errorf("%s: two plans of one seed differ: %+v and %+v", path, plan, repeated)
 		}
-		for _, f := range a.Spec.Faults {
-			kinds[f.Kind] = true
+		if reflect.DeepEqual(plan.Spec.CacheServers, other.Spec.CacheServers) {
+			t.Errorf("%s: two seeds draw the same cache servers %+v", path, plan.Spec.CacheServers)
+		}
+		for _, fault := range plan.Spec.Faults {
+			kinds[fault.Kind] = true
 		}
 	}
 	if len(kinds) < 11 {
-		t.Errorf("the scenarios show %d kinds of faults only", len(kinds))
+		t.Errorf("the scenarios have %d kinds of faults, want 11 at least", len(kinds))
 	}
 }
 
-// A kind states what differs from a standard box; shares say how many of each there are and where.
-func TestDrawBoxes(t *testing.T) {
-	s, err := read(t, `
+const kindsAndZones = `
 [boxes]
 count = 10
 [zones]
@@ -99,39 +101,46 @@
 at = ["1s", "2s"]
 for = "3s"
 of = "big"
-`)
+`
+
+func drawPlan(t *testing.T, text string, seed uint64) *Plan {
+	t.Helper()
+	scenario, err := read(t, text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := s.Draw(7)
+	return scenario.Draw(seed)
+}
+
+// A kind states what differs from the standard kind; weights say how many of each kind there are and where.
+func TestCacheServersAreDrawnByTheWeightsOfKindsAndZones(t *testing.T) {
+	plan := drawPlan(t, kindsAndZones, 7)
 	kinds, zones := map[string]int{}, map[string]int{}
-	for _, b := range p.Spec.CacheServers {
-		kinds[b.Kind.Name]++
-		zones[b.Zone]++
-		if b.Kind.Name == "small" && (b.Kind.SlowStartDuration != 5*time.Second || b.Kind.Cores != 5 || b.Kind.Memory < 1<<20 || b.Kind.Memory > 2<<20) {
-			t.Errorf("a small box: %+v", b.Kind)
+	for _, server := range plan.Spec.CacheServers {
+		kind := server.Kind
+		kinds[kind.Name]++
+		zones[server.Zone]++
+		if kind.Name == "small" && (kind.SlowStartDuration != 5*time.Second || kind.Cores != 5 || kind.Memory < 1<<20 || kind.Memory > 2<<20) {
+			t.Errorf("small server %+v, want a slow start of 5s, 5 cores and 1 to 2 MB", kind)
 		}
 	}
 	if kinds["big"] != 3 && kinds["big"] != 2 || kinds["big"]+kinds["small"] != 10 || zones["a"] != 2 || zones["b"] != 8 {
-		t.Errorf("kinds %v, zones %v", kinds, zones)
-	}
-	if want := []float64{0.375, 0.25, 0.375}; !near(p.Workload.NodeWeights, want) {
-		t.Errorf("shares of the load %v, want %v", p.Workload.NodeWeights, want)
-	}
-	f := p.Spec.Faults[0]
-	if f.Kind != model.Drain || f.At < time.Second || f.At > 2*time.Second || f.For != 3*time.Second || f.Select.Kind != "big" {
-		t.Errorf("fault %+v", f)
+		t.Errorf("kinds %v, zones %v; want 2 or 3 big of 10, and 2 in a and 8 in b", kinds, zones)
 	}
 }
 
-func near(a, b []float64) bool {
-	if len(a) != len(b) {
-		return false
+func TestTimeOfAFaultIsDrawnFromItsRange(t *testing.T) {
+	fault := drawPlan(t, kindsAndZones, 7).Spec.Faults[0]
+	if fault.Kind != model.Drain || fault.At < time.Second || fault.At > 2*time.Second || fault.For != 3*time.Second || fault.Select.Kind != "big" {
+		t.Errorf("fault %+v, want a drain of the kind big at 1s to 2s for 3s", fault)
 	}
-	for i := range a {
-		if math.Abs(a[i]-b[i]) > 1e-9 {
-			return false
-		}
+}
+
+func TestLoadOfZonesIsDividedAmongTheirNodes(t *testing.T) {
+	plan := drawPlan(t, kindsAndZones, 7)
+	want := []float64{0.375, 0.25, 0.375}
+	isNear := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9 }
+	if got := plan.Workload.NodeWeights; !slices.EqualFunc(got, want, isNear) {
+		t.Errorf("weights of the nodes %v, want %v", got, want)
 	}
-	return true
 }
