--- a/internal/testbed/emulator/emulate_test.go
+++ b/internal/testbed/emulator/emulate_test.go
@@ -394,22 +394,6 @@
 	}
 }
 
-// The wording of every way of spoiling an answer differs from the sound one.
-func TestEverySpoiltWording(t *testing.T) {
-	a := model.Response{Outcome: model.Hit, Copy: model.Copy{Key: "k", Size: 40}, Load: model.Load{Inflight: 1}}
-	seen := map[string]model.CorruptionKind{}
-	for k := model.NotCorrupt; k <= model.CorruptLoadReport; k++ {
-		a.Corruption = k
-		h, _ := wireformat.EncodeHTTP("id", a)
-		for form, text := range map[string]string{"RESP": string(wireformat.EncodeRESP("id", a)), "HTTP": string(h)} {
-			if other, ok := seen[form+text]; ok {
-				t.Errorf("%s: kinds %d and %d are the same", form, k, other)
-			}
-			seen[form+text] = k
-		}
-	}
-}
-
 func TestPortTaken(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testbed/wireformat/list.go
+++ b/internal/testbed/wireformat/list.go
@@ -7,36 +7,37 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// instance is an entry in the form of the protocol.
-type instance struct {
+// endpoint is an entry of the endpoint list in the protocol of discovery.
+type endpoint struct {
 	ID      string  `json:"instanceId"`
-	Addr    string  `json:"hostPort"`
+	Address string  `json:"hostPort"`
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"machineType"`
 	Cell    int     `json:"cell"`
 	State   string  `json:"lifecycle"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"startedAtMs"`
+	Started int64   `json:"startedAtMs"` // 0 is long ago
 }
 
-// list is a list in the form of the protocol.
-type list struct {
+// endpointList is a full list, or the changes of one, in the protocol of discovery.
+type endpointList struct {
 	Version   int64      `json:"generation"`
-	Whole     bool       `json:"reset"`
-	Instances []instance `json:"instances"`
+	IsFull    bool       `json:"reset"`
+	Endpoints []endpoint `json:"instances"`
 }
 
-// EncodeList is a list as a node is told it, as one line of JSON: with the addresses of slots for that node, and the time of a run as
-// Unix milliseconds.
-func EncodeList(l model.List, addr func(slot int) string, unixMs func(time.Duration) int64) []byte {
-	out := list{Version: l.Version, Whole: l.IsFull, Instances: []instance{}}
-	for _, s := range l.Entries {
-		in := instance{ID: s.ID, Addr: addr(s.Slot), Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: s.State.String(), Weight: 1}
-		if s.Started > 0 {
-			in.Started = unixMs(s.Started)
+// EncodeList encodes a list for a node, as one line of JSON without its end. address gives the address of a slot for
+// this node, unixMs the Unix milliseconds of a time of the run.
+func EncodeList(list model.List, address func(slot int) string, unixMs func(time.Duration) int64) []byte {
+	encoded := endpointList{Version: list.Version, IsFull: list.IsFull, Endpoints: []endpoint{}}
+	for _, entry := range list.Entries {
+		listed := endpoint{ID: entry.ID, Address: address(entry.Slot), Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell,
+			State: entry.State.String(), Weight: 1}
+		if entry.Started > 0 {
+			listed.Started = unixMs(entry.Started)
 		}
-		out.Instances = append(out.Instances, in)
+		encoded.Endpoints = append(encoded.Endpoints, listed)
 	}
-	text, _ := json.Marshal(out) // numbers and strings always can be
+	text, _ := json.Marshal(encoded) // numbers and strings always can be encoded
 	return text
 }
--- a/internal/testbed/wireformat/request.go
+++ b/internal/testbed/wireformat/request.go
@@ -9,53 +9,66 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// MaxValue is the longest value, by the protocol.
-const MaxValue = 64 << 10
-
-// ParseRequest reads a command: its name, key, id, the list of names and values, and the value of a write.
-func ParseRequest(classes map[string]scenario.Class, write bool, args [][]byte) (q model.Request, why string) {
-	want := 4
+// ParseRequest decodes the arguments of a command: its name, the key, the request id, the list of names and values, and
+// the value of a write. The Deadline of the request is a duration from now; the caller, which knows the time, adds it.
+// why says what is wrong with the command and is empty if nothing is.
+func ParseRequest(classes map[string]scenario.Class, write bool, args [][]byte) (request model.Request, why string) {
+	numArgs := 4
 	if write {
-		want = 5
+		numArgs = 5
 	}
-	if len(args) != want {
-		return q, "wrong number of arguments"
+	if len(args) != numArgs {
+		return request, "wrong number of arguments"
 	}
-	q = model.Request{Key: string(args[1]), ID: string(args[2]), Write: write}
-	if q.Key == "" || q.ID == "" || strings.ContainsAny(q.ID, " \r\n") {
-		return q, "no key or no id"
+	request = model.Request{Key: string(args[1]), ID: string(args[2]), Write: write}
+	if request.Key == "" || request.ID == "" || strings.ContainsAny(request.ID, " \r\n") {
+		return request, "no key or no id"
 	}
 	if write {
-		if q.Size = len(args[4]); q.Size > MaxValue {
-			return q, "value is too large"
-		}
+		request.Size = len(args[4])
+	}
+	if request.Size > MaxValue {
+		return request, "value is too large"
+	}
+	if why := parseFields(&request, string(args[3])); why != "" {
+		return request, why
 	}
-	for pair := range strings.SplitSeq(string(args[3]), ",") {
+	return request, validateClass(classes, &request)
+}
+
+// parseFields decodes a list of names and values such as "c=read,d=900". Unknown names are ignored.
+func parseFields(request *model.Request, list string) (why string) {
+	for pair := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return q, "bad list of names and values"
+			return "bad list of names and values"
 		}
 		switch name {
 		case "c":
-			q.Class = value
+			request.Class = value
 		case "d":
 			ms, err := strconv.Atoi(value)
 			if err != nil || ms <= 0 {
-				return q, "bad d"
+				return "bad d"
 			}
-			q.Deadline = time.Duration(ms) * time.Millisecond // from now; whoever knows the time adds it
+			request.Deadline = time.Duration(ms) * time.Millisecond
 		case "k":
-			q.IdempotencyKey = value
+			request.IdempotencyKey = value
 		}
 	}
-	class, ok := classes[q.Class]
+	return ""
+}
+
+// validateClass checks that a request has a known class, which goes with its command, and a deadline.
+func validateClass(classes map[string]scenario.Class, request *model.Request) (why string) {
+	class, ok := classes[request.Class]
 	switch {
 	case !ok:
-		return q, "unknown class"
-	case q.Deadline == 0:
-		return q, "d is missing"
-	case class.Write != write:
-		return q, "the class does not go with the command"
+		return "unknown class"
+	case request.Deadline == 0:
+		return "d is missing"
+	case class.Write != request.Write:
+		return "the class does not go with the command"
 	}
-	return q, ""
+	return ""
 }
--- a/scenarios/embed.go
+++ b/scenarios/embed.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the scenarios that are shipped with the lab.
+// Package scenarios holds the scenarios that are part of the testbed.
 package scenarios
 
 import (
@@ -7,21 +7,24 @@
 	"strings"
 )
 
+// extension is the file name extension of scenarios.
+const extension = ".toml"
+
 //go:embed *.toml
 var files embed.FS
 
-// Names are the shipped scenarios, in the order of the alphabet.
+// Names returns the names of the scenarios in alphabetical order.
 func Names() []string {
-	var out []string
-	all, _ := fs.Glob(files, "*.toml")
-	for _, f := range all {
-		out = append(out, strings.TrimSuffix(f, ".toml"))
+	paths, _ := fs.Glob(files, "*"+extension) // fails for a malformed pattern only
+	var names []string
+	for _, path := range paths {
+		names = append(names, strings.TrimSuffix(path, extension))
 	}
-	return out
+	return names
 }
 
-// Text is the text of a shipped scenario.
-func Text(name string) ([]byte, bool) {
-	b, err := files.ReadFile(name + ".toml")
-	return b, err == nil
+// Text returns the text of a scenario; ok is false if there is none of this name.
+func Text(name string) (text []byte, ok bool) {
+	text, err := files.ReadFile(name + extension)
+	return text, err == nil
 }
