--- /dev/null
+++ b/internal/testbed/emulator/acceptor.go
@@ -0,0 +1,232 @@
+package emulator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"shelfproxy/internal/testbed/model"
+)
+
+const (
+	// acceptQueue is the length of the kernel's queue of established connections.
+	acceptQueue = 1024
+	// maxFillers is the number of connections that are opened to fill the shortest queue; the kernel lets in one more
+	// than its length.
+	maxFillers = 4
+	// fillTimeout bounds how long one of them may take: a full queue does not answer.
+	fillTimeout = 50 * time.Millisecond
+	// acceptRetry is the wait after a failed accept, while the acceptor is closed or descriptors have run out.
+	acceptRetry = time.Millisecond
+)
+
+// acceptor is the address of one slot for one node. It keeps its port for as long as the emulator runs, whatever happens
+// to the server behind it. While accepting it takes connections, while refusing the kernel resets them, and while
+// unresponsive they are never established, as with a machine that is partitioned off.
+//
+// The standard library can't stop listening and keep the port, so the socket is made by hand: it is bound once, and
+// listen and shutdown change its state. An unresponsive acceptor listens with the shortest queue, which is then filled,
+// so that the kernel drops further connections.
+type acceptor struct {
+	address  string
+	file     *os.File
+	listener *net.TCPListener
+	accept   func(net.Conn)
+
+	mu       sync.Mutex
+	changed  sync.Cond // of state and isClosed
+	state    model.AcceptorState
+	isClosed bool
+	fillers  []net.Conn // connections that fill the queue
+}
+
+// newAcceptor binds an acceptor on loopback that refuses connections; with port 0 the system chooses one. accept gets
+// each connection. close ends the goroutine that accepts them.
+func newAcceptor(port int, accept func(net.Conn)) (*acceptor, error) {
+	file, port, err := bind(port)
+	if err != nil {
+		return nil, err
+	}
+	listener, err := net.FileListener(file)
+	if err != nil {
+		return nil, errors.Join(err, file.Close())
+	}
+	a := &acceptor{address: fmt.Sprintf("127.0.0.1:%d", port), file: file, listener: listener.(*net.TCPListener),
+		accept: accept, state: model.Refusing}
+	a.changed.L = &a.mu
+	go a.serve()
+	return a, nil
+}
+
+// bind makes a socket that is bound but does not listen, and returns its port. The error is a *PortTakenError if the port
+// is in use.
+func bind(port int) (*os.File, int, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
+	if err != nil {
+		return nil, 0, fmt.Errorf("socket: %w", err)
+	}
+	file := os.NewFile(uintptr(fd), "acceptor")
+	err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
+	if err == nil {
+		err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
+	}
+	if err != nil {
+		_ = file.Close() // it was never used
+		if errors.Is(err, syscall.EADDRINUSE) {
+			return nil, 0, &PortTakenError{port}
+		}
+		return nil, 0, fmt.Errorf("bind 127.0.0.1:%d: %w", port, err)
+	}
+	if port != 0 {
+		return file, port, nil
+	}
+	// A port that the system chose is given back when the socket stops listening. One that was asked for is kept, so a
+	// second socket asks for it while the first one holds it.
+	defer func() { _ = file.Close() }()
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		return nil, 0, err
+	}
+	return bind(name.(*syscall.SockaddrInet4).Port)
+}
+
+// PortTakenError says that a port that was asked for is in use.
+type PortTakenError struct{ Port int }
+
+// Error implements error.
+func (e *PortTakenError) Error() string {
+	return fmt.Sprintf("port %d is taken; choose another --base-port, or 0 for free ones", e.Port)
+}
+
+// serve accepts connections until the acceptor is closed.
+func (a *acceptor) serve() {
+	for a.waitUntilAccepting() {
+		conn, err := a.listener.Accept()
+		switch {
+		case err == nil:
+			a.accept(conn)
+		case errors.Is(err, net.ErrClosed):
+			return
+		default:
+			time.Sleep(acceptRetry)
+		}
+	}
+}
+
+// waitUntilAccepting waits until the acceptor accepts connections. It returns false if the acceptor was closed.
+func (a *acceptor) waitUntilAccepting() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for a.state != model.Accepting && !a.isClosed {
+		a.changed.Wait()
+	}
+	return !a.isClosed
+}
+
+// set changes the state of the acceptor. It is called by one goroutine.
+func (a *acceptor) set(state model.AcceptorState) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.isClosed || state == a.state {
+		return nil
+	}
+	before := a.state
+	a.state = state
+	raw, err := a.file.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var failed error
+	err = raw.Control(func(fd uintptr) { failed = a.setSocket(int(fd), before, state) })
+	a.closeFillers()
+	if state == model.Unresponsive {
+		go a.fillQueue() // it ends by itself
+	}
+	a.changed.Broadcast()
+	return errors.Join(err, failed)
+}
+
+// setSocket changes the state of the socket. The deadlines of the listener fail only once it is closed.
+func (a *acceptor) setSocket(fd int, before, state model.AcceptorState) error {
+	switch state {
+	case model.Accepting:
+		err := syscall.Listen(fd, acceptQueue)
+		if before == model.Unresponsive {
+			resetQueued(fd)
+		}
+		_ = a.listener.SetDeadline(time.Time{})
+		return err
+	case model.Refusing:
+		err := syscall.Shutdown(fd, syscall.SHUT_RDWR)
+		if errors.Is(err, syscall.ENOTCONN) { // it did not listen yet
+			return nil
+		}
+		return err
+	case model.Unresponsive:
+		_ = a.listener.SetDeadline(time.Unix(1, 0)) // ends an Accept that waits
+		return syscall.Listen(fd, 0)
+	}
+	return nil
+}
+
+// fillQueue fills the kernel's queue of an unresponsive acceptor, so that no connection of a node is established.
+func (a *acceptor) fillQueue() {
+	dialer := net.Dialer{Timeout: fillTimeout}
+	for range maxFillers {
+		conn, err := dialer.DialContext(context.Background(), "tcp", a.address)
+		if err != nil || !a.addFiller(conn) {
+			return
+		}
+	}
+}
+
+// addFiller keeps a connection that fills the queue. It closes the connection and returns false if the acceptor is no
+// longer unresponsive.
+func (a *acceptor) addFiller(conn net.Conn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.state != model.Unresponsive || a.isClosed {
+		_ = conn.Close() // nothing was sent on it
+		return false
+	}
+	a.fillers = append(a.fillers, conn)
+	return true
+}
+
+// closeFillers closes the connections that fill the queue. The caller holds the lock.
+func (a *acceptor) closeFillers() {
+	for _, conn := range a.fillers {
+		_ = conn.Close() // nothing was sent on it
+	}
+	a.fillers = nil
+}
+
+// resetQueued resets the connections that were established while the acceptor was unresponsive.
+func resetQueued(fd int) {
+	for range acceptQueue {
+		queued, _, err := syscall.Accept4(fd, syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK)
+		if err != nil {
+			return
+		}
+		// A connection that its node has closed meanwhile needs no reset.
+		_ = syscall.SetsockoptLinger(queued, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
+		_ = syscall.Close(queued)
+	}
+}
+
+// close ends the acceptor and gives its port back. It does not wait for the goroutines.
+func (a *acceptor) close() {
+	a.mu.Lock()
+	a.isClosed = true
+	a.closeFillers()
+	a.changed.Broadcast()
+	a.mu.Unlock()
+	// The run is over, whether they can be closed or not.
+	_ = a.listener.Close()
+	_ = a.file.Close()
+}
--- a/internal/testbed/emulator/discovery.go
+++ b/internal/testbed/emulator/discovery.go
@@ -1,8 +1,10 @@
 package emulator
 
 import (
+	"context"
 	"net"
 	"net/http"
+	"net/url"
 	"strconv"
 	"time"
 
@@ -10,128 +12,154 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// discovery is the discovery service as one node reaches it. All of them tell of one roster.
-type discovery struct {
-	e    *Emulator
-	node int
-	ln   net.Listener
-	srv  *http.Server
-}
+const (
+	// maxUnsentReplies is how many replies a watch may be behind. One that is further behind is ended: a node that does
+	// not read would make them pile up.
+	maxUnsentReplies = 1024
+	// readHeaderTimeout bounds how long a node may take for the header of a call.
+	readHeaderTimeout = 5 * time.Second
+)
 
-// call is a call of discovery that is open.
-type call struct {
-	node  int
-	lines chan model.DiscoveryReply
+// discoveryServer is the discovery service at the address of one node. All of them send the same list, with the
+// addresses of their node.
+type discoveryServer struct {
+	emulator *Emulator
+	node     int
+	listener net.Listener
+	server   *http.Server
 }
 
-// behind is how many lines a watch may be behind before it is ended, as a node that does not read would have them
-// pile up.
-const behind = 1024
+// discoveryCall is an open call of the discovery service.
+type discoveryCall struct {
+	node    int
+	replies chan model.DiscoveryReply // closed by the loop if the call has to be reset
+}
 
-func (e *Emulator) newDiscovery(node, port int) (*discovery, error) {
-	ln, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
+// newDiscoveryServer binds the address; with port 0 the system chooses one.
+func (e *Emulator) newDiscoveryServer(node, port int) (*discoveryServer, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
 	if err != nil {
 		if port != 0 {
 			return nil, &PortTakenError{port}
 		}
 		return nil, err
 	}
-	d := &discovery{e: e, node: node, ln: ln}
+	d := &discoveryServer{emulator: e, node: node, listener: listener}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", d.hosts)
-	d.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	mux.HandleFunc("GET /discovery/hosts", d.serveHosts)
+	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	return d, nil
 }
 
-func (d *discovery) serve() { d.srv.Serve(d.ln) }
+// serve serves calls until close.
+func (d *discoveryServer) serve() { _ = d.server.Serve(d.listener) }
 
-func (d *discovery) close() {
-	d.srv.Close()
-	d.ln.Close()
+// close ends the server and its calls. One that was never served has its listener closed here.
+func (d *discoveryServer) close() {
+	_ = d.server.Close()
+	_ = d.listener.Close()
 }
 
-// wire words a list as a node is told it.
-func (e *Emulator) wire(l model.List, node int) []byte {
-	return wireformat.EncodeList(l, func(slot int) string { return e.addr(slot, node) },
+// encodeList encodes a list for a node.
+func (e *Emulator) encodeList(list model.List, node int) []byte {
+	return wireformat.EncodeList(list, func(slot int) string { return e.address(slot, node) },
 		func(at time.Duration) int64 { return e.start.Add(at).UnixMilli() })
 }
 
-func (d *discovery) hosts(w http.ResponseWriter, r *http.Request) {
-	e := d.e
-	q := r.URL.Query()
-	ask := model.DiscoveryCall{Call: e.nextCall.Add(1), Node: d.node, Watch: q.Has("watch")}
-	if ask.Watch {
-		after, err := strconv.ParseInt(q.Get("after"), 10, 64)
-		if err != nil {
-			http.Error(w, "after is no version", http.StatusBadRequest)
-			return
-		}
-		ask.After = after
+// serveHosts serves a call of the endpoint list, or a watch on it.
+func (d *discoveryServer) serveHosts(w http.ResponseWriter, r *http.Request) {
+	emulator := d.emulator
+	call, err := d.parseCall(r.URL.Query())
+	if err != nil {
+		http.Error(w, "after is no version", http.StatusBadRequest)
+		return
 	}
-	e.stats.Calls.Add(1)
-	c := &call{node: d.node, lines: make(chan model.DiscoveryReply, behind)}
-	if !e.post(func(now time.Duration) {
-		e.calls[ask.Call] = c
-		e.carry(now, e.portal.Step(now, ask))
-	}) {
+	emulator.counters.discoveryCalls.Add(1)
+	open := &discoveryCall{node: d.node, replies: make(chan model.DiscoveryReply, maxUnsentReplies)}
+	posted := emulator.post(func(now time.Duration) {
+		emulator.calls[call.Call] = open
+		emulator.step(now, call)
+	})
+	if !posted {
 		return
 	}
-	defer e.post(func(now time.Duration) {
-		if e.calls[ask.Call] == c {
-			delete(e.calls, ask.Call)
-			e.carry(now, e.portal.Step(now, model.DiscoveryCancelled{Call: ask.Call}))
+	defer emulator.post(func(now time.Duration) {
+		if emulator.calls[call.Call] == open {
+			delete(emulator.calls, call.Call)
+			emulator.step(now, model.DiscoveryCancelled{Call: call.Call})
 		}
 	})
-	begun := false
+	d.sendReplies(r.Context(), w, open.replies)
+}
+
+// parseCall gives a call its id and reads its parameters. It fails if the version of a watch is no number.
+func (d *discoveryServer) parseCall(query url.Values) (model.DiscoveryCall, error) {
+	call := model.DiscoveryCall{Call: d.emulator.lastCall.Add(1), Node: d.node, Watch: query.Has("watch")}
+	if !call.Watch {
+		return call, nil
+	}
+	var err error
+	call.After, err = strconv.ParseInt(query.Get("after"), 10, 64)
+	return call, err
+}
+
+// sendReplies writes the replies to a call until it ends. A failure after the first reply resets the connection.
+func (d *discoveryServer) sendReplies(ctx context.Context, w http.ResponseWriter, replies <-chan model.DiscoveryReply) {
+	hasBegun := false
 	for {
 		select {
-		case t, ok := <-c.lines:
+		case reply, ok := <-replies:
 			switch {
-			case !ok || t.Failed && begun:
-				panic(http.ErrAbortHandler) // a reset
-			case t.Failed:
+			case !ok || reply.Failed && hasBegun:
+				panic(http.ErrAbortHandler) // the server resets the connection
+			case reply.Failed:
 				http.Error(w, "discovery is not available", http.StatusServiceUnavailable)
 				return
 			}
-			if !begun {
+			if !hasBegun {
 				w.Header().Set("Content-Type", "application/json")
 			}
-			begun = true
-			line := []byte{'\n'}
-			if t.List != nil {
-				line = append(e.wire(*t.List, d.node), '\n')
-			}
-			if _, err := w.Write(line); err != nil || t.Ends {
+			hasBegun = true
+			if _, err := w.Write(d.encodeReply(reply)); err != nil || reply.Ends {
 				return
 			}
 			w.(http.Flusher).Flush()
-		case <-r.Context().Done():
+		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// told hands a call what discovery writes to it. What a watch was told counts from here on.
-func (e *Emulator) told(now time.Duration, t model.DiscoveryReply) {
-	c := e.calls[t.Call]
-	if c == nil {
+// encodeReply encodes a reply as one line; a heartbeat is an empty one.
+func (d *discoveryServer) encodeReply(reply model.DiscoveryReply) []byte {
+	if reply.List == nil {
+		return []byte{'\n'}
+	}
+	return append(d.emulator.encodeList(*reply.List, d.node), '\n')
+}
+
+// replyToCall hands a reply of the model to its call. The node counts as notified from here on.
+func (e *Emulator) replyToCall(now time.Duration, reply model.DiscoveryReply) {
+	call := e.calls[reply.Call]
+	if call == nil {
 		return
 	}
-	if t.List != nil {
+	if reply.List != nil {
 		states := map[string]string{}
-		for _, s := range t.List.Entries {
-			states[s.ID] = s.State.String()
-			e.check.NodeKnowsStart(c.node, s.ID, s.Started)
+		for _, entry := range reply.List.Entries {
+			states[entry.ID] = entry.State.String()
+			e.checker.NodeKnowsStart(call.node, entry.ID, entry.Started)
 		}
-		e.check.NodeNotified(now, c.node, t.List.IsFull, states)
+		e.checker.NodeNotified(now, call.node, reply.List.IsFull, states)
 	}
 	select {
-	case c.lines <- t:
+	case call.replies <- reply:
 	default:
-		t.Ends = true
-		close(c.lines)
+		reply.Ends = true
+		close(call.replies)
 	}
-	if t.Ends {
-		delete(e.calls, t.Call)
+	if reply.Ends {
+		delete(e.calls, reply.Call)
 	}
 }
--- a/internal/testbed/model/effect.go
+++ b/internal/testbed/model/effect.go
@@ -72,3 +72,12 @@
 func (ServerStarted) effect()      {}
 func (ServerListed) effect()       {}
 func (DiscoveryReachable) effect() {}
+
+// WasNotExecuted reports whether a response proves that the attempt was not executed: it was rejected, or the server had
+// no copy.
+func (r Response) WasNotExecuted() bool { return r.Outcome == RejectedUnseen || r.Outcome == Miss }
+
+// HasValue reports whether a response holds a value for the request that can be decoded.
+func (r Response) HasValue() bool {
+	return r.Corruption.IsDecodable() && (r.Outcome == Hit || r.Outcome == Written)
+}
--- a/internal/testbed/model/fault.go
+++ b/internal/testbed/model/fault.go
@@ -78,3 +78,6 @@
 	CorruptLoadReport                   // a load report that can't be decoded
 	numCorruptionKinds
 )
+
+// IsDecodable reports whether a response that is corrupt in this way can be decoded all the same.
+func (k CorruptionKind) IsDecodable() bool { return k == NotCorrupt || k >= CorruptDuplicate }
