--- a/internal/testbed/model/doc.go
+++ b/internal/testbed/model/doc.go
@@ -9,8 +9,8 @@
 // part's name, so that the draws of one part never shift those of another. The same seed, specification and events
 // give the same effects and the same Hash on every machine; to this end nothing iterates over a map.
 //
-// Of this module it imports only eventqueue. Packages above it may read its exported fields; only Step and Advance
-// change its state. A System is not safe for concurrent use.
+// Of this module it imports only eventqueue and eventlog. Packages above it may read its exported fields; only Step and
+// Advance change its state. A System is not safe for concurrent use.
 package model
 
 import (
--- a/internal/testbed/model/system.go
+++ b/internal/testbed/model/system.go
@@ -5,8 +5,7 @@
 	"strconv"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
+	"shelfproxy/internal/testbed/eventlog"
 	"shelfproxy/internal/testbed/eventqueue"
 )
 
@@ -31,9 +30,8 @@
 
 	discoveryLagRandom, linkRandom, corruptionRandom *rand.Rand
 
-	hash     *xxhash.Digest
-	logEntry []byte             // buffer of logEvent
-	Trace    func(entry []byte) // receives each line of the event log, if set; it must not keep the slice
+	log   *eventlog.Log
+	Trace func(entry []byte) // receives each line of the event log, if set; it must not keep the slice
 }
 
 // New makes a system. Start brings it into the state of time 0.
@@ -44,7 +42,7 @@
 		connections: map[ConnID]*connection{},
 		classes:     map[string]ClassSpec{},
 		misses:      map[string]*cacheMiss{},
-		hash:        xxhash.New(),
+		log:         eventlog.New(),
 		discovery:   &discoveryService{spec: spec.Discovery},
 
 		discoveryLagRandom: RandomStream(spec.Seed, "lags"),
@@ -112,7 +110,7 @@
 }
 
 // Hash returns the hash of the event log so far.
-func (sys *System) Hash() uint64 { return sys.hash.Sum64() }
+func (sys *System) Hash() uint64 { return sys.log.Hash() }
 
 // List returns the full list as the discovery service has it now.
 func (sys *System) List() List { return sys.discovery.fullList() }
@@ -149,16 +147,10 @@
 	return effects
 }
 
-// logEvent adds an entry to the event log: the time, the name of the event and its fields.
+// logEvent adds an event to the event log.
 func (sys *System) logEvent(name string, fields ...string) {
-	entry := strconv.AppendInt(sys.logEntry[:0], int64(sys.now), 10)
-	entry = append(append(entry, ' '), name...)
-	for _, field := range fields {
-		entry = append(append(entry, ' '), field...)
-	}
-	sys.logEntry = append(entry, '\n')
-	_, _ = sys.hash.Write(sys.logEntry) // a hash never fails
+	entry := sys.log.Append(sys.now, name, fields...)
 	if sys.Trace != nil {
-		sys.Trace(sys.logEntry)
+		sys.Trace(entry)
 	}
 }
