--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"time"
 
 	"shelfproxy/internal/testbed/model"
@@ -46,7 +45,7 @@
 				panic(reason) // with its stack: somebody is looking
 			}
 		}
-		report.Hash = run.hash.Sum64()
+		report.Hash = run.log.Hash()
 		report.Took = time.Since(began)
 	}()
 	run.addNodes()
@@ -78,10 +77,13 @@
 
 // run does what is scheduled, in its order, until the end of the run, and checks the invariants after each step.
 func (f *fleet) run() {
-	for steps := 0; len(f.queue) > 0 && f.queue[0].at <= fleetEnd; steps++ {
-		next := heap.Pop(&f.queue).(event)
-		f.now = max(f.now, next.at)
-		next.run()
+	for steps := 0; ; steps++ {
+		next, ok := f.queue.PopUntil(fleetEnd)
+		if !ok {
+			return
+		}
+		f.now = max(f.now, next.At)
+		next.Run()
 		f.checkAlways()
 		if len(f.report.Broken) > maxViolations || steps > maxSteps {
 			f.violation(InvariantNoPanic, "too much is broken, or too much happens: %d steps", steps)
--- a/internal/testbed/simulation/server_conn.go
+++ b/internal/testbed/simulation/server_conn.go
@@ -245,12 +245,10 @@
 // checkResponse notifies the checker of a response to a client's request.
 func (w *world) checkResponse(response model.Response) {
 	proof := invariants.MayHaveRun
-	if response.Outcome == model.RejectedUnseen || response.Outcome == model.Miss {
+	if response.WasNotExecuted() {
 		proof = invariants.NeverRan
 	}
-	isReadable := response.Corruption == model.NotCorrupt || response.Corruption >= model.CorruptDuplicate
-	hasValue := isReadable && (response.Outcome == model.Hit || response.Outcome == model.Written)
-	w.checker.ResponseSent(w.now, response.Server, response.Request, response.Seq, proof, hasValue, response.Outcome.String())
+	w.checker.ResponseSent(w.now, response.Server, response.Request, response.Seq, proof, response.HasValue(), response.Outcome.String())
 }
 
 // encode fills the place of the request that a response is for.
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -5,7 +5,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"strings"
 	"time"
 
@@ -68,7 +67,7 @@
 				panic(reason) // with its stack: somebody is looking
 			}
 		}
-		report.Hash = run.hash.Sum64() ^ run.system.Hash()
+		report.Hash = run.log.Hash() ^ run.system.Hash()
 		report.Took = time.Since(began)
 	}()
 	run.startChecker()
@@ -127,9 +126,10 @@
 	for steps := 0; ; steps++ {
 		systemNext := w.system.NextEvent()
 		next := min(nextCheck, systemNext)
-		isOwn := len(w.queue) > 0 && w.queue[0].at <= next
+		at, isOwn := w.queue.Next()
+		isOwn = isOwn && at <= next
 		if isOwn {
-			next = w.queue[0].at
+			next = at
 		}
 		if next > w.plan.End {
 			w.now = w.plan.End
@@ -138,7 +138,8 @@
 		w.now = max(w.now, next)
 		switch {
 		case isOwn:
-			heap.Pop(&w.queue).(event).run()
+			own, _ := w.queue.PopUntil(next)
+			own.Run()
 		case systemNext <= nextCheck:
 			w.execute(w.system.Advance(w.now))
 		default:
