--- /dev/null
+++ b/internal/fleet/agreement/message.go
@@ -0,0 +1,30 @@
+package agreement
+
+import (
+	"errors"
+
+	"shelfproxy/internal/fleet/datagram"
+)
+
+// ErrCorruptMessage is returned for a datagram that no node sent in the expected version of the protocol: it was damaged
+// on the way, cut short, or belongs to another protocol or version.
+var ErrCorruptMessage = errors.New("agreement: corrupt message, or one of another protocol or version")
+
+// Protocol tells the messages of one protocol and version from others.
+type Protocol struct {
+	Magic   byte // first byte of each datagram
+	Version byte
+}
+
+// Begin starts a message of one kind. The caller appends its fields and passes the result to datagram.Seal.
+func (p Protocol) Begin(kind byte) []byte { return datagram.Begin(p.Magic, p.Version, kind) }
+
+// Open verifies the checksum, the magic byte and the version of a datagram and returns its kind and a reader of its fields.
+// The error is ErrCorruptMessage.
+func (p Protocol) Open(data []byte) (kind byte, fields *datagram.Reader, err error) {
+	kind, fields, ok := datagram.Open(data, p.Magic, p.Version)
+	if !ok {
+		return 0, nil, ErrCorruptMessage
+	}
+	return kind, fields, nil
+}
