--- a/internal/fleet/lease/agent/agent.go
+++ b/internal/fleet/lease/agent/agent.go
@@ -5,10 +5,10 @@
 import (
 	"context"
 	"log/slog"
-	"net/url"
 
 	"shelfproxy/internal/control"
 	"shelfproxy/internal/eventloop"
+	"shelfproxy/internal/fleet/agreement/shell"
 	"shelfproxy/internal/fleet/lease"
 	"shelfproxy/internal/logs"
 )
@@ -28,8 +28,7 @@
 	*eventloop.Loop[lease.Event, lease.Effect]
 	opt   Options
 	core  *lease.Core
-	self  int
-	nodes int
+	peers shell.Peers
 }
 
 // New makes an agent; Serve serves it.
@@ -38,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, core: core, self: opt.Config.Self, nodes: opt.Config.Nodes}
+	a := &Agent{opt: opt, core: core, peers: shell.Peers{Self: opt.Config.Self, Nodes: opt.Config.Nodes, SendTo: opt.Send}}
 	a.Loop = eventloop.New(core, a.do)
 	return a, nil
 }
@@ -56,7 +55,7 @@
 func (a *Agent) UpdatePeers(p lease.PeersChanged) {
 	a.Submit(func() {
 		a.Step(p)
-		a.self, a.nodes = p.Self, p.Nodes
+		a.peers.Self, a.peers.Nodes = p.Self, p.Nodes
 	})
 }
 
@@ -71,14 +70,10 @@
 func (a *Agent) do(e lease.Effect) {
 	switch e := e.(type) {
 	case lease.Send:
-		for to := range a.nodes {
-			if to != a.self && (e.To == lease.AllNodes || e.To == to) {
-				a.opt.Send(to, e.Data) // one that cannot be sent is lost
-			}
-		}
+		a.peers.Send(e.To, e.Data)
 	case lease.HolderChanged:
 		node := e.Node
-		if node == a.self {
+		if node == a.peers.Self {
 			node = lease.ThisNode
 		}
 		a.opt.HolderChanged(e.Resource, node)
@@ -100,11 +95,5 @@
 
 // RegisterCalls adds the operators' call: duties.
 func (a *Agent) RegisterCalls(s *control.Server) {
-	s.HandleQuery("duties", func(url.Values) (any, error) {
-		var status []lease.Status
-		if err := a.Call(func() { status = a.core.Status(a.Now()) }); err != nil {
-			return nil, control.ErrBusy
-		}
-		return status, nil
-	})
+	shell.HandleQuery(s, "duties", a.Loop, a.core.Status)
 }
--- a/internal/fleet/lease/core.go
+++ b/internal/fleet/lease/core.go
@@ -9,13 +9,13 @@
 package lease
 
 import (
-	"errors"
 	"fmt"
-	"hash/fnv"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"shelfproxy/internal/fleet/agreement"
 )
 
 // Time is a point on this node's clock, counted from its start. Clocks of two nodes need not agree; they may drift.
@@ -37,13 +37,14 @@
 
 // Validate tells which field makes no sense.
 func (c Config) Validate() error {
+	if err := agreement.ValidateNodes(c.Self, c.Nodes, math.MaxInt); err != nil {
+		return err
+	}
 	switch {
-	case c.Nodes < 1 || c.Self < 0 || c.Self >= c.Nodes:
-		return errors.New("nodes: this one is not among them")
 	case c.LeaseDuration < leastLease:
 		return fmt.Errorf("lease: must be %s at least", leastLease)
-	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < 0.5):
-		return errors.New("drift: must be from 0 to 0.5")
+	case agreement.ValidateClockDrift(c.MaxClockDrift) != nil:
+		return agreement.ErrClockDrift
 	case len(c.Resources) == 0 || len(c.Resources) > MaxResources:
 		return fmt.Errorf("hold: from 1 to %d duties can be", MaxResources)
 	}
@@ -67,11 +68,7 @@
 )
 
 // HashName is the number by which a duty or a list of peers is told.
-func HashName(text string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(text))
-	return h.Sum32()
-}
+func HashName(text string) uint32 { return agreement.HashName(text) }
 
 // Event is what the core is told: one of the types below it.
 type Event interface{ event() }
@@ -144,8 +141,8 @@
 
 // AllNodes is the address of all other nodes, None is no node, and Mine is what agents call their own.
 const (
-	AllNodes = -1
-	NoNode   = -1
+	AllNodes = agreement.AllNodes
+	NoNode   = agreement.NoNode
 	ThisNode = -2
 )
 
@@ -313,17 +310,18 @@
 	return 0, false
 }
 
-func majority(nodes int) int { return nodes/2 + 1 }
+// majority returns how many nodes have to grant a lease.
+func majority(nodes int) int { return agreement.Majority(nodes) }
 
 // lease is how long a holder trusts answers, by its own clock.
 func (c *Core) lease() time.Duration {
-	return time.Duration(float64(c.cfg.LeaseDuration) * (1 - c.cfg.MaxClockDrift))
+	return agreement.HolderTimeout(c.cfg.LeaseDuration, c.cfg.MaxClockDrift)
 }
 
 // abstains tells whether this node may not grant yet: what it granted before it started, or under another list of peers,
 // is unknown to it or was counted otherwise, and is over after a lease.
 func (c *Core) abstains(now Time) bool {
-	return c.cfg.Nodes > 1 && float64(now-c.begun) < float64(c.cfg.LeaseDuration)*(1+c.cfg.MaxClockDrift)
+	return c.cfg.Nodes > 1 && !agreement.HasExpired(now-c.begun, c.cfg.LeaseDuration, c.cfg.MaxClockDrift)
 }
 
 func (c *Core) wall(now Time) uint64 { return c.cfg.Epoch + uint64(now/time.Millisecond) }
@@ -478,7 +476,7 @@
 }
 
 func (c *Core) heard(now Time, e MessageReceived) {
-	if e.From < 0 || e.From >= c.cfg.Nodes || e.From == c.cfg.Self {
+	if !agreement.IsPeer(e.From, c.cfg.Self, c.cfg.Nodes) {
 		return
 	}
 	m, err := decode(e.Data)
--- a/internal/fleet/lease/message.go
+++ b/internal/fleet/lease/message.go
@@ -2,8 +2,8 @@
 
 import (
 	"encoding/binary"
-	"errors"
 
+	"shelfproxy/internal/fleet/agreement"
 	"shelfproxy/internal/fleet/datagram"
 )
 
@@ -21,8 +21,8 @@
 	flagHeld = 1 // the asker holds the duty already
 )
 
-// errGarbled is returned for what no node of this version sent.
-var errGarbled = errors.New("lease: no message of this version")
+// protocol is the outer form of the datagrams of this version.
+var protocol = agreement.Protocol{Magic: Magic, Version: version}
 
 // message is any of them.
 type message struct {
@@ -41,7 +41,7 @@
 }
 
 func (m message) encode() []byte {
-	b := datagram.Begin(Magic, version, m.kind)
+	b := protocol.Begin(m.kind)
 	b = binary.BigEndian.AppendUint32(b, m.fleet)
 	b = binary.BigEndian.AppendUint32(b, m.duty)
 	b = binary.BigEndian.AppendUint64(b, m.token)
@@ -57,9 +57,9 @@
 }
 
 func decode(b []byte) (m message, err error) {
-	kind, r, ok := datagram.Open(b, Magic, version)
-	if !ok {
-		return m, errGarbled
+	kind, r, err := protocol.Open(b)
+	if err != nil {
+		return m, err
 	}
 	m = message{kind: kind, fleet: r.U32(), duty: r.U32(), token: r.U64()}
 	switch kind {
@@ -69,10 +69,10 @@
 		m.round, m.why, m.high, m.left = r.U32(), Reason(r.U8()), r.U64(), r.U32()
 	case kindRelease, kindWord:
 	default:
-		return m, errGarbled
+		return m, agreement.ErrCorruptMessage
 	}
 	if !r.IsValid() || m.why >= reasons {
-		return m, errGarbled
+		return m, agreement.ErrCorruptMessage
 	}
 	return m, nil
 }
--- a/internal/fleet/rollout/agent/agent.go
+++ b/internal/fleet/rollout/agent/agent.go
@@ -10,6 +10,7 @@
 
 	"shelfproxy/internal/control"
 	"shelfproxy/internal/eventloop"
+	"shelfproxy/internal/fleet/agreement/shell"
 	"shelfproxy/internal/fleet/rollout"
 	"shelfproxy/internal/logs"
 )
@@ -27,10 +28,11 @@
 // Agent is one node's part in the agreement.
 type Agent struct {
 	*eventloop.Loop[rollout.Event, rollout.Effect]
-	opt  Options
-	core *rollout.Core
-	gone bool
-	told rollout.ResponseCounts // to the core
+	opt   Options
+	core  *rollout.Core
+	peers shell.Peers
+	gone  bool
+	told  rollout.ResponseCounts // to the core
 }
 
 // New makes an agent; Serve serves it.
@@ -39,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, core: core}
+	a := &Agent{opt: opt, core: core, peers: shell.Peers{Self: opt.Config.Self, Nodes: opt.Config.Nodes, SendTo: opt.Send}}
 	a.Loop = eventloop.New(core, a.do)
 	return a, nil
 }
@@ -65,11 +67,7 @@
 func (a *Agent) do(e rollout.Effect) {
 	switch e := e.(type) {
 	case rollout.Send:
-		for to := range a.opt.Config.Nodes {
-			if to != a.opt.Config.Self && (e.To == rollout.AllNodes || e.To == to) {
-				a.opt.Send(to, e.Data) // one that cannot be sent is lost
-			}
-		}
+		a.peers.Send(e.To, e.Data)
 	case rollout.DrainGranted:
 		// This process may have been stopped since the core decided: it is asked again, at the moment of the deed.
 		if a.gone || !a.core.MayDrain(a.Now()) {
@@ -92,12 +90,7 @@
 }
 
 // Status is the agreement as this node sees it.
-func (a *Agent) Status() (status rollout.Status, err error) {
-	if a.Call(func() { status = a.core.Status(a.Now()) }) != nil {
-		err = control.ErrBusy
-	}
-	return status, err
-}
+func (a *Agent) Status() (rollout.Status, error) { return shell.Read(a.Loop, a.core.Status) }
 
 // RegisterCalls adds the operators' calls: status, drain, halt, resume and roll with to=RELEASE.
 func (a *Agent) RegisterCalls(s *control.Server) {
--- a/internal/fleet/rollout/core.go
+++ b/internal/fleet/rollout/core.go
@@ -10,11 +10,12 @@
 import (
 	"cmp"
 	"errors"
-	"hash/fnv"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"shelfproxy/internal/fleet/agreement"
 )
 
 // Time is a point on this node's clock. The clocks of two nodes need not agree; they may drift by Drift.
@@ -144,7 +145,7 @@
 )
 
 // AllNodes is the address of all other nodes.
-const AllNodes = -1
+const AllNodes = agreement.AllNodes
 
 func (Send) effect()         {}
 func (DrainGranted) effect() {}
@@ -238,9 +239,10 @@
 
 // Validate tells which field makes no sense.
 func (c Config) Validate() error {
+	if err := agreement.ValidateNodes(c.Self, c.Nodes, agreement.MaxNodes); err != nil {
+		return err
+	}
 	switch {
-	case c.Nodes < 1 || c.Nodes > 1<<16-1 || c.Self < 0 || c.Self >= c.Nodes:
-		return errors.New("nodes: this one is not among them")
 	case c.Budget < 1 || c.Budget > MaxBudget:
 		return errors.New("nodes_out: must be from 1 to 11")
 	case c.ZoneBudget < 0 || c.ZoneBudget > MaxBudget:
@@ -251,8 +253,8 @@
 		return errors.New("lease: must be two beacons at least")
 	case c.ReturnTimeout < c.UnresponsiveAfter || c.WriteOffAfter < c.ReturnTimeout:
 		return errors.New("return, lost: must grow from silent on")
-	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < 0.5):
-		return errors.New("drift: must be from 0 to 0.5")
+	case agreement.ValidateClockDrift(c.MaxClockDrift) != nil:
+		return agreement.ErrClockDrift
 	case !(c.MaxFailureRate >= 0 && c.MaxFailureRate <= 1):
 		return errors.New("max_failed: must be from 0 to 1")
 	case !(c.MaxSlowRate >= 0 && c.MaxSlowRate <= 1):
@@ -274,12 +276,11 @@
 	if text == "" {
 		return 0
 	}
-	h := fnv.New32a()
-	h.Write([]byte(text))
-	return max(1, h.Sum32())
+	return max(1, agreement.HashName(text))
 }
 
-func majority(nodes int) int { return nodes/2 + 1 }
+// majority returns how many nodes have to grant a slot.
+func majority(nodes int) int { return agreement.Majority(nodes) }
 
 // Step takes one event and returns its effects, which belong to the caller.
 func (c *Core) Step(now Time, ev Event) []Effect {
@@ -472,7 +473,7 @@
 	}
 	// A fleet that starts all at once has nobody who knows; together they know all there is.
 	learnt := knows >= min(majority(c.cfg.Nodes), c.cfg.Nodes-1) || told == c.cfg.Nodes-1
-	return !learnt && !c.trusted || float64(now-c.begun) < float64(c.cfg.RequestTimeout)*(1+c.cfg.MaxClockDrift)
+	return !learnt && !c.trusted || !agreement.HasExpired(now-c.begun, c.cfg.RequestTimeout, c.cfg.MaxClockDrift)
 }
 
 // watchHolders halts the release where one that went out does not come back, and writes it off in the end.
@@ -586,7 +587,7 @@
 }
 
 func (c *Core) heard(now Time, e MessageReceived) {
-	if e.From < 0 || e.From >= c.cfg.Nodes || e.From == c.cfg.Self {
+	if !agreement.IsPeer(e.From, c.cfg.Self, c.cfg.Nodes) {
 		return
 	}
 	m, err := decode(e.Data)
@@ -664,7 +665,7 @@
 		}
 		return
 	}
-	lease := time.Duration(float64(c.cfg.RequestTimeout) * (1 - c.cfg.MaxClockDrift))
+	lease := agreement.HolderTimeout(c.cfg.RequestTimeout, c.cfg.MaxClockDrift)
 	switch {
 	case c.trying && (now-c.askedAt >= lease/2 || len(c.noes) > c.cfg.Nodes-majority(c.cfg.Nodes)):
 		c.giveUp(now, ReasonSlotTaken)
@@ -728,7 +729,7 @@
 	}
 	c.votes[from] = true
 	delete(c.noes, from)
-	until := c.askedAt + time.Duration(float64(c.cfg.RequestTimeout)*(1-c.cfg.MaxClockDrift))
+	until := c.askedAt + agreement.HolderTimeout(c.cfg.RequestTimeout, c.cfg.MaxClockDrift)
 	if len(c.votes) >= majority(c.cfg.Nodes) && now < until {
 		c.trying, c.held, c.until = false, true, until
 		c.note(LogSlotAcquired, c.cfg.Self, int(c.ask.Slot), ReasonGranted)
--- a/internal/fleet/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -2,8 +2,8 @@
 
 import (
 	"encoding/binary"
-	"errors"
 
+	"shelfproxy/internal/fleet/agreement"
 	"shelfproxy/internal/fleet/datagram"
 )
 
@@ -17,8 +17,8 @@
 	kindAnswer = 3
 )
 
-// errGarbled is returned for what no node of this version sent.
-var errGarbled = errors.New("rollout: no message of this version")
+// protocol is the outer form of the datagrams of this version.
+var protocol = agreement.Protocol{Magic: Magic, Version: version}
 
 // beacon is what each node says of itself to all, all the time.
 type beacon struct {
@@ -85,7 +85,7 @@
 const tableRoom = (datagram.MaxSize - 45) / entrySize
 
 func (m beacon) encode() []byte {
-	b := datagram.Begin(Magic, version, kindBeacon)
+	b := protocol.Begin(kindBeacon)
 	b = binary.BigEndian.AppendUint64(b, m.Start)
 	b = binary.BigEndian.AppendUint32(b, m.Count)
 	b = append(b, byte(m.State), bit(m.Learns))
@@ -110,7 +110,7 @@
 }
 
 func (m ask) encode() []byte {
-	b := datagram.Begin(Magic, version, kindAsk)
+	b := protocol.Begin(kindAsk)
 	b = binary.BigEndian.AppendUint64(b, m.Start)
 	b = binary.BigEndian.AppendUint32(b, m.Ask)
 	b = append(b, m.Slot, m.Zone)
@@ -118,7 +118,7 @@
 }
 
 func (m answer) encode() []byte {
-	b := datagram.Begin(Magic, version, kindAnswer)
+	b := protocol.Begin(kindAnswer)
 	b = binary.BigEndian.AppendUint64(b, m.Start)
 	b = binary.BigEndian.AppendUint32(b, m.Ask)
 	return datagram.Seal(append(b, byte(m.Reason)))
@@ -133,9 +133,9 @@
 
 // decode reads a datagram: a beacon, an ask or an answer.
 func decode(data []byte) (any, error) {
-	kind, r, ok := datagram.Open(data, Magic, version)
-	if !ok {
-		return nil, errGarbled
+	kind, r, err := protocol.Open(data)
+	if err != nil {
+		return nil, err
 	}
 	var m any
 	bad, later := false, false // later: what a later version says behind is skipped
@@ -157,10 +157,10 @@
 		bad = v.Reason >= reasons
 		m = v
 	default:
-		return nil, errGarbled
+		return nil, agreement.ErrCorruptMessage
 	}
 	if bad || !r.IsValid() || !later && !r.IsEmpty() {
-		return nil, errGarbled
+		return nil, agreement.ErrCorruptMessage
 	}
 	return m, nil
 }
