--- a/internal/fleet/agreement/agreement.go
+++ b/internal/fleet/agreement/agreement.go
@@ -4,10 +4,7 @@
 // that runs such a protocol inside a node shares the package shell.
 package agreement
 
-import (
-	"errors"
-	"hash/fnv"
-)
+import "hash/fnv"
 
 // MaxNodes is the greatest fleet whose nodes can be named in 16 bits of a message.
 const MaxNodes = 1<<16 - 1
@@ -32,7 +29,7 @@
 }
 
 // ErrNotInFleet is returned for a list of nodes that is empty or too long, or that this node is not on.
-var ErrNotInFleet = errors.New("nodes: this one is not among them")
+var ErrNotInFleet = InvalidField("nodes", "this one is not among them")
 
 // ValidateNodes returns ErrNotInFleet unless there are 1 to maxNodes nodes and self is the index of one of them.
 func ValidateNodes(self, nodes, maxNodes int) error {
--- a/internal/fleet/agreement/agreement_test.go
+++ b/internal/fleet/agreement/agreement_test.go
@@ -86,3 +86,11 @@
 		t.Errorf("Open of a damaged message: %v, want ErrCorruptMessage", err)
 	}
 }
+
+func TestInvalidFieldIsNamed(t *testing.T) {
+	err := InvalidField("lease", "must be at least %s", time.Second)
+	var invalid *FieldError
+	if !errors.As(err, &invalid) || invalid.Field != "lease" || err.Error() != "lease: must be at least 1s" {
+		t.Errorf("InvalidField = %#v, want a FieldError of the field lease", err)
+	}
+}
--- a/internal/fleet/agreement/clock.go
+++ b/internal/fleet/agreement/clock.go
@@ -1,15 +1,12 @@
 package agreement
 
-import (
-	"errors"
-	"time"
-)
+import "time"
 
 // clockDriftLimit is the drift of two clocks against each other from which on a protocol cannot work.
 const clockDriftLimit = 0.5
 
 // ErrClockDrift is returned for a clock drift that is not in the range from 0 to 0.5.
-var ErrClockDrift = errors.New("drift: must be from 0 to 0.5")
+var ErrClockDrift = InvalidField("drift", "must be from 0 to 0.5")
 
 // ValidateClockDrift returns ErrClockDrift unless two clocks may differ by a fraction from 0 to, but not including, 0.5.
 func ValidateClockDrift(drift float64) error {
