--- a/internal/fleet/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -366,8 +366,8 @@
 			w.pass(5 * time.Second)
 			w.each(func(i int) { w.cut[i][1], w.cut[i][2] = i == 0, i == 0 }) // it has asked, and hears no answer
 			w.step(0, ReleaseOrdered{"v2"})
-			w.nodes[1].decide(w.clock(1), 0, w.nodes[0].ask)
-			w.nodes[2].decide(w.clock(2), 0, w.nodes[0].ask)
+			w.nodes[1].decide(w.clock(1), 0, w.nodes[0].request.slotRequest)
+			w.nodes[2].decide(w.clock(2), 0, w.nodes[0].request.slotRequest)
 			w.step(0, ReleaseOrdered{"v1"})
 			w.each(func(i int) { w.cut[i] = make([]bool, 3) })
 			w.step(1, DrainRequested{})
@@ -390,7 +390,7 @@
 		test.play(w)
 		halted := false
 		for _, c := range w.nodes {
-			halted = halted || c != nil && c.halt.On
+			halted = halted || c != nil && c.halt.IsHalted
 		}
 		if w.rolls != test.rolls || halted != test.halted {
 			t.Errorf("%s: %d went out, want %d; halted %v, want %v", name, w.rolls, test.rolls, halted, test.halted)
@@ -454,11 +454,11 @@
 		c, _ := New(config(0, 5, 1))
 		c.Step(0, ServingStarted{})
 		for i, h := range test.others {
-			c.Step(0, MessageReceived{i + 1, beacon{Start: 1, Count: 1, State: Ready, Health: h}.encode()})
+			c.Step(0, MessageReceived{i + 1, heartbeat{Incarnation: 1, Sequence: 1, State: Ready, Health: h}.encode()})
 		}
 		c.Step(time.Millisecond, test.served)
-		if got := c.state == Unhealthy; got != test.broken || got != c.halt.On {
-			t.Errorf("%s: broken %v, halted %v, want %v", name, got, c.halt.On, test.broken)
+		if got := c.state == Unhealthy; got != test.broken || got != c.halt.IsHalted {
+			t.Errorf("%s: broken %v, halted %v, want %v", name, got, c.halt.IsHalted, test.broken)
 		}
 	}
 }
@@ -481,11 +481,11 @@
 
 func TestMessagesComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := beacon{Start: rapid.Uint64().Draw(t, "start"), Count: rapid.Uint32().Draw(t, "count"), State: State(rapid.IntRange(0, int(states)-1).Draw(t, "state")),
-			Learns: rapid.Bool().Draw(t, "learns"), Done: rapid.Uint32().Draw(t, "done"), Halt: halt{rapid.Uint16().Draw(t, "epoch"), true, ReasonNodeUnhealthy, 3}, Order: order{1, 2},
+		b := heartbeat{Incarnation: rapid.Uint64().Draw(t, "start"), Sequence: rapid.Uint32().Draw(t, "count"), State: State(rapid.IntRange(0, int(numStates)-1).Draw(t, "state")),
+			IsAbstaining: rapid.Bool().Draw(t, "learns"), LastDone: rapid.Uint32().Draw(t, "done"), Halt: haltState{rapid.Uint16().Draw(t, "epoch"), true, ReasonNodeUnhealthy, 3}, Order: releaseOrder{1, 2},
 			Health: health{true, rapid.Byte().Draw(t, "failed"), rapid.Byte().Draw(t, "slow")}}
-		for range rapid.IntRange(0, tableRoom).Draw(t, "entries") {
-			b.Table = append(b.Table, entry{rapid.Uint16().Draw(t, "holder"), rapid.Uint64().Draw(t, "s"), rapid.Uint32().Draw(t, "a"), 1, 2, 3})
+		for range rapid.IntRange(0, maxGrants).Draw(t, "entries") {
+			b.Grants = append(b.Grants, grant{rapid.Uint16().Draw(t, "holder"), rapid.Uint64().Draw(t, "s"), rapid.Uint32().Draw(t, "a"), 1, 2, 3})
 		}
 		data := b.encode()
 		if len(data) > datagram.MaxSize {
@@ -506,9 +506,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(beacon{Table: []entry{{Holder: 1}}}.encode())
-	f.Add(ask{Start: 1}.encode())
-	f.Add(answer{Reason: ReasonSlotTaken}.encode())
+	f.Add(heartbeat{Grants: []grant{{Holder: 1}}}.encode())
+	f.Add(slotRequest{Incarnation: 1}.encode())
+	f.Add(slotAnswer{Reason: ReasonSlotTaken}.encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, _ := New(config(0, 3, 1))
 		c.Step(0, MessageReceived{1, data})
@@ -541,7 +541,7 @@
 				if i <= test.out {
 					state = Draining
 				}
-				c.Step(now, MessageReceived{i, beacon{Start: 1, Count: count, State: state}.encode()})
+				c.Step(now, MessageReceived{i, heartbeat{Incarnation: 1, Sequence: count, State: state}.encode()})
 			}
 		}
 		for _, nodes := range []int{test.nodes, test.nodes - test.silent} { // past the lease, then past the silence of some
@@ -551,18 +551,18 @@
 			}
 		}
 		for i := 1; i <= test.out; i++ {
-			c.grants = append(c.grants, grant{entry: entry{Holder: uint16(i), Start: 1, Ask: 1, Slot: uint8(i - 1)}, at: now})
+			c.grants = append(c.grants, grantRecord{grant: grant{Holder: uint16(i), Incarnation: 1, Request: 1, Slot: uint8(i - 1)}, grantedAt: now})
 		}
 		free := uint8(min(test.out, test.budget-1))
-		if got := c.judge(now, test.nodes-1-test.silent, ask{Start: 1, Ask: 1, Slot: free}); test.nodes > 1 && got != test.want && !(got == ReasonSlotTaken && test.want == ReasonOverBudget) {
+		if got := c.judge(now, test.nodes-1-test.silent, slotRequest{Incarnation: 1, Number: 1, Slot: free}); test.nodes > 1 && got != test.want && !(got == ReasonSlotTaken && test.want == ReasonOverBudget) {
 			t.Errorf("%d nodes, budget %d, %d out, %d silent: %v, want %v", test.nodes, test.budget, test.out, test.silent, got, test.want)
 		}
-		if got := majority(test.nodes); got != test.majority {
+		if got := c.majority(); got != test.majority {
 			t.Errorf("%d nodes: %d are a majority, want %d", test.nodes, got, test.majority)
 		}
-		b := beacon{Start: 1 << 60, Count: 1 << 31}
+		b := heartbeat{Incarnation: 1 << 60, Sequence: 1 << 31}
 		for _, g := range c.grants {
-			b.Table = append(b.Table, g.entry)
+			b.Grants = append(b.Grants, g.grant)
 		}
 		if n := len(b.encode()); n > datagram.MaxSize {
 			t.Errorf("%d nodes: a beacon of %d bytes", test.nodes, n)
--- a/internal/fleet/rollout/golden_test.go
+++ b/internal/fleet/rollout/golden_test.go
@@ -10,20 +10,20 @@
 
 // TestGoldenDatagrams: the datagrams of earlier releases are read, and the same bytes are written.
 func TestGoldenDatagrams(t *testing.T) {
-	full := beacon{Start: 0x0102030405060708, Count: 9, State: states - 1, Learns: true, Done: 10, Release: 0x0a0b0c0d,
-		Halt: halt{Epoch: 3, On: true, Reason: reasons - 1, By: 4}, Order: order{Epoch: 5, Release: 0x1a1b1c1d},
-		Health: health{Known: true, Failed: 6, Slow: 7},
-		Table: []entry{{Holder: 1, Start: 2, Ask: 3, Slot: 4, Zone: 5, Name: 6},
-			{Holder: 0xfffe, Start: 1 << 60, Ask: 1 << 30, Slot: 255, Zone: 254, Name: 0xabcd}}}
+	full := heartbeat{Incarnation: 0x0102030405060708, Sequence: 9, State: numStates - 1, IsAbstaining: true, LastDone: 10, Release: 0x0a0b0c0d,
+		Halt: haltState{Epoch: 3, IsHalted: true, Reason: numReasons - 1, Node: 4}, Order: releaseOrder{Epoch: 5, Release: 0x1a1b1c1d},
+		Health: health{IsKnown: true, Failed: 6, Slow: 7},
+		Grants: []grant{{Holder: 1, Incarnation: 2, Request: 3, Slot: 4, ZoneSlot: 5, Zone: 6},
+			{Holder: 0xfffe, Incarnation: 1 << 60, Request: 1 << 30, Slot: 255, ZoneSlot: 254, Zone: 0xabcd}}}
 	messages := []struct {
 		name string
 		m    interface{ encode() []byte }
 	}{
 		{"beacon", full},
-		{"beacon_least", beacon{Start: 1, Count: 1}},
-		{"ask", ask{Start: 1, Ask: 2, Slot: 3, Zone: 4, Name: 0x1234}},
-		{"answer_granted", answer{Start: 1, Ask: 2, Reason: ReasonGranted}},
-		{"answer_refused", answer{Start: 1, Ask: 2, Reason: reasons - 1}},
+		{"beacon_least", heartbeat{Incarnation: 1, Sequence: 1}},
+		{"ask", slotRequest{Incarnation: 1, Number: 2, Slot: 3, ZoneSlot: 4, Zone: 0x1234}},
+		{"answer_granted", slotAnswer{Incarnation: 1, Number: 2, Reason: ReasonGranted}},
+		{"answer_refused", slotAnswer{Incarnation: 1, Number: 2, Reason: numReasons - 1}},
 	}
 	var lines golden.Lines
 	for _, test := range messages {
--- a/internal/fleet/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -7,160 +7,212 @@
 	"shelfproxy/internal/fleet/datagram"
 )
 
-// The datagrams of this package; a garbled one must not pass for a grant, which their sums see to.
+// Magic is the first byte of each datagram of this package.
+const Magic = 'R'
+
 const (
-	Magic   = 'R'
 	version = 2
 
-	kindBeacon = 1
-	kindAsk    = 2
-	kindAnswer = 3
+	kindHeartbeat   = 1
+	kindSlotRequest = 2
+	kindSlotAnswer  = 3
+
+	fractionScale = 255 // fractions from 0 to 1 are sent in parts of this
+
+	// Sizes in bytes. The grants of a heartbeat take what its other fields leave of a datagram: the outer form with its
+	// checksum 3+4, incarnation to order 8+4+1+1+4+4 + 2+1+1+2 + 2+4, health 3, and the number of grants 1.
+	heartbeatSize = 45
+	grantSize     = 2 + 8 + 4 + 1 + 1 + 2
+	maxGrants     = (datagram.MaxSize - heartbeatSize) / grantSize
 )
 
-// protocol is the outer form of the datagrams of this version.
 var protocol = agreement.Protocol{Magic: Magic, Version: version}
 
-// beacon is what each node says of itself to all, all the time.
-type beacon struct {
-	Start   uint64 // the node's start: greater for each of its processes
-	Count   uint32 // of this process's beacons: an older one that comes later counts for nothing
-	State   State
-	Learns  bool   // it grants nothing yet: what it granted before it started is unknown to it
-	Done    uint32 // asks up to this number are over
-	Release uint32
-	Halt    halt
-	Order   order
-	Health  health
-	Table   []entry // what it has granted
-}
-
-// health is how a node's answers of late went, in parts of 255. Without answers enough to tell it is known to be nothing.
+// message is a heartbeat, a slotRequest or a slotAnswer.
+type message interface {
+	encode() []byte
+}
+
+// heartbeat is what each node regularly sends to all others.
+type heartbeat struct {
+	Incarnation  uint64 // greater for each process of the node
+	Sequence     uint32 // of this process's heartbeats: one that a later one overtook is ignored
+	State        State
+	IsAbstaining bool   // it grants nothing yet: what it granted before it started is unknown to it
+	LastDone     uint32 // its requests up to this number are over
+	Release      uint32 // hash of the release that it runs
+	Halt         haltState
+	Order        releaseOrder
+	Health       health
+	Grants       []grant // that it knows
+}
+
+// health is how a node's recent responses went, in parts of fractionScale.
 type health struct {
-	Known        bool
+	IsKnown      bool // false while there are too few responses to tell
 	Failed, Slow byte
 }
 
-// halt stops grants everywhere, or lets them go on; the greatest epoch holds.
-type halt struct {
-	Epoch  uint16
-	On     bool
-	Reason Reason
-	By     uint16
+func (h health) failureRate() float64 { return float64(h.Failed) / fractionScale }
+
+func (h health) slowRate() float64 { return float64(h.Slow) / fractionScale }
+
+// haltState says whether grants are halted in the whole fleet. The one with the greatest epoch holds.
+type haltState struct {
+	Epoch    uint16
+	IsHalted bool
+	Reason   Reason
+	Node     uint16 // that it is about
 }
 
-// order tells which release the fleet should run; the greatest epoch holds, none has epoch 0.
-type order struct {
+// releaseOrder says which release the fleet is to run. The one with the greatest epoch holds; no order has epoch 0.
+type releaseOrder struct {
 	Epoch   uint16
-	Release uint32
-}
-
-// entry is a slot that is taken: one of the fleet's and one of the holder's zone.
-type entry struct {
-	Holder     uint16
-	Start      uint64
-	Ask        uint32
-	Slot, Zone uint8
-	Name       uint16 // of the zone
-}
-
-// ask wants a slot of the fleet's and one of the zone's.
-type ask struct {
-	Start      uint64
-	Ask        uint32
-	Slot, Zone uint8
-	Name       uint16
-}
-
-// answer grants an ask or says why not.
-type answer struct {
-	Start  uint64 // of the asker
-	Ask    uint32
-	Reason Reason // Granted, or why not
-}
-
-const entrySize = 2 + 8 + 4 + 1 + 1 + 2
-
-// Sizes: 3 + 8+4+1+1+4+4 + 2+1+1+2 + 2+4 + 3 + 1 + 4 of the sum; the table takes what is left. What a later version says
-// behind the table is skipped: the nodes of two releases must understand each other while one takes the other's place.
-const tableRoom = (datagram.MaxSize - 45) / entrySize
-
-func (m beacon) encode() []byte {
-	b := protocol.Begin(kindBeacon)
-	b = binary.BigEndian.AppendUint64(b, m.Start)
-	b = binary.BigEndian.AppendUint32(b, m.Count)
-	b = append(b, byte(m.State), bit(m.Learns))
-	b = binary.BigEndian.AppendUint32(b, m.Done)
-	b = binary.BigEndian.AppendUint32(b, m.Release)
-	b = binary.BigEndian.AppendUint16(b, m.Halt.Epoch)
-	b = append(b, bit(m.Halt.On), byte(m.Halt.Reason))
-	b = binary.BigEndian.AppendUint16(b, m.Halt.By)
-	b = binary.BigEndian.AppendUint16(b, m.Order.Epoch)
-	b = binary.BigEndian.AppendUint32(b, m.Order.Release)
-	b = append(b, bit(m.Health.Known), m.Health.Failed, m.Health.Slow)
-	n := min(len(m.Table), tableRoom)
-	b = append(b, byte(n))
-	for _, e := range m.Table[:n] {
-		b = binary.BigEndian.AppendUint16(b, e.Holder)
-		b = binary.BigEndian.AppendUint64(b, e.Start)
-		b = binary.BigEndian.AppendUint32(b, e.Ask)
-		b = append(b, e.Slot, e.Zone)
-		b = binary.BigEndian.AppendUint16(b, e.Name)
+	Release uint32 // its hash
+}
+
+// grant is a pair of slots that one node was granted: one of the fleet and one of its zone.
+type grant struct {
+	Holder         uint16
+	Incarnation    uint64 // of the holder, at its request
+	Request        uint32 // its number
+	Slot, ZoneSlot uint8
+	Zone           uint16 // hash
+}
+
+// slotRequest requests a slot of the fleet and one of the zone.
+type slotRequest struct {
+	Incarnation    uint64
+	Number         uint32 // counts the requests of an incarnation
+	Slot, ZoneSlot uint8
+	Zone           uint16 // hash
+}
+
+// slotAnswer grants or denies a slotRequest.
+type slotAnswer struct {
+	Incarnation uint64 // of the request
+	Number      uint32 // of the request
+	Reason      Reason // ReasonGranted, or why it is denied
+}
+
+func (m heartbeat) encode() []byte {
+	data := protocol.Begin(kindHeartbeat)
+	data = binary.BigEndian.AppendUint64(data, m.Incarnation)
+	data = binary.BigEndian.AppendUint32(data, m.Sequence)
+	data = append(data, byte(m.State), encodeBool(m.IsAbstaining))
+	data = binary.BigEndian.AppendUint32(data, m.LastDone)
+	data = binary.BigEndian.AppendUint32(data, m.Release)
+	data = m.Halt.append(data)
+	data = m.Order.append(data)
+	data = m.Health.append(data)
+	sent := m.Grants[:min(len(m.Grants), maxGrants)]
+	data = append(data, byte(len(sent)))
+	for _, grant := range sent {
+		data = grant.append(data)
 	}
-	return datagram.Seal(b)
+	return datagram.Seal(data)
 }
 
-func (m ask) encode() []byte {
-	b := protocol.Begin(kindAsk)
-	b = binary.BigEndian.AppendUint64(b, m.Start)
-	b = binary.BigEndian.AppendUint32(b, m.Ask)
-	b = append(b, m.Slot, m.Zone)
-	return datagram.Seal(binary.BigEndian.AppendUint16(b, m.Name))
+func (h haltState) append(data []byte) []byte {
+	data = binary.BigEndian.AppendUint16(data, h.Epoch)
+	data = append(data, encodeBool(h.IsHalted), byte(h.Reason))
+	return binary.BigEndian.AppendUint16(data, h.Node)
 }
 
-func (m answer) encode() []byte {
-	b := protocol.Begin(kindAnswer)
-	b = binary.BigEndian.AppendUint64(b, m.Start)
-	b = binary.BigEndian.AppendUint32(b, m.Ask)
-	return datagram.Seal(append(b, byte(m.Reason)))
+func (o releaseOrder) append(data []byte) []byte {
+	data = binary.BigEndian.AppendUint16(data, o.Epoch)
+	return binary.BigEndian.AppendUint32(data, o.Release)
 }
 
-func bit(b bool) byte {
-	if b {
+func (h health) append(data []byte) []byte {
+	return append(data, encodeBool(h.IsKnown), h.Failed, h.Slow)
+}
+
+func (g grant) append(data []byte) []byte {
+	data = binary.BigEndian.AppendUint16(data, g.Holder)
+	data = binary.BigEndian.AppendUint64(data, g.Incarnation)
+	data = binary.BigEndian.AppendUint32(data, g.Request)
+	data = append(data, g.Slot, g.ZoneSlot)
+	return binary.BigEndian.AppendUint16(data, g.Zone)
+}
+
+func (m slotRequest) encode() []byte {
+	data := protocol.Begin(kindSlotRequest)
+	data = binary.BigEndian.AppendUint64(data, m.Incarnation)
+	data = binary.BigEndian.AppendUint32(data, m.Number)
+	data = append(data, m.Slot, m.ZoneSlot)
+	return datagram.Seal(binary.BigEndian.AppendUint16(data, m.Zone))
+}
+
+func (m slotAnswer) encode() []byte {
+	data := protocol.Begin(kindSlotAnswer)
+	data = binary.BigEndian.AppendUint64(data, m.Incarnation)
+	data = binary.BigEndian.AppendUint32(data, m.Number)
+	return datagram.Seal(append(data, byte(m.Reason)))
+}
+
+func encodeBool(value bool) byte {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// decode reads a datagram: a beacon, an ask or an answer.
-func decode(data []byte) (any, error) {
-	kind, r, err := protocol.Open(data)
+// decode reads a datagram. The error is agreement.ErrCorruptMessage.
+func decode(data []byte) (message, error) {
+	kind, fields, err := protocol.Open(data)
 	if err != nil {
 		return nil, err
 	}
-	var m any
-	bad, later := false, false // later: what a later version says behind is skipped
 	switch kind {
-	case kindBeacon:
-		v := beacon{Start: r.U64(), Count: r.U32(), State: State(r.U8()), Learns: r.U8() == 1, Done: r.U32(), Release: r.U32(),
-			Halt:   halt{Epoch: r.U16(), On: r.U8() == 1, Reason: Reason(r.U8()), By: r.U16()},
-			Order:  order{Epoch: r.U16(), Release: r.U32()},
-			Health: health{Known: r.U8() == 1, Failed: r.U8(), Slow: r.U8()}}
-		for range r.U8() {
-			v.Table = append(v.Table, entry{Holder: r.U16(), Start: r.U64(), Ask: r.U32(), Slot: r.U8(), Zone: r.U8(), Name: r.U16()})
-		}
-		bad, later = v.State >= states || v.Halt.Reason >= reasons, true
-		m = v
-	case kindAsk:
-		m = ask{Start: r.U64(), Ask: r.U32(), Slot: r.U8(), Zone: r.U8(), Name: r.U16()}
-	case kindAnswer:
-		v := answer{Start: r.U64(), Ask: r.U32(), Reason: Reason(r.U8())}
-		bad = v.Reason >= reasons
-		m = v
-	default:
+	case kindHeartbeat:
+		return decodeHeartbeat(fields)
+	case kindSlotRequest:
+		return decodeSlotRequest(fields)
+	case kindSlotAnswer:
+		return decodeSlotAnswer(fields)
+	}
+	return nil, agreement.ErrCorruptMessage
+}
+
+// decodeHeartbeat skips what a later version adds behind the grants: the nodes of two releases must understand each other
+// while one replaces the other.
+func decodeHeartbeat(fields *datagram.Reader) (message, error) {
+	m := heartbeat{
+		Incarnation:  fields.U64(),
+		Sequence:     fields.U32(),
+		State:        State(fields.U8()),
+		IsAbstaining: decodeBool(fields),
+		LastDone:     fields.U32(),
+		Release:      fields.U32(),
+		Halt:         haltState{Epoch: fields.U16(), IsHalted: decodeBool(fields), Reason: Reason(fields.U8()), Node: fields.U16()},
+		Order:        releaseOrder{Epoch: fields.U16(), Release: fields.U32()},
+		Health:       health{IsKnown: decodeBool(fields), Failed: fields.U8(), Slow: fields.U8()},
+	}
+	for range fields.U8() {
+		m.Grants = append(m.Grants, grant{Holder: fields.U16(), Incarnation: fields.U64(), Request: fields.U32(),
+			Slot: fields.U8(), ZoneSlot: fields.U8(), Zone: fields.U16()})
+	}
+	if m.State >= numStates || m.Halt.Reason >= numReasons || !fields.IsValid() {
 		return nil, agreement.ErrCorruptMessage
 	}
-	if bad || !r.IsValid() || !later && !r.IsEmpty() {
+	return m, nil
+}
+
+func decodeSlotRequest(fields *datagram.Reader) (message, error) {
+	m := slotRequest{Incarnation: fields.U64(), Number: fields.U32(), Slot: fields.U8(), ZoneSlot: fields.U8(), Zone: fields.U16()}
+	if !fields.IsValid() || !fields.IsEmpty() {
 		return nil, agreement.ErrCorruptMessage
 	}
 	return m, nil
 }
+
+func decodeSlotAnswer(fields *datagram.Reader) (message, error) {
+	m := slotAnswer{Incarnation: fields.U64(), Number: fields.U32(), Reason: Reason(fields.U8())}
+	if m.Reason >= numReasons || !fields.IsValid() || !fields.IsEmpty() {
+		return nil, agreement.ErrCorruptMessage
+	}
+	return m, nil
+}
+
+func decodeBool(fields *datagram.Reader) bool { return fields.U8() == 1 }
--- /dev/null
+++ b/internal/fleet/rollout/request.go
@@ -0,0 +1,140 @@
+package rollout
+
+import (
+	"slices"
+
+	"shelfproxy/internal/fleet/agreement"
+)
+
+// ownRequest is this node's own request for a slot.
+type ownRequest struct {
+	slotRequest      // the last one
+	isPending   bool // not yet granted by a majority
+	startedAt   Time
+	sentAt      Time // for the last time
+	granted     map[int]bool
+	denied      map[int]bool
+	isGranted   bool
+	expiresAt   Time   // if isGranted: until when this node may begin to drain
+	lastDone    uint32 // requests up to this number are over
+	nextAttempt Time   // when the next request may be made
+}
+
+// pursueSlot requests a slot while this node wants to drain, again and again until it has one.
+func (c *Core) pursueSlot(now Time) {
+	request := &c.request
+	switch {
+	case c.state == Draining:
+	case !c.wantsDrain(now):
+		if request.isPending || request.isGranted { // the order was taken back: the slot must not stay reserved
+			c.abandonRequest(now, ReasonRequestExpired)
+		}
+	case request.isGranted:
+		if now >= request.expiresAt { // this process was stalled: others may have the slot by now
+			c.abandonRequest(now, ReasonRequestExpired)
+		}
+	case request.isPending:
+		c.continueRequest(now)
+	case now >= request.nextAttempt && !c.halt.IsHalted:
+		c.startRequest(now)
+	}
+}
+
+// continueRequest abandons a pending request that can no longer succeed in time, or repeats it as datagrams may be lost.
+func (c *Core) continueRequest(now Time) {
+	request := &c.request
+	isLate := now-request.startedAt >= c.holderTimeout()/2
+	isLost := len(request.denied) > c.cfg.Nodes-c.majority()
+	switch {
+	case isLate || isLost:
+		c.abandonRequest(now, ReasonSlotTaken)
+	case now-request.sentAt >= c.cfg.HeartbeatInterval/2:
+		request.sentAt = now
+		c.emit(Send{AllNodes, request.encode()})
+	}
+}
+
+// holderTimeout returns for how long this node may rely on what it was granted.
+func (c *Core) holderTimeout() Time {
+	return agreement.HolderTimeout(c.cfg.RequestTimeout, c.cfg.MaxClockDrift)
+}
+
+// startRequest requests a slot of the fleet, and one of the zone if that has a budget, that are free as far as is known.
+func (c *Core) startRequest(now Time) {
+	request := &c.request
+	zone := uint16(HashName(c.cfg.Zone))
+	slot, hasSlot := c.drawFreeSlot(c.cfg.Budget, func(record grantRecord) int { return int(record.Slot) })
+	zoneSlot, hasZoneSlot := 0, true
+	if c.cfg.ZoneBudget > 0 {
+		zoneSlot, hasZoneSlot = c.drawFreeSlot(c.cfg.ZoneBudget, func(record grantRecord) int {
+			if record.Zone != zone {
+				return noSlot
+			}
+			return int(record.ZoneSlot)
+		})
+	}
+	if !hasSlot || !hasZoneSlot {
+		request.nextAttempt = now + c.cfg.HeartbeatInterval
+		return
+	}
+	request.slotRequest = slotRequest{Incarnation: c.cfg.Incarnation, Number: request.Number + 1,
+		Slot: uint8(slot), ZoneSlot: uint8(zoneSlot), Zone: zone}
+	request.isPending, request.startedAt, request.sentAt = true, now, now
+	request.granted, request.denied = map[int]bool{}, map[int]bool{}
+	c.log(LogSlotRequested, c.cfg.Self, slot, ReasonGranted)
+	c.emit(Send{AllNodes, request.encode()})
+	c.countVote(now, c.cfg.Self, c.decide(now, c.cfg.Self, request.slotRequest))
+}
+
+// drawFreeSlot draws one of the slots below count that no other node has; slotOf returns a node's slot or noSlot.
+func (c *Core) drawFreeSlot(count int, slotOf func(grantRecord) int) (slot int, ok bool) {
+	free := make([]int, 0, count)
+	for candidate := range count {
+		isTaken := slices.ContainsFunc(c.grants, func(record grantRecord) bool {
+			return int(record.Holder) != c.cfg.Self && slotOf(record) == candidate
+		})
+		if !isTaken {
+			free = append(free, candidate)
+		}
+	}
+	if len(free) == 0 {
+		return 0, false
+	}
+	return free[c.rng.IntN(len(free))], true
+}
+
+func (c *Core) handleAnswer(now Time, from int, answer slotAnswer) {
+	request := &c.request
+	if request.isPending && answer.Incarnation == c.cfg.Incarnation && answer.Number == request.Number {
+		c.countVote(now, from, answer.Reason)
+	}
+}
+
+// countVote counts one node's answer to the pending request. A grant is valid for a RequestTimeout from when the request
+// was first sent, by the slower clock.
+func (c *Core) countVote(now Time, from int, reason Reason) {
+	request := &c.request
+	if reason != ReasonGranted {
+		request.denied[from] = true
+		return
+	}
+	request.granted[from] = true
+	delete(request.denied, from)
+	expiresAt := request.startedAt + c.holderTimeout()
+	if len(request.granted) >= c.majority() && now < expiresAt {
+		request.isPending, request.isGranted, request.expiresAt = false, true, expiresAt
+		c.log(LogSlotAcquired, c.cfg.Self, int(request.Slot), ReasonGranted)
+		c.emit(DrainGranted{expiresAt})
+	}
+}
+
+// abandonRequest ends the request. The next one follows after a wait with full jitter, so that two nodes that split the
+// votes do not do so again.
+func (c *Core) abandonRequest(now Time, reason Reason) {
+	request := &c.request
+	c.log(LogRequestAbandoned, c.cfg.Self, int(request.Slot), reason)
+	request.isPending, request.isGranted, request.lastDone = false, false, request.Number
+	c.releaseSlots(c.cfg.Self, c.cfg.Incarnation, request.lastDone)
+	request.nextAttempt = now + Time(c.rng.Int64N(int64(c.cfg.RequestTimeout)))
+	c.hurryHeartbeat()
+}
