--- a/internal/fleet/rollout/agent/agent.go
+++ b/internal/fleet/rollout/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs the agreement on who may go out of service inside a node: one goroutine owns the core, and a bounded
-// queue leads to it. It decides nothing.
+// Package agent runs the rollout agreement inside a node: one goroutine owns the core, and a bounded queue of events leads
+// to it. It decides nothing itself.
 package agent
 
 import (
@@ -15,109 +15,140 @@
 	"shelfproxy/internal/logs"
 )
 
-// Options are what an agent is made of.
+// ticksPerHeartbeat is how often the core looks at the clock within a HeartbeatInterval.
+const ticksPerHeartbeat = 4
+
+// errNoRelease is returned to an operator who orders a release without its name.
+var errNoRelease = errors.New("to: which release?")
+
+// Options are the settings of an agent and what it calls. The functions are called from the agent's goroutine.
 type Options struct {
 	Config         rollout.Config
-	Send           func(to int, data []byte) error // to one node, by its number
-	DrainGranted   func()                          // ends the node; called once, when the fleet lets it go
-	ResponseCounts func() rollout.ResponseCounts   // of the node, since its start
-	CountEvent     func(kind rollout.LogEventKind) // counts
+	Send           func(to int, data []byte) error // sends a datagram to a node, by its index; must not wait
+	DrainGranted   func()                          // has the node drain and end; called once at most, when the fleet allows it
+	ResponseCounts func() rollout.ResponseCounts   // of the node since its start; nil if it is not judged
+	CountEvent     func(kind rollout.LogEventKind) // counts a log event
 	Log            *slog.Logger
 }
 
-// Agent is one node's part in the agreement.
+// Agent is one node's part in the rollout agreement. Its methods are safe for concurrent use, but for Serve.
 type Agent struct {
 	*eventloop.Loop[rollout.Event, rollout.Effect]
-	opt   Options
-	core  *rollout.Core
-	peers shell.Peers
-	gone  bool
-	told  rollout.ResponseCounts // to the core
+	options        Options
+	core           *rollout.Core
+	peers          shell.Peers
+	isDraining     bool
+	reportedCounts rollout.ResponseCounts // to the core so far
 }
 
-// New makes an agent; Serve serves it.
-func New(opt Options) (*Agent, error) {
-	core, err := rollout.New(opt.Config)
+// New returns an agent; Serve runs it. The error is that of rollout.Config.Validate.
+func New(options Options) (*Agent, error) {
+	core, err := rollout.New(options.Config)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, core: core, peers: shell.Peers{Self: opt.Config.Self, Nodes: opt.Config.Nodes, SendTo: opt.Send}}
-	a.Loop = eventloop.New(core, a.do)
+	a := &Agent{
+		options: options,
+		core:    core,
+		peers:   shell.Peers{Self: options.Config.Self, Nodes: options.Config.Nodes, SendTo: options.Send},
+	}
+	a.Loop = eventloop.New(core, a.apply)
 	return a, nil
 }
 
-// Receive hands over a datagram of another node. While the agent is behind it is lost, as any may be.
+// Receive hands over a datagram from another node. It never waits: while the queue is full the datagram is dropped.
 func (a *Agent) Receive(from int, data []byte) {
 	a.Post(rollout.MessageReceived{From: from, Data: data})
 }
 
-// Serve owns the core until stop is closed.
+// Serve runs the agent until stop is closed. It must be called once.
 func (a *Agent) Serve(stop <-chan struct{}) {
-	a.Run(stop, a.opt.Config.HeartbeatInterval/4, func() {
-		if a.opt.ResponseCounts != nil {
-			if s := a.opt.ResponseCounts(); s.Responses > a.told.Responses {
-				a.Step(rollout.ResponseCounts{Responses: s.Responses - a.told.Responses, Failed: s.Failed - a.told.Failed, Slow: s.Slow - a.told.Slow})
-				a.told = s
-			}
-		}
-		a.Step(rollout.Tick{})
+	a.Run(stop, a.options.Config.HeartbeatInterval/ticksPerHeartbeat, a.tick)
+}
+
+func (a *Agent) tick() {
+	a.reportResponses()
+	a.Step(rollout.Tick{})
+}
+
+// reportResponses tells the core the responses since the last report.
+func (a *Agent) reportResponses() {
+	if a.options.ResponseCounts == nil {
+		return
+	}
+	counts, reported := a.options.ResponseCounts(), a.reportedCounts
+	if counts.Responses <= reported.Responses {
+		return
+	}
+	a.Step(rollout.ResponseCounts{
+		Responses: counts.Responses - reported.Responses,
+		Failed:    counts.Failed - reported.Failed,
+		Slow:      counts.Slow - reported.Slow,
 	})
+	a.reportedCounts = counts
 }
 
-func (a *Agent) do(e rollout.Effect) {
-	switch e := e.(type) {
+// apply carries out an effect of the core.
+func (a *Agent) apply(effect rollout.Effect) {
+	switch effect := effect.(type) {
 	case rollout.Send:
-		a.peers.Send(e.To, e.Data)
+		a.peers.Send(effect.To, effect.Data)
 	case rollout.DrainGranted:
-		// This process may have been stopped since the core decided: it is asked again, at the moment of the deed.
-		if a.gone || !a.core.MayDrain(a.Now()) {
-			return
-		}
-		a.gone = true
-		a.Step(rollout.ShutdownStarted{})
-		a.opt.DrainGranted()
+		a.drain()
 	case rollout.LogEvent:
-		a.opt.CountEvent(e.Kind)
-		level := slog.LevelInfo
-		switch e.Kind {
-		case rollout.LogSlotRequested, rollout.LogRequestAbandoned, rollout.LogMessageCorrupt:
-			level = slog.LevelDebug
-		case rollout.LogHalted, rollout.LogNodeUnhealthy, rollout.LogSlotExpired:
-			level = slog.LevelWarn
-		}
-		a.opt.Log.Log(context.Background(), level, "the fleet's agreement on who is out", logs.Event, "rollout_"+e.Kind.String(), "node", e.Node, "slot", e.Slot, "reason", e.Reason.String())
+		a.options.CountEvent(effect.Kind)
+		a.options.Log.Log(context.Background(), logLevel(effect.Kind), "rollout agreement", logs.Event, "rollout_"+effect.Kind.String(),
+			"node", effect.Node, "slot", effect.Slot, "reason", effect.Reason.String())
 	}
 }
 
-// Status is the agreement as this node sees it.
+// drain begins to drain the node if it still may: this process may have been stopped since the core decided.
+func (a *Agent) drain() {
+	if a.isDraining || !a.core.MayDrain(a.Now()) {
+		return
+	}
+	a.isDraining = true
+	a.Step(rollout.ShutdownStarted{})
+	a.options.DrainGranted()
+}
+
+func logLevel(kind rollout.LogEventKind) slog.Level {
+	switch kind {
+	case rollout.LogSlotRequested, rollout.LogRequestAbandoned, rollout.LogMessageCorrupt:
+		return slog.LevelDebug
+	case rollout.LogHalted, rollout.LogNodeUnhealthy, rollout.LogSlotExpired:
+		return slog.LevelWarn
+	}
+	return slog.LevelInfo
+}
+
+// Status returns the agreement as this node sees it, or control.ErrBusy. It waits for the agent's goroutine.
 func (a *Agent) Status() (rollout.Status, error) { return shell.Read(a.Loop, a.core.Status) }
 
-// RegisterCalls adds the operators' calls: status, drain, halt, resume and roll with to=RELEASE.
+// RegisterCalls adds the operators' calls to the control server: the query status, and the commands drain, halt, resume and
+// roll with to=RELEASE, which answer with the status after them.
 func (a *Agent) RegisterCalls(s *control.Server) {
-	s.HandleQuery("status", func(url.Values) (any, error) { return a.Status() })
-	steer := func(name string, event func(url.Values) (rollout.Event, error)) {
-		s.HandleCommand(name, func(query url.Values) (any, error) {
-			ev, err := event(query)
-			if err != nil {
-				return nil, err
-			}
-			if !a.Post(ev) {
-				return nil, control.ErrBusy
-			}
-			return a.Status()
-		})
-	}
-	plain := func(ev rollout.Event) func(url.Values) (rollout.Event, error) {
-		return func(url.Values) (rollout.Event, error) { return ev, nil }
-	}
-	steer("drain", plain(rollout.DrainRequested{}))
-	steer("halt", plain(rollout.HaltRequested{}))
-	steer("resume", plain(rollout.ResumeRequested{}))
-	steer("roll", func(query url.Values) (rollout.Event, error) {
-		to := query.Get("to")
-		if to == "" {
-			return nil, errors.New("to: which release?")
+	shell.HandleQuery(s, "status", a.Loop, a.core.Status)
+	a.handleCommand(s, "drain", rollout.DrainRequested{})
+	a.handleCommand(s, "halt", rollout.HaltRequested{})
+	a.handleCommand(s, "resume", rollout.ResumeRequested{})
+	s.HandleCommand("roll", func(query url.Values) (any, error) {
+		release := query.Get("to")
+		if release == "" {
+			return nil, errNoRelease
 		}
-		return rollout.ReleaseOrdered{Release: to}, nil
+		return a.command(rollout.ReleaseOrdered{Release: release})
 	})
 }
+
+func (a *Agent) handleCommand(s *control.Server, name string, event rollout.Event) {
+	s.HandleCommand(name, func(url.Values) (any, error) { return a.command(event) })
+}
+
+// command has the core handle an operator's event and returns the status after it.
+func (a *Agent) command(event rollout.Event) (any, error) {
+	if !a.Post(event) {
+		return nil, control.ErrBusy
+	}
+	return a.Status()
+}
