--- a/internal/fleet/agreement/agreement_test.go
+++ b/internal/fleet/agreement/agreement_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestMessageOfAnotherProtocolIsCorrupt(t *testing.T) {
+func TestForeignOrDamagedMessageIsCorrupt(t *testing.T) {
 	protocol := Protocol{Magic: 'T', Version: 3}
 	data := datagram.Seal(append(protocol.Begin(7), 42))
 	kind, fields, err := protocol.Open(data)
--- a/internal/fleet/rollout/golden_test.go
+++ b/internal/fleet/rollout/golden_test.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenDatagrams: the datagrams of earlier releases are read, and the same bytes are written.
+// TestGoldenDatagrams: the datagrams of earlier releases are decoded, and the same bytes are encoded.
 func TestGoldenDatagrams(t *testing.T) {
 	full := heartbeat{Incarnation: 0x0102030405060708, Sequence: 9, State: numStates - 1, IsAbstaining: true, LastDone: 10, Release: 0x0a0b0c0d,
 		Halt: haltState{Epoch: 3, IsHalted: true, Reason: numReasons - 1, Node: 4}, Order: releaseOrder{Epoch: 5, Release: 0x1a1b1c1d},
@@ -17,7 +17,7 @@
 			{Holder: 0xfffe, Incarnation: 1 << 60, Request: 1 << 30, Slot: 255, ZoneSlot: 254, Zone: 0xabcd}}}
 	messages := []struct {
 		name string
-		m    interface{ encode() []byte }
+		m    message
 	}{
 		{"beacon", full},
 		{"beacon_least", heartbeat{Incarnation: 1, Sequence: 1}},
@@ -33,7 +33,7 @@
 	file := golden.Read(t, "datagrams.golden")
 	for _, test := range messages {
 		if got, err := decode(golden.Hex(t, file, test.name)); err != nil || !reflect.DeepEqual(got, test.m) {
-			t.Errorf("%s: read as %+v, %v; want %+v", test.name, got, err, test.m)
+			t.Errorf("%s: decoded as %+v, %v; want %+v", test.name, got, err, test.m)
 		}
 	}
 }
--- a/internal/fleet/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -178,7 +178,7 @@
 // decodeHeartbeat skips what a later version adds behind the grants: the nodes of two releases must understand each other
 // while one replaces the other.
 func decodeHeartbeat(fields *datagram.Reader) (message, error) {
-	m := heartbeat{
+	beat := heartbeat{
 		Incarnation:  fields.U64(),
 		Sequence:     fields.U32(),
 		State:        State(fields.U8()),
@@ -190,13 +190,13 @@
 		Health:       health{IsKnown: decodeBool(fields), Failed: fields.U8(), Slow: fields.U8()},
 	}
 	for range fields.U8() {
-		m.Grants = append(m.Grants, grant{Holder: fields.U16(), Incarnation: fields.U64(), Request: fields.U32(),
+		beat.Grants = append(beat.Grants, grant{Holder: fields.U16(), Incarnation: fields.U64(), Request: fields.U32(),
 			Slot: fields.U8(), ZoneSlot: fields.U8(), Zone: fields.U16()})
 	}
-	if m.State >= numStates || m.Halt.Reason >= numReasons || !fields.IsValid() {
+	if beat.State >= numStates || beat.Halt.Reason >= numReasons || !fields.IsValid() {
 		return nil, agreement.ErrCorruptMessage
 	}
-	return m, nil
+	return beat, nil
 }
 
 func decodeSlotRequest(fields *datagram.Reader) (message, error) {
--- a/internal/fleet/rollout/request.go
+++ b/internal/fleet/rollout/request.go
@@ -43,10 +43,10 @@
 // continueRequest abandons a pending request that can no longer succeed in time, or repeats it as datagrams may be lost.
 func (c *Core) continueRequest(now Time) {
 	request := &c.request
-	isLate := now-request.startedAt >= c.holderTimeout()/2
-	isLost := len(request.denied) > c.cfg.Nodes-c.majority()
+	hasTimedOut := now-request.startedAt >= c.holderTimeout()/2
+	isDeniedByTooMany := len(request.denied) > c.cfg.Nodes-c.majority()
 	switch {
-	case isLate || isLost:
+	case hasTimedOut || isDeniedByTooMany:
 		c.abandonRequest(now, ReasonSlotTaken)
 	case now-request.sentAt >= c.cfg.HeartbeatInterval/2:
 		request.sentAt = now
