--- a/internal/fleet/datagram/datagram.go
+++ b/internal/fleet/datagram/datagram.go
@@ -1,5 +1,6 @@
-// Package datagram is the outer form that all agreements between nodes share: one byte that tells an agreement's datagrams from other
-// traffic, one of version, one of kind, what the kind says, and a sum of all that. Numbers are big-endian. It has no clock and no I/O.
+// Package datagram is the outer form that the datagrams of all agreements between nodes share: a magic byte that tells an
+// agreement's datagrams from other traffic, a byte each for version and kind, the fields of the kind, and a CRC-32 of all
+// that. Numbers are big-endian. It has no clock, no I/O and no state.
 package datagram
 
 import (
@@ -7,67 +8,71 @@
 	"hash/crc32"
 )
 
-// MaxSize is how long a datagram may be on the platform.
+// MaxSize is the greatest size of a datagram in bytes: no longer one is carried on the platform.
 const MaxSize = 256
 
 const (
-	header = 3
-	sum    = 4
+	headerSize   = 3 // magic, version, kind
+	checksumSize = 4
 )
 
-// MaxPayload is how many bytes a kind's own part may have.
-const MaxPayload = MaxSize - header - sum
+// MaxPayload is how many bytes the fields of a kind may have together.
+const MaxPayload = MaxSize - headerSize - checksumSize
 
-// Begin is a datagram without its content.
-func Begin(mark, version, kind byte) []byte {
-	return append(make([]byte, 0, MaxSize), mark, version, kind)
+// Begin returns the header of a datagram. The caller appends the fields and passes the result to Seal.
+func Begin(magic, version, kind byte) []byte {
+	return append(make([]byte, 0, MaxSize), magic, version, kind)
 }
 
-// Seal adds the sum.
-func Seal(b []byte) []byte { return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b)) }
+// Seal appends the checksum and so completes a datagram.
+func Seal(data []byte) []byte {
+	return binary.BigEndian.AppendUint32(data, crc32.ChecksumIEEE(data))
+}
 
-// Open checks the outer form; ok is false for what nobody of this mark and version sealed.
-func Open(b []byte, mark, version byte) (kind byte, body *Reader, ok bool) {
-	if len(b) < header+sum || len(b) > MaxSize || b[0] != mark || b[1] != version {
+// Open verifies the size, the header and the checksum of a datagram and returns its kind and a reader of its fields; ok is
+// false for one that was damaged, cut short, or sealed with another magic byte or version.
+func Open(data []byte, magic, version byte) (kind byte, fields *Reader, ok bool) {
+	if len(data) < headerSize+checksumSize || len(data) > MaxSize || data[0] != magic || data[1] != version {
 		return 0, nil, false
 	}
-	content := b[:len(b)-sum]
-	if crc32.ChecksumIEEE(content) != binary.BigEndian.Uint32(b[len(content):]) {
+	content := data[:len(data)-checksumSize]
+	if crc32.ChecksumIEEE(content) != binary.BigEndian.Uint32(data[len(content):]) {
 		return 0, nil, false
 	}
-	return b[2], &Reader{left: content[header:]}, true
+	return data[2], &Reader{left: content[headerSize:]}, true
 }
 
-// Reader takes numbers off a body. Past its end they are 0, and it is bad.
+// Reader reads the fields of a datagram one after the other. Reading past the end returns 0 and makes the reader invalid.
+// It is not safe for concurrent use.
 type Reader struct {
-	left []byte
-	bad  bool
+	left      []byte
+	isInvalid bool
 }
 
-func (r *Reader) take(n int) []byte {
-	if len(r.left) < n {
-		r.bad, r.left = true, nil
-		return make([]byte, n)
+func (r *Reader) take(size int) []byte {
+	if len(r.left) < size {
+		r.isInvalid, r.left = true, nil
+		return make([]byte, size)
 	}
-	v := r.left[:n]
-	r.left = r.left[n:]
-	return v
+	taken := r.left[:size]
+	r.left = r.left[size:]
+	return taken
 }
 
-// U8 is the next byte.
+// U8 reads one byte.
 func (r *Reader) U8() byte { return r.take(1)[0] }
 
-// U16 is the next two bytes.
+// U16 reads a number of two bytes.
 func (r *Reader) U16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
 
-// U32 is the next four bytes.
+// U32 reads a number of four bytes.
 func (r *Reader) U32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
 
-// U64 is the next eight bytes.
+// U64 reads a number of eight bytes.
 func (r *Reader) U64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-// IsValid tells whether all that was asked for was there. What a later version says behind it is skipped.
-func (r *Reader) IsValid() bool { return !r.bad }
+// IsValid reports whether all fields that were read were there. Further ones, which a later version may add, do not matter.
+func (r *Reader) IsValid() bool { return !r.isInvalid }
 
-// IsEmpty tells whether nothing is left.
+// IsEmpty reports whether no byte is left.
 func (r *Reader) IsEmpty() bool { return len(r.left) == 0 }
