--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs a core in a goroutine of its own: one owner, reached by a bounded queue, with a clock that counts from its
-// start. It decides nothing.
+// Package eventloop runs a core, a state machine without clock or I/O, in one goroutine that owns it. A bounded queue leads
+// to that goroutine, and its clock counts from the start of the loop. It decides nothing itself.
 package eventloop
 
 import (
@@ -7,44 +7,53 @@
 	"time"
 )
 
-// Core takes events of one sort with the time, and returns effects of another.
+// Core handles an event at a time and returns the effects to carry out.
 type Core[Event, Effect any] interface {
-	Step(now time.Duration, ev Event) []Effect
+	Step(now time.Duration, event Event) []Effect
 }
 
-// Loop is one core and its owner.
+// Loop is a core with the queue to its goroutine. Post, Submit, Call and Now are safe for concurrent use.
 type Loop[Event, Effect any] struct {
 	core  Core[Event, Effect]
-	do    func(Effect)
-	queue chan func()
+	apply func(Effect)
+	queue chan func() // never closed
 	start time.Time
-	over  chan struct{}
+	ended chan struct{} // closed by Run
 }
 
+// queueLength is how many calls may wait for the loop's goroutine.
 const queueLength = 1024
 
-// ErrBusy says that the loop is behind, or has ended.
-var ErrBusy = errors.New("busy")
+// ErrBusy is returned if the queue is full or the loop has ended.
+var ErrBusy = errors.New("eventloop: queue full, or loop ended")
 
-// New makes a loop; do carries an effect out, in the loop's goroutine, and must not wait. Run serves it.
-func New[Event, Effect any](core Core[Event, Effect], do func(Effect)) *Loop[Event, Effect] {
-	return &Loop[Event, Effect]{core: core, do: do, queue: make(chan func(), queueLength), start: time.Now(), over: make(chan struct{})}
+// New returns a loop whose clock starts now; Run runs it. The loop calls apply, in its goroutine, to carry out each effect;
+// apply must not wait.
+func New[Event, Effect any](core Core[Event, Effect], apply func(Effect)) *Loop[Event, Effect] {
+	return &Loop[Event, Effect]{
+		core:  core,
+		apply: apply,
+		queue: make(chan func(), queueLength),
+		start: time.Now(),
+		ended: make(chan struct{}),
+	}
 }
 
-// Now is the core's clock. It is read at the deed: what a process decided before it was stopped counts no more when it goes on.
+// Now returns the time on the core's clock. Whoever acts on a decision of the core has to read it at that moment: what a
+// process decided before it was stopped may no longer hold when it goes on.
 func (l *Loop[Event, Effect]) Now() time.Duration { return time.Since(l.start) }
 
-// Step gives the core an event. Only the loop's goroutine may call it.
-func (l *Loop[Event, Effect]) Step(ev Event) {
-	for _, e := range l.core.Step(l.Now(), ev) {
-		l.do(e)
+// Step has the core handle an event and carries out the effects. Only the loop's goroutine may call it.
+func (l *Loop[Event, Effect]) Step(event Event) {
+	for _, effect := range l.core.Step(l.Now(), event) {
+		l.apply(effect)
 	}
 }
 
-// Post has the core take an event. It never waits: while the loop is behind the event is lost, and it says so.
-func (l *Loop[Event, Effect]) Post(ev Event) bool { return l.Submit(func() { l.Step(ev) }) }
+// Post queues an event for the core. It never waits: if the queue is full the event is dropped and Post returns false.
+func (l *Loop[Event, Effect]) Post(event Event) bool { return l.Submit(func() { l.Step(event) }) }
 
-// Submit has f called in the loop's goroutine. It never waits.
+// Submit queues a function for the loop's goroutine. It never waits: if the queue is full Submit returns false.
 func (l *Loop[Event, Effect]) Submit(f func()) bool {
 	select {
 	case l.queue <- f:
@@ -54,30 +63,32 @@
 	}
 }
 
-// Call has f called in the loop's goroutine and waits until it was.
+// Call has the loop's goroutine call f and waits until f has returned. It returns ErrBusy if the queue is full, or if the
+// loop ended before; f must not call it.
 func (l *Loop[Event, Effect]) Call(f func()) error {
-	done := make(chan struct{})
+	done := make(chan struct{}) // closed by the loop's goroutine
 	if !l.Submit(func() { f(); close(done) }) {
 		return ErrBusy
 	}
 	select {
 	case <-done:
 		return nil
-	case <-l.over:
+	case <-l.ended:
 		return ErrBusy
 	}
 }
 
-// Run owns the core until stop is closed, and calls tick so often.
-func (l *Loop[Event, Effect]) Run(stop <-chan struct{}, every time.Duration, tick func()) {
-	defer close(l.over)
-	t := time.NewTicker(every)
-	defer t.Stop()
+// Run makes the calling goroutine the loop's until stop is closed, and calls tick at each interval. It must be called once.
+// What is still queued at its end is not called.
+func (l *Loop[Event, Effect]) Run(stop <-chan struct{}, interval time.Duration, tick func()) {
+	defer close(l.ended)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case f := <-l.queue:
 			f()
-		case <-t.C:
+		case <-ticker.C:
 			tick()
 		case <-stop:
 			return
