--- a/internal/fleet/lease/agent/agent_test.go
+++ b/internal/fleet/lease/agent/agent_test.go
@@ -20,7 +20,7 @@
 func startAgent(t *testing.T) (*Agent, <-chan holderChange) {
 	t.Helper()
 	changes := make(chan holderChange, 10)
-	a, err := New(Options{
+	started, err := New(Options{
 		Config:        lease.Config{Nodes: 1, PeerListID: 1, Resources: []string{"a"}, LeaseDuration: 200 * time.Millisecond, Epoch: 1},
 		Send:          func(int, []byte) error { return nil },
 		HolderChanged: func(resource string, node int) { changes <- holderChange{resource, node} },
@@ -34,13 +34,13 @@
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.Serve(stop)
+		started.Serve(stop)
 	}()
 	t.Cleanup(func() {
 		close(stop)
 		<-ended
 	})
-	return a, changes
+	return started, changes
 }
 
 func expectChange(t *testing.T, changes <-chan holderChange, want holderChange) {
--- a/internal/fleet/rollout/agent/agent_test.go
+++ b/internal/fleet/rollout/agent/agent_test.go
@@ -19,20 +19,20 @@
 	options.Send = func(int, []byte) error { return nil }
 	options.CountEvent = func(rollout.LogEventKind) {}
 	options.Log = slog.New(slog.DiscardHandler)
-	a, err := New(options)
+	started, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.Serve(stop)
+		started.Serve(stop)
 	}()
 	t.Cleanup(func() {
 		close(stop)
 		<-ended
 	})
-	return a
+	return started
 }
 
 func TestGrantedDrainBeginsOnce(t *testing.T) {
