--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -40,7 +40,7 @@
 // TestGoldenStatus: operators' scripts read the status as JSON.
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
-	lines.Text("held", mustJSON(t, Status{Resource: "prober", Holder: 2, Token: 77, IsHeldHere: true, Since: time.Second, State: "held"}))
+	lines.Text("held", mustJSON(t, Status{Resource: "prober", Holder: 2, Token: 77, IsHeldHere: true, HeldFor: time.Second, State: "held"}))
 	lines.Text("idle", mustJSON(t, Status{Resource: "caller", Holder: -1, State: "idle"}))
 	golden.Check(t, "status.golden", lines.Bytes())
 }
--- a/internal/fleet/lease/status.go
+++ b/internal/fleet/lease/status.go
@@ -8,7 +8,7 @@
 	Holder     int           `json:"holder"` // -1: no node as far as this one knows
 	Token      uint64        `json:"token"`
 	IsHeldHere bool          `json:"mine"`
-	Since      time.Duration `json:"held_for_ns,omitempty"` // for how long this node has held it
+	HeldFor    time.Duration `json:"held_for_ns,omitempty"` // 0 unless this node holds it
 	State      string        `json:"state"`                 // held, asking, waiting, abstains or idle
 }
 
@@ -26,7 +26,7 @@
 	_, isHolder := c.Holds(now, r.name)
 	switch {
 	case isHolder:
-		status.IsHeldHere, status.Since, status.State = true, now-r.own.acquiredAt, "held"
+		status.IsHeldHere, status.HeldFor, status.State = true, now-r.own.acquiredAt, "held"
 	case r.own.token != 0:
 		status.State = "asking"
 	case c.isAbstaining(now):
