--- a/internal/fleet/agreement/agreement_test.go
+++ b/internal/fleet/agreement/agreement_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestMessageOfAnotherProtocolIsCorrupt(t *testing.T) {
+func TestForeignOrDamagedMessageIsCorrupt(t *testing.T) {
 	protocol := Protocol{Magic: 'T', Version: 3}
 	data := datagram.Seal(append(protocol.Begin(7), 42))
 	kind, fields, err := protocol.Open(data)
@@ -86,3 +86,11 @@
 		t.Errorf("Open of a damaged message: %v, want ErrCorruptMessage", err)
 	}
 }
+
+func TestInvalidFieldIsNamed(t *testing.T) {
+	err := InvalidField("lease", "must be at least %s", time.Second)
+	var invalid *FieldError
+	if !errors.As(err, &invalid) || invalid.Field != "lease" || err.Error() != "lease: must be at least 1s" {
+		t.Errorf("InvalidField = %#v, want a FieldError of the field lease", err)
+	}
+}
