--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -152,9 +152,9 @@
 	switch {
 	case c.Operator.Rollout.NodesOut > 0:
 		return missing("rollout.nodes_out needs an agreement with them")
-	case len(c.Operator.Leases.Hold) > 0:
+	case len(c.Operator.Leases.Resources) > 0:
 		return missing("duties.hold needs an agreement with them")
-	case c.Operator.Membership.On:
+	case c.Operator.Membership.Enabled:
 		return missing("members.on needs them to know this node")
 	}
 	return nil
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -11,14 +11,14 @@
 func defaultOperator() *Operator {
 	operator := &Operator{
 		Listener: Listener{
-			Share:       0.5,
-			Pipelined:   128,
-			Write:       tomlfile.Duration(10 * time.Second),
-			Silent:      tomlfile.Duration(2500 * time.Millisecond),
-			Idle:        tomlfile.Duration(time.Minute),
-			IdleCrowded: tomlfile.Duration(50 * time.Millisecond),
+			DescriptorFraction:  0.5,
+			MaxPipelined:        128,
+			WriteTimeout:        tomlfile.Duration(10 * time.Second),
+			FirstCommandTimeout: tomlfile.Duration(2500 * time.Millisecond),
+			IdleTimeout:         tomlfile.Duration(time.Minute),
+			CrowdedIdleTimeout:  tomlfile.Duration(50 * time.Millisecond),
 		},
-		Pools: Pools{TargetShare: 0.3, OriginShare: 0.1, Connections: 64, Waiting: 512},
+		Pools: Pools{CacheServerFraction: 0.3, OriginFraction: 0.1, MaxConnections: 64, MaxQueued: 512},
 		Shutdown: Shutdown{
 			Grace:        tomlfile.Duration(2200 * time.Millisecond),
 			LastResponse: tomlfile.Duration(3400 * time.Millisecond),
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -148,7 +148,7 @@
 	return fmt.Sprint(
 		rollout.HeartbeatInterval, rollout.UnresponsiveAfter, rollout.RequestTimeout, rollout.ReturnTimeout,
 		rollout.WriteOffAfter, rollout.ObservationPeriod, rollout.MinSamples, rollout.MaxClockDrift,
-		membership.On, membership.ProbeInterval, membership.ProbeTimeout, membership.IndirectProbes, membership.SuspicionFactor,
+		membership.Enabled, membership.ProbeInterval, membership.ProbeTimeout, membership.IndirectProbes, membership.SuspicionFactor,
 		cfg.Peers.Listen, cfg.Peers.Broadcast,
 		cfg.Policy.MaxPollInterval, cfg.Policy.DrainGrace, cfg.Policy.OverQuotaFraction, cfg.Policy.AffinityBudget,
 		cfg.Policy.MaxEjectedFraction)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -42,20 +42,20 @@
 
 // Listener bounds what clients may use.
 type Listener struct {
-	Share       float64           `toml:"share"`        // fraction of the descriptors, 0.1 to 0.8
-	Pipelined   int               `toml:"pipelined"`    // commands of a connection that wait for responses, 1 to 4096
-	Write       tomlfile.Duration `toml:"write"`        // a client that reads nothing for this long is disconnected
-	Silent      tomlfile.Duration `toml:"silent"`       // and so is one that sent nothing, or part of a command
-	Idle        tomlfile.Duration `toml:"idle"`         // and one without an open request
-	IdleCrowded tomlfile.Duration `toml:"idle_crowded"` // the same in a crowded connection table
+	DescriptorFraction  float64           `toml:"share"`        // fraction of the descriptors, 0.1 to 0.8
+	MaxPipelined        int               `toml:"pipelined"`    // commands of a connection that wait for responses, 1 to 4096
+	WriteTimeout        tomlfile.Duration `toml:"write"`        // a client that reads nothing for this long is disconnected
+	FirstCommandTimeout tomlfile.Duration `toml:"silent"`       // and so is one that sent nothing, or part of a command
+	IdleTimeout         tomlfile.Duration `toml:"idle"`         // and one without an open request
+	CrowdedIdleTimeout  tomlfile.Duration `toml:"idle_crowded"` // the same in a crowded connection table
 }
 
 // Pools bounds the connections to cache servers and the origin.
 type Pools struct {
-	TargetShare float64 `toml:"target_share"` // fraction of the descriptors, for all cache servers together, 0.05 to 0.8
-	OriginShare float64 `toml:"origin_share"` // and for the origin, 0.02 to 0.5
-	Connections int     `toml:"connections"`  // to one cache server, 1 to 4096
-	Waiting     int     `toml:"waiting"`      // attempts that wait for a connection to one server, 1 to 65536
+	CacheServerFraction float64 `toml:"target_share"` // fraction of the descriptors, for all cache servers together, 0.05 to 0.8
+	OriginFraction      float64 `toml:"origin_share"` // and for the origin, 0.02 to 0.5
+	MaxConnections      int     `toml:"connections"`  // to one cache server, 1 to 4096
+	MaxQueued           int     `toml:"waiting"`      // attempts that wait for a connection to one server, 1 to 65536
 }
 
 // Shutdown bounds the graceful shutdown.
@@ -115,10 +115,10 @@
 
 // Leases are those that one node holds for the whole fleet. They take effect where nodes may send each other messages.
 type Leases struct {
-	Hold          []string          `toml:"hold"`  // of prober and caller; none: each node does both for itself
+	Resources     []string          `toml:"hold"`  // of prober and caller; none: each node does both for itself
 	LeaseDuration tomlfile.Duration `toml:"lease"` // a lease holder that is not heard for this long is replaced
 	MaxClockDrift float64           `toml:"drift"` // of two nodes' clocks against each other, as a fraction
-	List          string            `toml:"list"`  // a name for the list of peers, the same at all nodes, another with each change
+	PeerListName  string            `toml:"list"`  // a name for the list of peers, the same at all nodes, another with each change
 }
 
 // CoreConfig returns the configuration of the lease core for node self of nodes.
@@ -127,7 +127,7 @@
 		Self:          self,
 		Nodes:         nodes,
 		PeerListID:    l.PeerListID(nodes),
-		Resources:     l.Hold,
+		Resources:     l.Resources,
 		LeaseDuration: l.LeaseDuration.D(),
 		MaxClockDrift: l.MaxClockDrift,
 		Epoch:         epoch,
@@ -138,12 +138,12 @@
 // PeerListID returns the number that stands for a list of peers. It does not cover their addresses: each node may reach
 // the others under addresses of its own.
 func (l Leases) PeerListID(nodes int) uint32 {
-	return lease.HashName(fmt.Sprintf("%d/%s", nodes, l.List))
+	return lease.HashName(fmt.Sprintf("%d/%s", nodes, l.PeerListName))
 }
 
 // Membership configures the failure detection among the nodes. It takes effect where nodes may send each other messages.
 type Membership struct {
-	On              bool              `toml:"on"`
+	Enabled         bool              `toml:"on"`
 	ProbeInterval   tomlfile.Duration `toml:"period"`    // between two probes that this node sends
 	ProbeTimeout    tomlfile.Duration `toml:"wait"`      // for an acknowledgement, before indirect probes are sent
 	IndirectProbes  int               `toml:"ask"`       // nodes that are asked to probe for this one
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -61,20 +61,20 @@
 		{"limits.cores", o.Limits.Cores, 0, 1024},
 		{"limits.memory_mb", float64(o.Limits.MemoryMB), minMemoryMB, 1 << 20},
 		{"limits.sockets", float64(o.Limits.Sockets), minSockets, 1 << 20},
-		{"listener.share", o.Listener.Share, 0.1, 0.8},
-		{"listener.pipelined", float64(o.Listener.Pipelined), 1, 4096},
-		{"pools.target_share", o.Pools.TargetShare, 0.05, 0.8},
-		{"pools.origin_share", o.Pools.OriginShare, 0.02, 0.5},
-		{"pools.connections", float64(o.Pools.Connections), 1, 4096},
+		{"listener.share", o.Listener.DescriptorFraction, 0.1, 0.8},
+		{"listener.pipelined", float64(o.Listener.MaxPipelined), 1, 4096},
+		{"pools.target_share", o.Pools.CacheServerFraction, 0.05, 0.8},
+		{"pools.origin_share", o.Pools.OriginFraction, 0.02, 0.5},
+		{"pools.connections", float64(o.Pools.MaxConnections), 1, 4096},
 		{"rollout.servers_out", o.Rollout.MaxEjectedFraction, 0, 1},
 		{"zones.leave_owner", o.Zones.AffinityBudget, 0, 1},
-		{"pools.waiting", float64(o.Pools.Waiting), 1, 65536},
+		{"pools.waiting", float64(o.Pools.MaxQueued), 1, 65536},
 	} {
 		if !isBetween(number.value, number.least, number.top) {
 			return o.invalid(number.field, "%v is not from %v to %v", number.value, number.least, number.top)
 		}
 	}
-	if sum := o.Listener.Share + o.Pools.TargetShare + o.Pools.OriginShare; sum > 1 {
+	if sum := o.Listener.DescriptorFraction + o.Pools.CacheServerFraction + o.Pools.OriginFraction; sum > 1 {
 		return o.invalid("listener.share", "with pools.target_share and pools.origin_share it makes %.2f, more than 1", sum)
 	}
 	return nil
@@ -89,10 +89,10 @@
 		value      tomlfile.Duration
 		least, top time.Duration
 	}{
-		{"listener.write", o.Listener.Write, 100 * time.Millisecond, time.Hour},
-		{"listener.silent", o.Listener.Silent, 100 * time.Millisecond, time.Hour},
-		{"listener.idle", o.Listener.Idle, 100 * time.Millisecond, 24 * time.Hour},
-		{"listener.idle_crowded", o.Listener.IdleCrowded, 10 * time.Millisecond, 24 * time.Hour},
+		{"listener.write", o.Listener.WriteTimeout, 100 * time.Millisecond, time.Hour},
+		{"listener.silent", o.Listener.FirstCommandTimeout, 100 * time.Millisecond, time.Hour},
+		{"listener.idle", o.Listener.IdleTimeout, 100 * time.Millisecond, 24 * time.Hour},
+		{"listener.idle_crowded", o.Listener.CrowdedIdleTimeout, 10 * time.Millisecond, 24 * time.Hour},
 		{"shutdown.grace", o.Shutdown.Grace, 0, time.Minute},
 		{"shutdown.last", o.Shutdown.LastResponse, 100 * time.Millisecond, 10 * time.Minute},
 	} {
@@ -111,12 +111,12 @@
 			return o.invalid("rollout", "%w", err)
 		}
 	}
-	for _, name := range o.Leases.Hold {
+	for _, name := range o.Leases.Resources {
 		if !slices.Contains(policy.RoleNames[:], name) {
 			return o.invalid("duties.hold", "%q is none of %s", name, strings.Join(policy.RoleNames[:], ", "))
 		}
 	}
-	if len(o.Leases.Hold) > 0 {
+	if len(o.Leases.Resources) > 0 {
 		if err := o.Leases.CoreConfig(0, 1, 0, 0).Validate(); err != nil {
 			return o.invalid("duties", "%w", err)
 		}
--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -41,7 +41,7 @@
 		log.Warn("nodes may not exchange messages here: each drains when it is told to terminate", logs.Event, "rollout_off")
 		return nil
 	}
-	countEvent := registerEvents(d.counters, "rollout_", rollout.LogEventKinds)
+	countEvent := registerEvents(d.counters, "rollout_", rollout.NumLogEventKinds)
 	core := settings.CoreConfig(d.cfg.Peers.Self(), len(d.cfg.Peers.Peers), d.cfg.Policy.Zone, newIncarnation(), d.cfg.Seed)
 	d.fleet.rollout, err = rolloutagent.New(rolloutagent.Options{
 		Config:         core,
@@ -57,7 +57,7 @@
 // createLeaseAgent creates this node's part in the agreement on which node holds the leases.
 func (d *Daemon) createLeaseAgent() (err error) {
 	settings := d.cfg.Operator.Leases
-	if len(settings.Hold) == 0 {
+	if len(settings.Resources) == 0 {
 		return nil
 	}
 	log := logs.Component(d.rootLog, "duties")
@@ -65,7 +65,7 @@
 		log.Warn("nodes may not exchange messages here: each acts for itself", logs.Event, "duties_off")
 		return nil
 	}
-	countEvent := registerEvents(d.counters, "duty_", lease.LogEventKinds)
+	countEvent := registerEvents(d.counters, "duty_", lease.NumLogEventKinds)
 	core := settings.CoreConfig(d.cfg.Peers.Self(), len(d.cfg.Peers.Peers), newIncarnation(), d.cfg.Seed)
 	d.fleet.leases, err = leaseagent.New(leaseagent.Options{
 		Config: core,
@@ -100,7 +100,7 @@
 // createMembershipAgent creates this node's part in detecting which nodes are alive.
 func (d *Daemon) createMembershipAgent() (err error) {
 	settings := d.cfg.Operator.Membership
-	if !settings.On {
+	if !settings.Enabled {
 		return nil
 	}
 	log := logs.Component(d.rootLog, "members")
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -43,14 +43,14 @@
 		return
 	}
 	d.log.Info("reload: the rollout budget changes", logs.Event, "rollout_budget", "nodes_out", budget.NodesOut, "zone_out", budget.ZoneOut)
-	d.fleet.rollout.Post(rollout.BudgetChanged{Nodes: budget.NodesOut, Zone: budget.ZoneOut})
+	d.fleet.rollout.Post(rollout.BudgetChanged{Budget: budget.NodesOut, ZoneBudget: budget.ZoneOut})
 	d.updateConfig(func(cfg *config.Config) { cfg.Operator.Rollout = budget })
 }
 
 // reloadPeers applies another list of peers if that is safe.
 func (d *Daemon) reloadPeers(loaded *config.Config) {
 	changed := d.cfg.Peers.CountChanges(loaded.Peers)
-	isSame := changed == 0 && d.cfg.Operator.Leases.List == loaded.Operator.Leases.List
+	isSame := changed == 0 && d.cfg.Operator.Leases.PeerListName == loaded.Operator.Leases.PeerListName
 	if isSame || d.fleet.socket == nil {
 		return
 	}
@@ -75,7 +75,7 @@
 	}
 	d.updateConfig(func(cfg *config.Config) {
 		cfg.Peers = loaded.Peers
-		cfg.Operator.Leases.List = loaded.Operator.Leases.List
+		cfg.Operator.Leases.PeerListName = loaded.Operator.Leases.PeerListName
 	})
 }
 
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -58,9 +58,9 @@
 	available := float64(cfg.Sockets - reservedDescriptors)
 	policy := admission.DescriptorSplitPolicy{
 		Start: [admission.NumSides]int{
-			admission.Clients:      int(available * cfg.Operator.Listener.Share),
-			admission.CacheServers: int(available * cfg.Operator.Pools.TargetShare),
-			admission.Origin:       max(1, int(available*cfg.Operator.Pools.OriginShare)),
+			admission.Clients:      int(available * cfg.Operator.Listener.DescriptorFraction),
+			admission.CacheServers: int(available * cfg.Operator.Pools.CacheServerFraction),
+			admission.Origin:       max(1, int(available*cfg.Operator.Pools.OriginFraction)),
 		},
 		Step: max(1, cfg.Sockets/descriptorStepDivisor),
 		Hold: descriptorHoldTime,
@@ -78,8 +78,8 @@
 		ConnectTimeout: cfg.Node.ConnectTimeout,
 		IdleTimeout:    cfg.Node.ConnectionIdle * idleTenths / 10,
 		MaxStreams:     cfg.Node.MaxStreams,
-		MaxConnections: cfg.Operator.Pools.Connections,
-		MaxQueued:      cfg.Operator.Pools.Waiting,
+		MaxConnections: cfg.Operator.Pools.MaxConnections,
+		MaxQueued:      cfg.Operator.Pools.MaxQueued,
 	}
 	if cfg.Policy.HandshakeCost > 0 {
 		limits.PipelineWithin = maxPipelineAge
@@ -106,12 +106,12 @@
 	operator := cfg.Operator.Listener
 	return listener.Limits{
 		MaxConnections:      maxConnections,
-		MaxPipelined:        min(operator.Pipelined, max(minPipelined, cfg.MemoryMB/memoryMBPerPipelined)),
+		MaxPipelined:        min(operator.MaxPipelined, max(minPipelined, cfg.MemoryMB/memoryMBPerPipelined)),
 		MaxValue:            maxValueBytes,
-		WriteTimeout:        operator.Write.D(),
-		FirstCommandTimeout: operator.Silent.D(),
-		CrowdedIdleTimeout:  operator.IdleCrowded.D(),
-		IdleTimeout:         operator.Idle.D(),
+		WriteTimeout:        operator.WriteTimeout.D(),
+		FirstCommandTimeout: operator.FirstCommandTimeout.D(),
+		CrowdedIdleTimeout:  operator.CrowdedIdleTimeout.D(),
+		IdleTimeout:         operator.IdleTimeout.D(),
 		MaxUnsentBytes:      megabytes(cfg.MemoryMB) / unsentMemoryDivisor,
 	}
 }
--- a/internal/daemon/sizing_test.go
+++ b/internal/daemon/sizing_test.go
@@ -13,9 +13,9 @@
 	cfg := &config.Config{MemoryMB: memoryMB, Sockets: 1024, Operator: &config.Operator{}}
 	cfg.Node.ConnectionIdle = 10 * time.Second
 	cfg.Node.MaxStreams = 16
-	cfg.Operator.Listener.Share, cfg.Operator.Listener.Pipelined = 0.5, 128
-	cfg.Operator.Pools.TargetShare, cfg.Operator.Pools.OriginShare = 0.3, 0.1
-	cfg.Operator.Pools.Connections, cfg.Operator.Pools.Waiting = 64, 512
+	cfg.Operator.Listener.DescriptorFraction, cfg.Operator.Listener.MaxPipelined = 0.5, 128
+	cfg.Operator.Pools.CacheServerFraction, cfg.Operator.Pools.OriginFraction = 0.3, 0.1
+	cfg.Operator.Pools.MaxConnections, cfg.Operator.Pools.MaxQueued = 64, 512
 	return cfg
 }
 
--- a/internal/discovery/polling/schedule.go
+++ b/internal/discovery/polling/schedule.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// Due returns true if the node has to call now. The caller then makes the call: until it ends, or for 10 s at most, no other is
+// TakeDueCall returns true if the node has to call now. The caller then makes the call: until it ends, or for 10 s at most, no other is
 // due.
-func (s *Schedule) Due(now Time) bool {
+func (s *Schedule) TakeDueCall(now Time) bool {
 	if !s.isPolling || now < s.nextCall {
 		return false
 	}
--- a/internal/discovery/polling/schedule_test.go
+++ b/internal/discovery/polling/schedule_test.go
@@ -38,7 +38,7 @@
 		"soon after an announcement":   {AssignedElsewhere, 0, 0, func(c *Schedule) { failTimes(c, 2); c.RecoveryAnnounced(3 * s) }, 5 * s},
 		"announcement never delays":    {Unassigned, 0, 0, func(c *Schedule) { failTimes(c, 1); c.RecoveryAnnounced(s) }, 2 * s},
 		"soon after the poller left":   {AssignedElsewhere, 0, 0, func(c *Schedule) { failTimes(c, 2); c.Assign(3*s, Unassigned) }, 5 * s},
-		"call without an end":          {Unassigned, 0, 0, func(c *Schedule) { failTimes(c, 1); c.Due(2 * s) }, 12 * s},
+		"call without an end":          {Unassigned, 0, 0, func(c *Schedule) { failTimes(c, 1); c.TakeDueCall(2 * s) }, 12 * s},
 		"MaxBackoff bounds":            {Unassigned, 0, 3 * s, failures(4), (2 + 3 + 3 + 3) * s},
 		"MaxBackoff bounds the first":  {Unassigned, 0, s, failures(2), 2 * s},
 		"MaxBackoff bounds waiting":    {AssignedElsewhere, 10 * s, 3 * s, failures(3), (2 + 3 + 3) * s},
@@ -72,7 +72,7 @@
 		t.Error("got an announcement from a node that does not poll for all, want none")
 	}
 	schedule.RecoveryAnnounced(0)
-	if schedule.Due(time.Hour) {
+	if schedule.TakeDueCall(time.Hour) {
 		t.Error("an announcement makes a node call that has the list")
 	}
 }
--- a/internal/fleet/lease/event.go
+++ b/internal/fleet/lease/event.go
@@ -99,7 +99,7 @@
 	LogHolderChanged                        // to the named node, not this one
 	LogTokenStale                           // an announcement came under a token that is superseded
 	LogMessageCorrupt
-	LogEventKinds // their number
+	NumLogEventKinds // their number
 )
 
 // String returns the kind as it is written in the log and in the names of the counters.
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"errors"
 	"time"
 
 	"shelfproxy/internal/fleet/agreement"
@@ -26,20 +25,20 @@
 	Seed            uint64
 }
 
-// Validate returns an error that names the first field whose value is out of its range, by its key in the operators' file.
+// Validate returns an agreement.FieldError for the first field whose value is out of its range.
 func (c Config) Validate() error {
 	if err := agreement.ValidateNodes(c.Self, c.Nodes, agreement.MaxNodes); err != nil {
 		return err
 	}
 	switch {
 	case c.ProbeInterval < minProbeInterval:
-		return errors.New("period: must be 50ms at least")
+		return agreement.InvalidField("period", "must be %s at least", minProbeInterval)
 	case c.ProbeTimeout <= 0 || c.ProbeTimeout > c.ProbeInterval/2:
-		return errors.New("wait: must be above 0, and half a period at most")
+		return agreement.InvalidField("wait", "must be above 0, and half a period at most")
 	case c.IndirectProbes < 0 || c.IndirectProbes > maxIndirectProbes:
-		return errors.New("ask: must be from 0 to 10")
+		return agreement.InvalidField("ask", "must be from 0 to %d", maxIndirectProbes)
 	case !(c.SuspicionFactor >= minSuspicionFactor && c.SuspicionFactor <= maxSuspicionFactor): // also for NaN
-		return errors.New("suspicion: must be from 1 to 100")
+		return agreement.InvalidField("suspicion", "must be from %d to %d", minSuspicionFactor, maxSuspicionFactor)
 	}
 	return nil
 }
--- a/internal/fleet/rollout/core.go
+++ b/internal/fleet/rollout/core.go
@@ -168,7 +168,7 @@
 
 func (c *Core) changeBudget(event BudgetChanged) {
 	changed := c.cfg
-	changed.Budget, changed.ZoneBudget = event.Nodes, event.Zone
+	changed.Budget, changed.ZoneBudget = event.Budget, event.ZoneBudget
 	if changed.Validate() == nil {
 		c.cfg = changed
 	}
--- a/internal/fleet/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -155,7 +155,7 @@
 		fleet.run(5 * time.Second)
 		fleet.step(0, DrainRequested{})
 		fleet.runUntilNode0StaysAway()
-		fleet.each(func(i int) { fleet.step(i, BudgetChanged{Nodes: 1}) })
+		fleet.each(func(i int) { fleet.step(i, BudgetChanged{Budget: 1}) })
 		fleet.step(1, DrainRequested{})
 		fleet.run(15 * time.Second)
 	}, 1, false},
--- a/internal/fleet/rollout/event.go
+++ b/internal/fleet/rollout/event.go
@@ -29,7 +29,7 @@
 	// ResumeRequested ends a halt. It also lets a node that could not learn from enough others who is out grant slots.
 	ResumeRequested struct{}
 	// BudgetChanged replaces Budget and ZoneBudget. Values that Config.Validate rejects are ignored.
-	BudgetChanged struct{ Nodes, Zone int }
+	BudgetChanged struct{ Budget, ZoneBudget int }
 )
 
 func (Tick) event()            {}
@@ -88,7 +88,7 @@
 	LogNodeReady
 	LogNodeUnhealthy
 	LogMessageCorrupt
-	LogEventKinds // their number
+	NumLogEventKinds // their number
 )
 
 // String returns the kind as it is written in the log and in the names of the counters.
--- a/internal/fleet/rollout/golden_test.go
+++ b/internal/fleet/rollout/golden_test.go
@@ -46,7 +46,7 @@
 		status Status
 	}{
 		{"halted", Status{Node: 1, State: "fit", WantsDrain: true, Halted: "failed", HaltedBy: 3, Ready: 5, Budget: 2,
-			Out: []StatusNode{{Node: 3, State: "out", Slot: 1}, {Node: 4, State: "silent", Slot: -1}}}},
+			Out: []NodeStatus{{Node: 3, State: "out", Slot: 1}, {Node: 4, State: "silent", Slot: -1}}}},
 		{"quiet", Status{HaltedBy: -1}},
 	} {
 		text, err := json.Marshal(test.status)
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -12,13 +12,13 @@
 	WantsDrain bool         `json:"wants_out"`
 	Halted     string       `json:"halted,omitempty"` // the reason
 	HaltedBy   int          `json:"halted_by"`        // the node that it is about; -1 while nothing is halted
-	Out        []StatusNode `json:"out"`              // by their numbers
+	Out        []NodeStatus `json:"out"`              // by their numbers
 	Ready      int          `json:"fit"`              // nodes that are ready and have no slot
 	Budget     int          `json:"budget"`
 }
 
-// StatusNode is one node that is out of service, or has a slot to go out.
-type StatusNode struct {
+// NodeStatus is one node that is out of service, or has a slot to go out.
+type NodeStatus struct {
 	Node  int    `json:"node"`
 	State string `json:"state"` // of State, "silent" or "unknown"
 	Slot  int    `json:"slot"`  // -1 without one
@@ -31,14 +31,14 @@
 		State:      c.state.String(),
 		WantsDrain: c.wantsDrain(now),
 		HaltedBy:   agreement.NoNode,
-		Out:        []StatusNode{},
+		Out:        []NodeStatus{},
 		Budget:     c.cfg.Budget,
 	}
 	if c.halt.IsHalted {
 		status.Halted, status.HaltedBy = c.halt.Reason.String(), int(c.halt.Node)
 	}
 	for i := range c.peers {
-		node := StatusNode{Node: i, State: c.stateName(now, i), Slot: c.slotOf(i)}
+		node := NodeStatus{Node: i, State: c.stateName(now, i), Slot: c.slotOf(i)}
 		if node.State == Ready.String() && node.Slot == noSlot {
 			status.Ready++
 		} else {
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -44,7 +44,7 @@
 		})
 	}
 	r.sendGossip()
-	if r.settings.MustPoll && r.polls.Due(r.now) {
+	if r.settings.MustPoll && r.polls.TakeDueCall(r.now) {
 		r.emit(Subscribe{})
 	}
 }
--- a/internal/testbed/simulation/fleet_faults.go
+++ b/internal/testbed/simulation/fleet_faults.go
@@ -117,7 +117,7 @@
 		f.budget = max(f.budget, budget)
 		for _, node := range f.nodes {
 			node.budget = budget
-			f.after(f.drawBetween(0, fault.For), func() { node.order(rollout.BudgetChanged{Nodes: budget}) })
+			f.after(f.drawBetween(0, fault.For), func() { node.order(rollout.BudgetChanged{Budget: budget}) })
 		}
 	}
 }
