--- a/internal/upstream/cancel_test.go
+++ b/internal/upstream/cancel_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -8,104 +9,123 @@
 	"shelfproxy/internal/request"
 )
 
-// TestGoneBeforeItIsWritten: whatever a forward waits for as its client leaves, not a byte of it is written, and the connection
-// that it waited for carries the next one. The node may have taken it back, or not have heard yet.
-func TestGoneBeforeItIsWritten(t *testing.T) {
-	now := time.Unix(1000, 0)
-	for name, wait := range map[string]struct {
-		fresh bool
-		first bool // another is out, and no more connections may be opened
-	}{"a dial": {}, "a dial of its own": {fresh: true}, "behind another": {first: true}} {
-		for _, heard := range []bool{true, false} {
-			conns := 4
-			if wait.first {
-				conns = 1
-			}
-			p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 2, MaxConnections: conns, MaxQueued: 4}, NewDescriptorBudget(4))
-			var fx Effects
-			var c *Conn
-			if wait.first {
-				p.Send(now, &Attempt{Request: &request.Request{}, SentAt: now}, &fx)
-				c = fx[0].Conn
-				p.DialCompleted(now, c, true, &fx)
-				p.NextToWrite(now, c, false, &fx)
-				p.WriteCompleted(now, c, true, true, &fx)
-			}
-			gone, next := &Attempt{Request: &request.Request{}, SentAt: now, NeedsNewConnection: wait.fresh}, &Attempt{Request: &request.Request{}, SentAt: now}
-			p.Send(now, gone, &fx)
-			gone.Request.Cancel()
-			if heard && !p.Withdraw(now, gone, &fx) {
-				t.Errorf("%s: it can't be taken back", name)
-			}
-			if c == nil {
-				c = fx[0].Conn
-				p.DialCompleted(now, c, true, &fx)
-			}
-			fx = nil
-			if f := p.NextToWrite(now, c, false, &fx); f != nil {
-				t.Fatalf("%s, heard %v: it is written", name, heard)
-			}
-			if reported := len(fx) > 0 && fx[len(fx)-1].Kind == ReportOutcome; reported == heard {
-				t.Errorf("%s, heard %v: reported %v", name, heard, reported)
-			}
-			p.Send(now, next, &fx)
-			if f := p.NextToWrite(now, c, false, &fx); f != next {
-				t.Errorf("%s, heard %v: the connection does not carry the next one", name, heard)
-			}
+// TestCancelledAttemptIsNotWritten: whatever an attempt waits for when its client disconnects, not a byte of it is written, and the
+// connection that it waited for carries the next one. The node may have withdrawn it, or not have been notified yet.
+func TestCancelledAttemptIsNotWritten(t *testing.T) {
+	for _, test := range []struct {
+		name               string
+		needsNewConnection bool
+		isPipelined        bool // which is in flight on the only connection
+	}{
+		{name: "waits for a dial"},
+		{name: "waits for a dial of its own", needsNewConnection: true},
+		{name: "waits behind another", isPipelined: true},
+	} {
+		for _, isWithdrawn := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, withdrawn %v", test.name, isWithdrawn), func(t *testing.T) {
+				checkCancelledAttempt(t, test.needsNewConnection, test.isPipelined, isWithdrawn)
+			})
 		}
 	}
 }
 
-// TestNotTakenBackOnceItMayHaveRun: a forward of which a byte may be out is no longer withdrawn.
-func TestNotTakenBackOnceItMayHaveRun(t *testing.T) {
+func checkCancelledAttempt(t *testing.T, needsNewConnection, isPipelined, isWithdrawn bool) {
+	t.Helper()
+	now := time.Unix(1000, 0)
+	maxConnections := 4
+	if isPipelined {
+		maxConnections = 1
+	}
+	core := newTestCore(testLimits(2, maxConnections))
+	var effects Effects
+	var conn *Conn
+	if isPipelined {
+		core.Send(now, newAttempt(now), &effects)
+		conn = effects[0].Conn
+		core.DialCompleted(now, conn, true, &effects)
+		core.NextToWrite(now, conn, false, &effects)
+		core.WriteCompleted(now, conn, true, true, &effects)
+	}
+	cancelled := &Attempt{Request: &request.Request{}, SentAt: now, NeedsNewConnection: needsNewConnection}
+	core.Send(now, cancelled, &effects)
+	cancelled.Request.Cancel()
+	if isWithdrawn && !core.Withdraw(now, cancelled, &effects) {
+		t.Error("got no withdrawal, want one: nothing of the attempt was written")
+	}
+	if conn == nil {
+		conn = effects[0].Conn
+		core.DialCompleted(now, conn, true, &effects)
+	}
+	effects = nil
+	if got := core.NextToWrite(now, conn, false, &effects); got != nil {
+		t.Fatal("got an attempt to write, want none: it is cancelled")
+	}
+	isReported := len(effects) > 0 && effects[len(effects)-1].Kind == ReportOutcome
+	if want := !isWithdrawn; isReported != want {
+		t.Errorf("reported %v, want %v", isReported, want)
+	}
+	next := newAttempt(now)
+	core.Send(now, next, &effects)
+	if got := core.NextToWrite(now, conn, false, &effects); got != next {
+		t.Errorf("next to write is %p, want the next attempt %p", got, next)
+	}
+}
+
+// TestPossiblyExecutedAttemptIsNotWithdrawn: an attempt of which a byte may have been written is no longer withdrawn.
+func TestPossiblyExecutedAttemptIsNotWithdrawn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 4, MaxQueued: 4}, NewDescriptorBudget(4))
-	f := &Attempt{Request: &request.Request{}, SentAt: now}
-	var fx Effects
-	p.Send(now, f, &fx)
-	p.DialCompleted(now, fx[0].Conn, true, &fx)
-	p.NextToWrite(now, fx[0].Conn, false, &fx)
-	f.Request.Cancel()
-	if p.Withdraw(now, f, &fx) {
-		t.Error("it is taken back")
+	core := newTestCore(testLimits(1, 4))
+	attempt := newAttempt(now)
+	var effects Effects
+	core.Send(now, attempt, &effects)
+	conn := effects[0].Conn
+	core.DialCompleted(now, conn, true, &effects)
+	core.NextToWrite(now, conn, false, &effects)
+	attempt.Request.Cancel()
+	if core.Withdraw(now, attempt, &effects) {
+		t.Error("got a withdrawal, want none: the write of the attempt has started")
 	}
 }
 
-// TestRepeatIsWrittenInItsTime: a connection comes up after the time in which servers drop a repeat: it is not written, as it would
-// run again, and the next forward is. Up to then it is.
-func TestRepeatIsWrittenInItsTime(t *testing.T) {
+// TestRetryIsNotWrittenAfterItsWriteDeadline: a connection is established after the time in which servers deduplicate a retry. The
+// retry is not written, as it would be executed again, and the next attempt is. Up to that time the retry is written.
+func TestRetryIsNotWrittenAfterItsWriteDeadline(t *testing.T) {
 	start := time.Unix(1000, 0)
-	for late, want := range map[time.Duration]bool{0: true, time.Nanosecond: false} {
-		p := NewCore("s", line{}, Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 1, MaxQueued: 4}, NewDescriptorBudget(4))
-		repeat := &Attempt{Request: &request.Request{}, SentAt: start, Deadline: start.Add(time.Hour), WriteBy: start.Add(400 * time.Millisecond)}
+	for delay, isInTime := range map[time.Duration]bool{0: true, time.Nanosecond: false} {
+		core := newTestCore(testLimits(1, 1))
+		retry := &Attempt{Request: &request.Request{}, SentAt: start, Deadline: start.Add(time.Hour), WriteBy: start.Add(400 * time.Millisecond)}
 		next := &Attempt{Request: &request.Request{}, SentAt: start, Deadline: start.Add(time.Hour)}
-		if repeat.writeBy() != repeat.WriteBy || next.writeBy() != next.Deadline {
-			t.Error("what has not left is given up at another time")
+		if got := retry.writeDeadline(); got != retry.WriteBy {
+			t.Errorf("write deadline of the retry is %v, want %v", got, retry.WriteBy)
+		}
+		if got := next.writeDeadline(); got != next.Deadline {
+			t.Errorf("write deadline of the next attempt is %v, want %v", got, next.Deadline)
 		}
-		var fx Effects
-		p.Send(start, repeat, &fx)
-		c := fx[0].Conn
-		p.Send(start, next, &fx)
-		now := repeat.WriteBy.Add(late)
-		p.DialCompleted(now, c, true, &fx)
-		fx = nil
-		f := p.NextToWrite(now, c, false, &fx)
-		if written := f == repeat; written != want {
-			t.Errorf("%v late: written %v", late, written)
+		var effects Effects
+		core.Send(start, retry, &effects)
+		conn := effects[0].Conn
+		core.Send(start, next, &effects)
+		now := retry.WriteBy.Add(delay)
+		core.DialCompleted(now, conn, true, &effects)
+		effects = nil
+		written := core.NextToWrite(now, conn, false, &effects)
+		if got := written == retry; got != isInTime {
+			t.Errorf("%v late: retry written %v, want %v", delay, got, isInTime)
 		}
-		if want {
+		if isInTime {
 			continue
 		}
-		if f == nil {
-			f = p.NextToWrite(now, c, false, &fx)
+		if written == nil {
+			written = core.NextToWrite(now, conn, false, &effects)
 		}
-		if !slices.ContainsFunc(fx, func(e Effect) bool {
-			return e.Kind == ReportOutcome && e.Attempt == repeat && e.Response.Outcome == NotSent
-		}) {
-			t.Errorf("%v late: it is not reported: %+v", late, fx)
+		isReported := slices.ContainsFunc(effects, func(effect Effect) bool {
+			return effect.Kind == ReportOutcome && effect.Attempt == retry && effect.Response.Outcome == NotSent
+		})
+		if !isReported {
+			t.Errorf("%v late: got effects %+v, want a report of the retry as %v", delay, effects, NotSent)
 		}
-		if f != next {
-			t.Errorf("%v late: the next is not written", late)
+		if written != next {
+			t.Errorf("%v late: next to write is %p, want the next attempt %p", delay, written, next)
 		}
 	}
 }
--- /dev/null
+++ b/internal/upstream/close.go
@@ -0,0 +1,56 @@
+package upstream
+
+import (
+	"slices"
+	"time"
+)
+
+// maxReassignments bounds how often an attempt gets another connection, for a server that breaks each one at its start.
+const maxReassignments = 3
+
+// close ends a connection and settles the attempts that were pending on it.
+func (c *Core) close(now time.Time, conn *Conn, outcome Outcome, effects *Effects) {
+	if conn.closed {
+		return
+	}
+	conn.closed, conn.closeOutcome = true, outcome
+	c.conns = removeFrom(c.conns, conn)
+	c.idle = removeFrom(c.idle, conn)
+	effects.closeConnection(conn)
+	conn.Decoder.Release()
+	if conn.isBudgeted {
+		c.budget.release()
+	}
+	pending := conn.pending
+	conn.pending, conn.unwritten = nil, nil
+	if conn.writing != nil && slices.Contains(pending, conn.writing) {
+		conn.pending = []*Attempt{conn.writing} // WriteCompleted will tell whether its last byte was written
+	}
+	c.dialForWaiting(effects) // attempts may wait for a connection that the end of this one allows
+	for _, attempt := range pending {
+		if attempt != conn.writing {
+			c.settle(now, conn, attempt, effects)
+		}
+	}
+}
+
+// settle ends an attempt whose connection has closed, or assigns it another connection if nothing of it was written.
+func (c *Core) settle(now time.Time, conn *Conn, attempt *Attempt, effects *Effects) {
+	attempt.conn = nil
+	switch {
+	case attempt.abandoned:
+	case attempt.possiblyExecuted:
+		effects.reportOutcome(attempt, conn.closeOutcome)
+	case attempt.writeStarted:
+		effects.reportOutcome(attempt, WriteInterrupted)
+	case c.isDraining:
+		effects.reportOutcome(attempt, ServerDraining)
+	case attempt.reassignments == maxReassignments:
+		effects.reportOutcome(attempt, ConnectFailed)
+	default: // not one byte of it was written
+		attempt.reassignments++
+		if outcome, ok := c.assign(now, attempt, effects); !ok {
+			effects.reportOutcome(attempt, outcome)
+		}
+	}
+}
--- a/internal/upstream/close_test.go
+++ b/internal/upstream/close_test.go
@@ -9,31 +9,35 @@
 	"shelfproxy/internal/upstream/origin"
 )
 
-// TestResetIsNoEnd: an answer without a length ends with its connection where the server ends that in order, and is none where it
-// is reset.
-func TestResetIsNoEnd(t *testing.T) {
-	for whole, want := range map[bool]upstream.Outcome{true: upstream.Served, false: upstream.ConnectionLost} {
+// TestResetDoesNotCompleteResponse: a response without a length is complete when the server closes the connection in order, and
+// incomplete when it resets the connection.
+func TestResetDoesNotCompleteResponse(t *testing.T) {
+	for isOrderly, want := range map[bool]upstream.Outcome{true: upstream.Served, false: upstream.ConnectionLost} {
 		now := time.Unix(1000, 0)
-		p := upstream.NewCore("o", origin.Codec{Host: "o"}, upstream.Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 1, MaxQueued: 1}, upstream.NewDescriptorBudget(1))
-		var fx upstream.Effects
-		p.Send(now, &upstream.Attempt{Request: &request.Request{Key: []byte("k"), ID: []byte("i")}, SentAt: now, Deadline: now.Add(time.Minute)}, &fx)
-		c := fx[0].Conn
-		p.DialCompleted(now, c, true, &fx)
-		p.NextToWrite(now, c, false, &fx)
-		p.WriteCompleted(now, c, true, true, &fx)
-		n := copy(c.Decoder.ReadBuffer(), "HTTP/1.1 200 OK\r\nX-Load: queue=1\r\n\r\nhalf of a val")
-		p.BytesReceived(now, c, n, &fx)
-		p.ConnectionEnded(now, c, whole, &fx)
-		ended := 0
-		for _, e := range fx {
-			if e.Kind == upstream.ReportOutcome {
-				if ended++; e.Response.Outcome != want {
-					t.Errorf("ended in order %v: %v %q, want %v", whole, e.Response.Outcome, e.Response.Value, want)
-				}
+		limits := upstream.Limits{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxStreams: 1, MaxConnections: 1, MaxQueued: 1}
+		core := upstream.NewCore("o", origin.Codec{Host: "o"}, limits, upstream.NewDescriptorBudget(1))
+		attempt := &upstream.Attempt{Request: &request.Request{Key: []byte("k"), ID: []byte("i")}, SentAt: now, Deadline: now.Add(time.Minute)}
+		var effects upstream.Effects
+		core.Send(now, attempt, &effects)
+		conn := effects[0].Conn
+		core.DialCompleted(now, conn, true, &effects)
+		core.NextToWrite(now, conn, false, &effects)
+		core.WriteCompleted(now, conn, true, true, &effects)
+		n := copy(conn.Decoder.ReadBuffer(), "HTTP/1.1 200 OK\r\nX-Load: queue=1\r\n\r\nhalf of a val")
+		core.BytesReceived(now, conn, n, &effects)
+		core.ConnectionEnded(now, conn, isOrderly, &effects)
+		reports := 0
+		for _, effect := range effects {
+			if effect.Kind != upstream.ReportOutcome {
+				continue
+			}
+			reports++
+			if got := effect.Response.Outcome; got != want {
+				t.Errorf("orderly end %v: got outcome %v with value %q, want %v", isOrderly, got, effect.Response.Value, want)
 			}
 		}
-		if ended != 1 {
-			t.Errorf("ended in order %v: %d ends", whole, ended)
+		if reports != 1 {
+			t.Errorf("orderly end %v: got %d reports, want 1", isOrderly, reports)
 		}
 	}
 }
--- /dev/null
+++ b/internal/upstream/core_property_test.go
@@ -0,0 +1,279 @@
+package upstream
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"shelfproxy/internal/request"
+)
+
+const modelMaxConnections = 4
+
+// coreModel plays the shell of a core, with any outcome of each effect, and records what has to hold.
+type coreModel struct {
+	core             *Core
+	limits           Limits
+	budget           *DescriptorBudget
+	totalDescriptors int
+	now              time.Time
+	isDraining       bool
+
+	attempts      []*Attempt         // all that were sent
+	ends          map[*Attempt]int   // how often each ended
+	fullyWritten  map[*Attempt]bool  // whether its last byte reached the server
+	dialing       []*Conn            // being opened
+	conns         []*Conn            // that were established
+	writesOngoing map[*Conn]*Attempt // from NextToWrite to WriteCompleted
+}
+
+func newCoreModel(t *rapid.T) *coreModel {
+	budget := NewDescriptorBudget(rapid.IntRange(0, 3).Draw(t, "budget"))
+	total, _ := budget.Usage()
+	limits := Limits{ConnectTimeout: time.Second, IdleTimeout: 3 * time.Second, MaxStreams: rapid.IntRange(1, 3).Draw(t, "streams"),
+		MaxConnections: modelMaxConnections, MaxQueued: 3, PipelineWithin: time.Duration(rapid.IntRange(0, 1).Draw(t, "pipeline within")) * time.Second}
+	return &coreModel{core: NewCore("s", byteCodec{}, limits, budget), limits: limits, budget: budget, totalDescriptors: total,
+		now: time.Unix(1000, 0), ends: map[*Attempt]int{}, fullyWritten: map[*Attempt]bool{}, writesOngoing: map[*Conn]*Attempt{}}
+}
+
+func pickFrom[T any](t *rapid.T, list []T) T {
+	return list[rapid.IntRange(0, len(list)-1).Draw(t, "which")]
+}
+
+// recordEnd counts the end of an attempt and checks its outcome.
+func (m *coreModel) recordEnd(t *rapid.T, attempt *Attempt, outcome Outcome) {
+	m.ends[attempt]++
+	switch outcome {
+	case ConnectFailed, WriteInterrupted, PoolExhausted, ServerDraining, NotSent:
+		if m.fullyWritten[attempt] {
+			t.Fatalf("got outcome %v for an attempt that was fully written, want one that admits its execution", outcome)
+		}
+	}
+}
+
+func (m *coreModel) carryOut(t *rapid.T, effects Effects) {
+	for _, effect := range effects {
+		switch effect.Kind {
+		case Dial:
+			m.dialing = append(m.dialing, effect.Conn)
+		case ReportOutcome:
+			if effect.Attempt.abandoned {
+				t.Fatal("got a report of an abandoned attempt, want none")
+			}
+			m.recordEnd(t, effect.Attempt, effect.Response.Outcome)
+		}
+	}
+}
+
+func (m *coreModel) send(t *rapid.T) {
+	attempt := &Attempt{Request: &request.Request{}, SentAt: m.now, Deadline: m.now.Add(time.Minute),
+		NeedsNewConnection: rapid.IntRange(0, 4).Draw(t, "needs new connection") == 0}
+	m.attempts = append(m.attempts, attempt)
+	var effects Effects
+	if outcome, ok := m.core.Send(m.now, attempt, &effects); !ok {
+		m.recordEnd(t, attempt, outcome)
+	}
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) completeDial(t *rapid.T) {
+	if len(m.dialing) == 0 {
+		return
+	}
+	conn := pickFrom(t, m.dialing)
+	m.dialing = removeFrom(m.dialing, conn)
+	isEstablished := rapid.IntRange(0, 3).Draw(t, "is established") > 0
+	var effects Effects
+	if m.core.DialCompleted(m.now, conn, isEstablished, &effects); isEstablished {
+		m.conns = append(m.conns, conn)
+	}
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) startWrite(t *rapid.T) {
+	if len(m.conns) == 0 {
+		return
+	}
+	conn := pickFrom(t, m.conns)
+	if m.writesOngoing[conn] != nil {
+		return
+	}
+	var effects Effects
+	attempt := m.core.NextToWrite(m.now, conn, rapid.IntRange(0, 9).Draw(t, "is stale") == 0, &effects)
+	m.carryOut(t, effects)
+	if attempt == nil {
+		return
+	}
+	if m.isDraining || attempt.abandoned || m.ends[attempt] > 0 || conn.closed || attempt.Request.IsCancelled() {
+		t.Fatalf("got a write though server draining %v, abandoned %v, ended %d times, connection closed %v, cancelled %v; want none of these",
+			m.isDraining, attempt.abandoned, m.ends[attempt], conn.closed, attempt.Request.IsCancelled())
+	}
+	m.writesOngoing[conn] = attempt
+}
+
+// completeWrite ends one of the writes.
+func (m *coreModel) completeWrite(t *rapid.T) {
+	for conn, attempt := range m.writesOngoing {
+		delete(m.writesOngoing, conn)
+		isUsable := rapid.IntRange(0, 4).Draw(t, "is usable") > 0 && !conn.closed
+		m.fullyWritten[attempt] = isUsable || rapid.Bool().Draw(t, "is complete")
+		if !m.fullyWritten[attempt] {
+			isUsable = false
+		}
+		var effects Effects
+		m.core.WriteCompleted(m.now, conn, m.fullyWritten[attempt], isUsable, &effects)
+		m.carryOut(t, effects)
+		return
+	}
+}
+
+func (m *coreModel) receiveByte(t *rapid.T) {
+	if len(m.conns) == 0 {
+		return
+	}
+	conn := pickFrom(t, m.conns)
+	if conn.closed {
+		return
+	}
+	if len(conn.pending) > 0 && m.writesOngoing[conn] == conn.pending[0] {
+		m.fullyWritten[conn.pending[0]] = true // a server that responds has read the request
+	}
+	conn.Decoder.ReadBuffer()[0] = "aaam!"[rapid.IntRange(0, 4).Draw(t, "byte")]
+	var effects Effects
+	m.core.BytesReceived(m.now, conn, 1, &effects)
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) endConnection(t *rapid.T) {
+	if len(m.conns) == 0 {
+		return
+	}
+	var effects Effects
+	m.core.ConnectionEnded(m.now, pickFrom(t, m.conns), rapid.Bool().Draw(t, "is orderly"), &effects)
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) abandon(t *rapid.T) {
+	if len(m.attempts) == 0 {
+		return
+	}
+	attempt := pickFrom(t, m.attempts)
+	if attempt.abandoned || m.ends[attempt] > 0 {
+		return
+	}
+	var effects Effects
+	if possiblyExecuted := m.core.Abandon(m.now, attempt, &effects); !possiblyExecuted && m.fullyWritten[attempt] {
+		t.Fatal("got an attempt abandoned as not executed, want possibly executed: it was fully written")
+	}
+	m.ends[attempt]++
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) disconnectClient(t *rapid.T) {
+	if len(m.attempts) == 0 {
+		return
+	}
+	attempt := pickFrom(t, m.attempts)
+	attempt.Request.Cancel()
+	if m.ends[attempt] > 0 || rapid.Bool().Draw(t, "the node is not notified") {
+		return
+	}
+	var effects Effects
+	if m.core.Withdraw(m.now, attempt, &effects) {
+		m.recordEnd(t, attempt, NotSent)
+	}
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) update(t *rapid.T, isDraining bool) {
+	m.isDraining = isDraining
+	var effects Effects
+	for _, attempt := range m.core.Update(m.now, "s", isDraining, &effects) {
+		m.recordEnd(t, attempt, ServerDraining)
+	}
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) passTime(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+	var effects Effects
+	m.core.HandleTimers(m.now, &effects)
+	m.carryOut(t, effects)
+	if next := m.core.NextTimer(); !next.IsZero() && !next.After(m.now) {
+		t.Fatalf("next timer is at %v, want it after %v", next, m.now)
+	}
+}
+
+func (m *coreModel) checkBounds(t *rapid.T) {
+	for _, attempt := range m.attempts {
+		if m.ends[attempt] > 1 {
+			t.Fatalf("an attempt ended %d times, want once at most", m.ends[attempt])
+		}
+	}
+	if got := m.core.Connections(); got > modelMaxConnections {
+		t.Fatalf("%d connections, want %d at most", got, modelMaxConnections)
+	}
+	if got, limit := len(m.core.waiting), m.limits.MaxQueued+m.core.dialing; got > limit {
+		t.Fatalf("%d attempts wait, want %d at most", got, limit)
+	}
+}
+
+// endEverything ends all dials, writes and connections, and checks that no attempt and no descriptor is forgotten.
+func (m *coreModel) endEverything(t *rapid.T) {
+	for len(m.dialing) > 0 || len(m.writesOngoing) > 0 {
+		for len(m.dialing) > 0 {
+			conn := m.dialing[0]
+			m.dialing = m.dialing[1:]
+			var effects Effects
+			m.core.DialCompleted(m.now, conn, false, &effects)
+			m.carryOut(t, effects)
+		}
+		for conn := range m.writesOngoing {
+			delete(m.writesOngoing, conn)
+			var effects Effects
+			m.core.WriteCompleted(m.now, conn, true, false, &effects)
+			m.carryOut(t, effects)
+		}
+	}
+	m.update(t, true)
+	for _, conn := range m.conns {
+		var effects Effects
+		m.core.ConnectionEnded(m.now, conn, rapid.Bool().Draw(t, "is orderly"), &effects)
+		m.carryOut(t, effects)
+	}
+	for i, attempt := range m.attempts {
+		if m.ends[attempt] != 1 {
+			t.Fatalf("attempt %d of %d ended %d times, want once", i, len(m.attempts), m.ends[attempt])
+		}
+	}
+	if used, _ := m.budget.Usage(); used != m.totalDescriptors {
+		t.Fatalf("%d descriptors are in use in the end, want %d", used, m.totalDescriptors)
+	}
+	if got := m.core.Connections(); got != 0 {
+		t.Fatalf("%d connections are left in the end, want none", got)
+	}
+}
+
+// TestCoreKeepsItsInvariantsInAnyOrderOfCalls calls a core in any order that a shell could: each attempt ends once or is abandoned,
+// none is written to a draining server or after it was abandoned or cancelled, an attempt whose outcome says that it was not
+// executed was not fully written, descriptors are released, and the limits hold.
+func TestCoreKeepsItsInvariantsInAnyOrderOfCalls(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		model := newCoreModel(t)
+		t.Repeat(map[string]func(*rapid.T){
+			"send":              model.send,
+			"complete dial":     model.completeDial,
+			"start write":       model.startWrite,
+			"complete write":    model.completeWrite,
+			"receive byte":      model.receiveByte,
+			"end connection":    model.endConnection,
+			"abandon":           model.abandon,
+			"disconnect client": model.disconnectClient,
+			"update":            func(t *rapid.T) { model.update(t, rapid.IntRange(0, 3).Draw(t, "is draining") == 0) },
+			"pass time":         model.passTime,
+			"":                  model.checkBounds,
+		})
+		model.endEverything(t)
+	})
+}
--- a/internal/upstream/decoder_test.go
+++ b/internal/upstream/decoder_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 
@@ -13,79 +14,108 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// TestDecoders feeds answers in pieces of any size, cut anywhere, to both decoders. Each comes out whole and in order,
-// whatever its length up to the most; a longer one is garbage at once, one for which there is no room is told apart, and all
-// that was taken of the room is given back.
-func TestDecoders(t *testing.T) {
-	const most, room = 500 << 10, 2 << 20
-	protocols := map[string]struct {
-		codec func(*upstream.ResponseMemory) upstream.Codec
-		text  func(value string) string
-	}{
-		"target": {func(r *upstream.ResponseMemory) upstream.Codec { return resp.Codec{Memory: r} },
-			func(v string) string { return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(v), v) }},
-		"origin": {func(r *upstream.ResponseMemory) upstream.Codec { return origin.Codec{Memory: r} },
-			func(v string) string {
-				return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(v), v)
-			}},
-		"origin, chunked": {func(r *upstream.ResponseMemory) upstream.Codec { return origin.Codec{Memory: r} },
-			func(v string) string {
-				return fmt.Sprintf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(v), v)
-			}},
+const (
+	testMaxResponse    = 500 << 10
+	testResponseMemory = 2 << 20
+)
+
+// decoderProtocol is one way in which responses come.
+type decoderProtocol struct {
+	name     string
+	newCodec func(*upstream.ResponseMemory) upstream.Codec
+	encode   func(value string) string // to the bytes of a response
+}
+
+var decoderProtocols = []decoderProtocol{
+	{"cache server", func(memory *upstream.ResponseMemory) upstream.Codec { return resp.Codec{Memory: memory} },
+		func(value string) string {
+			return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
+		}},
+	{"origin", func(memory *upstream.ResponseMemory) upstream.Codec { return origin.Codec{Memory: memory} },
+		func(value string) string {
+			return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(value), value)
+		}},
+	{"origin, chunked", func(memory *upstream.ResponseMemory) upstream.Codec { return origin.Codec{Memory: memory} },
+		func(value string) string {
+			return fmt.Sprintf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(value), value)
+		}},
+}
+
+// TestDecodersReturnResponsesCutAnywhere: responses that arrive in pieces of any size come out complete and in order, whatever their
+// length up to the largest allowed, and all reserved response memory is released.
+func TestDecodersReturnResponsesCutAnywhere(t *testing.T) {
+	for _, protocol := range decoderProtocols {
+		t.Run(protocol.name, func(t *testing.T) {
+			memory := upstream.NewResponseMemory(testResponseMemory, testMaxResponse)
+			decoder := protocol.newCodec(memory).NewDecoder()
+			var stream bytes.Buffer
+			var want []string
+			for _, size := range []int{1, 10, 4000, 16 << 10, 16<<10 - 30, 64 << 10, 64<<10 + 1, 399_998, testMaxResponse, 3, 70 << 10, 12} {
+				value := strings.Repeat(string(rune('a'+len(want))), size)
+				want = append(want, value)
+				stream.WriteString(protocol.encode(value))
+			}
+			got := decodeInPieces(t, decoder, &stream)
+			if !slices.Equal(got, want) {
+				t.Errorf("got %d responses, want %d, each with the value that was sent", len(got), len(want))
+			}
+			if decoder.Release(); memory.Available() != testResponseMemory {
+				t.Errorf("%d bytes of response memory are available in the end, want %d", memory.Available(), testResponseMemory)
+			}
+		})
 	}
-	for name, p := range protocols {
-		rng := rand.New(rand.NewPCG(1, 1))
-		r := upstream.NewResponseMemory(room, most)
-		d := p.codec(r).NewDecoder()
-		var wire bytes.Buffer
-		var want []string
-		for _, n := range []int{1, 10, 4000, 16 << 10, 16<<10 - 30, 64 << 10, 64<<10 + 1, 399_998, most, 3, 70 << 10, 12} {
-			want = append(want, strings.Repeat(string(rune('a'+len(want))), n))
-			wire.WriteString(p.text(want[len(want)-1]))
-		}
-		var got []string
-		for wire.Len() > 0 {
-			piece := wire.Next(1 + rng.IntN([]int{3, 5000, 100_000}[rng.IntN(3)]))
-			for len(piece) > 0 {
-				n := copy(d.ReadBuffer(), piece)
-				piece = piece[n:]
-				d.BytesRead(n)
-				for d.Buffered() > 0 {
-					a, ok, err := d.NextResponse(false)
-					if err != nil {
-						t.Fatalf("%s: answer %d: %v", name, len(got), err)
-					}
-					if !ok {
-						break
-					}
-					got = append(got, string(a.Value))
+}
+
+// decodeInPieces gives the stream to the decoder in pieces of random sizes and returns the values that come out.
+func decodeInPieces(t *testing.T, decoder upstream.Decoder, stream *bytes.Buffer) (values []string) {
+	t.Helper()
+	random := rand.New(rand.NewPCG(1, 1))
+	for stream.Len() > 0 {
+		piece := stream.Next(1 + random.IntN([]int{3, 5000, 100_000}[random.IntN(3)]))
+		for len(piece) > 0 {
+			n := copy(decoder.ReadBuffer(), piece)
+			piece = piece[n:]
+			decoder.BytesRead(n)
+			for decoder.Buffered() > 0 {
+				response, ok, err := decoder.NextResponse(false)
+				if err != nil {
+					t.Fatalf("response %d: got error %v, want none", len(values), err)
 				}
+				if !ok {
+					break
+				}
+				values = append(values, string(response.Value))
 			}
 		}
-		if strings.Join(got, " ") != strings.Join(want, " ") {
-			t.Errorf("%s: %d answers came out of %d, or not as they were sent", name, len(got), len(want))
-		}
-		if d.Release(); r.Available() != room {
-			t.Errorf("%s: %d bytes of the room are not given back", name, room-r.Available())
-		}
 	}
-	for name, test := range map[string]struct {
+	return values
+}
+
+// TestDecodersRejectResponsesTheyCanNotTake: a response that is too long is malformed at once; one that exceeds the available response
+// memory is told apart from it.
+func TestDecodersRejectResponsesTheyCanNotTake(t *testing.T) {
+	ample := upstream.NewResponseMemory(testResponseMemory, testMaxResponse)
+	scarce := upstream.NewResponseMemory(100_000, testMaxResponse)
+	for _, test := range []struct {
+		name  string
 		codec upstream.Codec
-		text  string
+		input string
 		want  error
 	}{
-		"target, too long":        {resp.Codec{Memory: upstream.NewResponseMemory(room, most)}, "*3\r\n$3221225472\r\nx", upstream.ErrMalformedResponse},
-		"target, a little longer": {resp.Codec{Memory: upstream.NewResponseMemory(room, most)}, fmt.Sprintf("*3\r\n$%d\r\nx", most+1), upstream.ErrMalformedResponse},
-		"target, no room":         {resp.Codec{Memory: upstream.NewResponseMemory(100_000, most)}, "*3\r\n$200000\r\nx", upstream.ErrResponseTooLarge},
-		"origin, too long":        {origin.Codec{Memory: upstream.NewResponseMemory(room, most)}, "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx", upstream.ErrMalformedResponse},
-		"origin, no room":         {origin.Codec{Memory: upstream.NewResponseMemory(100_000, most)}, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nx", upstream.ErrResponseTooLarge},
-		"origin, noise":           {origin.Codec{}, "\x00\xff", upstream.ErrMalformedResponse},
-		"target, noise":           {resp.Codec{}, "\x00\xff", upstream.ErrMalformedResponse},
+		{"cache server, too long", resp.Codec{Memory: ample}, "*3\r\n$3221225472\r\nx", upstream.ErrMalformedResponse},
+		{"cache server, a little too long", resp.Codec{Memory: ample}, fmt.Sprintf("*3\r\n$%d\r\nx", testMaxResponse+1), upstream.ErrMalformedResponse},
+		{"cache server, no memory", resp.Codec{Memory: scarce}, "*3\r\n$200000\r\nx", upstream.ErrResponseTooLarge},
+		{"cache server, noise", resp.Codec{}, "\x00\xff", upstream.ErrMalformedResponse},
+		{"origin, too long", origin.Codec{Memory: ample}, "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx", upstream.ErrMalformedResponse},
+		{"origin, no memory", origin.Codec{Memory: scarce}, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nx", upstream.ErrResponseTooLarge},
+		{"origin, noise", origin.Codec{}, "\x00\xff", upstream.ErrMalformedResponse},
 	} {
-		d := test.codec.NewDecoder()
-		d.BytesRead(copy(d.ReadBuffer(), test.text))
-		if _, _, err := d.NextResponse(false); !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, want %v", name, err, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			decoder := test.codec.NewDecoder()
+			decoder.BytesRead(copy(decoder.ReadBuffer(), test.input))
+			if _, _, err := decoder.NextResponse(false); !errors.Is(err, test.want) {
+				t.Errorf("got error %v, want %v", err, test.want)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/upstream/dial.go
@@ -0,0 +1,71 @@
+package upstream
+
+import "time"
+
+// reservedConnections is how many connections a pool may open outside the shared descriptor budget, so that no server becomes
+// unreachable because other pools took the whole budget.
+const reservedConnections = 2
+
+// dial opens a connection if the limits allow one more, and reports whether they do. It is for dialedFor alone, unless that is nil.
+func (c *Core) dial(dialedFor *Attempt, effects *Effects) bool {
+	open := c.Connections()
+	if open >= c.limits.MaxConnections {
+		return false
+	}
+	conn := &Conn{dialedFor: dialedFor, isBudgeted: open >= reservedConnections}
+	if conn.isBudgeted && !c.budget.acquire() {
+		return false
+	}
+	c.dialing++
+	effects.dial(conn, c.addr)
+	return true
+}
+
+// dialForWaiting opens a connection if more attempts wait than connections are being opened.
+func (c *Core) dialForWaiting(effects *Effects) {
+	if len(c.waiting) > c.dialing {
+		c.dial(nil, effects)
+	}
+}
+
+// DialCompleted says whether a connection was established.
+func (c *Core) DialCompleted(now time.Time, conn *Conn, isEstablished bool, effects *Effects) {
+	c.dialing--
+	dialedFor := conn.dialedFor
+	conn.dialedFor = nil
+	if dialedFor != nil && dialedFor.abandoned {
+		dialedFor = nil
+	}
+	if isEstablished {
+		c.dialSucceeded(now, conn, dialedFor, effects)
+	} else {
+		c.dialFailed(conn, dialedFor, effects)
+	}
+}
+
+func (c *Core) dialSucceeded(now time.Time, conn *Conn, dialedFor *Attempt, effects *Effects) {
+	conn.Decoder = c.codec.NewDecoder()
+	c.conns = append(c.conns, conn)
+	if dialedFor != nil && !c.isDraining {
+		c.enqueue(conn, dialedFor, effects)
+	}
+	c.serveNext(now, conn, effects)
+	if dialedFor != nil && c.isDraining {
+		effects.reportOutcome(dialedFor, ServerDraining)
+	}
+}
+
+// dialFailed ends the attempt that the connection was opened for, or the one that has waited for longest.
+func (c *Core) dialFailed(conn *Conn, dialedFor *Attempt, effects *Effects) {
+	if conn.isBudgeted {
+		c.budget.release()
+	}
+	failed := dialedFor
+	if failed == nil && len(c.waiting) > 0 {
+		failed = c.popWaiting()
+	}
+	c.dialForWaiting(effects)
+	if failed != nil {
+		effects.reportOutcome(failed, ConnectFailed)
+	}
+}
--- a/internal/upstream/origin/decoder.go
+++ b/internal/upstream/origin/decoder.go
@@ -1,195 +1,132 @@
-// Package origin speaks HTTP/1.1 to the origin. It uses net/http's request and response codec on connections
-// of the node's own pool, not its Transport, which sends a request again by itself.
 package origin
 
 import (
 	"bufio"
 	"bytes"
 	"errors"
-	"io"
 	"net/http"
-	"net/url"
-	"time"
 
 	"shelfproxy/internal/upstream"
 )
 
 const (
-	maxHeader  = 64 << 10
-	maxInterim = 8 // 1xx answers ahead of one
+	chunkSize     = 4 << 10  // initial size of a read buffer, in bytes
+	maxUnreserved = 64 << 10 // bytes of a response that needs no response memory
+	maxHeaderSize = 64 << 10 // bytes of all headers ahead of a body
 )
 
-// Codec writes the origin's requests and reads its responses. Its connections carry one request at a time.
-type Codec struct {
-	Host   string
-	Memory *upstream.ResponseMemory
-}
-
-// AppendRequest appends the HTTP request of a forward, with the time that is left as d: the origin is asked after a cache server, and
-// what that took is gone from the time that the client gave.
-func (c Codec) AppendRequest(b []byte, f *upstream.Attempt, now time.Time) []byte {
-	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/alive"}, Host: c.Host,
-		Header: http.Header{"User-Agent": {""}}}
-	if q := f.Request; q != nil {
-		req.URL.Path = "/" + string(q.Key)
-		req.Header["X-Request-Id"] = []string{string(q.ID)}
-		req.Header["X-Extras"] = []string{string(q.ParametersWithTimeout(f.Deadline.Sub(now)))}
-		if q.IsWrite {
-			req.Method = http.MethodPut
-			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(q.Value)), int64(len(q.Value))
-		}
-	}
-	w := bytes.NewBuffer(b)
-	if err := req.Write(w); err != nil {
-		return nil // only a writer that fails makes it fail, and a buffer never does
-	}
-	return w.Bytes()
-}
+// protocolPrefix starts every response.
+var protocolPrefix = []byte("HTTP/1.")
 
-// NewDecoder returns a decoder of the responses on a connection.
-func (c Codec) NewDecoder() upstream.Decoder { return &decoder{room: c.Memory} }
-
-const (
-	chunk = 4 << 10
-	short = 64 << 10 // a response up to that takes no room
-)
+// errIncomplete says that the response has not come completely.
+var errIncomplete = errors.New("incomplete response")
 
-// decoder keeps what came of one response and has net/http's codec read it, anew with each part that comes.
+// decoder implements upstream.Decoder. It keeps the bytes of one response and has net/http read them from the start each time that
+// more bytes came.
 type decoder struct {
-	room *upstream.ResponseMemory
-	took int // of it
-	buf  []byte
-	end  int
-	want int // bytes before which there is nothing new to see
-	in   bytes.Reader
-	rd   *bufio.Reader
+	memory   *upstream.ResponseMemory
+	reserved int    // bytes of memory
+	buffer   []byte // buffer[:end] holds the bytes that belong to no response yet
+	end      int
+	needed   int // buffered bytes before which a further look at them is of no use
+
+	input  bytes.Reader  // over buffer[:end]
+	reader *bufio.Reader // over input
 }
 
+// Buffered implements upstream.Decoder.
 func (d *decoder) Buffered() int { return d.end }
 
+// BytesRead implements upstream.Decoder.
 func (d *decoder) BytesRead(n int) { d.end += n }
 
+// ReadBuffer implements upstream.Decoder.
 func (d *decoder) ReadBuffer() []byte {
-	if d.end == len(d.buf) || d.want > len(d.buf) {
-		bigger := make([]byte, max(chunk, 2*len(d.buf), d.want))
-		copy(bigger, d.buf)
-		d.buf = bigger
+	if d.end == len(d.buffer) || d.needed > len(d.buffer) {
+		larger := make([]byte, max(chunkSize, 2*len(d.buffer), d.needed))
+		copy(larger, d.buffer)
+		d.buffer = larger
 	}
-	return d.buf[d.end:]
+	return d.buffer[d.end:]
 }
 
-var proto = []byte("HTTP/1.")
-
+// NextResponse implements upstream.Decoder.
 func (d *decoder) NextResponse(ended bool) (upstream.Response, bool, error) {
-	all := d.buf[:d.end]
-	if n := min(len(all), len(proto)); !bytes.Equal(all[:n], proto[:n]) {
+	if !d.startsLikeResponse() {
 		return upstream.Response{}, false, upstream.ErrMalformedResponse
 	}
-	if !ended && d.end < d.want {
+	if !ended && d.end < d.needed {
 		return upstream.Response{}, false, nil
 	}
-	d.want = 0
-	d.in.Reset(all)
-	if d.rd == nil {
-		d.rd = bufio.NewReader(&d.in)
-	} else {
-		d.rd.Reset(&d.in)
-	}
-	a, err := d.response(ended)
+	d.needed = 0
+	d.resetReader()
+	response, err := d.readResponse(ended)
 	switch {
-	case errors.Is(err, errMore) && d.end < maxHeader+2*d.room.MaxResponse(): // a body may be chunked
-		if need := max(d.want, d.end) - d.took; need > short {
-			if !d.room.Reserve(need) {
-				return upstream.Response{}, false, upstream.ErrResponseTooLarge
-			}
-			d.took += need
-		}
-		return upstream.Response{}, false, nil
+	case errors.Is(err, errIncomplete) && d.end < d.maxResponseSize():
+		return upstream.Response{}, false, d.reserve()
 	case err != nil:
 		return upstream.Response{}, false, upstream.ErrMalformedResponse
 	}
 	d.Release()
-	rest := d.in.Len() + d.rd.Buffered()
-	copy(d.buf, all[len(all)-rest:])
-	if d.end = rest; rest == 0 && len(d.buf) > chunk {
-		d.buf = nil // a large response must not hold its room for good
-	}
-	return a, true, nil
+	d.discardRead()
+	return response, true, nil
 }
 
-func (d *decoder) Release() {
-	d.room.Release(d.took)
-	d.took, d.want = 0, 0
+func (d *decoder) startsLikeResponse() bool {
+	n := min(d.end, len(protocolPrefix))
+	return bytes.Equal(d.buffer[:n], protocolPrefix[:n])
 }
 
-// errMore says that the response has not come whole.
-var errMore = errors.New("more bytes are wanted")
+// maxResponseSize bounds the bytes of one response, headers and all. A chunked body takes more bytes than its value.
+func (d *decoder) maxResponseSize() int { return maxHeaderSize + 2*d.memory.MaxResponse() }
 
-// more makes the end of what came into a wish for more. The codec has an error of its own, which it does not export, for the end
-// within a trailer.
-func more(err error) error {
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || err != nil && err.Error() == "http: unexpected EOF reading trailer" {
-		return errMore
+func (d *decoder) resetReader() {
+	d.input.Reset(d.buffer[:d.end])
+	if d.reader == nil {
+		d.reader = bufio.NewReader(&d.input)
+	} else {
+		d.reader.Reset(&d.input)
 	}
-	return err
 }
 
-// response reads one response, with the 1xx answers that may come ahead of it.
-func (d *decoder) response(ended bool) (upstream.Response, error) {
-	var resp *http.Response
-	// 1xx answers come ahead of the one that counts; after 101 the connection would speak another protocol. The codec takes half a
-	// line at the end for a whole one, so each header is read once all of it is there.
-	for n := 0; resp == nil || resp.StatusCode < 200; n++ {
-		if resp != nil && (n > maxInterim || resp.StatusCode == http.StatusSwitchingProtocols) {
-			return upstream.Response{}, upstream.ErrMalformedResponse
-		}
-		rest := d.buf[d.end-d.in.Len()-d.rd.Buffered() : d.end]
-		if !bytes.Contains(rest, []byte("\n\r\n")) && !bytes.Contains(rest, []byte("\n\n")) {
-			return upstream.Response{}, errMore
-		}
-		var err error
-		if resp, err = http.ReadResponse(d.rd, nil); err != nil {
-			return upstream.Response{}, more(err)
+// unread returns the number of bytes that net/http has not taken.
+func (d *decoder) unread() int { return d.input.Len() + d.reader.Buffered() }
+
+// reserve takes response memory for what an incomplete response needs past its present reservation.
+func (d *decoder) reserve() error {
+	if missing := max(d.needed, d.end) - d.reserved; missing > maxUnreserved {
+		if !d.memory.Reserve(missing) {
+			return upstream.ErrResponseTooLarge
 		}
+		d.reserved += missing
 	}
-	defer resp.Body.Close()
-	body, err := d.body(resp, ended)
-	if err != nil {
-		return upstream.Response{}, err
-	}
-	a := upstream.Response{Outcome: upstream.Errored, LoadReport: []byte(resp.Header.Get("X-Load")), ConnectionClose: resp.Close}
-	switch {
-	case resp.StatusCode == http.StatusOK:
-		a.Outcome, a.Value = upstream.Served, body
-	case resp.Header.Get("X-Not-Run") == "1":
-		a.Outcome = upstream.ServerBusy
-	}
-	return a, nil
+	return nil
 }
 
-// body reads the body into a buffer of its own, as the answer outlives the decoder's.
-func (d *decoder) body(resp *http.Response, ended bool) ([]byte, error) {
-	most := d.room.MaxResponse()
-	if resp.ContentLength > int64(most) {
-		return nil, upstream.ErrMalformedResponse
+// discardRead keeps the bytes behind the response that was read.
+func (d *decoder) discardRead() {
+	rest := d.unread()
+	copy(d.buffer, d.buffer[d.end-rest:d.end])
+	if d.end = rest; rest == 0 && len(d.buffer) > chunkSize {
+		d.buffer = nil // the memory of a long response must not stay with its connection
 	}
-	if n := resp.ContentLength; n >= 0 {
-		if have := d.in.Len() + d.rd.Buffered(); int64(have) < n {
-			d.want = d.end + int(n) - have
-			return nil, errMore
-		}
-		body := make([]byte, n)
-		_, err := io.ReadFull(resp.Body, body)
-		return body, more(err)
-	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(most)+1))
+}
+
+// Release implements upstream.Decoder.
+func (d *decoder) Release() {
+	d.memory.Release(d.reserved)
+	d.reserved, d.needed = 0, 0
+}
+
+// responseOf maps an HTTP response to one of this node.
+func responseOf(httpResponse *http.Response, body []byte) upstream.Response {
+	response := upstream.Response{Outcome: upstream.Errored, LoadReport: []byte(httpResponse.Header.Get("X-Load")),
+		ConnectionClose: httpResponse.Close}
 	switch {
-	case len(body) > most:
-		return nil, upstream.ErrMalformedResponse
-	case err != nil:
-		return nil, more(err)
-	case len(resp.TransferEncoding) == 0 && !ended: // its end is that of the connection
-		return nil, errMore
+	case httpResponse.StatusCode == http.StatusOK:
+		response.Outcome, response.Value = upstream.Served, body
+	case httpResponse.Header.Get("X-Not-Run") == "1":
+		response.Outcome = upstream.ServerBusy
 	}
-	return body, nil
+	return response
 }
--- /dev/null
+++ b/internal/upstream/origin/read.go
@@ -0,0 +1,96 @@
+package origin
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+
+	"shelfproxy/internal/upstream"
+)
+
+// maxInterim bounds the 1xx responses ahead of a final one.
+const maxInterim = 8
+
+// trailerEOF is the text of an error of net/http that it does not export: the input ended within a trailer.
+const trailerEOF = "http: unexpected EOF reading trailer"
+
+// incompleteAtEOF replaces an error that says that the input ended by errIncomplete.
+func incompleteAtEOF(err error) error {
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || err != nil && err.Error() == trailerEOF {
+		return errIncomplete
+	}
+	return err
+}
+
+// readResponse reads one final response, with the interim ones that may come ahead of it. The error is errIncomplete if more bytes
+// are needed; any other says that it is malformed.
+func (d *decoder) readResponse(ended bool) (upstream.Response, error) {
+	httpResponse, err := d.readFinalHeader()
+	if err != nil {
+		return upstream.Response{}, err
+	}
+	defer func() { _ = httpResponse.Body.Close() }() // its bytes are in memory: there is nothing to be released
+	body, err := d.readBody(httpResponse, ended)
+	if err != nil {
+		return upstream.Response{}, err
+	}
+	return responseOf(httpResponse, body), nil
+}
+
+// readFinalHeader reads headers up to that of the final response. After 101 the connection would speak another protocol.
+func (d *decoder) readFinalHeader() (*http.Response, error) {
+	for interim := 0; ; interim++ {
+		httpResponse, err := d.readHeader()
+		if err != nil {
+			return nil, err
+		}
+		if httpResponse.StatusCode >= http.StatusOK {
+			return httpResponse, nil
+		}
+		if interim >= maxInterim || httpResponse.StatusCode == http.StatusSwitchingProtocols {
+			return nil, upstream.ErrMalformedResponse
+		}
+	}
+}
+
+// readHeader reads one header once it is complete: net/http takes half a line at the end of the input for a complete one.
+func (d *decoder) readHeader() (*http.Response, error) {
+	unread := d.buffer[d.end-d.unread() : d.end]
+	if !bytes.Contains(unread, []byte("\n\r\n")) && !bytes.Contains(unread, []byte("\n\n")) {
+		return nil, errIncomplete
+	}
+	httpResponse, err := http.ReadResponse(d.reader, nil)
+	return httpResponse, incompleteAtEOF(err)
+}
+
+// readBody reads the body into a buffer of its own, as the value outlives the decoder's.
+func (d *decoder) readBody(httpResponse *http.Response, ended bool) ([]byte, error) {
+	maxBody := d.memory.MaxResponse()
+	if httpResponse.ContentLength > int64(maxBody) {
+		return nil, upstream.ErrMalformedResponse
+	}
+	if httpResponse.ContentLength >= 0 {
+		return d.readBodyOfLength(httpResponse.Body, int(httpResponse.ContentLength))
+	}
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, int64(maxBody)+1))
+	switch {
+	case len(body) > maxBody:
+		return nil, upstream.ErrMalformedResponse
+	case err != nil:
+		return nil, incompleteAtEOF(err)
+	case len(httpResponse.TransferEncoding) == 0 && !ended: // it ends with the connection
+		return nil, errIncomplete
+	}
+	return body, nil
+}
+
+func (d *decoder) readBodyOfLength(reader io.Reader, length int) ([]byte, error) {
+	if available := d.unread(); available < length {
+		d.needed = d.end + length - available
+		return nil, errIncomplete
+	}
+	body := make([]byte, length)
+	_, err := io.ReadFull(reader, body)
+	return body, incompleteAtEOF(err)
+}
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -1,36 +1,37 @@
-// Package forward is the life of one attempt at a server: from the pool that finds it a connection to the one
-// value that says how it ended.
+// Package upstream carries attempts to the endpoints of a node: cache servers and the origin. Core decides which connection
+// carries an attempt and how the attempt ends; Pool moves the bytes and keeps the time for it; a Codec speaks the endpoint's
+// protocol.
 package upstream
 
 import "shelfproxy/internal/policy"
 
-// Outcome is every way in which a forward, or the connection under it, can end.
+// Outcome says how an attempt ended.
 type Outcome int
 
-// The ends of a forward.
+// The outcomes of an attempt.
 const (
-	Served           Outcome = iota
-	Missed                   // the server has no value for the key
-	Errored                  // the server answered with an error; the work may have been done
-	ServerBusy               // turned away unseen by the server
-	NotSent                  // never written: its time was over
-	PoolExhausted            // never written: all connections are busy and no more may be opened
-	ServerDraining           // never written: its server left the list while the forward waited for a connection
-	ConnectFailed            // no connection came up in time
-	WriteInterrupted         // the connection broke before the last byte was written
-	ConnectionLost           // the connection ended after the last byte may have been written
-	CorruptResponse          // the server sent what is no answer, and its connection was closed
-	ResponseTooLarge         // its answer is too long for the memory that is left
-	TimedOut                 // no answer by the flow's deadline
-	Cancelled                // given up by the module
-	numberOfEnds
+	Served           Outcome = iota // the server returned a value or a receipt
+	Missed                          // the server has no value for the key
+	Errored                         // the server answered with an error; the request may have been executed
+	ServerBusy                      // the server rejected the request without executing it
+	NotSent                         // never written: the request was cancelled, or its time was over
+	PoolExhausted                   // never written: all connections are busy and no more may be opened
+	ServerDraining                  // never written: the server left the endpoint list while the attempt waited for a connection
+	ConnectFailed                   // no connection was established in time
+	WriteInterrupted                // the connection broke before the last byte was written
+	ConnectionLost                  // the connection ended after the last byte may have been written
+	CorruptResponse                 // the server sent bytes that are no response; its connection was closed
+	ResponseTooLarge                // the response does not fit the response memory that is available
+	TimedOut                        // no response by the request's deadline
+	Cancelled                       // abandoned by the policy
+	numOutcomes
 )
 
-// NumOutcomes lists all ends, for counting by end.
-func NumOutcomes() int { return int(numberOfEnds) }
+// NumOutcomes returns the number of outcomes, for counters that have one value for each.
+func NumOutcomes() int { return int(numOutcomes) }
 
-var ends = [numberOfEnds]struct {
-	name   string
+var outcomes = [numOutcomes]struct {
+	name   string // in counters and the log
 	reason policy.Reason
 }{
 	Served:           {"served", policy.Succeeded},
@@ -44,12 +45,13 @@
 	WriteInterrupted: {"cut_short", policy.NoConnection},
 	ConnectionLost:   {"broken", policy.Reset},
 	CorruptResponse:  {"garbage", policy.CorruptResponse},
-	ResponseTooLarge: {"unheld", policy.Errored}, // it may have run, and again it would be as long
+	ResponseTooLarge: {"unheld", policy.Errored}, // it may have been executed, and a retry's response would be as long
 	TimedOut:         {"timed_out", policy.TimedOut},
 	Cancelled:        {"cancelled", policy.Cancelled},
 }
 
-// Reason is the outcome that the module is told. This is the only place where ends become outcomes.
-func (e Outcome) Reason() policy.Reason { return ends[e].reason }
+// Reason returns what the policy is told of an attempt with this outcome. No other code maps outcomes to reasons.
+func (o Outcome) Reason() policy.Reason { return outcomes[o].reason }
 
-func (e Outcome) String() string { return ends[e].name }
+// String returns the outcome's name in counters and in the log.
+func (o Outcome) String() string { return outcomes[o].name }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,89 +13,112 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// server answers each command once it is told to, and counts its connections.
-type server struct {
-	addr   string
-	opened atomic.Int64
-	seen   chan string
-	answer chan struct{}
+const testTimeout = 10 * time.Second
+
+// cacheServer responds to each command once it is allowed to, and counts its connections.
+type cacheServer struct {
+	addr        string
+	connections atomic.Int64
+	received    chan string   // the key of each command; it is not closed
+	respond     chan struct{} // allows one response for each element; it is not closed
 }
 
-func newServer(t *testing.T) *server {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// startCacheServer starts a server that ends with the test.
+func startCacheServer(t *testing.T) *cacheServer {
+	t.Helper()
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	s := &server{addr: ln.Addr().String(), seen: make(chan string, 64), answer: make(chan struct{}, 64)}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			s.opened.Add(1)
-			go func() {
-				defer c.Close()
-				for rd := redcon.NewReader(c); ; {
-					cmd, err := rd.ReadCommand()
-					if err != nil {
-						return
-					}
-					s.seen <- string(cmd.Args[1])
-					<-s.answer
-					c.Write([]byte("*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n"))
-				}
-			}()
+	t.Cleanup(func() {
+		if err := listener.Close(); err != nil {
+			t.Errorf("closing the listener: %v", err)
 		}
-	}()
-	return s
+	})
+	server := &cacheServer{addr: listener.Addr().String(), received: make(chan string, 64), respond: make(chan struct{}, 64)}
+	go server.accept(listener) // ends as the listener is closed
+	return server
 }
 
-// TestConnectionsFollowUse: a forward that finds the only connection at work is written behind, as long as that one is
-// young; use that goes on brings a second connection, and no third.
-func TestConnectionsFollowUse(t *testing.T) {
+func (s *cacheServer) accept(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		s.connections.Add(1)
+		go s.serve(conn) // ends as the pool closes the connection
+	}
+}
+
+func (s *cacheServer) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }() // the test is over
+	for reader := redcon.NewReader(conn); ; {
+		command, err := reader.ReadCommand()
+		if err != nil {
+			return
+		}
+		s.received <- string(command.Args[1])
+		<-s.respond
+		if _, err := conn.Write([]byte("*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")); err != nil {
+			return
+		}
+	}
+}
+
+// waitForConnections waits until the server has accepted so many connections, for a few seconds at most.
+func (s *cacheServer) waitForConnections(want int64) {
+	ticker := time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(testTimeout); s.connections.Load() < want && time.Now().Before(deadline); {
+		<-ticker.C
+	}
+}
+
+// TestConnectionsFollowDemand: an attempt that finds the only connection busy is pipelined, as long as the attempt ahead is young;
+// demand that goes on opens a second connection, and no third.
+func TestConnectionsFollowDemand(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		share time.Duration
-		fresh bool
-		want  []int64 // connections opened after each round of two forwards at once
+		name               string
+		pipelineWithin     time.Duration
+		needsNewConnection bool
+		want               []int64 // connections opened after each round of two attempts at once
 	}{
-		{"shared while young", time.Hour, false, []int64{1, 1, 2, 2, 2}},
-		{"never shared", 0, false, []int64{2, 2}},
-		{"what must not run twice has its own", time.Hour, true, []int64{2, 4}},
+		{"pipelined while young", time.Hour, false, []int64{1, 1, 2, 2, 2}},
+		{"never pipelined", 0, false, []int64{2, 2}},
+		{"at most once: connections of their own", time.Hour, true, []int64{2, 4}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := newServer(t)
-			ended := make(chan upstream.Outcome, 8)
-			p := upstream.NewPool(s.addr, resp.Codec{}, upstream.Limits{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Minute,
-				MaxStreams: 32, MaxConnections: 8, MaxQueued: 8, PipelineWithin: test.share}, upstream.NewDescriptorBudget(8),
-				func(_ *upstream.Attempt, a upstream.Response) { ended <- a.Outcome }, func() {})
-			t.Cleanup(func() { p.Update(s.addr, true) })
+			server := startCacheServer(t)
+			outcomes := make(chan upstream.Outcome, 8)
+			limits := upstream.Limits{ConnectTimeout: testTimeout, IdleTimeout: time.Minute, MaxStreams: 32, MaxConnections: 8,
+				MaxQueued: 8, PipelineWithin: test.pipelineWithin}
+			pool := upstream.NewPool(server.addr, resp.Codec{}, limits, upstream.NewDescriptorBudget(8),
+				func(_ *upstream.Attempt, response upstream.Response) { outcomes <- response.Outcome }, func() {})
+			t.Cleanup(func() { pool.Update(server.addr, true) })
 			send := func(key string) {
-				f := &upstream.Attempt{Request: &request.Request{Key: []byte(key), ID: []byte(key)}, SentAt: time.Now(),
-					Deadline: time.Now().Add(time.Minute), NeedsNewConnection: test.fresh}
-				if end, ok := p.Send(f); !ok {
-					t.Fatalf("%s ended at once: %v", key, end)
+				attempt := &upstream.Attempt{Request: &request.Request{Key: []byte(key), ID: []byte(key)}, SentAt: time.Now(),
+					Deadline: time.Now().Add(time.Minute), NeedsNewConnection: test.needsNewConnection}
+				if outcome, ok := pool.Send(attempt); !ok {
+					t.Fatalf("%s ended at once as %v, want it in flight", key, outcome)
 				}
 			}
 			for round, want := range test.want {
 				send("a")
-				<-s.seen // its connection is at work now
+				<-server.received // its connection is busy now
 				send("b")
-				for end := time.Now().Add(10 * time.Second); s.opened.Load() < want && time.Now().Before(end); {
-					time.Sleep(time.Millisecond) // else the first one could be free before the second one is there
-				}
-				s.answer <- struct{}{}
-				s.answer <- struct{}{}
+				server.waitForConnections(want) // else the first one could become idle before the second one is open
+				server.respond <- struct{}{}
+				server.respond <- struct{}{}
 				for range 2 {
-					if end := <-ended; end != upstream.Served {
-						t.Fatalf("round %d: ended as %v", round, end)
+					if got := <-outcomes; got != upstream.Served {
+						t.Fatalf("round %d: got outcome %v, want %v", round, got, upstream.Served)
 					}
 				}
-				<-s.seen
-				if got := s.opened.Load(); got != want {
-					t.Errorf("round %d: %d connections were opened, want %d", round, got, want)
+				<-server.received
+				if got := server.connections.Load(); got != want {
+					t.Errorf("round %d: got %d connections, want %d", round, got, want)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/upstream/resp/codec.go
@@ -0,0 +1,38 @@
+// Package resp speaks RESP2, the protocol of Redis, to the cache servers.
+package resp
+
+import (
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"shelfproxy/internal/upstream"
+)
+
+// Codec writes the commands of cache servers and reads their responses. Memory bounds long responses.
+type Codec struct{ Memory *upstream.ResponseMemory }
+
+// AppendRequest appends the command of an attempt: as the client sent it, with the remaining time as the parameter d.
+func (Codec) AppendRequest(b []byte, attempt *upstream.Attempt, now time.Time) []byte {
+	request := attempt.Request
+	if request == nil {
+		return append(b, "*1\r\n$4\r\nPING\r\n"...)
+	}
+	if request.IsWrite {
+		b = redcon.AppendArray(b, 5)
+		b = redcon.AppendBulkString(b, "CACHE.SET")
+	} else {
+		b = redcon.AppendArray(b, 4)
+		b = redcon.AppendBulkString(b, "CACHE.GET")
+	}
+	b = redcon.AppendBulk(b, request.Key)
+	b = redcon.AppendBulk(b, request.ID)
+	b = redcon.AppendBulk(b, request.ParametersWithTimeout(attempt.Deadline.Sub(now)))
+	if request.IsWrite {
+		b = redcon.AppendBulk(b, request.Value)
+	}
+	return b
+}
+
+// NewDecoder returns a decoder for the responses on one connection.
+func (c Codec) NewDecoder() upstream.Decoder { return &decoder{memory: c.Memory} }
--- a/internal/upstream/resp/decoder.go
+++ b/internal/upstream/resp/decoder.go
@@ -1,133 +1,124 @@
-// Package target speaks RESP2 to the cache servers.
 package resp
 
 import (
 	"bytes"
-	"time"
-
-	"github.com/tidwall/redcon"
 
 	"shelfproxy/internal/upstream"
 )
 
-// Codec writes the commands of cache servers and reads their answers.
-type Codec struct{ Memory *upstream.ResponseMemory }
-
-// AppendRequest appends the command of a forward: as the client gave it, but with the time that is left as d.
-func (Codec) AppendRequest(b []byte, f *upstream.Attempt, now time.Time) []byte {
-	if f.Request == nil {
-		return append(b, "*1\r\n$4\r\nPING\r\n"...)
-	}
-	q := f.Request
-	if q.IsWrite {
-		b = redcon.AppendArray(b, 5)
-		b = redcon.AppendBulkString(b, "CACHE.SET")
-	} else {
-		b = redcon.AppendArray(b, 4)
-		b = redcon.AppendBulkString(b, "CACHE.GET")
-	}
-	b = redcon.AppendBulk(b, q.Key)
-	b = redcon.AppendBulk(b, q.ID)
-	b = redcon.AppendBulk(b, q.ParametersWithTimeout(f.Deadline.Sub(now)))
-	if q.IsWrite {
-		b = redcon.AppendBulk(b, q.Value)
-	}
-	return b
-}
-
-// NewDecoder returns a decoder of the answers on a connection.
-func (c Codec) NewDecoder() upstream.Decoder { return &decoder{room: c.Memory} }
-
-// chunk is how much is read at once. Answers are slices of the chunk that they were read into; what was read is
-// never written over, as an answer may still be on its way to a client.
-const chunk = 16 << 10
+// chunkSize is the size of a read buffer in bytes. Values are slices of the chunk that they were read into; a chunk is never written
+// over, as a value may still be on its way to a client.
+const chunkSize = 16 << 10
 
+// decoder implements upstream.Decoder. buffer[start:end] holds the bytes that belong to no response yet.
 type decoder struct {
-	room       *upstream.ResponseMemory
-	buf        []byte
+	memory     *upstream.ResponseMemory
+	buffer     []byte
 	start, end int
-	want       int // bytes of the answer at start, where it is known to be longer than a chunk
-	took       int // of the room
+	needed     int // bytes of the response at start, as far as they are known
+	reserved   int // bytes of memory
 }
 
+// Buffered implements upstream.Decoder.
 func (d *decoder) Buffered() int { return d.end - d.start }
 
+// BytesRead implements upstream.Decoder.
 func (d *decoder) BytesRead(n int) { d.end += n }
 
-// ReadBuffer is the rest of the chunk. An answer that no longer fits it moves to a new one, of its own size if that is known.
+// ReadBuffer returns the rest of the chunk. A response that does not fit there moves to a new chunk, of its own size if it is known.
 func (d *decoder) ReadBuffer() []byte {
-	if d.end == len(d.buf) || d.start+d.want > len(d.buf) {
-		part := d.buf[d.start:d.end]
-		size := max(chunk, 2*len(part))
-		if d.want > chunk {
-			size = d.want + maxLine // what comes behind the value, and a load report in it
+	if d.end == len(d.buffer) || d.start+d.needed > len(d.buffer) {
+		partial := d.buffer[d.start:d.end]
+		size := max(chunkSize, 2*len(partial))
+		if d.isLong() {
+			size = d.needed + maxHeaderLength // what follows the value, a load report among it
 		}
-		d.buf = make([]byte, max(size, len(part)+1))
-		d.start, d.end = 0, copy(d.buf, part)
+		d.replaceBuffer(size, partial)
 	}
-	return d.buf[d.end:]
+	return d.buffer[d.end:]
 }
 
+// replaceBuffer goes on in a buffer of at least size bytes that starts with the given bytes and has space behind them.
+func (d *decoder) replaceBuffer(size int, unconsumed []byte) {
+	d.buffer = make([]byte, max(size, len(unconsumed)+1))
+	d.start, d.end = 0, copy(d.buffer, unconsumed)
+}
+
+// isLong reports whether the response at start is known to need a buffer of its own.
+func (d *decoder) isLong() bool { return d.needed > chunkSize }
+
+// NextResponse implements upstream.Decoder. No RESP2 value ends with its connection, so it needs not know whether that has ended.
 func (d *decoder) NextResponse(bool) (upstream.Response, bool, error) {
-	if d.end-d.start < d.want {
+	if d.Buffered() < d.needed {
 		return upstream.Response{}, false, nil
 	}
-	v, n, err := parse(d.buf[d.start:d.end], 0, d.room.MaxResponse())
-	switch {
-	case err != nil || n == 0:
+	parsed, size, err := parseReply(d.buffer[d.start:d.end], false, d.memory.MaxResponse())
+	if err != nil {
 		return upstream.Response{}, false, err
-	case n < 0:
-		if d.want = -n; d.want > chunk && d.took == 0 {
-			if !d.room.Reserve(d.want) {
-				return upstream.Response{}, false, upstream.ErrResponseTooLarge
-			}
-			d.took = d.want
-		}
-		return upstream.Response{}, false, nil
 	}
-	d.start += n
-	if d.want > chunk { // the buffer is the answer's
-		rest := d.buf[d.start:d.end]
-		d.buf = make([]byte, max(chunk, len(rest)+1))
-		d.start, d.end = 0, copy(d.buf, rest)
+	if size.consumed == 0 {
+		return upstream.Response{}, false, d.expect(size.needed)
+	}
+	d.start += size.consumed
+	if d.isLong() { // the buffer now belongs to the value
+		d.replaceBuffer(chunkSize, d.buffer[d.start:d.end])
 	}
 	d.Release()
-	a, err := answer(v)
-	return a, err == nil, err
+	response, err := responseOf(parsed)
+	return response, err == nil, err
 }
 
+// expect notes that the response at start has at least so many bytes, and reserves memory for a long one; 0 if that is not known.
+func (d *decoder) expect(needed int) error {
+	if needed == 0 {
+		return nil
+	}
+	d.needed = needed
+	if d.isLong() && d.reserved == 0 {
+		if !d.memory.Reserve(needed) {
+			return upstream.ErrResponseTooLarge
+		}
+		d.reserved = needed
+	}
+	return nil
+}
+
+// Release implements upstream.Decoder.
 func (d *decoder) Release() {
-	d.room.Release(d.took)
-	d.took, d.want = 0, 0
+	d.memory.Release(d.reserved)
+	d.reserved, d.needed = 0, 0
 }
 
-var busy = []byte("BUSY")
+// busyPrefix starts the error of a server that rejects a command.
+var busyPrefix = []byte("BUSY")
 
-func answer(v reply) (upstream.Response, error) {
+// responseOf maps a RESP2 value to a response: PONG, an error, or an array of the value, the state of the cache and a load report.
+func responseOf(value reply) (upstream.Response, error) {
 	switch {
-	case v.kind == '+':
+	case value.kind == simpleString:
 		return upstream.Response{Outcome: upstream.Served}, nil // PONG
-	case v.kind == '-' && (len(v.data) == 0 || v.data[0] < 'A' || v.data[0] > 'Z'):
+	case value.kind == simpleError && !startsWithCapital(value.data):
 		return upstream.Response{}, upstream.ErrMalformedResponse
-	case v.kind == '-' && bytes.HasPrefix(v.data, busy):
-		return upstream.Response{Outcome: upstream.ServerBusy, LoadReport: lastWord(v.data)}, nil
-	case v.kind == '-':
-		return upstream.Response{Outcome: upstream.Errored, LoadReport: lastWord(v.data)}, nil
-	case v.kind == '*' && len(v.items) == maxItems && v.items[0].kind == '$':
-		a := upstream.Response{Outcome: upstream.Served, Value: v.items[0].data}
-		if v.items[0].null {
-			a.Outcome = upstream.Missed
+	case value.kind == simpleError && bytes.HasPrefix(value.data, busyPrefix):
+		return upstream.Response{Outcome: upstream.ServerBusy, LoadReport: trailingLoadReport(value.data)}, nil
+	case value.kind == simpleError:
+		return upstream.Response{Outcome: upstream.Errored, LoadReport: trailingLoadReport(value.data)}, nil
+	case value.kind == array && len(value.items) == maxItems && value.items[0].kind == bulkString:
+		response := upstream.Response{Outcome: upstream.Served, Value: value.items[0].data, LoadReport: value.items[2].data}
+		if value.items[0].isNull {
+			response.Outcome = upstream.Missed
 		}
-		a.LoadReport = v.items[2].data
-		return a, nil
+		return response, nil
 	}
 	return upstream.Response{}, upstream.ErrMalformedResponse
 }
 
-// lastWord is the load report that an error line may end with.
-func lastWord(line []byte) []byte {
-	if i := bytes.LastIndexByte(line, ' '); i >= 0 && bytes.IndexByte(line[i:], '=') >= 0 {
-		return line[i+1:]
+func startsWithCapital(text []byte) bool { return len(text) > 0 && text[0] >= 'A' && text[0] <= 'Z' }
+
+// trailingLoadReport returns the load report that the text of an error may end with.
+func trailingLoadReport(text []byte) []byte {
+	if i := bytes.LastIndexByte(text, ' '); i >= 0 && bytes.IndexByte(text[i:], '=') >= 0 {
+		return text[i+1:]
 	}
 	return nil
 }
--- a/internal/upstream/resp/parser.go
+++ b/internal/upstream/resp/parser.go
@@ -7,89 +7,146 @@
 	"shelfproxy/internal/upstream"
 )
 
-// Bounds of an answer. Past them it is garbage, and nothing of its size is allocated. That of a value is told to the codec.
+// The kinds of RESP2 values, by their first byte.
 const (
-	maxItems = 3
-	maxLine  = 512
-	maxCount = 16 // of a line that gives a count or a length
+	simpleString = '+'
+	simpleError  = '-'
+	integer      = ':'
+	bulkString   = '$'
+	array        = '*'
 )
 
-// reply is one RESP2 value; its data is a slice of the buffer.
+// Bounds of a response. Past them it is malformed, and nothing of its size is allocated. The bound of a value is the caller's.
+const (
+	maxItems              = 3   // of an array
+	maxHeaderLength       = 512 // bytes of a header with text
+	maxNumberHeaderLength = 16  // bytes of a header with a number
+)
+
+var crlf = []byte("\r\n")
+
+// reply is one RESP2 value; its data is a slice of the buffer that it was parsed from.
 type reply struct {
-	kind  byte // + - : $ *
-	data  []byte
-	null  bool
-	items []reply
+	kind   byte
+	data   []byte
+	isNull bool
+	items  []reply // of an array
+}
+
+// extent is what is known of the size of a value, in bytes from its start.
+type extent struct {
+	consumed int // by the complete value; 0 if more bytes are needed
+	needed   int // a lower bound for the size of the incomplete value; 0 if it is not known
+}
+
+// parseReply reads one value from the start of b, with no string longer than maxBulk. An array must not be nested.
+//
+// redcon.ReadNextRESP is not used here: it does not tell a malformed value from an incomplete one, and a length near the largest
+// integer makes it panic.
+func parseReply(b []byte, isNested bool, maxBulk int) (reply, extent, error) {
+	first, size, err := parseHeader(b)
+	if err != nil || size == 0 {
+		return reply{}, extent{}, err
+	}
+	switch first.kind {
+	case bulkString:
+		return parseBulkString(b, first, size, maxBulk)
+	case array:
+		if isNested {
+			return reply{}, extent{}, upstream.ErrMalformedResponse
+		}
+		return parseArray(b, first, size, maxBulk)
+	}
+	return first, extent{consumed: size}, nil
 }
 
-// parse reads one value from the start of b, with no string longer than most, and returns how many bytes it took; 0 if b does
-// not hold all of it yet, and less than 0 where so many bytes at least are wanted in all. redcon.ReadNextRESP is not used here: it does not tell a broken value from a part of one, and a length
-// near the largest integer makes it panic.
-func parse(b []byte, depth, most int) (reply, int, error) {
-	line := b[:min(len(b), maxLine)]
-	if len(b) > 0 && (b[0] == '$' || b[0] == '*' || b[0] == ':') {
-		line = b[:min(len(b), maxCount)]
+// parseHeader reads the first line of a value, with its kind and its text, length or count, and returns the size of the line; 0 if
+// it is incomplete.
+func parseHeader(b []byte) (reply, int, error) {
+	header := b[:min(len(b), maxHeaderLength)]
+	if len(b) > 0 && (b[0] == bulkString || b[0] == array || b[0] == integer) {
+		header = b[:min(len(b), maxNumberHeaderLength)]
 	}
-	eol := bytes.IndexByte(line, '\n')
-	if eol < 0 {
-		// A line that can't end well is given up at once, as the rest of it may never come.
-		if len(line) < len(b) || len(line) == maxLine || len(b) > 0 && !wellBegun(line) {
+	newline := bytes.IndexByte(header, '\n')
+	if newline < 0 {
+		// A header that can't become valid is rejected at once, as the rest of it may never come.
+		isTooLong := len(header) < len(b) || len(header) == maxHeaderLength
+		if isTooLong || len(b) > 0 && !isValidHeaderStart(header) {
 			return reply{}, 0, upstream.ErrMalformedResponse
 		}
 		return reply{}, 0, nil
 	}
-	if eol < 2 || b[eol-1] != '\r' || !wellBegun(line[:eol]) {
+	if newline < 2 || b[newline-1] != '\r' || !isValidHeaderStart(header[:newline]) {
 		return reply{}, 0, upstream.ErrMalformedResponse
 	}
-	v, at := reply{kind: b[0], data: b[1 : eol-1]}, eol+1
-	switch v.kind {
-	case '+', '-', ':':
-		return v, at, nil
-	case '$', '*':
-	default:
-		return reply{}, 0, upstream.ErrMalformedResponse
+	return reply{kind: b[0], data: b[1 : newline-1]}, newline + 1, nil
+}
+
+// isValidHeaderStart reports whether a header can start like this: with its kind, and printable text or a number. A carriage return is
+// looked for at the end only.
+func isValidHeaderStart(header []byte) bool {
+	text := bytes.TrimSuffix(header[1:], []byte{'\r'})
+	switch header[0] {
+	case simpleString, simpleError:
+		return !bytes.ContainsFunc(text, func(r rune) bool { return r < ' ' || r > '~' })
+	case bulkString, array, integer:
+		return !bytes.ContainsFunc(text, func(r rune) bool { return r != '-' && (r < '0' || r > '9') })
 	}
-	n, err := strconv.Atoi(string(v.data))
-	if err != nil || n < -1 || v.kind == '$' && n > most || v.kind == '*' && (n > maxItems || depth > 0) {
-		return reply{}, 0, upstream.ErrMalformedResponse
+	return false
+}
+
+// parseCount reads the length or count of a header; -1 stands for null.
+func parseCount(header reply, maxCount int) (int, error) {
+	count, err := strconv.Atoi(string(header.data))
+	if err != nil || count < -1 || count > maxCount {
+		return 0, upstream.ErrMalformedResponse
 	}
-	if v.data = nil; n < 0 {
-		v.null = true
-		return v, at, nil
+	return count, nil
+}
+
+// parseBulkString reads the string that follows a header of headerSize bytes.
+func parseBulkString(b []byte, header reply, headerSize, maxBulk int) (reply, extent, error) {
+	length, err := parseCount(header, maxBulk)
+	if err != nil {
+		return reply{}, extent{}, err
 	}
-	if v.kind == '$' {
-		if len(b) < at+n+2 {
-			return reply{}, -(at + n + 2), nil
-		}
-		if b[at+n] != '\r' || b[at+n+1] != '\n' {
-			return reply{}, 0, upstream.ErrMalformedResponse
-		}
-		v.data = b[at : at+n : at+n]
-		return v, at + n + 2, nil
+	if length < 0 {
+		return reply{kind: bulkString, isNull: true}, extent{consumed: headerSize}, nil
 	}
-	for range n {
-		item, took, err := parse(b[at:], depth+1, most)
-		if took < 0 {
-			took -= at
-		}
-		if err != nil || took <= 0 {
-			return reply{}, took, err
-		}
-		v.items = append(v.items, item)
-		at += took
+	end := headerSize + length
+	size := end + len(crlf)
+	if len(b) < size {
+		return reply{}, extent{needed: size}, nil
 	}
-	return v, at, nil
+	if !bytes.Equal(b[end:size], crlf) {
+		return reply{}, extent{}, upstream.ErrMalformedResponse
+	}
+	return reply{kind: bulkString, data: b[headerSize:end:end]}, extent{consumed: size}, nil
 }
 
-// wellBegun tells whether this can be the start of a line: its kind, and printable text or a number. A carriage
-// return is looked for at the end only.
-func wellBegun(line []byte) bool {
-	text := bytes.TrimSuffix(line[1:], []byte{'\r'})
-	switch line[0] {
-	case '+', '-':
-		return !bytes.ContainsFunc(text, func(r rune) bool { return r < ' ' || r > '~' })
-	case '$', '*', ':':
-		return !bytes.ContainsFunc(text, func(r rune) bool { return r != '-' && (r < '0' || r > '9') })
+// parseArray reads the items that follow a header of headerSize bytes.
+func parseArray(b []byte, header reply, headerSize, maxBulk int) (reply, extent, error) {
+	count, err := parseCount(header, maxItems)
+	if err != nil {
+		return reply{}, extent{}, err
 	}
-	return false
+	if count < 0 {
+		return reply{kind: array, isNull: true}, extent{consumed: headerSize}, nil
+	}
+	value, consumed := reply{kind: array}, headerSize
+	for range count {
+		item, size, err := parseReply(b[consumed:], true, maxBulk)
+		if err != nil {
+			return reply{}, extent{}, err
+		}
+		if size.consumed == 0 {
+			if size.needed > 0 {
+				size.needed += consumed
+			}
+			return reply{}, size, nil
+		}
+		value.items = append(value.items, item)
+		consumed += size.consumed
+	}
+	return value, extent{consumed: consumed}, nil
 }
--- /dev/null
+++ b/internal/upstream/socket.go
@@ -0,0 +1,151 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"time"
+)
+
+// maxRetainedBuffer is the largest write buffer, in bytes, that a connection keeps for its next request.
+const maxRetainedBuffer = 32 << 10
+
+// socket is the pool's part of a connection.
+type socket struct {
+	conn net.Conn
+	raw  syscall.RawConn
+	// notify holds an element while there may be something to write, or the connection has been closed. It is never closed: the
+	// writer ends once the core says that the connection is closed.
+	notify chan struct{}
+}
+
+func newSocket(conn net.Conn) *socket {
+	raw, _ := conn.(syscall.Conn).SyscallConn() // a TCP connection has one
+	return &socket{conn: conn, raw: raw, notify: make(chan struct{}, 1)}
+}
+
+func socketOf(conn *Conn) *socket { return conn.Socket.(*socket) }
+
+func (s *socket) notifyWriter() {
+	select {
+	case s.notify <- struct{}{}:
+	default:
+	}
+}
+
+// close ends the reader by the error of its read, and the writer by a notification.
+func (s *socket) close() {
+	_ = s.conn.Close() // the connection is of no further use, whatever the error
+	s.notifyWriter()
+}
+
+// write writes the bytes of one attempt. isUsable is false after an error.
+func (s *socket) write(bytes []byte, deadline time.Time) (isComplete, isUsable bool) {
+	_ = s.conn.SetWriteDeadline(deadline) // fails on a closed connection, and so does the write
+	n, err := s.conn.Write(bytes)
+	return n == len(bytes), err == nil
+}
+
+// isStale reports whether the connection has bytes to read or has ended. It asks the kernel, as the reading goroutine may not have
+// run since the bytes came. See Core.NextToWrite for what it means.
+func (s *socket) isStale() bool {
+	if s.raw == nil {
+		return true
+	}
+	var peekErr error
+	err := s.raw.Control(func(fd uintptr) {
+		var buffer [1]byte
+		_, _, peekErr = syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
+}
+
+// dial opens a connection and starts its reader and its writer.
+func (p *Pool) dial(conn *Conn, addr string) {
+	dialer := net.Dialer{Timeout: p.connectTimeout}
+	netConn, err := dialer.DialContext(context.Background(), "tcp", addr)
+	isEstablished := err == nil
+	if isEstablished {
+		conn.Socket = newSocket(netConn)
+		p.opened()
+	}
+	var effects Effects
+	p.mu.Lock()
+	p.core.DialCompleted(time.Now(), conn, isEstablished, &effects)
+	p.setTimer()
+	p.mu.Unlock()
+	if isEstablished {
+		go p.writeLoop(conn, socketOf(conn))
+		go p.readLoop(conn, socketOf(conn))
+	}
+	p.carryOut(effects, false)
+}
+
+// nextToWrite returns the next attempt to write, if any, and whether the connection is still open. The caller holds mu.
+func (p *Pool) nextToWrite(conn *Conn, socket *socket, effects *Effects) (attempt *Attempt, isOpen bool) {
+	isStale := conn.IsIdle() && socket.isStale()
+	attempt = p.core.NextToWrite(time.Now(), conn, isStale, effects)
+	return attempt, !conn.closed
+}
+
+// writeLoop writes attempts to the server until the connection is closed.
+func (p *Pool) writeLoop(conn *Conn, socket *socket) {
+	var buffer []byte
+	var effects Effects
+	for range socket.notify {
+		effects = effects[:0]
+		p.mu.Lock()
+		attempt, isOpen := p.nextToWrite(conn, socket, &effects)
+		p.mu.Unlock()
+		p.carryOut(effects, false)
+		for isOpen && attempt != nil {
+			buffer = p.codec.AppendRequest(buffer[:0], attempt, time.Now())
+			isComplete, isUsable := socket.write(buffer, attempt.writeDeadline())
+			effects = effects[:0]
+			p.mu.Lock()
+			p.core.WriteCompleted(time.Now(), conn, isComplete, isUsable, &effects)
+			attempt, isOpen = p.nextToWrite(conn, socket, &effects)
+			p.setTimer()
+			p.mu.Unlock()
+			p.carryOut(effects, false)
+			clear(effects) // they refer to attempts
+			if cap(buffer) > maxRetainedBuffer {
+				buffer = nil
+			}
+		}
+		if !isOpen {
+			return
+		}
+	}
+}
+
+// readLoop moves what the server sends to the core until the connection is closed. Another goroutine may close the connection
+// meanwhile, which releases the decoder: so the buffer for the next bytes is requested under the lock too. That buffer is this
+// goroutine's alone until BytesReceived.
+func (p *Pool) readLoop(conn *Conn, socket *socket) {
+	var effects Effects
+	p.mu.Lock()
+	buffer := conn.Decoder.ReadBuffer()
+	p.mu.Unlock()
+	for isClosed := false; !isClosed; {
+		n, err := socket.conn.Read(buffer)
+		effects = effects[:0]
+		p.mu.Lock()
+		now := time.Now()
+		if n > 0 {
+			p.core.BytesReceived(now, conn, n, &effects)
+		}
+		if err != nil {
+			p.core.ConnectionEnded(now, conn, errors.Is(err, io.EOF), &effects)
+		}
+		if isClosed = conn.closed; !isClosed {
+			buffer = conn.Decoder.ReadBuffer()
+		}
+		p.setTimer()
+		p.mu.Unlock()
+		p.carryOut(effects, false)
+		clear(effects)
+	}
+}
--- /dev/null
+++ b/internal/upstream/transfer.go
@@ -0,0 +1,121 @@
+package upstream
+
+import (
+	"errors"
+	"slices"
+	"time"
+)
+
+// NextToWrite returns the next attempt to write to a connection; nil if there is none. The shell writes its bytes and then calls
+// WriteCompleted. From this call on the attempt is possibly executed. This is the last look at whether the client is still
+// connected and whether a retry is in its time: an attempt that must not be written ends as NotSent.
+//
+// isStale says that the connection has bytes to read, or has ended, while no response is awaited: the response to a request written
+// now could not be told from such bytes, and a request written to a closed connection is lost.
+func (c *Core) NextToWrite(now time.Time, conn *Conn, isStale bool, effects *Effects) *Attempt {
+	if conn.closed || conn.writing != nil || len(conn.unwritten) == 0 {
+		return nil
+	}
+	if isStale && conn.IsIdle() {
+		c.close(now, conn, CorruptResponse, effects) // the pending attempt is unwritten and gets another connection
+		return nil
+	}
+	for conn.nextUnwritten().mustNotBeWritten(now) {
+		attempt := conn.nextUnwritten()
+		c.dequeue(now, attempt, effects)
+		effects.reportOutcome(attempt, NotSent)
+		if conn.closed || len(conn.unwritten) == 0 {
+			return nil
+		}
+	}
+	attempt := conn.popUnwritten()
+	attempt.writeStarted, attempt.possiblyExecuted = true, true
+	conn.writing = attempt
+	return attempt
+}
+
+// WriteCompleted says how the write of the attempt from NextToWrite ended: whether its last byte was written, and whether the
+// connection may still be used.
+func (c *Core) WriteCompleted(now time.Time, conn *Conn, isComplete, isUsable bool, effects *Effects) {
+	attempt := conn.writing
+	conn.writing = nil
+	if attempt == nil {
+		return
+	}
+	if !isComplete {
+		attempt.possiblyExecuted = false // the server never got its last byte
+	}
+	switch {
+	case conn.closed: // close left this attempt for now
+		if i := slices.Index(conn.pending, attempt); i >= 0 {
+			conn.pending = slices.Delete(conn.pending, i, i+1)
+			c.settle(now, conn, attempt, effects)
+		}
+	case !isUsable:
+		c.close(now, conn, ConnectionLost, effects)
+	default:
+		c.serveNext(now, conn, effects) // its response may have come before this call
+	}
+}
+
+// BytesReceived says that the shell put n bytes into the buffer of the connection's decoder.
+func (c *Core) BytesReceived(now time.Time, conn *Conn, n int, effects *Effects) {
+	conn.Decoder.BytesRead(n)
+	c.decode(now, conn, false, effects)
+}
+
+// ConnectionEnded says that a connection ended without the core closing it. isOrderly says that the server closed it, which also ends
+// a response without a length; a reset, or any other failure, ends no response.
+func (c *Core) ConnectionEnded(now time.Time, conn *Conn, isOrderly bool, effects *Effects) {
+	if isOrderly {
+		c.decode(now, conn, true, effects)
+	}
+	c.close(now, conn, ConnectionLost, effects)
+}
+
+// decode delivers the responses that are complete.
+func (c *Core) decode(now time.Time, conn *Conn, ended bool, effects *Effects) {
+	for !conn.closed && conn.Decoder.Buffered() > 0 {
+		if !conn.mayReceive() {
+			c.close(now, conn, CorruptResponse, effects) // a response to nothing
+			return
+		}
+		response, isComplete, err := conn.Decoder.NextResponse(ended)
+		if err != nil {
+			c.close(now, conn, decodeErrorOutcome(err), effects)
+			return
+		}
+		if !isComplete {
+			return
+		}
+		c.deliver(now, conn, response, effects)
+	}
+}
+
+func decodeErrorOutcome(err error) Outcome {
+	if errors.Is(err, ErrResponseTooLarge) {
+		return ResponseTooLarge
+	}
+	return CorruptResponse
+}
+
+// deliver gives a response to the first pending attempt of its connection.
+func (c *Core) deliver(now time.Time, conn *Conn, response Response, effects *Effects) {
+	if !conn.pending[0].isHealthCheck() && response.Outcome == Served && response.Value == nil {
+		c.close(now, conn, CorruptResponse, effects) // the response to a health check is none to a request
+		return
+	}
+	attempt := conn.popPending()
+	if !attempt.abandoned {
+		effects.report(attempt, response)
+	}
+	switch {
+	case response.ConnectionClose:
+		c.close(now, conn, ConnectionLost, effects)
+	case conn.Decoder.Buffered() > 0 && !conn.mayReceive():
+		c.close(now, conn, CorruptResponse, effects) // these bytes would be taken for the response to the next attempt
+	default:
+		c.closeIfUnwanted(now, conn, effects)
+		c.serveNext(now, conn, effects)
+	}
+}
