--- /dev/null
+++ b/internal/listener/commands.go
@@ -0,0 +1,106 @@
+package listener
+
+import (
+	"bytes"
+	"errors"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"shelfproxy/internal/admission"
+	"shelfproxy/internal/request"
+)
+
+// The commands that are requests.
+const (
+	getCommand = "CACHE.GET"
+	setCommand = "CACHE.SET"
+)
+
+// decode takes the commands that are complete, as long as there are slots for their responses.
+func (c *Core) decode(now time.Time, conn *Conn, effects *Effects) {
+	conn.isPaused = false
+	for !conn.isClosed {
+		if len(conn.slots) >= c.limits.MaxPipelined {
+			conn.isPaused = true
+			return
+		}
+		// The reader copies the bytes of each command into a buffer of the command's own, so its slices may be kept.
+		command, err := conn.commands.ReadCommand()
+		switch {
+		case errors.Is(err, errNeedMoreBytes):
+			if conn.framing.hasPartialCommand() {
+				c.table.PartialCommand(c.tableTime(now), conn.id)
+			}
+			return
+		case err != nil:
+			c.rejectFraming(now, conn, err, effects)
+			return
+		}
+		c.dispatch(now, conn, command, effects)
+	}
+}
+
+// rejectFraming ends a connection whose framing is broken: its client still gets the responses that are owed, and one about the framing.
+func (c *Core) rejectFraming(now time.Time, conn *Conn, err error, effects *Effects) {
+	c.count.BadFraming.Add(1)
+	conn.slots = append(conn.slots, &ResponseSlot{isReady: true, prefix: errorResponse(err)})
+	conn.isPaused, conn.isFramingBroken = true, true
+	c.finish(now, conn, effects)
+	c.notifyWriter(conn, effects)
+}
+
+// dispatch handles one command. A flat table of the commands.
+func (c *Core) dispatch(now time.Time, conn *Conn, command redcon.Command, effects *Effects) {
+	arguments := len(command.Args) - 1
+	switch name := command.Args[0]; {
+	case isCommand(name, getCommand), isCommand(name, setCommand):
+		c.dispatchRequest(now, conn, command, effects)
+	case isCommand(name, "PING") && arguments == 0:
+		c.answer(now, conn, admission.CommandOther, redcon.AppendString(nil, "PONG"), effects)
+	case isCommand(name, "PING") && arguments == 1:
+		c.answer(now, conn, admission.CommandOther, redcon.AppendBulk(nil, command.Args[1]), effects)
+	case isCommand(name, "INFO"):
+		c.answer(now, conn, admission.CommandOther, redcon.AppendBulkString(nil, c.count.String()), effects)
+	case isCommand(name, "CLIENT"), isCommand(name, "SELECT"):
+		c.answer(now, conn, admission.CommandOther, redcon.AppendOK(nil), effects)
+	case isCommand(name, "QUIT"):
+		c.answer(now, conn, admission.CommandOther, redcon.AppendOK(nil), effects)
+		c.finish(now, conn, effects)
+	default:
+		c.rejectCommand(now, conn, errUnknownCommand, effects)
+	}
+}
+
+func isCommand(name []byte, command string) bool { return bytes.EqualFold(name, []byte(command)) }
+
+// dispatchRequest hands a command to the handler as a request.
+func (c *Core) dispatchRequest(now time.Time, conn *Conn, command redcon.Command, effects *Effects) {
+	r, err := c.parseRequest(now, command)
+	if err != nil {
+		c.rejectCommand(now, conn, err, effects)
+		return
+	}
+	r.ConnectionID = conn.id
+	slot := &ResponseSlot{request: r, isRequest: true}
+	r.Reply = func(response request.Response) { c.Reply(conn, slot, response) }
+	c.table.CommandReceived(c.tableTime(now), conn.id, admission.CommandRequest)
+	conn.slots = append(conn.slots, slot)
+	effects.add(HandleRequest, conn, r)
+}
+
+// answer responds to a command without the handler.
+func (c *Core) answer(now time.Time, conn *Conn, kind admission.Command, response []byte, effects *Effects) {
+	c.table.CommandReceived(c.tableTime(now), conn.id, kind)
+	conn.slots = append(conn.slots, &ResponseSlot{isReady: true, prefix: response})
+	c.notifyWriter(conn, effects)
+}
+
+// rejectCommand responds to an invalid command.
+func (c *Core) rejectCommand(now time.Time, conn *Conn, err error, effects *Effects) {
+	c.count.Malformed.Add(1)
+	c.answer(now, conn, admission.CommandInvalid, errorResponse(err), effects)
+}
+
+// errorResponse returns the bytes that tell a client of an error: the texts of the errors are part of the wire format.
+func errorResponse(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
--- /dev/null
+++ b/internal/listener/conn.go
@@ -0,0 +1,62 @@
+package listener
+
+import (
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"shelfproxy/internal/request"
+)
+
+// Conn is one client's connection. Core and its shell share it: the shell calls its methods under the lock that guards the core, except
+// ReadBuffer, which is the reading goroutine's.
+type Conn struct {
+	// Socket belongs to the shell.
+	Socket any
+
+	id                  uint64 // in the connection table
+	framing             framingGuard
+	commands            *redcon.Reader  // reads from framing
+	slots               []*ResponseSlot // of the responses that are owed, in the order of their commands
+	writing             int             // the first slots, whose responses are being written
+	isPaused            bool            // as many responses are owed as may be: further commands wait
+	isFramingBroken     bool            // nothing more is read
+	closeAfterResponses bool            // close once everything that is owed is written
+	isClosed            bool
+	lingerDeadline      time.Time // until when a closed connection lingers; zero if it does not
+}
+
+func newConn(id uint64) *Conn {
+	conn := &Conn{id: id}
+	conn.commands = redcon.NewReader(&conn.framing)
+	return conn
+}
+
+// ReadBuffer returns the buffer for the next bytes of the client, while the connection is not paused.
+func (c *Conn) ReadBuffer() []byte { return c.framing.buffer[:] }
+
+// IsPaused reports whether nothing more is to be read before the effect ResumeReading.
+func (c *Conn) IsPaused() bool { return c.isPaused }
+
+// IsClosed reports whether the connection has ended: what still comes on it is discarded.
+func (c *Conn) IsClosed() bool { return c.isClosed }
+
+// IsLingering reports whether the connection has ended and is to be read for a while. A close over unread bytes would reset the
+// connection, and the client would lose the last responses that it has not read yet.
+func (c *Conn) IsLingering() bool { return !c.lingerDeadline.IsZero() }
+
+// hasResponseToWrite reports whether a write may start: none is going on, and the first response is there.
+func (c *Conn) hasResponseToWrite() bool {
+	return !c.isClosed && c.writing == 0 && len(c.slots) > 0 && c.slots[0].isReady
+}
+
+// ResponseSlot is the place of one command's response among those of its connection.
+type ResponseSlot struct {
+	request   *request.Request // until it is answered; nil if the listener answers by itself
+	isRequest bool             // it was given to the handler
+	isReady   bool
+	prefix    []byte // of the response, or all of it
+	value     []byte // follows prefix, with a line end behind it; not copied
+}
+
+func (s *ResponseSlot) size() int { return len(s.prefix) + len(s.value) }
--- /dev/null
+++ b/internal/listener/core_property_test.go
@@ -0,0 +1,294 @@
+package listener
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"shelfproxy/internal/request"
+)
+
+// invalidCommand stands in modelClient.unanswered for a command without an id.
+const invalidCommand = "?"
+
+// modelClient is a client and its side of a connection.
+type modelClient struct {
+	conn       *Conn
+	unanswered []string // ids of commands without a response, in order
+	sent       []byte   // not yet read by the core
+	mayResume  bool     // the core may have more to take of what it has read
+	received   string   // of the write that is going on
+	isWriting  bool
+	isEnded    bool
+}
+
+// modelRequest is a request that the core has handed to its handler.
+type modelRequest struct {
+	*request.Request
+	isDisconnected bool // its handler was told that the client has disconnected
+}
+
+// coreModel plays the shell, the handler and the clients of a core.
+type coreModel struct {
+	core     *Core
+	limits   Limits
+	now      time.Time
+	clients  []*modelClient
+	requests map[string]*modelRequest // by id
+	replied  map[string]bool          // by id
+	lastID   int
+	current  *rapid.T // of the call that is running, for Reply
+}
+
+func newCoreModel(t *rapid.T) *coreModel {
+	limits := Limits{MaxConnections: 4, MaxPipelined: 3, MaxValue: 100, WriteTimeout: time.Second, MaxUnsentBytes: 100 << 10,
+		FirstCommandTimeout: 2 * time.Second, CrowdedIdleTimeout: 50 * time.Millisecond, IdleTimeout: 5 * time.Second}
+	now := time.Unix(1000, 0)
+	model := &coreModel{core: newTestCore(now, limits), limits: limits, now: now, requests: map[string]*modelRequest{}, replied: map[string]bool{}, current: t}
+	model.core.Reply = func(conn *Conn, slot *ResponseSlot, response request.Response) {
+		var effects Effects
+		model.core.Respond(model.now, conn, slot, response, &effects)
+		model.carryOut(model.current, effects)
+	}
+	return model
+}
+
+func (m *coreModel) clientOf(conn *Conn) *modelClient {
+	return m.clients[slices.IndexFunc(m.clients, func(client *modelClient) bool { return client.conn == conn })]
+}
+
+func (m *coreModel) carryOut(t *rapid.T, effects Effects) {
+	for _, effect := range effects {
+		switch effect.Kind {
+		case HandleRequest:
+			m.requests[string(effect.Request.ID)] = &modelRequest{Request: effect.Request}
+		case ClientDisconnected:
+			m.recordDisconnect(t, effect.Request)
+		case HalfClose:
+			m.clientOf(effect.Conn).isEnded = true
+		case CloseConnection:
+			if effect.Conn.IsLingering() {
+				t.Fatal("got a closed connection that lingers, want it to linger no longer")
+			}
+			m.clientOf(effect.Conn).isEnded = true
+		case ResumeReading:
+			m.clientOf(effect.Conn).mayResume = true
+		}
+	}
+}
+
+func (m *coreModel) recordDisconnect(t *rapid.T, r *request.Request) {
+	id := string(r.ID)
+	known := m.requests[id]
+	if known == nil || known.isDisconnected || m.replied[id] {
+		t.Fatalf("%s: got ClientDisconnected; handed over %v, told before %v, answered %v; want it once, before the response",
+			id, known != nil, known != nil && known.isDisconnected, m.replied[id])
+	}
+	known.isDisconnected = true
+	if !r.IsCancelled() {
+		t.Fatalf("%s: got ClientDisconnected for a request that is not cancelled, want it cancelled before", id)
+	}
+}
+
+// pickClient returns any client; nil if there is none.
+func (m *coreModel) pickClient(t *rapid.T) *modelClient {
+	if len(m.clients) == 0 {
+		return nil
+	}
+	return m.clients[rapid.IntRange(0, len(m.clients)-1).Draw(t, "client")]
+}
+
+// deliver moves what a client sent to the core, as far as the core takes it.
+func (m *coreModel) deliver(t *rapid.T, client *modelClient) {
+	for !client.conn.IsClosed() && (client.mayResume || !client.conn.IsPaused() && len(client.sent) > 0) {
+		var effects Effects
+		if client.mayResume {
+			client.mayResume = false
+			m.core.Resume(m.now, client.conn, &effects)
+		} else {
+			n := copy(client.conn.ReadBuffer(), client.sent)
+			client.sent = client.sent[n:]
+			m.core.BytesReceived(m.now, client.conn, n, &effects)
+		}
+		m.carryOut(t, effects)
+		if got, limit := len(client.conn.slots), m.limits.MaxPipelined+1; got > limit {
+			t.Fatalf("%d commands wait for responses, want %d at most", got, limit)
+		}
+	}
+}
+
+// checkReceived reads the complete responses that a client received: they must be those of its commands, in order.
+func (m *coreModel) checkReceived(t *rapid.T, client *modelClient) {
+	for client.received != "" {
+		header, rest, _ := strings.Cut(client.received, "\r\n")
+		if len(client.unanswered) == 0 {
+			t.Fatalf("got response %q, want none: there is no command", header)
+		}
+		id := client.unanswered[0]
+		client.unanswered = client.unanswered[1:]
+		switch header[0] {
+		case '$':
+			var length int
+			if _, err := fmt.Sscanf(header, "$%d", &length); err != nil {
+				t.Fatalf("%s: got response %q: %v", id, header, err)
+			}
+			if got, want := rest[:length], "for-"+id; got != want {
+				t.Fatalf("%s: got value %q, want %q", id, got, want)
+			}
+			rest = rest[length+2:]
+		case '-':
+			if id != invalidCommand && !m.replied[id] && !strings.HasPrefix(header, "-ERR") {
+				t.Fatalf("%s: got response %q, want none before the handler's reply", id, header)
+			}
+		default:
+			t.Fatalf("%s: got response %q, want a value or an error", id, header)
+		}
+		client.received = rest
+	}
+}
+
+// write completes the write that is going on to a client and starts the next.
+func (m *coreModel) write(t *rapid.T, client *modelClient, isWritten bool) {
+	if client.isWriting && !client.conn.IsClosed() {
+		client.isWriting = false
+		if isWritten {
+			m.checkReceived(t, client)
+		}
+		var effects Effects
+		m.core.WriteCompleted(m.now, client.conn, isWritten, &effects)
+		m.carryOut(t, effects)
+	}
+	if client.conn.IsClosed() || client.isWriting {
+		return
+	}
+	responses, size := m.core.NextToWrite(client.conn, nil)
+	if size == 0 {
+		return
+	}
+	for _, response := range responses {
+		client.received += string(response)
+	}
+	client.isWriting = true
+}
+
+func (m *coreModel) connect(t *rapid.T) {
+	var effects Effects
+	if m.core.HasCapacity(m.now, &effects) && len(m.clients) < 8 {
+		m.clients = append(m.clients, &modelClient{conn: m.core.Accepted(m.now)})
+	}
+	m.carryOut(t, effects)
+}
+
+func (m *coreModel) sendRequest(t *rapid.T) {
+	if client := m.pickClient(t); client != nil && !client.isEnded {
+		m.lastID++
+		id := fmt.Sprint("id", m.lastID)
+		client.unanswered = append(client.unanswered, id)
+		client.sent = fmt.Appendf(client.sent, "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$%d\r\n%s\r\n$13\r\nc=read,d=3000\r\n", len(id), id)
+	}
+}
+
+func (m *coreModel) sendInvalidCommand(t *rapid.T) {
+	if client := m.pickClient(t); client != nil && !client.isEnded {
+		client.unanswered = append(client.unanswered, invalidCommand)
+		client.sent = append(client.sent, "*1\r\n$5\r\nHELLO\r\n"...)
+	}
+}
+
+// reply gives the response to one of the requests.
+func (m *coreModel) reply(t *rapid.T) {
+	m.current = t
+	for id, r := range m.requests {
+		if m.replied[id] {
+			continue
+		}
+		m.replied[id] = true
+		response := request.Response{Kind: request.ResponseKind(rapid.IntRange(0, 2).Draw(t, "kind"))}
+		if response.Kind == request.Served {
+			response.Value = []byte("for-" + id)
+		}
+		r.Reply(response)
+		return
+	}
+}
+
+func (m *coreModel) disconnect(t *rapid.T) {
+	if client := m.pickClient(t); client != nil && rapid.IntRange(0, 3).Draw(t, "really") == 0 {
+		var effects Effects
+		m.core.ConnectionEnded(m.now, client.conn, &effects)
+		m.carryOut(t, effects)
+	}
+}
+
+func (m *coreModel) passTime(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
+	m.expireIdle(t)
+}
+
+func (m *coreModel) expireIdle(t *rapid.T) {
+	var effects Effects
+	m.core.ExpireIdle(m.now, &effects)
+	m.carryOut(t, effects)
+}
+
+// finish answers and writes everything, then drains the core, and checks that nothing is left.
+func (m *coreModel) finish(t *rapid.T) {
+	m.current = t
+	for range 50 {
+		for id, r := range m.requests {
+			if !m.replied[id] {
+				m.replied[id] = true
+				r.Reply(request.Response{Kind: request.Failed})
+			}
+		}
+		for _, client := range m.clients {
+			m.deliver(t, client)
+			m.write(t, client, true)
+		}
+	}
+	for _, client := range m.clients {
+		if len(client.unanswered) > 0 && !client.isEnded {
+			t.Fatalf("%v are without a response in the end, want none", client.unanswered)
+		}
+	}
+	var effects Effects
+	m.core.Drain(m.now, &effects)
+	m.carryOut(t, effects)
+	m.now = m.now.Add(lingerTimeout) // lingering connections end by themselves
+	m.expireIdle(t)
+	if used, _ := m.core.Usage(); used != 0 || len(m.core.conns) != 0 {
+		t.Fatalf("%d connections are used and %d open in the end, want none", used, len(m.core.conns))
+	}
+}
+
+// TestCoreKeepsItsInvariantsInAnyOrderOfCalls calls a core in any order that a shell could: each command gets one response, in order
+// and with what its handler replied; a handler is told once of a client that disconnected; no more commands wait for responses than
+// may; invalid commands get an error; and nothing is left in the end.
+func TestCoreKeepsItsInvariantsInAnyOrderOfCalls(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		model := newCoreModel(t)
+		t.Repeat(map[string]func(*rapid.T){
+			"connect":              model.connect,
+			"send request":         model.sendRequest,
+			"send invalid command": model.sendInvalidCommand,
+			"deliver": func(t *rapid.T) {
+				if client := model.pickClient(t); client != nil {
+					model.deliver(t, client)
+				}
+			},
+			"reply": model.reply,
+			"write": func(t *rapid.T) {
+				if client := model.pickClient(t); client != nil {
+					model.write(t, client, rapid.IntRange(0, 9).Draw(t, "is written") > 0)
+				}
+			},
+			"disconnect": model.disconnect,
+			"pass time":  model.passTime,
+		})
+		model.finish(t)
+	})
+}
--- /dev/null
+++ b/internal/listener/expiry.go
@@ -0,0 +1,81 @@
+package listener
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"shelfproxy/internal/admission"
+)
+
+// ExpireIdle closes the connections whose time is over and returns how long to wait for the next call. Without it they would stay
+// for good and keep usual clients out.
+func (c *Core) ExpireIdle(now time.Time, effects *Effects) (wait time.Duration) {
+	for len(c.lingering) > 0 && !now.Before(c.lingering[0].lingerDeadline) {
+		c.endLingering(c.lingering[0], effects)
+	}
+	if c.isDraining {
+		c.expireDrain(now, effects)
+		return maxSweepInterval
+	}
+	c.closeIdle(now, effects)
+	c.closeStuck(now, effects)
+	effects.capacityAvailable() // a connection that was too new to be closed for another may be old enough now
+	return c.sweepInterval(now)
+}
+
+// expireDrain closes the connections that are still open at the drain's deadline as soon as nothing is owed on them.
+func (c *Core) expireDrain(now time.Time, effects *Effects) {
+	if now.Before(c.drainDeadline) {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.conns)) {
+		c.finish(now, c.conns[id], effects)
+	}
+}
+
+// closeIdle closes connections that have been idle for too long, a bounded number at a time.
+func (c *Core) closeIdle(now time.Time, effects *Effects) {
+	for _, id := range c.table.ExpireIdle(c.tableTime(now), maxExpiredPerSweep) {
+		if c.table.Stage(id) <= admission.StagePartialCommand {
+			c.count.ClosedSilent.Add(1)
+		} else {
+			c.count.ClosedIdle.Add(1)
+		}
+		c.finish(now, c.conns[id], effects)
+	}
+}
+
+// closeStuck closes connections that take none of their responses, while the unsent bytes of all are over their bound.
+func (c *Core) closeStuck(now time.Time, effects *Effects) {
+	for {
+		id, isStuck := c.table.NextStuck(c.tableTime(now))
+		if !isStuck {
+			return
+		}
+		c.count.ClosedStuck.Add(1)
+		c.close(now, c.conns[id], effects) // even while a write is going on
+	}
+}
+
+func (c *Core) sweepInterval(now time.Time) time.Duration {
+	at := c.tableTime(now)
+	if next, ok := c.table.NextExpiry(at); ok {
+		return min(max(next-at, minSweepInterval), maxSweepInterval)
+	}
+	return maxSweepInterval
+}
+
+// Drain starts to close connections as soon as nothing is owed on them. A connection with an incomplete command, and one that is
+// accepted from now on, has a moment for the rest of the command.
+func (c *Core) Drain(now time.Time, effects *Effects) {
+	c.isDraining, c.drainDeadline = true, now.Add(lingerTimeout)
+	effects.capacityAvailable()
+	for _, id := range slices.Sorted(maps.Keys(c.conns)) {
+		if conn := c.conns[id]; conn.framing.hasPartialCommand() {
+			conn.closeAfterResponses = true
+		} else {
+			c.finish(now, conn, effects)
+		}
+	}
+}
--- /dev/null
+++ b/internal/listener/expiry_test.go
@@ -0,0 +1,67 @@
+package listener
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"shelfproxy/internal/request"
+)
+
+// TestDrainWaitsForPartialCommand: a command of which a part had come when the drain began is taken if the rest comes in time, and its
+// connection is closed after the response; else it is closed without one. A connection that is accepted during the drain has as long;
+// one without a partial command is closed at once.
+func TestDrainWaitsForPartialCommand(t *testing.T) {
+	const command = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=read,d=3000\r\n"
+	for _, received := range []int{0, 1, 30, len(command) - 1} { // bytes before the drain; 0: the connection is accepted during it
+		for restAfter, isTaken := range map[time.Duration]bool{lingerTimeout - time.Nanosecond: true, lingerTimeout: false} {
+			t.Run(fmt.Sprintf("%d bytes, the rest after %v", received, restAfter), func(t *testing.T) {
+				checkDrain(t, command[:received], command[received:], restAfter, isTaken)
+			})
+		}
+	}
+}
+
+func checkDrain(t *testing.T, begin, rest string, restAfter time.Duration, isTaken bool) {
+	t.Helper()
+	now := time.Unix(1000, 0)
+	core := newTestCore(now, Limits{MaxConnections: 64, MaxPipelined: 3, MaxValue: 100, FirstCommandTimeout: time.Minute,
+		CrowdedIdleTimeout: time.Minute, IdleTimeout: time.Minute})
+	core.Reply = func(conn *Conn, slot *ResponseSlot, response request.Response) {
+		var effects Effects
+		core.Respond(now, conn, slot, response, &effects)
+	}
+	var effects Effects
+	receive := func(conn *Conn, text string) {
+		core.BytesReceived(now, conn, copy(conn.ReadBuffer(), text), &effects)
+	}
+	idle, conn := core.Accepted(now), core.Accepted(now)
+	if begin != "" {
+		receive(conn, begin)
+	}
+	core.Drain(now, &effects)
+	if begin == "" {
+		conn = core.Accepted(now)
+	}
+	if !idle.IsClosed() {
+		t.Fatal("the idle connection is open after the start of the drain, want it closed")
+	}
+	if conn.IsClosed() {
+		t.Fatal("the connection with a partial command is closed at the start of the drain, want it open")
+	}
+	now = now.Add(restAfter)
+	core.ExpireIdle(now, &effects)
+	effects = nil
+	receive(conn, rest)
+	if got := len(effects) > 0 && effects[0].Kind == HandleRequest; got != isTaken {
+		t.Errorf("command taken %v, want %v", got, isTaken)
+	}
+	if !isTaken {
+		return
+	}
+	effects[0].Request.Reply(request.Response{Kind: request.Failed})
+	core.NextToWrite(conn, nil)
+	if core.WriteCompleted(now, conn, true, &effects); !conn.IsClosed() || !conn.IsLingering() {
+		t.Errorf("after the response: closed %v, lingering %v, want both", conn.IsClosed(), conn.IsLingering())
+	}
+}
--- a/internal/listener/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -11,14 +11,16 @@
 	"shelfproxy/internal/request"
 )
 
-// TestGoldenCommands: what clients send, the request that is made of it, and the bytes of every answer, INFO's among them.
-func TestGoldenCommands(t *testing.T) {
+// TestCommandsMatchGoldenFile: what clients send, the request that is made of it, and the bytes of every response, INFO's among them.
+func TestCommandsMatchGoldenFile(t *testing.T) {
 	now := time.Unix(1000, 0)
-	limits := Limits{MaxConnections: 4, MaxPipelined: 64, MaxValue: 10, WriteTimeout: time.Second, MaxUnsentBytes: 100 << 10, FirstCommandTimeout: 2 * time.Second, CrowdedIdleTimeout: 50 * time.Millisecond, IdleTimeout: 5 * time.Second}
+	limits := Limits{MaxConnections: 4, MaxPipelined: 64, MaxValue: 10, WriteTimeout: time.Second, MaxUnsentBytes: 100 << 10,
+		FirstCommandTimeout: 2 * time.Second, CrowdedIdleTimeout: 50 * time.Millisecond, IdleTimeout: 5 * time.Second}
 	count := counters.New([]string{"read", "sign"}, request.ResponseKinds(), []string{"end_a", "end_b"})
 	count.Register("part_event").Add(3)
 	core := NewCore(now, []string{"read", "sign"}, []string{"school"}, limits, count)
-	answers := []request.Response{{Kind: request.Served, Value: []byte("val\r\nue")}, {Kind: request.Rejected}, {Kind: request.Rejected, RetryAfter: 250 * time.Millisecond},
+	responses := []request.Response{
+		{Kind: request.Served, Value: []byte("val\r\nue")}, {Kind: request.Rejected}, {Kind: request.Rejected, RetryAfter: 250 * time.Millisecond},
 		{Kind: request.Failed}, {Kind: request.Invalid, Text: "duplicate id"}}
 	core.Reply = func(*Conn, *ResponseSlot, request.Response) {}
 	var lines golden.Lines
@@ -30,21 +32,22 @@
 		"CACHE.GET anna id-7\r\n", "CACHE.GET anna id-8 c=read\r\n", "CACHE.GET anna id-9 c=none,d=1\r\n", "CACHE.GET anna id-10 c=read,d=0\r\n",
 		"CACHE.GET anna id-11 nonsense\r\n", "CACHE.SET anna id-12 c=sign,d=2000 longer-than-ten\r\n",
 		"*1\r\n$x\r\n", "INFO\r\n", "QUIT\r\n"} {
-		var fx Effects
+		var effects Effects
 		conn := core.Accepted(now)
-		core.BytesReceived(now, conn, copy(conn.ReadBuffer(), command), &fx)
-		for i := 0; i < len(fx); i++ {
-			if fx[i].Kind != HandleRequest {
+		core.BytesReceived(now, conn, copy(conn.ReadBuffer(), command), &effects)
+		for i := 0; i < len(effects); i++ {
+			if effects[i].Kind != HandleRequest {
 				continue
 			}
-			f := fx[i].Request
-			lines.Text("request", fmt.Sprintf("key %q, id %q, class %s, tenant %q, extras %q, write %v, value %q, wait %v", f.Key, f.ID, f.Class, f.Tenant, f.Parameters, f.IsWrite, f.Value, f.ClientTimeout))
-			core.Respond(now, conn, conn.slots[0], answers[given%len(answers)], &fx)
+			r := effects[i].Request
+			lines.Text("request", fmt.Sprintf("key %q, id %q, class %s, tenant %q, extras %q, write %v, value %q, wait %v",
+				r.Key, r.ID, r.Class, r.Tenant, r.Parameters, r.IsWrite, r.Value, r.ClientTimeout))
+			core.Respond(now, conn, conn.slots[0], responses[given%len(responses)], &effects)
 			given++
 		}
 		out, _ := core.NextToWrite(conn, nil)
 		lines.Text(fmt.Sprintf("%q", command), fmt.Sprintf("%q", bytes.Join(out, nil)))
-		core.ConnectionEnded(now, conn, &fx)
+		core.ConnectionEnded(now, conn, &effects)
 	}
 	golden.Check(t, "commands.golden", lines.Bytes())
 }
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -1,60 +1,71 @@
 package listener
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
-	"strings"
+	"syscall"
 	"testing"
 	"time"
 
-	"shelfproxy/internal/counters"
 	"shelfproxy/internal/request"
 )
 
-// echo serves each request with its id.
-type echo struct{}
+// echoHandler serves each request with its id.
+type echoHandler struct{}
 
-func (echo) Handle(f *request.Request)           { f.Reply(request.Response{Kind: request.Served, Value: f.ID}) }
-func (echo) ClientDisconnected(*request.Request) {}
+func (echoHandler) Handle(r *request.Request) {
+	r.Reply(request.Response{Kind: request.Served, Value: r.ID})
+}
+func (echoHandler) ClientDisconnected(*request.Request) {}
 
-// TestQueueIsAcceptedAtTheEnd: connections that the system has taken, and the listener not yet, as it closes are accepted, and what
-// was sent on them is answered; then they end in order.
-func TestQueueIsAcceptedAtTheEnd(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// TestQueuedConnectionsAreServedAtClose: connections in the kernel's queue when the listener closes are accepted, what was sent on them
+// is answered, and then they end in order.
+func TestQueuedConnectionsAreServedAtClose(t *testing.T) {
+	var listenConfig net.ListenConfig
+	netListener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := New(ln, echo{}, []string{"read"}, nil, Limits{MaxConnections: 64, MaxPipelined: 3, MaxValue: 100, WriteTimeout: time.Second, FirstCommandTimeout: time.Second, CrowdedIdleTimeout: time.Second, IdleTimeout: time.Second},
-		counters.New([]string{"read"}, request.ResponseKinds(), nil))
-	var all []net.Conn
+	limits := Limits{MaxConnections: 64, MaxPipelined: 3, MaxValue: 100, WriteTimeout: time.Second, FirstCommandTimeout: time.Second,
+		CrowdedIdleTimeout: time.Second, IdleTimeout: time.Second}
+	listener := New(netListener, echoHandler{}, []string{"read"}, nil, limits, newTestCounters())
+	var dialer net.Dialer
+	var clients []net.Conn
 	for i := range 20 {
-		c, err := net.Dial("tcp", ln.Addr().String())
+		client, err := dialer.DialContext(t.Context(), "tcp", netListener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		fmt.Fprintf(c, "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$4\r\nid%02d\r\n$13\r\nc=read,d=3000\r\n", i)
-		all = append(all, c)
+		t.Cleanup(func() {
+			if err := client.Close(); err != nil {
+				t.Errorf("closing client %d: %v", i, err)
+			}
+		})
+		if _, err := fmt.Fprintf(client, "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$4\r\nid%02d\r\n$13\r\nc=read,d=3000\r\n", i); err != nil {
+			t.Fatal(err)
+		}
+		clients = append(clients, client)
 	}
-	l.Close() // before it has accepted one
-	served := make(chan error)
-	go func() { served <- l.Serve() }()
-	for i, c := range all {
-		c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		got, err := io.ReadAll(c)
+	listener.Close() // before it has accepted one
+	served := make(chan error, 1)
+	go func() { served <- listener.Serve() }()
+	for i, client := range clients {
+		if err := client.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		got, err := io.ReadAll(client)
 		if want := fmt.Sprintf("$4\r\nid%02d\r\n", i); string(got) != want || err != nil {
-			t.Errorf("connection %d got %q, %v", i, got, err)
+			t.Errorf("client %d got %q and error %v, want %q and none", i, got, err, want)
 		}
 	}
 	if err := <-served; err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("Serve returned %v, want no error", err)
 	}
-	l.Wait()
-	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		c.Close()
-		t.Error("it still listens")
-	} else if !strings.Contains(err.Error(), "refused") {
-		t.Error(err)
+	listener.Wait()
+	_, err = dialer.DialContext(t.Context(), "tcp", netListener.Addr().String())
+	if !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("a connection after the end: got error %v, want %v", err, syscall.ECONNREFUSED)
 	}
 }
