--- /dev/null
+++ b/internal/node/attempts.go
@@ -0,0 +1,97 @@
+package node
+
+import (
+	"shelfproxy/internal/policy"
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
+)
+
+// send starts an attempt that the policy decided on. One whose endpoint has been removed, whose request is answered or cancelled, or
+// whose time is over ends as NotSent.
+func (c *Core) send(action policy.Send) {
+	open, endpoint := c.requests[action.ID], c.endpoints[action.Server]
+	if open == nil {
+		return
+	}
+	attempt := c.newAttempt(open, action)
+	open.attempts = append(open.attempts, attempt)
+	open.inFlight++
+	c.options.Counters.AttemptSent(open.class)
+	outcome, isInFlight := upstream.NotSent, false
+	if endpoint != nil && !open.isAnswered && !open.IsCancelled() && c.environment.Now().Before(open.deadline) {
+		outcome, isInFlight = endpoint.pool.Send(attempt)
+	}
+	if endpoint != nil {
+		endpoint.inFlight++
+	}
+	if !isInFlight {
+		c.endAttempt(open, attempt, outcome)
+	}
+}
+
+func (c *Core) newAttempt(open *openRequest, action policy.Send) *upstream.Attempt {
+	attempt := &upstream.Attempt{Request: open.Request, Number: len(open.attempts), Server: action.Server, SentAt: c.environment.Now(),
+		Deadline: open.deadline, NeedsNewConnection: c.options.Policy.Classes[open.class].Effect == policy.AtMostOnce}
+	if action.WriteBy > 0 {
+		attempt.WriteBy = c.systemTime(action.WriteBy)
+	}
+	return attempt
+}
+
+// AttemptEnded takes the outcome of an attempt from its pool.
+func (c *Core) AttemptEnded(attempt *upstream.Attempt, response upstream.Response) {
+	c.attemptEnded(attempt, response)
+	c.settle()
+}
+
+func (c *Core) attemptEnded(attempt *upstream.Attempt, response upstream.Response) {
+	if attempt.Request == nil {
+		if endpoint := c.endpoints[attempt.Server]; endpoint != nil {
+			c.endHealthCheck(endpoint, attempt, response.Outcome)
+		}
+		return
+	}
+	open := c.byRequest[attempt.Request]
+	if open == nil || attempt.Number >= len(open.attempts) || open.attempts[attempt.Number] != attempt {
+		c.options.Counters.LateResponses.Add(1) // abandoned before
+		return
+	}
+	if response.Outcome == upstream.Served {
+		c.respond(open, request.Response{Kind: request.Served, Value: response.Value})
+	}
+	c.endAttempt(open, attempt, response.Outcome)
+}
+
+// abandon ends an attempt from the node's side.
+func (c *Core) abandon(open *openRequest, attempt *upstream.Attempt, outcome upstream.Outcome) {
+	endpoint := c.endpoints[attempt.Server]
+	if endpoint != nil && !endpoint.pool.Abandon(attempt) && outcome == upstream.TimedOut {
+		outcome = upstream.NotSent // it waited for a connection all the time
+	}
+	c.endAttempt(open, attempt, outcome)
+}
+
+// withdrawUnwritten ends the attempts for a request of which nothing has been written: nobody waits for them any more. Those that are
+// possibly executed go on, as other requests may wait for what they fetch.
+func (c *Core) withdrawUnwritten(open *openRequest) {
+	for _, attempt := range open.attempts {
+		if attempt == nil {
+			continue
+		}
+		if endpoint := c.endpoints[attempt.Server]; endpoint != nil && endpoint.pool.Withdraw(attempt) {
+			c.endAttempt(open, attempt, upstream.NotSent)
+		}
+	}
+}
+
+// endAttempt counts the outcome of an attempt and queues it for the policy: settle notifies it.
+func (c *Core) endAttempt(open *openRequest, attempt *upstream.Attempt, outcome upstream.Outcome) {
+	open.attempts[attempt.Number] = nil
+	open.inFlight--
+	if endpoint := c.endpoints[attempt.Server]; endpoint != nil {
+		endpoint.inFlight--
+	}
+	c.options.Counters.AttemptEnded(open.class, int(outcome))
+	c.events = append(c.events, policy.Outcome{ID: open.id, Attempt: attempt.Number, Server: attempt.Server,
+		Reason: outcome.Reason(), Took: c.environment.Now().Sub(attempt.SentAt)})
+}
--- /dev/null
+++ b/internal/node/disconnect_test.go
@@ -0,0 +1,111 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"shelfproxy/internal/request"
+	"shelfproxy/internal/upstream"
+)
+
+// disconnectCase is a place where a request waits when its client disconnects.
+type disconnectCase struct {
+	name            string
+	waits           func(t *testing.T, node *testNode) *request.Request // returns the request whose client disconnects
+	afterDisconnect func(node *testNode)                                // nil: nothing
+}
+
+var disconnectCases = []disconnectCase{
+	{name: "for the event loop", waits: func(_ *testing.T, node *testNode) *request.Request {
+		read := node.newRequest("id", "read")
+		read.Cancel()
+		node.core.HandleRequest(read)
+		return read
+	}},
+	{name: "for a connection to the cache server", waits: func(_ *testing.T, node *testNode) *request.Request {
+		return node.handle("id", "read")
+	}},
+	{name: "for a connection to the origin", waits: func(_ *testing.T, node *testNode) *request.Request {
+		return node.handleMissed("id")
+	}},
+	{name: "between a miss and its fetch", waits: func(_ *testing.T, node *testNode) *request.Request {
+		read := node.handle("id", "read")
+		node.cacheServer.writeAll()
+		return read
+	}, afterDisconnect: func(node *testNode) { node.cacheServer.endOldest(upstream.Missed) }},
+	{name: "between a miss and its fetch, noticed by the listener alone", waits: func(t *testing.T, node *testNode) *request.Request {
+		read := node.handle("id", "read")
+		node.cacheServer.writeAll()
+		read.Cancel()
+		node.cacheServer.endOldest(upstream.Missed)
+		if got := len(node.origin.waiting); got > 0 {
+			t.Errorf("%d fetches for a cancelled request, want none", got)
+		}
+		return read
+	}},
+	{name: "in the origin's queue", waits: func(_ *testing.T, node *testNode) *request.Request {
+		node.fillOrigin()
+		return node.handle("id", "put")
+	}, afterDisconnect: func(node *testNode) {
+		for len(node.origin.inFlight) > 0 {
+			node.origin.endOldest(upstream.Served)
+		}
+	}},
+	{name: "for the fetch of another request", waits: func(_ *testing.T, node *testNode) *request.Request {
+		node.handleMissed("first")
+		node.origin.writeAll()
+		return node.handle("id", "read")
+	}, afterDisconnect: func(node *testNode) { node.origin.endOldest(upstream.Served) }},
+	{name: "in a backoff", waits: func(_ *testing.T, node *testNode) *request.Request {
+		read := node.handleMissed("id")
+		node.origin.writeAll()
+		node.origin.endOldest(upstream.ServerBusy)
+		return read
+	}},
+}
+
+// TestNothingIsStartedForDisconnectedClient: wherever a request waits when its client disconnects, no further attempt is written for
+// it, and it is forgotten; requests that wait for what it was to fetch have it fetched for them.
+func TestNothingIsStartedForDisconnectedClient(t *testing.T) {
+	for _, test := range disconnectCases {
+		t.Run(test.name, func(t *testing.T) {
+			node := newTestNode(t)
+			r := test.waits(t, node)
+			node.core.ClientDisconnected(r)
+			waiting := len(node.cacheServer.waiting) + len(node.origin.waiting)
+			if test.afterDisconnect != nil {
+				test.afterDisconnect(node)
+			}
+			node.passTime(10 * time.Second)
+			if got := node.cacheServer.writeAll() + node.origin.writeAll(); got > 0 {
+				t.Errorf("%d attempts written after the client disconnected (%d waited then), want none", got, waiting)
+			}
+			if node.core.byRequest[r] != nil {
+				t.Error("the request is still known, want it forgotten")
+			}
+		})
+	}
+}
+
+// TestWaitersFetchForThemselvesWhenFetchingClientDisconnects: requests that wait for a fetch that was never written go on by themselves
+// when its client disconnects.
+func TestWaitersFetchForThemselvesWhenFetchingClientDisconnects(t *testing.T) {
+	node := newTestNode(t)
+	first := node.handleMissed("first")
+	node.handle("second", "read")
+	node.core.ClientDisconnected(first)
+	if got := node.cacheServer.writeAll(); got != 1 {
+		t.Fatalf("%d attempts at the cache server, want 1", got)
+	}
+	node.cacheServer.endOldest(upstream.Missed)
+	if got := node.origin.writeAll(); got != 1 {
+		t.Fatalf("%d fetches, want 1", got)
+	}
+	if got := string(node.origin.inFlight[0].Request.ID); got != "second" {
+		t.Errorf("the fetch is for request %q, want %q", got, "second")
+	}
+	node.origin.endOldest(upstream.Served)
+	if node.responses != 1 {
+		t.Errorf("%d responses, want 1", node.responses)
+	}
+}
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -8,98 +8,117 @@
 	"shelfproxy/internal/request"
 )
 
-// How requests wait for the loop.
 const (
-	lineLength = 32      // of one connection; its listener waits past that
-	quantum    = 4       // a connection's turn: four small requests, or one of 12 KiB
-	costUnit   = 4 << 10 // bytes of a value that cost as much as a request
-	atOnce     = 32      // taken before the loop looks at its other queues again
-	waitTarget = 5 * time.Millisecond
-	waitSpan   = 100 * time.Millisecond
-	strainStep = 0.05 // a change of the level that the module is told of
+	maxQueuedPerConnection = 32      // requests; the connection's listener waits past that
+	fairQueueQuantum       = 4       // cost of a connection's turn: four small requests, or one of 12 KiB
+	bytesPerCost           = 4 << 10 // bytes of a value that cost as much as a request
+	maxTakenAtOnce         = 32      // requests, before the event loop looks at its other queues
+	queueDelayTarget       = 5 * time.Millisecond
+	queueDelayInterval     = 100 * time.Millisecond // in which the delay has to fall under the target once
 )
 
-// intake is where listeners put requests, and the loop takes them from connection by connection.
+// intake is where listeners put requests, and the event loop takes them from, fairly between connections.
 type intake struct {
-	mu     sync.Mutex
-	room   sync.Cond
-	queue  admission.FairQueue[arrival]
-	closed bool
-	ready  chan struct{} // holds one word while something waits
-
-	start  time.Time
-	behind admission.QueueDelay // the loop's
-	memory float64              // share of what may be refused that should be, for want of memory
+	mu       sync.Mutex // guards queue and isClosed
+	queue    admission.FairQueue[queuedRequest]
+	isClosed bool
+	capacity sync.Cond // of mu: a connection may have capacity for a request, or the intake is closed
+
+	// ready holds an element while requests may be queued. It is never closed.
+	ready chan struct{}
+
+	start time.Time // of the queue delay's time
+
+	// The fields below belong to the event loop.
+
+	queueDelay     admission.QueueDelay
+	memoryPressure float64 // fraction of the sheddable load to shed for lack of memory
 }
 
-type arrival struct {
+type queuedRequest struct {
 	*request.Request
-	at time.Time
+	queuedAt time.Time
 }
 
-func newIntake() intake {
-	return intake{queue: admission.FairQueue[arrival]{Quantum: quantum, MaxPerConnection: lineLength}, ready: make(chan struct{}, 1), start: time.Now(),
-		behind: admission.QueueDelay{Target: waitTarget, Interval: waitSpan}}
+func newIntake() *intake {
+	in := &intake{queue: admission.FairQueue[queuedRequest]{Quantum: fairQueueQuantum, MaxPerConnection: maxQueuedPerConnection},
+		ready: make(chan struct{}, 1), start: time.Now(),
+		queueDelay: admission.QueueDelay{Target: queueDelayTarget, Interval: queueDelayInterval}}
+	in.capacity.L = &in.mu
+	return in
 }
 
+// close ends the waits of add: nobody takes requests any more.
 func (in *intake) close() {
 	in.mu.Lock()
-	in.closed = true
-	in.room.Broadcast()
+	in.isClosed = true
+	in.capacity.Broadcast()
 	in.mu.Unlock()
 }
 
-// Handle is called by listeners with a request that was read whole. It waits while the connection has many in line.
-func (n *Node) Handle(f *request.Request) {
-	in := &n.in
+// add queues a request. It waits while its connection has too many requests queued, until the intake is closed.
+func (in *intake) add(r *request.Request) {
+	cost := 1 + len(r.Value)/bytesPerCost
 	in.mu.Lock()
-	for !in.closed && !in.queue.Add(f.ConnectionID, 1+len(f.Value)/costUnit, arrival{f, time.Now()}) {
-		in.room.Wait()
+	for !in.isClosed && !in.queue.Add(r.ConnectionID, cost, queuedRequest{r, time.Now()}) {
+		in.capacity.Wait()
 	}
 	in.mu.Unlock()
-	in.wake()
+	in.notifyLoop()
+}
+
+// next takes a request, and reports whether more are queued; ok is false if there was none.
+func (in *intake) next() (next queuedRequest, hasMore, ok bool) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	next, _, ok = in.queue.Next()
+	hasMore = in.queue.Len() > 0
+	in.capacity.Broadcast()
+	return next, hasMore, ok
 }
 
-func (in *intake) wake() {
+func (in *intake) notifyLoop() {
 	select {
 	case in.ready <- struct{}{}:
 	default:
 	}
 }
 
-// takeSome takes requests from the connections in turn.
-func (n *Node) takeSome() {
-	in := &n.in
-	for i := 0; ; i++ {
-		in.mu.Lock()
-		a, _, ok := in.queue.Next()
-		more := in.queue.Len() > 0
-		in.room.Broadcast()
-		in.mu.Unlock()
+// observeDelay notes how long a request was queued.
+func (in *intake) observeDelay(now, queuedAt time.Time) {
+	in.queueDelay.Observe(now.Sub(in.start), now.Sub(queuedAt))
+}
+
+// loadLevel returns the fraction of the sheddable load to shed: for the delay of the queue or for lack of memory.
+func (in *intake) loadLevel(now time.Time) float64 {
+	return max(in.queueDelay.Level(now.Sub(in.start)), in.memoryPressure)
+}
+
+// Handle implements request.Handler. It waits while the request's connection has too many requests queued.
+func (n *Node) Handle(r *request.Request) { n.intake.add(r) }
+
+// takeQueued takes a number of queued requests at most, and has the event loop come back for the rest.
+func (n *Node) takeQueued() {
+	for taken := 0; ; taken++ {
+		next, hasMore, ok := n.intake.next()
 		if !ok {
 			return
 		}
-		n.strain(a.at)
-		n.core.HandleRequest(a.Request)
-		if i == atOnce && more {
-			in.wake()
+		now := time.Now()
+		n.intake.observeDelay(now, next.queuedAt)
+		n.core.SetLoadLevel(n.intake.loadLevel(now))
+		n.core.HandleRequest(next.Request)
+		if taken == maxTakenAtOnce && hasMore {
+			n.intake.notifyLoop()
 			return
 		}
 	}
 }
 
-// strain follows how long requests wait for the loop and tells the module when it is behind.
-func (n *Node) strain(since time.Time) {
-	in := &n.in
-	now := time.Now()
-	in.behind.Observe(now.Sub(in.start), now.Sub(since))
-	n.core.SetLoadLevel(max(in.behind.Level(now.Sub(in.start)), in.memory))
-}
-
-// SetMemoryPressure tells the loop how short the node is of memory, from 0 to 1.
+// SetMemoryPressure tells the event loop how short of memory the node is, from 0 to 1.
 func (n *Node) SetMemoryPressure(level float64) {
 	n.post(n.queue, func() {
-		n.in.memory = level
-		n.core.SetLoadLevel(max(n.in.behind.Level(time.Since(n.in.start)), level))
+		n.intake.memoryPressure = level
+		n.core.SetLoadLevel(n.intake.loadLevel(time.Now()))
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,5 @@
-// Package node owns the decision module and all that it decides on. Core does, without a clock, goroutines or sockets of its
-// own; Node is the loop round it. Listeners, pools and discovery reach the loop through its queues only, and it never waits on
-// any of them.
+// Package node owns the policy and everything that it decides on. Core does so without a clock, goroutines or sockets; Node is the event
+// loop around it. Listeners, pools and discovery reach the loop through its queues only, and the loop never waits for any of them.
 package node
 
 import (
@@ -14,144 +13,166 @@
 	"shelfproxy/internal/upstream"
 )
 
-// Upstream carries forwards to one server; forward.Pool is one.
+// Upstream carries attempts to one endpoint; upstream.Pool implements it. Its methods must not wait.
 type Upstream interface {
+	// Send starts an attempt. If it returns false the attempt has already ended with the returned outcome.
 	Send(*upstream.Attempt) (upstream.Outcome, bool)
-	Abandon(*upstream.Attempt) (written bool)
+	// Abandon gives an attempt up and reports whether it may have been executed.
+	Abandon(*upstream.Attempt) (possiblyExecuted bool)
+	// Withdraw abandons an attempt if nothing of it was written, and reports whether it did.
 	Withdraw(*upstream.Attempt) bool
+	// CloseIdle closes the connections without attempts.
 	CloseIdle()
-	Update(addr string, left bool) (drained []*upstream.Attempt)
+	// Update sets the endpoint's address and whether it drains, and returns the attempts that therefore end unwritten.
+	Update(addr string, isDraining bool) (unwritten []*upstream.Attempt)
 }
 
 // Options are what a node is made of.
 type Options struct {
 	Policy           policy.Settings
-	Seed             uint64
+	Seed             uint64 // of the policy's random draws
 	MaxOpenRequests  int
-	MaxRequestBytes  int           // bytes of requests that were taken and not yet answered; 0 is no bound
-	MaxClientTimeout time.Duration // no class waits for longer; a client that says so is not believed
+	MaxRequestBytes  int           // of requests that are owed a response; 0 is no bound
+	MaxClientTimeout time.Duration // longest timeout of any class: a longer one of a client is cut to it; 0 is no bound
 	InitialList      discovery.List
 	Source           discovery.Source
-	NewUpstream      func(s discovery.Server, origin bool, report func(*upstream.Attempt, upstream.Response)) Upstream
-	Gossip           func([]byte) error // sends a datagram to all other nodes; nil where they may not be told
-	Announce         func(policy.Role)  // tells all other nodes what the holder of a duty has to say; nil without duties
-	Counters         *counters.Counters
-	Log              *slog.Logger
+	// NewUpstream returns what carries attempts to a server; report is called with the outcomes.
+	NewUpstream func(server discovery.Server, isOrigin bool, report func(*upstream.Attempt, upstream.Response)) Upstream
+	Gossip      func([]byte) error // sends a datagram to all other nodes; nil if the policy must not gossip
+	Announce    func(policy.Role)  // tells all other nodes what the holder of a role's lease announces; nil without leases
+	Counters    *counters.Counters
+	Log         *slog.Logger
 }
 
-const queueLength = 4096
+const (
+	queueLength      = 4096
+	listsQueueLength = 16
+)
 
-// Node is the loop that owns a core.
+// Node is the event loop that owns a core. Its methods are safe for concurrent use, but must not be called from the loop itself.
 type Node struct {
-	core    *Core
-	count   *counters.Counters
-	in      intake
+	core   *Core // the event loop's
+	count  *counters.Counters
+	intake *intake
+	// The queues are never closed: what is sent after the loop's end is dropped.
 	queue   chan func()
-	lists   chan func() // served before the queue: a send decided on after a change must know of it
-	stopped chan struct{}
+	lists   chan func()   // served before queue: an attempt that is decided on after a change of the list must take it into account
+	stopped chan struct{} // closed by Run as it returns
 }
 
-// New makes a node. It serves once Run is called.
-func New(opt Options) (*Node, error) {
-	n := &Node{count: opt.Counters, in: newIntake(), queue: make(chan func(), queueLength), lists: make(chan func(), 16), stopped: make(chan struct{})}
-	n.in.room.L = &n.in.mu
+// New returns a node, which serves once Run is called. The error is the policy's about its settings.
+func New(options Options) (*Node, error) {
+	n := &Node{count: options.Counters, intake: newIntake(), queue: make(chan func(), queueLength),
+		lists: make(chan func(), listsQueueLength), stopped: make(chan struct{})}
 	var err error
-	n.core, err = NewCore(opt, Environment{Now: time.Now,
-		ReportOutcome:  func(f *upstream.Attempt, a upstream.Response) { n.post(n.queue, func() { n.core.AttemptEnded(f, a) }) },
-		PostListUpdate: func(f func()) { n.post(n.lists, f) }})
+	n.core, err = NewCore(options, Environment{
+		Now: time.Now,
+		ReportOutcome: func(attempt *upstream.Attempt, response upstream.Response) {
+			n.post(n.queue, func() { n.core.AttemptEnded(attempt, response) })
+		},
+		PostListUpdate: func(update func()) { n.post(n.lists, update) },
+	})
 	return n, err
 }
 
-// post hands work to the loop and waits while the queue is full.
-func (n *Node) post(queue chan func(), f func()) {
+// post hands work to the event loop and waits while the queue is full.
+func (n *Node) post(queue chan func(), work func()) {
 	select {
-	case queue <- f:
+	case queue <- work:
 	case <-n.stopped:
 	}
 }
 
-// ClientDisconnected is called by listeners when the client of a flow that is owed an answer has left.
-func (n *Node) ClientDisconnected(f *request.Request) {
-	n.post(n.queue, func() { n.core.ClientDisconnected(f) })
-}
-
-// offer hands work to the loop, or counts it as lost while the loop is behind: requests go first.
-func (n *Node) offer(f func()) {
+// offer hands work to the event loop, or counts it as dropped if the queue is full: requests have priority.
+func (n *Node) offer(work func()) {
 	select {
-	case n.queue <- f:
+	case n.queue <- work:
 	default:
 		n.count.GossipDropped.Add(1)
 	}
 }
 
-// ReceiveGossip hands over a datagram of another node.
+// ClientDisconnected implements request.Handler.
+func (n *Node) ClientDisconnected(r *request.Request) {
+	n.post(n.queue, func() { n.core.ClientDisconnected(r) })
+}
+
+// ReceiveGossip hands a datagram of another node to the policy.
 func (n *Node) ReceiveGossip(from int, data []byte) {
 	n.count.GossipReceived.Add(1)
 	n.offer(func() { n.core.NotifyPolicy(policy.GossipReceived{From: from, Data: data}) })
 }
 
-// SetFleetSize tells the module how many nodes share the traffic from now on, this one among them; 0: as many as are configured.
+// SetFleetSize notifies the policy of how many nodes share the traffic from now on, this one among them; 0 stands for the configured
+// number.
 func (n *Node) SetFleetSize(nodes int) {
 	n.offer(func() { n.core.NotifyPolicy(policy.FleetSize{Nodes: nodes}) })
 }
 
-// Explain tells what the module makes of a key; false while the loop is behind or has ended.
-func (n *Node) Explain(key string) (why policy.Explanation, ok bool) {
-	got := make(chan policy.Explanation, 1)
+// Explain returns what the policy would decide for a key; false if the event loop is behind or has ended.
+func (n *Node) Explain(key string) (explanation policy.Explanation, ok bool) {
+	result := make(chan policy.Explanation, 1)
 	select {
-	case n.queue <- func() { got <- n.core.Explain(key) }:
+	case n.queue <- func() { result <- n.core.Explain(key) }:
 	default:
-		return why, false
+		return explanation, false
 	}
 	select {
-	case why = <-got:
-		return why, true
+	case explanation = <-result:
+		return explanation, true
 	case <-n.stopped:
-		return why, false
+		return explanation, false
 	}
 }
 
-// NotifyRole tells the module of a duty: who has it, or what its holder told all. What is lost comes again with the next news.
-func (n *Node) NotifyRole(ev policy.Event) { n.offer(func() { n.core.NotifyPolicy(ev) }) }
+// NotifyRole notifies the policy of a role: which node holds its lease, or what the holder announced. An event that is dropped is
+// repaired by the next one.
+func (n *Node) NotifyRole(event policy.Event) { n.offer(func() { n.core.NotifyPolicy(event) }) }
 
-// FollowDiscovery moves the watch to another source; see Core.Follow.
+// FollowDiscovery moves the watch on the endpoint list to another source; see Core.FollowDiscovery.
 func (n *Node) FollowDiscovery(source discovery.Source) {
 	n.post(n.lists, func() { n.core.FollowDiscovery(source) })
 }
 
-// Drain makes the node answer everything it has taken by a time. The channel is closed when that is done.
-func (n *Node) Drain(by time.Time) <-chan struct{} {
-	n.post(n.queue, func() { n.core.Drain(by) })
+// Drain makes the node answer every request that it has taken by a deadline. The channel is closed when that is done.
+func (n *Node) Drain(deadline time.Time) <-chan struct{} {
+	n.post(n.queue, func() { n.core.Drain(deadline) })
 	return n.core.Drained()
 }
 
-// Run is the loop. It returns when stop is closed.
+// Run is the event loop. It returns when stop is closed.
 func (n *Node) Run(stop <-chan struct{}) {
-	defer n.in.close()
+	defer n.intake.close()
 	defer close(n.stopped)
 	n.core.Start()
 	timer := time.NewTimer(0)
-	for {
-		select { // lists first
-		case f := <-n.lists:
-			f()
-		default:
-			select {
-			case f := <-n.lists:
-				f()
-			case f := <-n.queue:
-				f()
-			case <-n.in.ready:
-				n.takeSome()
-			case <-timer.C:
-			case <-stop:
-				n.core.Stop()
-				return
-			}
-		}
+	for n.runNext(timer, stop) {
 		n.core.HandleTimers()
 		if at, ok := n.core.NextTimer(); ok {
 			timer.Reset(time.Until(at))
 		}
 	}
 }
+
+// runNext waits for one thing to do and does it: updates of the list before anything else. It returns false when stop is closed.
+func (n *Node) runNext(timer *time.Timer, stop <-chan struct{}) bool {
+	select {
+	case update := <-n.lists:
+		update()
+		return true
+	default:
+	}
+	select {
+	case update := <-n.lists:
+		update()
+	case work := <-n.queue:
+		work()
+	case <-n.intake.ready:
+		n.takeQueued()
+	case <-timer.C:
+	case <-stop:
+		n.core.Stop()
+		return false
+	}
+	return true
+}
