--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -15,6 +15,9 @@
 )
 
 const (
+	usualEffects         = 8 // of one call of the core, but for rare cases
+	usualResponseEffects = 2 // as above, of a response
+
 	maxCopiedSize    = 4 << 10               // bytes of responses that are copied into one buffer to be written
 	acceptRetryDelay = 5 * time.Millisecond  // after an error, lack of descriptors among them: those in use come back
 	finalAcceptTime  = 20 * time.Millisecond // for connections in the kernel's queue when the listener closes: what was sent on them would be lost
@@ -49,8 +52,7 @@
 
 // call makes one call of the core under the lock and carries out its effects without it.
 func (l *Listener) call(callCore func(now time.Time, effects *Effects)) {
-	var inline [8]Effect // usually enough
-	effects := Effects(inline[:0])
+	effects := make(Effects, 0, usualEffects)
 	l.mu.Lock()
 	callCore(time.Now(), &effects)
 	l.mu.Unlock()
@@ -179,8 +181,7 @@
 
 // respond passes a final response to the core.
 func (l *Listener) respond(conn *Conn, slot *ResponseSlot, response request.Response) {
-	var inline [2]Effect // usually enough, and on the stack
-	effects := Effects(inline[:0])
+	effects := make(Effects, 0, usualResponseEffects)
 	l.mu.Lock()
 	l.core.Respond(time.Now(), conn, slot, response, &effects)
 	l.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// usualEffects is how many effects the start of an attempt has at most, but for rare cases.
+const usualEffects = 2
+
 // Pool holds the connections to one server. Core decides; the pool moves the bytes, keeps the time, and calls the core under its
 // lock. Its methods never wait for a socket and are safe for concurrent use.
 //
@@ -34,8 +37,7 @@
 
 // Send starts an attempt. If it returns false the attempt has already ended with the returned outcome.
 func (p *Pool) Send(attempt *Attempt) (Outcome, bool) {
-	var inline [2]Effect // usually enough, and on the stack
-	effects := Effects(inline[:0])
+	effects := make(Effects, 0, usualEffects)
 	p.mu.Lock()
 	outcome, ok := p.core.Send(time.Now(), attempt, &effects)
 	p.setTimer()
