--- a/internal/upstream/core_test.go
+++ b/internal/upstream/core_test.go
@@ -35,3 +35,38 @@
 		t.Errorf("next to write is %p, want the next attempt %p", got, next)
 	}
 }
+
+// TestStaleConnectionIsNotWritten: a connection that has bytes to read, or has ended, while no response is awaited is closed, and the
+// attempt that was to be written gets another one.
+func TestStaleConnectionIsNotWritten(t *testing.T) {
+	now := time.Unix(1000, 0)
+	core := newTestCore(testLimits(1, 4))
+	attempt := newAttempt(now)
+	var effects Effects
+	core.Send(now, attempt, &effects)
+	stale := effects[0].Conn
+	core.DialCompleted(now, stale, true, &effects)
+	effects = nil
+	if got := core.NextToWrite(now, stale, true, &effects); got != nil {
+		t.Errorf("next to write on the stale connection is %p, want none", got)
+	}
+	if !stale.IsClosed() {
+		t.Error("the stale connection is open, want it closed")
+	}
+	var dialed *Conn
+	for _, effect := range effects {
+		switch effect.Kind {
+		case Dial:
+			dialed = effect.Conn
+		case ReportOutcome:
+			t.Errorf("got a report of %v, want none: nothing of the attempt was written", effect.Response.Outcome)
+		}
+	}
+	if dialed == nil {
+		t.Fatal("got no other connection opened, want one")
+	}
+	core.DialCompleted(now, dialed, true, &effects)
+	if got := core.NextToWrite(now, dialed, false, &effects); got != attempt {
+		t.Errorf("next to write on the other connection is %p, want the attempt %p", got, attempt)
+	}
+}
