--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -13,7 +13,7 @@
 	// Connections of clients: accepted, failed to be, and those with a failed write.
 	Accepted, AcceptFailed, WriteFailed atomic.Int64
 	// Connections that the node closed: without a complete command, idle, to make space for another, reading nothing.
-	ClosedSilent, ClosedIdle, ClosedForCapacity, ClosedStuck atomic.Int64
+	ClosedWithoutCommand, ClosedIdle, ClosedForCapacity, ClosedStuck atomic.Int64
 	// Commands that are no request: invalid, without a valid framing, with the id of an open request.
 	Malformed, BadFraming, Duplicate atomic.Int64
 	// Connections opened to cache servers and to the origin.
@@ -119,7 +119,7 @@
 		{"listener_accepted", &c.Accepted},
 		{"listener_accept_failed", &c.AcceptFailed},
 		{"listener_write_failed", &c.WriteFailed},
-		{"listener_closed_silent", &c.ClosedSilent},
+		{"listener_closed_silent", &c.ClosedWithoutCommand},
 		{"listener_closed_idle", &c.ClosedIdle},
 		{"listener_closed_for_room", &c.ClosedForCapacity},
 		{"listener_closed_stuck", &c.ClosedStuck},
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -38,7 +38,7 @@
 func (c *Core) closeIdle(now time.Time, effects *Effects) {
 	for _, id := range c.table.ExpireIdle(c.tableTime(now), maxExpiredPerSweep) {
 		if c.table.Stage(id) <= admission.StagePartialCommand {
-			c.count.ClosedSilent.Add(1)
+			c.count.ClosedWithoutCommand.Add(1)
 		} else {
 			c.count.ClosedIdle.Add(1)
 		}
