--- a/internal/testbed/workload/doc.go
+++ b/internal/testbed/workload/doc.go
@@ -1,4 +1,4 @@
-// Package load says when which request is due: arrivals on a schedule drawn ahead, whether or not answers come back. It
-// has no clock and no I/O; package clients sends what it draws. Shapes add up, and the same specification and seed
-// give the same arrivals, request for request.
+// Package workload draws the requests of a load ahead of time: an open-loop schedule of arrivals that does not depend on
+// whether or when earlier ones are answered. It has no clock and no I/O; package clients sends what it draws. The rates of
+// several arrival processes add up. The same specification and seed give the same arrivals, request for request.
 package workload
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -11,160 +11,188 @@
 // Class is a class of requests in the mix.
 type Class struct {
 	Name                  string
-	Share                 float64
-	HasIdempotencyKey     bool // carries an idempotency key
-	BytesLeast, BytesMost int  // of the value of a write
+	Share                 float64 // weight in the mix, against the sum over all classes
+	HasIdempotencyKey     bool    // its requests carry an idempotency key
+	BytesLeast, BytesMost int     // size of the value of a write, drawn evenly between the two; 0 for reads
 }
 
 // Spec is all that a schedule is drawn from.
 type Spec struct {
 	Seed        uint64
 	Length      time.Duration
-	Uniform     bool // even gaps in place of Poisson arrivals
+	Uniform     bool // evenly spaced arrivals instead of a Poisson process
 	Processes   []ArrivalProcess
 	Classes     []Class
-	Keys        int           // that are asked for
-	Skew        float64       // exponent of the Zipf law of their popularity; above 1
-	Offset      float64       // of that law: the larger, the flatter its head; 1 or more
-	Drift       time.Duration // the ranks of all keys move on by one each time this has passed; 0: never
+	Keys        int           // number of different keys
+	Skew        float64       // exponent of the Zipf distribution of the keys' popularity; above 1
+	Offset      float64       // offset of that distribution: the larger, the flatter its head; 1 or more
+	Drift       time.Duration // after each of these periods the ranks of all keys move on by one; 0 is never
 	PopularKeys []PopularKeys
-	NodeWeights []float64 // of the load by node
+	NodeWeights []float64 // part of the load that each node gets, against their sum
 }
 
-// Arrival is one request that is due.
+// Arrival is one request of a schedule.
 type Arrival struct {
-	At             time.Duration
-	Class          int // in Spec.Classes
+	At             time.Duration // when it is due, after the start of the load
+	Class          int           // index in Spec.Classes
 	Key            string
-	Node           int // in Spec.Shares
-	Size           int
-	IdempotencyKey string // idempotency key; empty for classes without
+	Node           int    // index in Spec.NodeWeights
+	Size           int    // bytes of the value of a write
+	IdempotencyKey string // empty for classes without
 }
 
-// Schedule gives out arrivals in the order in which they are due.
+// Schedule draws arrivals in the order in which they are due. It is not safe for concurrent use.
 type Schedule struct {
-	spec                         Spec
-	times, mix, keys, rest, head *rand.Rand
-	zipf                         *rand.Zipf
-	at                           time.Duration
-	peak                         float64
-	owed                         float64 // part of the next arrival, where gaps are even
+	spec     Spec
+	random   randomStreams
+	zipf     *rand.Zipf
+	now      time.Duration // when the last arrival was due
+	peakRate float64       // upper bound of the rate, in requests a second
+	fraction float64       // part of the next arrival that is accumulated, where arrivals are evenly spaced
 }
 
-// New makes a schedule. Each kind of draw has a stream of its own: a heat that is added moves no arrival.
+// randomStreams are the random numbers of a schedule. Each kind of draw has a stream of its own, so that popular keys that
+// are added to a specification move no arrival.
+type randomStreams struct {
+	times, mix, keys, rest, popularKeys *rand.Rand
+}
+
+func newRandomStreams(seed uint64) randomStreams {
+	stream := func(name string) *rand.Rand { return model.RandomStream(seed, "load/"+name) }
+	return randomStreams{times: stream("times"), mix: stream("mix"), keys: stream("keys"), rest: stream("rest"), popularKeys: stream("heat")}
+}
+
+const (
+	minSkew   = 1.0001 // rand.NewZipf takes exponents above 1 only
+	minOffset = 1
+)
+
+// New prepares a schedule.
 func New(spec Spec) *Schedule {
-	stream := func(part string) *rand.Rand { return model.RandomStream(spec.Seed, "load/"+part) }
-	s := &Schedule{spec: spec, times: stream("times"), mix: stream("mix"), keys: stream("keys"), rest: stream("rest"), head: stream("heat")}
-	s.zipf = rand.NewZipf(s.keys, max(spec.Skew, 1.0001), max(spec.Offset, 1), uint64(max(0, spec.Keys-1)))
-	for _, sh := range spec.Processes {
-		s.peak += sh.Rate
+	s := &Schedule{spec: spec, random: newRandomStreams(spec.Seed)}
+	s.zipf = rand.NewZipf(s.random.keys, max(spec.Skew, minSkew), max(spec.Offset, minOffset), uint64(max(0, spec.Keys-1)))
+	for _, process := range spec.Processes {
+		s.peakRate += process.Rate
 	}
 	return s
 }
 
-// Rate is the rate at a time.
-func (s *Schedule) Rate(t time.Duration) (r float64) {
-	for _, sh := range s.spec.Processes {
-		r += sh.at(t, s.spec.Length)
+// Rate returns the rate of all processes at a time, in requests a second.
+func (s *Schedule) Rate(now time.Duration) (rate float64) {
+	for _, process := range s.spec.Processes {
+		rate += process.rate(now, s.spec.Length)
 	}
-	return r
+	return rate
 }
 
-// evenStep is how finely an even schedule follows a rate that changes.
-const evenStep = time.Millisecond
-
-// Next is the next arrival; false at the end.
+// Next returns the next arrival; false at the end of the load.
 func (s *Schedule) Next() (Arrival, bool) {
-	if s.peak <= 0 {
+	if s.peakRate <= 0 {
+		return Arrival{}, false
+	}
+	advance := s.advancePoisson
+	if s.spec.Uniform {
+		advance = s.advanceEvenly
+	}
+	if !advance() {
 		return Arrival{}, false
 	}
+	return s.draw(), true
+}
+
+// uniformStep is how finely an evenly spaced schedule follows a rate that changes.
+const uniformStep = time.Millisecond
+
+// advanceEvenly moves to the time at which the integral of the rate reaches the next whole number; false at the end.
+func (s *Schedule) advanceEvenly() bool {
+	for s.fraction < 1 && s.now <= s.spec.Length {
+		s.fraction += s.Rate(s.now) * uniformStep.Seconds()
+		s.now += uniformStep
+	}
+	if s.fraction >= 1 {
+		s.fraction--
+	}
+	return s.now <= s.spec.Length
+}
+
+// advancePoisson moves to the next arrival of a Poisson process by thinning: candidates come at the peak rate, and each is
+// kept with the probability of the present rate against it (Lewis and Shedler, 1979). It is false at the end.
+func (s *Schedule) advancePoisson() bool {
 	for {
-		if s.spec.Uniform {
-			// Follow the sum of the rate to the next whole number.
-			for s.owed < 1 && s.at <= s.spec.Length {
-				s.owed += s.Rate(s.at) * evenStep.Seconds()
-				s.at += evenStep
-			}
-			if s.owed >= 1 {
-				s.owed--
-			}
-		} else {
-			// Thinning: arrivals at the highest rate there may be, each kept with the chance of the present one
-			// (Lewis and Shedler, 1979).
-			s.at += time.Duration(s.times.ExpFloat64() / s.peak * float64(time.Second))
-		}
-		if s.at > s.spec.Length {
-			return Arrival{}, false
+		s.now += time.Duration(s.random.times.ExpFloat64() / s.peakRate * float64(time.Second))
+		if s.now > s.spec.Length {
+			return false
 		}
-		if s.spec.Uniform || s.times.Float64()*s.peak < s.Rate(s.at) {
-			return s.draw(), true
+		if s.random.times.Float64()*s.peakRate < s.Rate(s.now) {
+			return true
 		}
 	}
 }
 
-// draw draws what the arrival at the present time asks for.
+// draw draws the request that arrives now. The order of the draws is part of what a seed means.
 func (s *Schedule) draw() Arrival {
-	a := Arrival{At: s.at, Class: s.class(), Key: s.key(), Node: s.node()}
-	c := s.spec.Classes[a.Class]
-	once := s.rest.Uint64()
-	if c.BytesMost > 0 {
-		a.Size = c.BytesLeast + s.rest.IntN(c.BytesMost-c.BytesLeast+1)
+	arrival := Arrival{At: s.now, Class: s.drawClass(), Key: s.drawKey(), Node: s.drawNode()}
+	class := s.spec.Classes[arrival.Class]
+	idempotencyKey := s.random.rest.Uint64()
+	if class.BytesMost > 0 {
+		arrival.Size = class.BytesLeast + s.random.rest.IntN(class.BytesMost-class.BytesLeast+1)
 	}
-	if c.HasIdempotencyKey {
-		a.IdempotencyKey = strconv.FormatUint(once, 16)
+	if class.HasIdempotencyKey {
+		arrival.IdempotencyKey = strconv.FormatUint(idempotencyKey, 16)
 	}
-	return a
+	return arrival
 }
 
-// class draws a shape by its part of the rate, and its class, or one of the mix.
-func (s *Schedule) class() int {
-	at := s.mix.Float64() * s.Rate(s.at)
-	for _, sh := range s.spec.Processes {
-		if at -= sh.at(s.at, s.spec.Length); at < 0 {
-			for i, c := range s.spec.Classes {
-				if c.Name == sh.Class {
+// drawClass draws a process by its part of the present rate and returns its class, or one of the mix if it has none.
+func (s *Schedule) drawClass() int {
+	position := s.random.mix.Float64() * s.Rate(s.now)
+	for _, process := range s.spec.Processes {
+		if position -= process.rate(s.now, s.spec.Length); position < 0 {
+			for i, class := range s.spec.Classes {
+				if class.Name == process.Class {
 					return i
 				}
 			}
 			break
 		}
 	}
-	return choose(s.mix, len(s.spec.Classes), func(i int) float64 { return s.spec.Classes[i].Share })
+	return drawWeighted(s.random.mix, len(s.spec.Classes), func(i int) float64 { return s.spec.Classes[i].Share })
 }
 
-func (s *Schedule) node() int {
-	return choose(s.rest, len(s.spec.NodeWeights), func(i int) float64 { return s.spec.NodeWeights[i] })
+func (s *Schedule) drawNode() int {
+	return drawWeighted(s.random.rest, len(s.spec.NodeWeights), func(i int) float64 { return s.spec.NodeWeights[i] })
 }
 
-// choose draws one of n by their shares.
-func choose(r *rand.Rand, n int, share func(int) float64) int {
+// drawWeighted draws an index below n, each with the probability of its weight against the sum of all.
+func drawWeighted(random *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
-		total += share(i)
+		total += weight(i)
 	}
-	at := r.Float64() * total
+	position := random.Float64() * total
 	for i := range n {
-		if at -= share(i); at < 0 {
+		if position -= weight(i); position < 0 {
 			return i
 		}
 	}
 	return max(0, n-1)
 }
 
-func (s *Schedule) key() string {
+// drawKey draws a popular key or one by its rank. It draws the same random numbers either way.
+func (s *Schedule) drawKey() string {
 	rank := s.zipf.Uint64()
-	hot, which := s.head.Float64(), s.head.Uint64()
-	for i, h := range s.spec.PopularKeys {
-		set, on := h.on(s.at)
-		if !on {
+	position, member := s.random.popularKeys.Float64(), s.random.popularKeys.Uint64()
+	for i, popular := range s.spec.PopularKeys {
+		set, ok := popular.keySet(s.now)
+		if !ok {
 			continue
 		}
-		if hot -= h.Share; hot < 0 {
-			return "hot-" + strconv.Itoa(i) + "-" + strconv.Itoa(set) + "-" + strconv.FormatUint(which%uint64(max(1, h.Keys)), 36)
+		if position -= popular.Share; position < 0 {
+			return "hot-" + strconv.Itoa(i) + "-" + strconv.Itoa(set) + "-" + strconv.FormatUint(member%uint64(max(1, popular.Keys)), 36)
 		}
 	}
 	if s.spec.Drift > 0 {
-		rank += uint64(s.at / s.spec.Drift)
+		rank += uint64(s.now / s.spec.Drift)
 	}
 	return "k" + strconv.FormatUint(rank%uint64(max(1, s.spec.Keys)), 36)
 }
