--- /dev/null
+++ b/cmd/testbed/emulate.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"github.com/spf13/cobra"
+
+	"shelfproxy/internal/exit"
+	"shelfproxy/internal/logs"
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/scenario"
+)
+
+// emulateFlags are the flags of emulate.
+type emulateFlags struct {
+	scenarioFlags
+	dir, summary, trace string
+	basePort            int
+}
+
+func (flags *emulateFlags) add(cmd *cobra.Command) {
+	flags.scenarioFlags.add(cmd)
+	set := cmd.Flags()
+	set.StringVar(&flags.dir, "dir", "lab-run", "directory for the nodes' configurations")
+	set.IntVar(&flags.basePort, "base-port", 0, "node i listens at this port plus i, its discovery at 100 more; 0 takes free ports")
+	set.StringVar(&flags.summary, "summary", "", "write the summary of the run to this file, as JSON")
+	set.StringVar(&flags.trace, "trace", "", "write the model's event log to this file")
+}
+
+func emulateCommand() *cobra.Command {
+	var flags emulateFlags
+	cmd := &cobra.Command{Use: "emulate SCENARIO", Short: "Emulate the portal of a scenario until Ctrl-C, for nodes started by hand",
+		Long: "emulate plays the portal of a scenario until Ctrl-C or the end of --length, for nodes that are started by\n" +
+			"hand. It writes a configuration for each node to --dir; start one with LB_CONFIG=DIR/n0.json shelfproxy.",
+		Example: "  testbed emulate deploy --dir run --base-port 7000\n  LB_CONFIG=run/n0.json shelfproxy",
+		Args:    cobra.ExactArgs(1), ValidArgsFunction: completeScenario,
+		RunE: func(cmd *cobra.Command, args []string) error {
+			plan, logging, err := flags.plan(args[0])
+			if err != nil {
+				return err
+			}
+			summary, err := runEmulator(cmd.Context(), cmd.OutOrStdout(), plan, logging, &flags)
+			if err != nil {
+				return exit.With(exitFailed, err)
+			}
+			return reportEmulation(cmd.OutOrStdout(), summary, flags.summary)
+		}}
+	flags.add(cmd)
+	return cmd
+}
+
+// runEmulator runs the emulator until the context ends or the length of the flags is over.
+func runEmulator(ctx context.Context, out io.Writer, plan *scenario.Plan, logging logs.Options, flags *emulateFlags) (emulator.Summary, error) {
+	if err := os.MkdirAll(flags.dir, 0o755); err != nil {
+		return emulator.Summary{}, err
+	}
+	trace, closeTrace, err := openTrace(flags.trace)
+	if err != nil {
+		return emulator.Summary{}, err
+	}
+	defer closeTrace()
+	emulation, err := emulator.New(plan, emulator.Options{Log: logs.New(os.Stderr, logging), BasePort: flags.basePort, Trace: trace})
+	if err != nil {
+		return emulator.Summary{}, err
+	}
+	defer emulation.Close()
+	if err := emulation.Start(); err != nil {
+		return emulator.Summary{}, err
+	}
+	configs, err := emulation.WriteConfigs(flags.dir)
+	if err != nil {
+		return emulator.Summary{}, err
+	}
+	fmt.Fprintf(out, "emulating %s with seed %d: %d cache servers\n", plan.Name, plan.Seed, len(plan.Spec.CacheServers))
+	for _, config := range configs {
+		fmt.Fprintf(out, "LB_CONFIG=%s shelfproxy   # listens at %s\n", config.Path, config.Listen)
+	}
+	fmt.Fprintln(out, "ready; Ctrl-C ends it")
+	if flags.length > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, flags.length)
+		defer cancel()
+	}
+	<-ctx.Done()
+	return emulation.Summary(), nil
+}
+
+// reportEmulation writes the summary to its file, if it has a path, and prints it. The error is that of a violation, if any.
+func reportEmulation(out io.Writer, summary emulator.Summary, path string) error {
+	if path != "" {
+		if err := writeJSON(path, summary); err != nil {
+			return exit.With(exitFailed, fmt.Errorf("--summary: %w", err))
+		}
+	}
+	fmt.Fprintf(out, "%.1f s: %d connections, %d attempts, %d health checks, %d malformed, event log %016x\n", summary.Length.Seconds(),
+		summary.Connections, summary.Requests, summary.Probes, summary.Malformed, summary.Events)
+	if len(summary.Broken) == 0 {
+		return nil
+	}
+	for _, violation := range summary.Broken {
+		fmt.Fprintln(out, violation)
+	}
+	return exit.With(exitInvariant, fmt.Errorf("%d invariants were violated", len(summary.Broken)))
+}
+
+func writeJSON(path string, value any) error {
+	text, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Clean(path), append(text, '\n'), 0o644)
+}
--- a/cmd/testbed/overhead.go
+++ b/cmd/testbed/overhead.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"context"
 	"fmt"
+	"io"
 	"os"
 	"runtime"
 	"strconv"
@@ -15,53 +17,67 @@
 	"shelfproxy/internal/testbed/overhead"
 )
 
+// overheadCommands are the measurement and, hidden, the processes that it starts.
 func overheadCommands() []*cobra.Command {
-	opt := overhead.Options{}
+	return []*cobra.Command{overheadCommand(), cacheServerCommand(), copyCommand()}
+}
+
+func overheadCommand() *cobra.Command {
+	var options overhead.Options
 	cmd := &cobra.Command{Use: "overhead", Short: "Measure what a node costs beside a program that only copies bytes",
-		Long: "overhead asks a box that answers at once straight, through a program that only copies bytes, and through a node,\n" +
-			"in turns within one run. The ratios to the copying program are the project's figure of performance.",
+		Long: "overhead sends requests to a cache server that answers at once: straight, through a program that only copies\n" +
+			"bytes, and through a node, in turns within one run. The ratios to the copying program are the project's figure\n" +
+			"of performance.",
 		Example: "  testbed overhead\n  testbed overhead --clients 128 --rounds 5 --node bin/shelfproxy", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := demo.TempDir()
-			if err != nil {
-				return exit.With(exitFailed, err)
-			}
-			defer os.RemoveAll(dir)
-			opt.Dir = dir
-			if opt.Self, err = os.Executable(); err != nil {
-				return exit.With(exitFailed, err)
-			}
-			if opt.Node == "" {
-				if opt.Node, err = nodes.Find(cmd.Context(), dir); err != nil {
-					return exit.With(exitFailed, err)
-				}
-			}
-			rs, err := overhead.Run(cmd.Context(), opt)
-			if err != nil {
-				return exit.With(exitFailed, err)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d clients, values of %d bytes, %d rounds of %s a way\n", opt.Clients, opt.Bytes, opt.Rounds, opt.Span)
-			overhead.Write(cmd.OutOrStdout(), rs)
-			return nil
+			return exit.With(exitFailed, measureOverhead(cmd.Context(), cmd.OutOrStdout(), options))
 		}}
-	f := cmd.Flags()
-	f.StringVar(&opt.Node, "node", "", "the node's program; found beside this one, or built, where it is not given")
-	f.IntVar(&opt.Clients, "clients", 32, "that ask at a time")
-	f.IntVar(&opt.Rounds, "rounds", 3, "after one to warm up")
-	f.DurationVar(&opt.Span, "span", 2*time.Second, "of a way in a round")
-	f.IntVar(&opt.Bytes, "bytes", 400, "of a value")
+	set := cmd.Flags()
+	set.StringVar(&options.Node, "node", "", "the node's program; by default the one beside this one, or else built")
+	set.IntVar(&options.Clients, "clients", 32, "number of clients that send requests at a time")
+	set.IntVar(&options.Rounds, "rounds", 3, "number of rounds, after one to warm up")
+	set.DurationVar(&options.Span, "span", 2*time.Second, "length of a way in a round")
+	set.IntVar(&options.ValueSize, "bytes", 400, "size of a value")
+	return cmd
+}
 
-	// What the measurement starts as processes of their own, with one processor as a node has.
-	box := &cobra.Command{Use: "overhead-box ADDRESS BYTES", Hidden: true, Args: cobra.ExactArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
-		size, err := strconv.Atoi(args[1])
-		if err != nil {
+// measureOverhead runs the measurement in a directory of its own and prints the result.
+func measureOverhead(ctx context.Context, out io.Writer, options overhead.Options) (err error) {
+	if options.Dir, err = demo.TempDir(); err != nil {
+		return err
+	}
+	defer func() { _ = os.RemoveAll(options.Dir) }() // a directory that stays does no harm
+	if options.Self, err = os.Executable(); err != nil {
+		return err
+	}
+	if options.Node == "" {
+		if options.Node, err = nodes.FindProgram(ctx, options.Dir); err != nil {
 			return err
 		}
-		return exit.With(exitFailed, overhead.Box(cmd.Context(), args[0], size))
-	}}
-	splice := &cobra.Command{Use: "overhead-splice ADDRESS TO", Hidden: true, Args: cobra.ExactArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
-		runtime.GOMAXPROCS(1)
-		return exit.With(exitFailed, overhead.Splice(cmd.Context(), args[0], args[1]))
-	}}
-	return []*cobra.Command{cmd, box, splice}
+	}
+	results, err := overhead.Run(ctx, options)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%d clients, values of %d bytes, %d rounds of %s a way\n", options.Clients, options.ValueSize, options.Rounds, options.Span)
+	return overhead.Write(out, results)
+}
+
+func cacheServerCommand() *cobra.Command {
+	return &cobra.Command{Use: overhead.CacheServerVerb + " ADDRESS BYTES", Hidden: true, Args: cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			valueSize, err := strconv.Atoi(args[1])
+			if err != nil {
+				return err
+			}
+			return exit.With(exitFailed, overhead.ServeCache(cmd.Context(), args[0], valueSize))
+		}}
+}
+
+func copyCommand() *cobra.Command {
+	return &cobra.Command{Use: overhead.CopyVerb + " ADDRESS TO", Hidden: true, Args: cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			runtime.GOMAXPROCS(1) // as a node has
+			return exit.With(exitFailed, overhead.ServeCopy(cmd.Context(), args[0], args[1]))
+		}}
 }
--- a/internal/testbed/clients/clients_test.go
+++ b/internal/testbed/clients/clients_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"net"
 	"strings"
@@ -15,52 +14,66 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// server answers every command after 2 ms with a value, but for a stall, in which it answers nothing.
-func server(t *testing.T, stallAt, stallFor time.Duration) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// serviceTime is how long a test server takes for a command.
+const serviceTime = 2 * time.Millisecond
+
+// stall is a time in which a server answers nothing, counted from its first command.
+type stall struct {
+	at, duration time.Duration
+}
+
+// startServer starts a server that answers every command with a value, but for a stall. It returns the address.
+func startServer(t *testing.T, stall stall) string {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen: %v", err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	start := sync.OnceValue(time.Now) // the first command begins its time
-	go func() {
+	t.Cleanup(func() { _ = listener.Close() })
+	firstCommand := sync.OnceValue(time.Now)
+	go func() { // ends with the listener
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				rd := redcon.NewReader(bufio.NewReader(c))
-				for {
-					cmd, err := rd.ReadCommand()
-					if err != nil {
-						return
-					}
-					if in := time.Since(start()) - stallAt; in >= 0 && in < stallFor {
-						time.Sleep(stallFor - in)
-					}
-					time.Sleep(2 * time.Millisecond)
-					fmt.Fprintf(c, "$%d\r\n%s\r\n", len(cmd.Args[2]), cmd.Args[2])
-				}
-			}()
+			go answerAll(conn, firstCommand, stall)
 		}
 	}()
-	return ln.Addr().String()
+	return listener.Addr().String()
+}
+
+// answerAll answers the commands of a connection until it ends.
+func answerAll(conn net.Conn, firstCommand func() time.Time, stall stall) {
+	defer func() { _ = conn.Close() }()
+	reader := redcon.NewReader(bufio.NewReader(conn))
+	for {
+		command, err := reader.ReadCommand()
+		if err != nil {
+			return
+		}
+		if sinceStall := time.Since(firstCommand()) - stall.at; sinceStall >= 0 && sinceStall < stall.duration {
+			time.Sleep(stall.duration - sinceStall)
+		}
+		time.Sleep(serviceTime)
+		if _, err := fmt.Fprintf(conn, "$%d\r\n%s\r\n", len(command.Args[2]), command.Args[2]); err != nil {
+			return
+		}
+	}
 }
 
-func run(t *testing.T, text string, opt Options) (*Clients, Generator) {
+func runLoad(t *testing.T, text string, options Options) (*Clients, Generator) {
 	t.Helper()
-	s, err := scenario.Parse("test.toml", []byte(text))
+	parsed, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the scenario: %v", err)
 	}
-	l := New(s.Draw(1), opt)
-	l.Run(context.Background())
-	return l, l.Generator()
+	load := New(parsed.Draw(1), options)
+	load.Run(t.Context())
+	return load, load.Generator()
 }
 
-const text = `
+const scenarioText = `
 length = "4s"
 [nodes]
 count = 1
@@ -75,58 +88,66 @@
 effect = "idempotent"
 `
 
-// A server that stands still for 2 s shows in the percentiles and in the time line at its place when requests are sent
-// as they are due. A closed loop sends next to nothing meanwhile, and its percentiles hide it.
-func TestAStallShowsInAnOpenLoopOnly(t *testing.T) {
+// A stall of 2 s shows in the percentiles, and in the timeline at its place, when requests are sent as they are due. A closed
+// loop sends next to nothing meanwhile, and its percentiles hide the stall.
+func TestOpenLoopShowsAStallThatAClosedLoopHides(t *testing.T) {
 	t.Parallel()
-	open, g := run(t, text, Options{Nodes: []Node{{Addr: server(t, time.Second, 2*time.Second)}}})
-	closed, _ := run(t, text, Options{Nodes: []Node{{Addr: server(t, time.Second, 2*time.Second)}}, Closed: 4})
-	ms := func(l *Clients, q float64) int64 { return l.Classes()[0].Latency.ValueAtQuantile(q) / 1000 }
-	t.Logf("p90, p99 and max: open loop %d, %d, %d ms; closed loop %d, %d, %d ms", ms(open, 90), ms(open, 99), ms(open, 100),
-		ms(closed, 90), ms(closed, 99), ms(closed, 100))
-	if ms(open, 99) < 1500 || ms(closed, 99) > ms(open, 99)/3 || ms(closed, 100) < 1500 {
-		t.Errorf("the stall does not show as it should")
+	twoSeconds := stall{at: time.Second, duration: 2 * time.Second}
+	open, generator := runLoad(t, scenarioText, Options{Nodes: []Node{{Address: startServer(t, twoSeconds)}}})
+	closed, _ := runLoad(t, scenarioText, Options{Nodes: []Node{{Address: startServer(t, twoSeconds)}}, ClosedLoop: 4})
+	millis := func(load *Clients, quantile float64) int64 {
+		return load.Classes()[0].Latency.ValueAtQuantile(quantile) / 1000
+	}
+	t.Logf("p90, p99 and max: open loop %d, %d, %d ms; closed loop %d, %d, %d ms", millis(open, 90), millis(open, 99), millis(open, 100),
+		millis(closed, 90), millis(closed, 99), millis(closed, 100))
+	if millis(open, 99) < 1500 || millis(closed, 99) > millis(open, 99)/3 || millis(closed, 100) < 1500 {
+		t.Errorf("p99 %d ms in the open loop, want 1500 at least; p99 %d ms, max %d ms in the closed one, want a third of it at most and 1500 at least",
+			millis(open, 99), millis(closed, 99), millis(closed, 100))
 	}
-	if first, second := g.Seconds[0].Latency.Max(), g.Seconds[1].Latency.Max(); first >= second || second < 1_500_000 {
-		t.Errorf("the time line shows at most %d us in the first second and %d us in that of the stall", first, second)
+	beforeStall, inStall := generator.Timeline[0].Latency.Max(), generator.Timeline[1].Latency.Max()
+	if beforeStall >= inStall || inStall < 1_500_000 {
+		t.Errorf("the timeline shows at most %d us in the first second and %d us in that of the stall", beforeStall, inStall)
 	}
-	if n := open.Classes()[0].Served; n < 700 {
-		t.Errorf("%d served of 800", n)
+	if served := open.Classes()[0].Served; served < 700 {
+		t.Errorf("%d served of 800, want 700 at least", served)
 	}
 }
 
-// A generator that can't keep its schedule says so and why.
-func TestAGeneratorThatFellBehindSaysSo(t *testing.T) {
+func TestRequestsBeyondMaxInFlightAreCountedAsUnsent(t *testing.T) {
 	t.Parallel()
-	l, g := run(t, strings.Replace(text, `"4s"`, `"1s"`, 1), Options{MaxInFlight: 3, Nodes: []Node{{Addr: server(t, 0, 800*time.Millisecond)}}})
-	if why := strings.Join(g.Invalid(), "; "); !strings.Contains(why, "were not sent, as 3 were out") {
-		t.Errorf("with room for 3 requests: %v", why)
+	load, generator := runLoad(t, strings.Replace(scenarioText, `"4s"`, `"1s"`, 1),
+		Options{MaxInFlight: 3, Nodes: []Node{{Address: startServer(t, stall{duration: 800 * time.Millisecond})}}})
+	if reasons := strings.Join(generator.Invalid(), "; "); !strings.Contains(reasons, "were not sent, as 3 were in flight") {
+		t.Errorf("with a bound of 3 requests the run is not valid because of %q", reasons)
 	}
-	if c := l.Classes()[0]; c.Unsent != g.Overflow || c.Scheduled != c.Served+c.Unsent {
-		t.Errorf("%+v with %d not sent", c, g.Overflow)
+	if class := load.Classes()[0]; class.Unsent != generator.Overflow || class.Scheduled != class.Served+class.Unsent {
+		t.Errorf("%+v with %d not sent", class, generator.Overflow)
 	}
+}
+
+func TestGeneratorThatFellBehindSaysWhy(t *testing.T) {
+	t.Parallel()
 	for want, change := range map[string]func(g *Generator){
-		"":                                   func(g *Generator) {},
+		"":                                   func(*Generator) {},
 		"20 of 1000 requests were sent over": func(g *Generator) { g.Late = 20 },
-		"one request was sent 700ms late":    func(g *Generator) { g.Lag.RecordValue(700_000) },
-		"of processor in":                    func(g *Generator) { g.CPU = 1000 * time.Second },
-		"the collector stopped it":           func(g *Generator) { g.Pauses = time.Second },
+		"one request was sent 700ms late":    func(g *Generator) { record(g.Lag, 700*time.Millisecond) },
+		"of processor time in":               func(g *Generator) { g.CPU = 1000 * time.Second },
+		"the garbage collector stopped it":   func(g *Generator) { g.GCPauses = time.Second },
 	} {
-		g := Generator{Sent: 1000, Late: 5, Lag: histogram(), Elapsed: 10 * time.Second, CPU: time.Second}
-		change(&g)
-		why := g.Invalid()
-		if want == "" && len(why) > 0 || want != "" && (len(why) != 1 || !strings.Contains(why[0], want)) {
-			t.Errorf("%q: %v", want, why)
+		generator := Generator{Sent: 1000, Late: 5, Lag: newHistogram(), Elapsed: 10 * time.Second, CPU: time.Second}
+		change(&generator)
+		reasons := generator.Invalid()
+		if want == "" && len(reasons) > 0 || want != "" && (len(reasons) != 1 || !strings.Contains(reasons[0], want)) {
+			t.Errorf("reasons %q, want %q", reasons, want)
 		}
 	}
 }
 
-// A latency beyond the range of the histogram counts as its end, and does not vanish.
-func TestLatencyBeyondTheRange(t *testing.T) {
-	h := histogram()
-	record(h, time.Hour)
-	record(h, -time.Second)
-	if h.TotalCount() != 2 || h.Max() < longest.Microseconds()*99/100 {
-		t.Errorf("%d recorded, at most %d us", h.TotalCount(), h.Max())
+func TestLatencyBeyondTheRangeCountsAsItsEnd(t *testing.T) {
+	histogram := newHistogram()
+	record(histogram, time.Hour)
+	record(histogram, -time.Second)
+	if histogram.TotalCount() != 2 || histogram.Max() < maxLatency.Microseconds()*99/100 {
+		t.Errorf("%d recorded, at most %d us; want 2 and %d us", histogram.TotalCount(), histogram.Max(), maxLatency.Microseconds())
 	}
 }
--- /dev/null
+++ b/internal/testbed/clients/connection.go
@@ -0,0 +1,108 @@
+package clients
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const connectTimeout = time.Second
+
+// connection is a client's connection to a node.
+type connection struct {
+	net.Conn
+	reader     *bufio.Reader
+	answeredAt time.Time   // of the last answer; zero before the first
+	isStopping func() bool // whether the process at the other end was told to end
+}
+
+// isStale reports whether the node has closed a connection that was idle. A client notices that before it writes.
+func (c *connection) isStale() bool {
+	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return true
+	}
+	var peekErr error
+	err = raw.Control(func(fd uintptr) {
+		var b [1]byte
+		_, _, peekErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
+}
+
+// exchange writes a command and reads its answer.
+func (c *connection) exchange(command []byte, deadline time.Time) (answer, error) {
+	if err := c.SetDeadline(deadline); err != nil {
+		return answer{}, err
+	}
+	if _, err := c.Write(command); err != nil {
+		return answer{}, err
+	}
+	return readAnswer(c.reader)
+}
+
+// connectionPool keeps idle connections by node. It is safe for concurrent use.
+type connectionPool struct {
+	nodes []Node
+	mu    sync.Mutex
+	idle  [][]*connection // by node; the one used last is at the end
+}
+
+func newConnectionPool(nodes []Node) *connectionPool {
+	return &connectionPool{nodes: nodes, idle: make([][]*connection, len(nodes))}
+}
+
+// take returns the idle connection to a node that was used last, or a new one. Its user puts it back or closes it.
+func (p *connectionPool) take(node int) (*connection, error) {
+	for conn := p.takeIdle(node); conn != nil; conn = p.takeIdle(node) {
+		if !conn.isStale() {
+			return conn, nil
+		}
+		_ = conn.Close() // the node has closed it
+	}
+	isStopping := func() bool { return false }
+	if process := p.nodes[node].Process; process != nil {
+		isStopping = process()
+	}
+	dialer := net.Dialer{Timeout: connectTimeout}
+	// No context: a request that was taken up is finished, also when the run is interrupted.
+	conn, err := dialer.DialContext(context.Background(), "tcp", p.nodes[node].Address)
+	if err != nil {
+		return nil, err
+	}
+	return &connection{Conn: conn, reader: bufio.NewReader(conn), isStopping: isStopping}, nil
+}
+
+// takeIdle returns the idle connection that was used last; nil if there is none.
+func (p *connectionPool) takeIdle(node int) *connection {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	last := len(p.idle[node]) - 1
+	if last < 0 {
+		return nil
+	}
+	conn := p.idle[node][last]
+	p.idle[node] = p.idle[node][:last]
+	return conn
+}
+
+func (p *connectionPool) put(node int, conn *connection) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle[node] = append(p.idle[node], conn)
+}
+
+func (p *connectionPool) closeIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for node, connections := range p.idle {
+		for _, conn := range connections {
+			_ = conn.Close() // nothing is owed on it
+		}
+		p.idle[node] = nil
+	}
+}
--- a/internal/testbed/clients/generator.go
+++ b/internal/testbed/clients/generator.go
@@ -11,137 +11,150 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// When a generator counts as behind.
+// Limits beyond which a generator counts as having fallen behind its schedule.
 const (
-	lateSend   = 10 * time.Millisecond // a request that is sent later than this
-	lateShare  = 0.01                  // of the requests; more make a run invalid
-	lateWorst  = 500 * time.Millisecond
-	busyShare  = 0.9 // of the processors that it may use
-	pauseShare = 0.02
+	lateAfter       = 10 * time.Millisecond  // a request that is sent later than this counts as late
+	maxLateFraction = 0.01                   // of the requests
+	maxLag          = 500 * time.Millisecond // of any request
+	maxCPUFraction  = 0.9                    // of the processors that the program may use
+	maxGCFraction   = 0.02                   // of the time, in pauses of the garbage collector
 )
 
-// Generator is how a generator did: what was sent late, what it used, and whether its figures may be believed.
+// Generator is how the load generator itself did: what was sent late, what it used, and whether the latencies may be
+// believed.
 type Generator struct {
-	Sent, Late   int64
-	Overflow     int64                   // not sent, as too many were out
-	Lag          *hdrhistogram.Histogram // microseconds from when a request was due to when it was taken in hand
-	MaxInFlight  int
-	CPU, Elapsed time.Duration
-	Pauses       time.Duration // of the collector
-	Seconds      []Second      // the time line, by when requests were due
-	Step         time.Duration // of the time line
+	Sent        int64
+	Late        int64                   // sent more than 10 ms late
+	Overflow    int64                   // not sent, as too many were in flight
+	Lag         *hdrhistogram.Histogram // microseconds from when a request was due until it was taken up
+	MaxInFlight int                     // highest number of requests in flight
+	CPU         time.Duration           // processor time of the program
+	Elapsed     time.Duration
+	GCPauses    time.Duration // of the garbage collector, in sum
+	Timeline    []Interval    // by when requests were due
+	Step        time.Duration // length of an interval of the timeline
 }
 
-// Second is a step of the time line.
-type Second struct {
+// Interval is an interval of the timeline.
+type Interval struct {
 	Served  int64
-	Latency *hdrhistogram.Histogram // microseconds from when they were due
+	Latency *hdrhistogram.Histogram // microseconds from when requests were due
 }
 
-// Invalid is why the run may not be believed; empty if it may.
+// Invalid returns why the latencies may not be believed; nothing if they may.
 func (g Generator) Invalid() (reasons []string) {
-	if g.Sent > 0 && float64(g.Late) > lateShare*float64(g.Sent) {
-		reasons = append(reasons, fmt.Sprintf("%d of %d requests were sent over %s late", g.Late, g.Sent, lateSend))
+	if g.Sent > 0 && float64(g.Late) > maxLateFraction*float64(g.Sent) {
+		reasons = append(reasons, fmt.Sprintf("%d of %d requests were sent over %s late", g.Late, g.Sent, lateAfter))
 	}
-	if worst := time.Duration(g.Lag.Max()) * time.Microsecond; worst > lateWorst {
+	if worst := time.Duration(g.Lag.Max()) * time.Microsecond; worst > maxLag {
 		reasons = append(reasons, fmt.Sprintf("one request was sent %s late", worst.Round(time.Millisecond)))
 	}
 	if g.Overflow > 0 {
-		reasons = append(reasons, fmt.Sprintf("%d requests were not sent, as %d were out", g.Overflow, g.MaxInFlight))
+		reasons = append(reasons, fmt.Sprintf("%d requests were not sent, as %d were in flight", g.Overflow, g.MaxInFlight))
 	}
-	if room := g.Elapsed * time.Duration(runtime.GOMAXPROCS(0)); room > 0 && float64(g.CPU) > busyShare*float64(room) {
-		reasons = append(reasons, fmt.Sprintf("the generator used %s of processor in %s", g.CPU.Round(time.Millisecond), g.Elapsed.Round(time.Millisecond)))
+	if available := g.Elapsed * time.Duration(runtime.GOMAXPROCS(0)); available > 0 && float64(g.CPU) > maxCPUFraction*float64(available) {
+		reasons = append(reasons, fmt.Sprintf("the generator used %s of processor time in %s", g.CPU.Round(time.Millisecond), g.Elapsed.Round(time.Millisecond)))
 	}
-	if float64(g.Pauses) > pauseShare*float64(g.Elapsed) {
-		reasons = append(reasons, fmt.Sprintf("the collector stopped it for %s", g.Pauses.Round(time.Millisecond)))
+	if float64(g.GCPauses) > maxGCFraction*float64(g.Elapsed) {
+		reasons = append(reasons, fmt.Sprintf("the garbage collector stopped it for %s", g.GCPauses.Round(time.Millisecond)))
 	}
 	return reasons
 }
 
-// steps bounds the time line of a long run.
-const steps = 600
+// maxIntervals bounds the timeline of a long run, whose intervals are longer.
+const maxIntervals = 600
 
+// generator measures a load generator. Its methods are safe for concurrent use.
 type generator struct {
-	mu          sync.Mutex
-	g           Generator
-	out         int
-	began       time.Time
-	cpu, pauses time.Duration // at the start
+	mu       sync.Mutex
+	figures  Generator
+	inFlight int
+	began    time.Time
+	before   usage // of the program, when the run began
 }
 
 func newGenerator(length time.Duration) generator {
 	step := time.Second
-	for length/step > steps {
+	for length/step > maxIntervals {
 		step *= 2
 	}
-	return generator{g: Generator{Lag: histogram(), Step: step}}
+	return generator{figures: Generator{Lag: newHistogram(), Step: step}}
 }
 
-func usage() (cpu, pauses time.Duration) {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
-		cpu = time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// usage is what the program has used since its start.
+type usage struct{ cpu, gcPauses time.Duration }
+
+func readUsage() (used usage) {
+	var resources syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &resources) == nil {
+		used.cpu = time.Duration(resources.Utime.Nano() + resources.Stime.Nano())
 	}
-	var gc debug.GCStats
-	debug.ReadGCStats(&gc)
-	return cpu, gc.PauseTotal
+	var collector debug.GCStats
+	debug.ReadGCStats(&collector)
+	used.gcPauses = collector.PauseTotal
+	return used
 }
 
 func (g *generator) begin() {
-	g.cpu, g.pauses = usage()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.before = readUsage()
 	g.began = time.Now()
 }
 
 func (g *generator) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	cpu, pauses := usage()
-	g.g.CPU, g.g.Pauses, g.g.Elapsed = cpu-g.cpu, pauses-g.pauses, time.Since(g.began)
+	after := readUsage()
+	g.figures.CPU, g.figures.GCPauses = after.cpu-g.before.cpu, after.gcPauses-g.before.gcPauses
+	g.figures.Elapsed = time.Since(g.began)
 }
 
-// sends notes that a request is taken in hand so late; false where too many are out.
-func (g *generator) sends(late time.Duration, most int) bool {
+// requestStarted counts a request that is taken up, with its lag behind the schedule; false where too many are in flight.
+func (g *generator) requestStarted(lag time.Duration, maxInFlight int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.out >= most {
-		g.g.Overflow++
+	if g.inFlight >= maxInFlight {
+		g.figures.Overflow++
 		return false
 	}
-	g.out++
-	g.g.Sent++
-	g.g.MaxInFlight = max(g.g.MaxInFlight, g.out)
-	record(g.g.Lag, late)
-	if late > lateSend {
-		g.g.Late++
+	g.inFlight++
+	g.figures.Sent++
+	g.figures.MaxInFlight = max(g.figures.MaxInFlight, g.inFlight)
+	record(g.figures.Lag, lag)
+	if lag > lateAfter {
+		g.figures.Late++
 	}
 	return true
 }
 
-func (g *generator) done() {
+func (g *generator) requestEnded() {
 	g.mu.Lock()
-	g.out--
-	g.mu.Unlock()
+	defer g.mu.Unlock()
+	g.inFlight--
 }
 
-func (g *generator) served(due, took time.Duration) {
+// requestServed adds a request to the interval in which it was due.
+func (g *generator) requestServed(scheduledAt, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	i := int(due / g.g.Step)
-	for len(g.g.Seconds) <= i {
-		g.g.Seconds = append(g.g.Seconds, Second{Latency: histogram()})
+	i := int(scheduledAt / g.figures.Step)
+	for len(g.figures.Timeline) <= i {
+		g.figures.Timeline = append(g.figures.Timeline, Interval{Latency: newHistogram()})
 	}
-	g.g.Seconds[i].Served++
-	record(g.g.Seconds[i].Latency, took)
+	g.figures.Timeline[i].Served++
+	record(g.figures.Timeline[i].Latency, latency)
 }
 
+// report returns a copy of the figures.
 func (g *generator) report() Generator {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := g.g
-	out.Lag = hdrhistogram.Import(g.g.Lag.Export())
-	out.Seconds = make([]Second, len(g.g.Seconds))
-	for i, s := range g.g.Seconds {
-		out.Seconds[i] = Second{s.Served, hdrhistogram.Import(s.Latency.Export())}
+	figures := g.figures
+	figures.Lag = copyHistogram(g.figures.Lag)
+	figures.Timeline = make([]Interval, len(g.figures.Timeline))
+	for i, interval := range g.figures.Timeline {
+		figures.Timeline[i] = Interval{interval.Served, copyHistogram(interval.Latency)}
 	}
-	return out
+	return figures
 }
--- /dev/null
+++ b/internal/testbed/clients/protocol.go
@@ -0,0 +1,88 @@
+package clients
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"github.com/tidwall/redcon"
+
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/scenario"
+)
+
+// maxValueSize bounds the value of an answer, in bytes.
+const maxValueSize = 1 << 20
+
+// command encodes a request as a node's protocol has it.
+func (r request) command(class scenario.Class) []byte {
+	extras := fmt.Sprintf("c=%s,d=%d", class.Name, class.Deadline.D().Milliseconds())
+	if r.IdempotencyKey != "" {
+		extras += ",k=" + r.IdempotencyKey
+	}
+	words := []string{"CACHE.GET", r.Key, r.id, extras}
+	if class.Write {
+		words = []string{"CACHE.SET", r.Key, r.id, extras, strings.Repeat("v", r.Size)}
+	}
+	command := redcon.AppendArray(nil, len(words))
+	for _, word := range words {
+		command = redcon.AppendBulkString(command, word)
+	}
+	return command
+}
+
+// answer is a node's final answer to a request.
+type answer struct {
+	kind  invariants.Final
+	value []byte // of a request that was served
+}
+
+// readAnswer reads one answer. A nil value and an error line other than -BUSY count as failed.
+func readAnswer(reader *bufio.Reader) (answer, error) {
+	header, err := reader.ReadString('\n')
+	if err != nil {
+		return answer{}, err
+	}
+	header = strings.TrimSuffix(header, "\r\n")
+	switch {
+	case strings.HasPrefix(header, "*"):
+		return readArray(reader, header[1:])
+	case header == "$-1":
+		return answer{kind: invariants.Failed}, nil
+	case strings.HasPrefix(header, "$"):
+		return readValue(reader, header[1:])
+	case strings.HasPrefix(header, "-BUSY"):
+		return answer{kind: invariants.Rejected}, nil
+	}
+	return answer{kind: invariants.Failed}, nil
+}
+
+// readArray reads the elements of an array, of which the first is the answer.
+func readArray(reader *bufio.Reader, length string) (answer, error) {
+	elements, err := strconv.Atoi(length)
+	if err != nil || elements < 1 {
+		return answer{kind: invariants.Failed}, err
+	}
+	first, err := readAnswer(reader)
+	for range elements - 1 {
+		if err == nil {
+			_, err = readAnswer(reader)
+		}
+	}
+	return first, err
+}
+
+// readValue reads the bytes of a bulk string and the line end behind them.
+func readValue(reader *bufio.Reader, length string) (answer, error) {
+	size, err := strconv.Atoi(length)
+	if err != nil || size < 0 || size > maxValueSize {
+		return answer{}, fmt.Errorf("answer with the invalid length %q", length)
+	}
+	value := make([]byte, size+len("\r\n"))
+	if _, err := io.ReadFull(reader, value); err != nil {
+		return answer{}, err
+	}
+	return answer{kind: invariants.Served, value: value[:size]}, nil
+}
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo plays a scenario whole: the emulated portal, real nodes as child processes, a light load, and at the
-// end a summary. It ends everything that it started, whichever way it ends.
+// Package demo plays a whole scenario: an emulated portal, real nodes as child processes, a light load, and a summary at the
+// end. Whichever way a run ends, it ends every process and closes every socket that it started.
 package demo
 
 import (
@@ -9,7 +9,6 @@
 	"log/slog"
 	"os"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -21,269 +20,230 @@
 	"shelfproxy/internal/testbed/model"
 	"shelfproxy/internal/testbed/nodes"
 	"shelfproxy/internal/testbed/scenario"
-	"shelfproxy/internal/testbed/wireformat"
 )
 
 // Options say what is played and how.
 type Options struct {
-	Plan    *scenario.Plan
-	Program string // of the nodes; found or built where it is empty
-	Dir     string // for configurations and logs; it must exist
-	Log     *slog.Logger
-	Out     io.Writer
-	Live    bool          // redraw a table in place: Out is a terminal
-	Every   time.Duration // between looks at the run
-	// Restarts, if above 0, is how often every node is restarted in turn during the load.
-	Restarts int
+	Plan     *scenario.Plan
+	Program  string // path of the node's program; found or built where it is empty
+	Dir      string // directory for configurations and logs, which must exist
+	Log      *slog.Logger
+	Out      io.Writer     // for the progress
+	Live     bool          // redraw a table in place, for an Out that is a terminal
+	Every    time.Duration // between two reports of the progress
+	Restarts int           // how often every node is restarted in turn during the load
 	NodeArgs []string
 	Rollout  *Rollout // if set, the fleet goes to another release by its own agreement
 }
 
-// watcher tells the rules of the emulator what clients see.
-type watcher struct{ em *emulator.Emulator }
-
-func (w watcher) RequestSent(id, class string, node int, wait time.Duration) {
-	due := w.em.Now() + wait
-	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.RequestSent(now, id, class, node, due) })
-}
-
-func (w watcher) RequestAnswered(id string, kind invariants.Final, value []byte) {
-	madeFor := wireformat.RequestOfValue(value)
-	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.RequestAnswered(now, id, kind, madeFor) })
-}
-
-func (w watcher) ConnectionEnded(id string, unread bool) {
-	w.em.Tell(func(now time.Duration, check *invariants.Checker) { check.ConnectionEnded(now, id, unread) })
-}
-
-// NodeResult is what a node used.
+// NodeResult is what the processes of a node used.
 type NodeResult struct {
 	Name, Zone string
 	nodes.Usage
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Plan        *scenario.Plan
-	Interrupted bool
+	Interrupted bool // the context ended the run
 	Classes     []clients.Class
 	Generator   clients.Generator
 	Summary     emulator.Summary
 	Nodes       []NodeResult
-	Took        time.Duration
-	Ends        []error // nodes that did not end as they should have
+	Elapsed     time.Duration
+	Failures    []error // of nodes that did not start or end as they should, or of the rollout
 	Rollout     *RolloutResult
 }
 
-// IsClean tells whether everything went as it must.
-func (r *Result) IsClean() bool { return len(r.Summary.Broken) == 0 && len(r.Ends) == 0 }
+// IsClean reports whether no invariant was violated and no node failed.
+func (r *Result) IsClean() bool { return len(r.Summary.Broken) == 0 && len(r.Failures) == 0 }
 
-// startWithin and stopWithin bound how long nodes may take to come up and to end.
 const (
-	startWithin = 20 * time.Second
-	stopWithin  = 15 * time.Second
+	startTimeout = 20 * time.Second // for nodes to answer after their start
+	stopTimeout  = 15 * time.Second // for a node to end after SIGTERM
 )
 
-// place is where a node's process of the moment is; a restart puts another there.
-type place struct {
-	emulator.NodeConfig
-	mu   sync.Mutex
-	proc *nodes.Process
-	used atomic.Bool
-	cpu  time.Duration // of earlier processes
-
-	leaving time.Time // since when it goes out by agreement
+// run is a scenario that is being played.
+type run struct {
+	options    Options
+	began      time.Time
+	program    string
+	emulator   *emulator.Emulator
+	faultProxy *faultproxy.Proxy // between the nodes of a rollout; nil without one
+	instances  []*instance
+	rollout    *rollout // nil without one
 }
 
-func (p *place) process() *nodes.Process {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.proc
+// Run plays a plan. When the context ends, it stops early and still returns the result so far.
+func Run(ctx context.Context, options Options) (*Result, error) {
+	r := &run{options: options, began: time.Now(), program: options.Program}
+	defer r.close()
+	if err := r.prepare(ctx); err != nil {
+		return nil, err
+	}
+	if err := r.startNodes(ctx); err != nil {
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+		return nil, err
+	}
+	load := clients.New(options.Plan, clients.Options{Nodes: r.clientNodes(), Observer: observer{r.emulator}})
+	failures := r.playLoad(ctx, load)
+	return r.finish(ctx, load, failures), nil
 }
 
-// Run plays a plan. When the context ends, it stops early and still sums up.
-func Run(ctx context.Context, opt Options) (*Result, error) {
-	began := time.Now()
-	program := opt.Program
-	if program == "" {
-		var err error
-		if program, err = nodes.Find(ctx, opt.Dir); err != nil {
-			return nil, err
+// prepare finds the program, opens the sockets of the emulated portal and writes the nodes' configurations.
+func (r *run) prepare(ctx context.Context) (err error) {
+	if r.program == "" {
+		if r.program, err = nodes.FindProgram(ctx, r.options.Dir); err != nil {
+			return err
 		}
 	}
-	var between *faultproxy.Proxy
-	if opt.Rollout != nil {
-		var err error
-		if between, err = faultproxy.New(len(opt.Plan.Spec.Nodes), opt.Rollout.Faults, opt.Plan.Seed); err != nil {
-			return nil, err
+	emulatorOptions := emulator.Options{Log: r.options.Log}
+	if rollout := r.options.Rollout; rollout != nil {
+		if r.faultProxy, err = faultproxy.New(len(r.options.Plan.Spec.Nodes), rollout.Faults, r.options.Plan.Seed); err != nil {
+			return err
 		}
-		defer between.Close()
+		emulatorOptions.Peers = r.faultProxy.Addresses
 	}
-	em, err := emulator.New(opt.Plan, emulator.Options{Log: opt.Log, Peers: peersOf(between)})
-	if err != nil {
-		return nil, err
+	if r.emulator, err = emulator.New(r.options.Plan, emulatorOptions); err != nil {
+		return err
 	}
-	defer em.Close()
-	if err := em.Start(); err != nil {
-		return nil, err
+	if err := r.emulator.Start(); err != nil {
+		return err
 	}
-	configs, err := em.WriteConfigs(opt.Dir)
+	configs, err := r.emulator.WriteConfigs(r.options.Dir)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	places := make([]*place, len(configs))
-	for i, c := range configs {
-		places[i] = &place{NodeConfig: c}
+	for _, config := range configs {
+		r.instances = append(r.instances, &instance{NodeConfig: config})
 	}
-	defer func() { // whatever happened before the orderly end
-		for _, p := range places {
-			if proc := p.process(); proc != nil {
-				proc.Stop(stopWithin)
-			}
+	if r.options.Rollout != nil {
+		r.rollout = newRollout(r)
+	}
+	return nil
+}
+
+// close ends what prepare and startNodes started, also after an error.
+func (r *run) close() {
+	for _, instance := range r.instances {
+		if process := instance.currentProcess(); process != nil {
+			_ = process.Stop(stopTimeout) // finish reports failures of an orderly end
 		}
-	}()
-	up, cancel := context.WithTimeout(ctx, startWithin)
+	}
+	if r.emulator != nil {
+		r.emulator.Close()
+	}
+	if r.faultProxy != nil {
+		r.faultProxy.Close()
+	}
+}
+
+// startNodes starts all nodes at once and waits until they answer.
+func (r *run) startNodes(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	rolling := newRolling(opt, em, between)
-	rolling.places = places
-	starting, up := errgroup.WithContext(up)
-	for i, p := range places {
+	starting, ctx := errgroup.WithContext(ctx)
+	for i, instance := range r.instances {
 		starting.Go(func() error {
-			args := opt.NodeArgs
-			if opt.Rollout != nil {
+			args := r.options.NodeArgs
+			if r.rollout != nil {
 				var err error
-				if args, err = rolling.args(i, rollFrom); err != nil {
+				if args, err = r.rollout.nodeArgs(i, releaseBefore); err != nil {
 					return err
 				}
 			}
-			return p.start(up, program, args)
+			return instance.start(ctx, r.program, args)
 		})
 	}
-	if err := starting.Wait(); err != nil {
-		if ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
-		return nil, err
-	}
-	var front []clients.Node
-	for _, p := range places {
-		front = append(front, clients.Node{Addr: p.Listen, Process: func() func() bool { return p.process().Stopping }, Used: p.used.Load})
-	}
-	load := clients.New(opt.Plan, clients.Options{Nodes: front, Observer: watcher{em}})
-	var over sync.WaitGroup
-	done := make(chan struct{})
-	over.Go(func() { watch(opt, em, load, done) })
-	var restartErr error
-	if opt.Restarts > 0 {
-		over.Go(func() { restartErr = restart(ctx, opt, em, places, program, done) })
-	}
-	if opt.Rollout != nil {
-		over.Go(func() { restartErr = rolling.run(ctx, program, done) })
+	return starting.Wait()
+}
+
+// clientNodes are the nodes as clients see them.
+func (r *run) clientNodes() []clients.Node {
+	var clientNodes []clients.Node
+	for _, instance := range r.instances {
+		clientNodes = append(clientNodes, clients.Node{Address: instance.Listen, InUse: instance.isInUse.Load,
+			Process: func() func() bool { return instance.currentProcess().IsStopping }})
 	}
-	load.Run(ctx)
-	close(done)
-	over.Wait()
+	return clientNodes
+}
 
-	r := &Result{Plan: opt.Plan, Interrupted: ctx.Err() != nil}
-	if restartErr != nil {
-		r.Ends = append(r.Ends, restartErr)
+// playLoad runs the load, beside it the progress and what the options do to the nodes, and waits for all of them.
+func (r *run) playLoad(ctx context.Context, load *clients.Clients) (failures []error) {
+	loadEnded := make(chan struct{}) // closed below
+	var beside sync.WaitGroup
+	beside.Go(func() { r.showProgress(load, loadEnded) })
+	var restartErr, rolloutErr error
+	if r.options.Restarts > 0 {
+		beside.Go(func() { restartErr = r.restartNodes(ctx, loadEnded) })
 	}
-	for _, p := range places {
-		u := p.process().Usage()
-		u.CPU += p.cpu
-		r.Nodes = append(r.Nodes, NodeResult{p.Name, p.Zone, u})
+	if r.rollout != nil {
+		beside.Go(func() { rolloutErr = r.rollout.rollOut(ctx, loadEnded) })
 	}
-	if opt.Rollout != nil {
-		r.Rollout = &rolling.result
-		r.Rollout.Datagrams, r.Rollout.Bytes = between.Carried()
-		if r.Rollout.Most > opt.Rollout.Budget {
-			r.Ends = append(r.Ends, fmt.Errorf("%d nodes were out at once by agreement, %d may be", r.Rollout.Most, opt.Rollout.Budget))
+	load.Run(ctx)
+	close(loadEnded)
+	beside.Wait()
+	for _, err := range []error{restartErr, rolloutErr} {
+		if err != nil {
+			failures = append(failures, err)
 		}
 	}
-	r.Ends = append(r.Ends, stopAll(places)...)
-	// What was taken in the last moment shows by its deadline, when the clients have given up on it.
-	em.Do(func(now time.Duration, _ *model.System, check *invariants.Checker) { check.Advance(now) })
-	r.Classes, r.Generator = load.Classes(), load.Generator()
-	r.Summary = em.Summary()
-	r.Took = time.Since(began)
-	return r, nil
+	return failures
 }
 
-func (p *place) start(ctx context.Context, program string, args []string) error {
-	proc, err := nodes.Start(program, p.Name, p.Listen, p.Path, args...)
-	if err != nil {
-		return err
-	}
-	p.mu.Lock()
-	p.proc = proc
-	p.mu.Unlock()
-	if err := proc.Ready(ctx); err != nil {
-		return err
+// finish stops the nodes and collects the result.
+func (r *run) finish(ctx context.Context, load *clients.Clients, failures []error) *Result {
+	result := &Result{Plan: r.options.Plan, Interrupted: ctx.Err() != nil, Failures: failures}
+	for _, instance := range r.instances {
+		result.Nodes = append(result.Nodes, NodeResult{instance.Name, instance.Zone, instance.usage()})
+	}
+	if r.rollout != nil {
+		result.Rollout = &r.rollout.result
+		result.Rollout.Datagrams, result.Rollout.Bytes = r.faultProxy.Carried()
+		if most, budget := result.Rollout.MostOut, r.options.Rollout.Budget; most > budget {
+			result.Failures = append(result.Failures, fmt.Errorf("%d nodes were out of service at once by agreement, the budget is %d", most, budget))
+		}
 	}
-	p.used.Store(true)
-	return nil
+	result.Failures = append(result.Failures, r.stopNodes()...)
+	// A request that was sent in the last moment and not answered shows at its deadline, when its client has given it up.
+	r.emulator.Do(func(now time.Duration, _ *model.System, check *invariants.Checker) { check.Advance(now) })
+	result.Classes, result.Generator = load.Classes(), load.Generator()
+	result.Summary = r.emulator.Summary()
+	result.Elapsed = time.Since(r.began)
+	return result
 }
 
-// stopAll ends all nodes at once.
-func stopAll(places []*place) (ends []error) {
+// stopNodes stops all nodes at once.
+func (r *run) stopNodes() (failures []error) {
 	var mu sync.Mutex
-	var wg sync.WaitGroup
-	for _, p := range places {
-		wg.Go(func() {
-			p.used.Store(false)
-			if err := p.process().Stop(stopWithin); err != nil {
+	var stopping sync.WaitGroup
+	for _, instance := range r.instances {
+		stopping.Go(func() {
+			instance.isInUse.Store(false)
+			if err := instance.currentProcess().Stop(stopTimeout); err != nil {
 				mu.Lock()
-				ends = append(ends, err)
-				mu.Unlock()
+				defer mu.Unlock()
+				failures = append(failures, err)
 			}
 		})
 	}
-	wg.Wait()
-	return ends
+	stopping.Wait()
+	return failures
 }
 
-// restart restarts every node in turn, evenly over the load: SIGTERM, a moment later the front no longer hands out
-// connections to it, and a new process in its place.
-func restart(ctx context.Context, opt Options, em *emulator.Emulator, places []*place, program string, done <-chan struct{}) error {
-	gap := opt.Plan.Length / time.Duration(opt.Restarts*len(places)+1)
-	for range opt.Restarts {
-		for _, p := range places {
-			select {
-			case <-time.After(gap):
-			case <-done:
-				return nil
-			}
-			old := p.process()
-			old.Signal(syscallTerm)
-			time.Sleep(300 * time.Millisecond)
-			p.used.Store(false)
-			p.cpu += old.Usage().CPU
-			if err := old.Stop(stopWithin); err != nil {
-				return err
-			}
-			em.Tell(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(p.Number) })
-			if err := em.WriteConfig(p.NodeConfig); err != nil {
-				return err
-			}
-			up, cancel := context.WithTimeout(ctx, startWithin)
-			err := p.start(up, program, opt.NodeArgs)
-			cancel()
-			if err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
+// maxRandomSeed bounds the seeds that RandomSeed draws, so that they are short to type.
+const maxRandomSeed = 1_000_000
 
-// Seed is a seed for a run that names none.
-func Seed() uint64 { return uint64(time.Now().UnixNano()) % 1_000_000 }
+// RandomSeed returns a seed for a run that names none.
+func RandomSeed() uint64 { return uint64(time.Now().UnixNano()) % maxRandomSeed }
 
-// TempDir makes a folder for a run.
+// TempDir makes a directory for a run, which the caller removes.
 func TempDir() (string, error) {
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
-		return "", fmt.Errorf("no folder for the run: %w", err)
+		return "", fmt.Errorf("make a directory for the run: %w", err)
 	}
 	return dir, nil
 }
--- /dev/null
+++ b/internal/testbed/demo/instance.go
@@ -0,0 +1,101 @@
+package demo
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"shelfproxy/internal/testbed/emulator"
+	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/nodes"
+)
+
+// frontNoticeDelay is how long a front takes to notice that a node drains.
+const frontNoticeDelay = 300 * time.Millisecond
+
+// instance is a node of the run. A restart replaces its process.
+type instance struct {
+	emulator.NodeConfig
+	isInUse atomic.Bool // the front hands out connections to it
+
+	mu      sync.Mutex
+	process *nodes.Process
+
+	// The goroutine that restarts or rolls the instance owns these; others read them once it has ended.
+	earlierCPU    time.Duration // processor time of the processes before the present one
+	drainingSince time.Time     // when it began to drain for the rollout; zero while it does not
+}
+
+// currentProcess returns the present process; nil before the first start.
+func (in *instance) currentProcess() *nodes.Process {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.process
+}
+
+// start starts a process, waits until it answers and puts the instance in use.
+func (in *instance) start(ctx context.Context, program string, args []string) error {
+	process, err := nodes.Start(nodes.Command{Program: program, Args: args, Name: in.Name, Listen: in.Listen, Config: in.Path})
+	if err != nil {
+		return err
+	}
+	in.mu.Lock()
+	in.process = process
+	in.mu.Unlock()
+	if err := process.WaitReady(ctx); err != nil {
+		return err
+	}
+	in.isInUse.Store(true)
+	return nil
+}
+
+// usage returns what all processes of the instance used, with the memory and descriptors of the present one.
+func (in *instance) usage() nodes.Usage {
+	usage := in.currentProcess().Usage()
+	usage.CPU += in.earlierCPU
+	return usage
+}
+
+// restartNodes restarts every node in turn, evenly over the load. It returns early when the load ends.
+func (r *run) restartNodes(ctx context.Context, loadEnded <-chan struct{}) error {
+	interval := r.options.Plan.Length / time.Duration(r.options.Restarts*len(r.instances)+1)
+	for range r.options.Restarts {
+		for _, instance := range r.instances {
+			select {
+			case <-time.After(interval):
+			case <-loadEnded:
+				return nil
+			}
+			if err := r.restart(ctx, instance); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// restart ends the process of an instance as an operator would, with the front noticing a moment later, and starts another.
+func (r *run) restart(ctx context.Context, in *instance) error {
+	process := in.currentProcess()
+	_ = process.Signal(syscall.SIGTERM) // it fails if the process has ended, which Stop reports
+	time.Sleep(frontNoticeDelay)
+	in.isInUse.Store(false)
+	in.earlierCPU += process.Usage().CPU
+	if err := process.Stop(stopTimeout); err != nil {
+		return err
+	}
+	return r.startNext(ctx, in, r.options.NodeArgs)
+}
+
+// startNext starts the next process of an instance whose last one has ended.
+func (r *run) startNext(ctx context.Context, in *instance, args []string) error {
+	r.emulator.Tell(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(in.Number) })
+	if err := r.emulator.WriteConfig(in.NodeConfig); err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	return in.start(ctx, r.program, args)
+}
--- a/internal/testbed/demo/progress.go
+++ b/internal/testbed/demo/progress.go
@@ -4,138 +4,106 @@
 	"fmt"
 	"io"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/olekukonko/tablewriter"
 
 	"shelfproxy/internal/testbed/clients"
-	"shelfproxy/internal/testbed/emulator"
 	"shelfproxy/internal/testbed/invariants"
 	"shelfproxy/internal/testbed/model"
 )
 
-const syscallTerm = syscall.SIGTERM
+// progress is the state of a run at a moment.
+type progress struct {
+	now, length time.Duration
+	classes     []clients.Class
+	servers     []model.ServerState
+	violations  int
+}
 
-// watch shows the run while it goes on: a table in place on a terminal, else a line now and then.
-func watch(opt Options, em *emulator.Emulator, load *clients.Clients, done <-chan struct{}) {
-	tick := time.NewTicker(opt.Every)
-	defer tick.Stop()
-	drawn := 0
+// showProgress writes the state of the run now and then, until the load ends: as a table that is redrawn in place on a
+// terminal, and else as a line.
+func (r *run) showProgress(load *clients.Clients, loadEnded <-chan struct{}) {
+	ticker := time.NewTicker(r.options.Every)
+	defer ticker.Stop()
+	linesDrawn := 0
 	for {
 		select {
-		case <-done:
+		case <-loadEnded:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		var now time.Duration
-		var servers []model.ServerState
-		var broken int
-		if !em.Do(func(t time.Duration, p *model.System, c *invariants.Checker) {
-			now, servers, broken = t, p.Servers(), len(c.Violations())
+		current := progress{length: r.options.Plan.Length}
+		if !r.emulator.Do(func(now time.Duration, system *model.System, check *invariants.Checker) {
+			current.now, current.servers, current.violations = now, system.Servers(), len(check.Violations())
 		}) {
 			return
 		}
-		classes := load.Classes()
-		line := headline(now, opt.Plan.Length, classes, servers, broken)
-		if !opt.Live {
-			fmt.Fprintln(opt.Out, line)
+		current.classes = load.Classes()
+		if !r.options.Live {
+			fmt.Fprintln(r.options.Out, current.headline())
 			continue
 		}
-		var b strings.Builder
-		if drawn > 0 {
-			fmt.Fprintf(&b, "\x1b[%dA\x1b[J", drawn)
-		}
-		text := line + "\n" + serverTable(servers)
-		b.WriteString(text)
-		drawn = strings.Count(text, "\n")
-		io.WriteString(opt.Out, b.String())
+		linesDrawn = current.redraw(r.options.Out, linesDrawn)
 	}
 }
 
-func headline(now, length time.Duration, classes []clients.Class, servers []model.ServerState, broken int) string {
+// redraw replaces the lines that were drawn before and returns how many it drew.
+func (p progress) redraw(out io.Writer, linesDrawn int) int {
+	eraseLines := ""
+	if linesDrawn > 0 {
+		eraseLines = fmt.Sprintf("\x1b[%dA\x1b[J", linesDrawn)
+	}
+	text := p.headline() + "\n" + p.serverTable()
+	fmt.Fprint(out, eraseLines+text)
+	return strings.Count(text, "\n")
+}
+
+func (p progress) headline() string {
 	var sum clients.Class
-	for _, c := range classes {
-		sum.Scheduled += c.Scheduled
-		sum.Served += c.Served
-		sum.Rejected += c.Rejected
-		sum.Failed += c.Failed + c.Unanswered + c.Unsent
+	for _, class := range p.classes {
+		sum.Scheduled += class.Scheduled
+		sum.Served += class.Served
+		sum.Rejected += class.Rejected
+		sum.Failed += class.Failed + class.Unanswered + class.Unsent
 	}
 	up, draining, down := 0, 0, 0
 	origin := ""
-	for _, s := range servers {
+	for _, server := range p.servers {
 		switch {
-		case s.ID == model.OriginID:
-			origin = fmt.Sprintf("origin %d in work, %d waiting", s.Running, s.Waiting)
-		case s.Dead || s.Unresponsive:
+		case server.ID == model.OriginID:
+			origin = fmt.Sprintf("origin %d in work, %d waiting", server.Running, server.Waiting)
+		case server.Dead || server.Unresponsive:
 			down++
-		case s.State == model.Draining:
+		case server.State == model.Draining:
 			draining++
 		default:
 			up++
 		}
 	}
-	return fmt.Sprintf("%5.1f s of %.0f: %d due, %d served, %d refused, %d failed | boxes: %d up, %d draining, %d down or silent | %s | rules broken: %d",
-		now.Seconds(), length.Seconds(), sum.Scheduled, sum.Served, sum.Rejected, sum.Failed, up, draining, down, origin, broken)
+	return fmt.Sprintf("%5.1f s of %.0f: %d due, %d served, %d rejected, %d failed | cache servers: %d up, %d draining, %d down or unresponsive | %s | invariants violated: %d",
+		p.now.Seconds(), p.length.Seconds(), sum.Scheduled, sum.Served, sum.Rejected, sum.Failed, up, draining, down, origin, p.violations)
 }
 
-func serverTable(servers []model.ServerState) string {
-	var b strings.Builder
-	t := tablewriter.NewWriter(&b)
-	t.Header("server", "kind", "room", "state", "warm", "in work", "waiting", "connections", "copies")
-	for _, s := range servers {
-		state := s.State.String()
+func (p progress) serverTable() string {
+	var text strings.Builder
+	table := tablewriter.NewWriter(&text)
+	table.Header("server", "kind", "zone", "state", "warm", "in work", "waiting", "connections", "copies")
+	for _, server := range p.servers {
+		state := server.State.String()
 		switch {
-		case s.Dead:
+		case server.Dead:
 			state = "dead"
-		case s.Unresponsive:
-			state = "silent"
+		case server.Unresponsive:
+			state = "unresponsive"
+		}
+		if err := table.Append(server.ID, server.Kind, server.Zone, state, fmt.Sprintf("%.0f%%", server.SlowStart*100), server.Running,
+			server.Waiting, server.Conns, server.Copies); err != nil {
+			return err.Error()
 		}
-		t.Append(s.ID, s.Kind, s.Zone, state, fmt.Sprintf("%.0f%%", s.SlowStart*100), s.Running, s.Waiting, s.Conns, s.Copies)
-	}
-	t.Render()
-	return b.String()
-}
-
-// Write writes the summary of a run.
-func (r *Result) Write(w io.Writer) {
-	if r.Interrupted {
-		fmt.Fprintln(w, "interrupted; this is what was seen until then")
-	}
-	fmt.Fprintf(w, "\nscenario %s, seed %d: %d nodes, %d boxes, up to %.0f requests a second for %s\n", r.Plan.Name, r.Plan.Seed, len(r.Plan.Spec.Nodes),
-		len(r.Plan.Spec.CacheServers), r.Plan.Peak(), r.Plan.Length)
-	clients.WriteClasses(w, r.Classes)
-	taken := max(1, r.Summary.Rules.Requests)
-	t := tablewriter.NewWriter(w)
-	t.Header("node", "room", "CPU s", "memory MB", "descriptors")
-	cpu := time.Duration(0)
-	for _, n := range r.Nodes {
-		cpu += n.CPU
-		t.Append(n.Name, n.Zone, fmt.Sprintf("%.2f", n.CPU.Seconds()), fmt.Sprintf("%.1f", float64(n.Memory)/(1<<20)), n.Sockets)
-	}
-	t.Render()
-	s := r.Summary
-	fmt.Fprintf(w, "nodes: %.2f ms of processor a request, %.2f attempts a request, %d probes, %d calls of discovery\n",
-		cpu.Seconds()*1000/float64(taken), float64(s.Requests)/float64(taken), s.Probes, s.Calls)
-	fmt.Fprintf(w, "rig: sends late by p99 %s ms, max %s ms; emulator late by p99 %.1f ms, max %.1f ms; event log %016x\n",
-		clients.Millis(r.Generator.Lag, 99), clients.Millis(r.Generator.Lag, 100), s.LateP99.Seconds()*1000, s.LateMax.Seconds()*1000, s.Events)
-	if o := r.Rollout; o != nil {
-		fmt.Fprintf(w, "roll: %d of %d nodes on the next release after %.1f s, %d out at once at most, a node out for %.1f s at most; %d datagrams, %d bytes between nodes; halted: %v\n",
-			o.Done, len(r.Nodes), o.Took.Seconds(), o.Most, o.Slowest.Seconds(), o.Datagrams, o.Bytes, o.HaltedOnce)
-	}
-	for _, why := range r.Generator.Invalid() {
-		fmt.Fprintln(w, "the latencies are not to be believed:", why)
-	}
-	for _, err := range r.Ends {
-		fmt.Fprintln(w, "broken:", err)
-	}
-	for _, v := range s.Broken {
-		fmt.Fprintln(w, v)
 	}
-	if r.IsClean() {
-		fmt.Fprintf(w, "rules kept: %d requests taken and %d answered, %d attempts, %d lists told\n", s.Rules.Requests, s.Rules.Answered,
-			s.Rules.Attempts, s.Rules.Notifications)
-	} else {
-		fmt.Fprintf(w, "rules broken: %d\n", len(s.Broken)+len(r.Ends))
+	if err := table.Render(); err != nil {
+		return err.Error()
 	}
+	return text.String()
 }
--- a/internal/testbed/demo/rollout.go
+++ b/internal/testbed/demo/rollout.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"os"
@@ -14,231 +15,291 @@
 	"syscall"
 	"time"
 
-	"shelfproxy/internal/testbed/emulator"
 	"shelfproxy/internal/testbed/faultproxy"
-	"shelfproxy/internal/testbed/invariants"
 )
 
-// Rollout has the whole fleet go to another release by its own agreement, under the load, while the datagrams between its nodes
-// meet faults.
+// Rollout has the whole fleet go to another release by its own agreement, under the load, while the datagrams between its
+// nodes meet faults.
 type Rollout struct {
-	Budget int // nodes out at once
+	Budget int // nodes that may be out of service at once
 	Faults faultproxy.Faults
-	Stall  time.Duration // the first node that may go is stopped for so long at that moment
-	After  time.Duration // into the load
+	Stall  time.Duration // how long the first node that may drain is stopped at that moment
+	After  time.Duration // when the release is ordered, from the start of the load
 }
 
-// RolloutResult is what a roll came to.
+// RolloutResult is the result of a rollout.
 type RolloutResult struct {
-	Most       int           // nodes out at once by agreement
-	Took       time.Duration // from the order until every node ran the next release and was fit
-	Done       int           // nodes that did
-	Slowest    time.Duration // of one node, from going until it was fit again
-	Datagrams  int
-	Bytes      int
-	HaltedOnce bool
-}
-
-// Releases of a roll.
-const rollFrom, rollTo = "r1", "r2"
-
-// rolling is a roll that goes on.
-type rolling struct {
-	opt    Options
-	em     *emulator.Emulator
-	places []*place
-	relay  *faultproxy.Proxy
-	result RolloutResult
-	out    []time.Time // when a node went, by its number; zero while it is in
-	on     []string    // release that its process was started with
-	seen   []int64     // of its log
-}
-
-func newRolling(opt Options, em *emulator.Emulator, net *faultproxy.Proxy) *rolling {
-	n := len(opt.Plan.Spec.Nodes)
-	r := &rolling{opt: opt, em: em, relay: net, out: make([]time.Time, n), on: make([]string, n), seen: make([]int64, n)}
-	for i := range r.on {
-		r.on[i] = rollFrom
-	}
-	return r
-}
-
-// peers is what the emulator's configurations say of the other nodes.
-func peersOf(net *faultproxy.Proxy) func(int) (string, []string, string) {
-	if net == nil {
-		return nil
-	}
-	return net.Addresses
+	MostOut   int           // highest number of nodes out of service at once by agreement
+	Elapsed   time.Duration // from the order until every node ran the next release and was ready
+	Done      int           // nodes that run the next release and are ready
+	Slowest   time.Duration // longest time that a node was out of service
+	Datagrams int           // between the nodes
+	Bytes     int           // of these datagrams
+	WasHalted bool          // a node has halted the rollout
 }
 
-func (r *rolling) socket(i int) string { return filepath.Join(r.opt.Dir, fmt.Sprintf("n%d.ctl", i)) }
+// Releases of a rollout.
+const (
+	releaseBefore = "r1"
+	releaseAfter  = "r2"
+)
+
+const (
+	rolloutPoll = 5 * time.Millisecond // between two looks at the nodes
+	// rolloutSlack is how much longer than the load a rollout may take, for busy machines.
+	rolloutSlack       = time.Minute
+	controlCallTimeout = time.Second // of an operator's call
+)
 
-// args writes a node's operator file for a release and returns the words that name it.
-func (r *rolling) args(i int, release string) ([]string, error) {
-	path := filepath.Join(r.opt.Dir, fmt.Sprintf("n%d.toml", i))
-	text := fmt.Sprintf("[log]\nlevel = \"debug\"\n[rollout]\nnodes_out = %d\nrelease = %q\ncontrol = %q\nbeacon = \"250ms\"\nsilent = \"2s\"\nlease = \"2s\"\nwatch = \"1s\"\nleast_judged = 50\n",
-		r.opt.Rollout.Budget, release, r.socket(i))
-	return append([]string{"--file", path}, r.opt.NodeArgs...), os.WriteFile(path, []byte(text), 0o600)
+// operatorFile is the operators' file of a node, with the budget, the release and the path of its control socket.
+const operatorFile = `[log]
+level = "debug"
+[rollout]
+nodes_out = %d
+release = %q
+control = %q
+beacon = "250ms"
+silent = "2s"
+lease = "2s"
+watch = "1s"
+least_judged = 50
+`
+
+// rollout orders a release, and follows the nodes and restarts them as their supervisor would. One goroutine runs it.
+type rollout struct {
+	*run
+	nodes     []rolloutNode // by the number of the instance
+	orderedAt time.Time     // zero before the order
+	isStalled bool          // the stall of the options has happened
+	result    RolloutResult
 }
 
-// lines are those that a node's log has gained.
-func (r *rolling) lines(i int) (lines []string) {
-	f, err := os.Open(r.places[i].process().LogPath)
-	if err != nil {
-		return nil
-	}
-	defer f.Close()
-	f.Seek(r.seen[i], 0)
-	rd := bufio.NewReader(f)
-	for {
-		line, err := rd.ReadString('\n')
-		if err != nil {
-			return lines // half a line is read again
-		}
-		r.seen[i] += int64(len(line))
-		lines = append(lines, line)
+// rolloutNode is the state of a node in a rollout.
+type rolloutNode struct {
+	release   string    // that its process was started with
+	outSince  time.Time // when it went out of service; zero while it is in service
+	logOffset int64     // bytes of its log that were read
+}
+
+func (n *rolloutNode) isOut() bool { return !n.outSince.IsZero() }
+
+func newRollout(r *run) *rollout {
+	ro := &rollout{run: r, nodes: make([]rolloutNode, len(r.instances))}
+	for i := range ro.nodes {
+		ro.nodes[i].release = releaseBefore
 	}
+	return ro
+}
+
+func (ro *rollout) controlSocket(node int) string {
+	return filepath.Join(ro.options.Dir, fmt.Sprintf("n%d.ctl", node))
 }
 
-// run orders the roll and plays the supervisor of all nodes until all run the next release, or the load is over.
-func (r *rolling) run(ctx context.Context, program string, done <-chan struct{}) error {
-	roll := r.opt.Rollout
+// nodeArgs writes a node's operators' file for a release and returns the arguments that name it.
+func (ro *rollout) nodeArgs(node int, release string) ([]string, error) {
+	path := filepath.Join(ro.options.Dir, fmt.Sprintf("n%d.toml", node))
+	content := fmt.Sprintf(operatorFile, ro.options.Rollout.Budget, release, ro.controlSocket(node))
+	return append([]string{"--file", path}, ro.options.NodeArgs...), os.WriteFile(path, []byte(content), 0o600)
+}
+
+// rollOut orders the release and follows the nodes until all are ready on it. It is an error if they are not some time after the
+// load has ended.
+func (ro *rollout) rollOut(ctx context.Context, loadEnded <-chan struct{}) error {
 	select {
-	case <-time.After(roll.After):
-	case <-done:
+	case <-time.After(ro.options.Rollout.After):
+	case <-loadEnded:
 		return nil
 	}
-	var began time.Time
-	stalled := roll.Stall <= 0
-	var late <-chan time.Time
-	tick := time.NewTicker(5 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(rolloutPoll)
+	defer ticker.Stop()
+	var tooLate <-chan time.Time
 	for {
-		if began.IsZero() && r.fit(0) == len(r.places) {
-			if err := r.order(); err != nil {
-				return err
-			}
-			began = time.Now()
+		if err := ro.step(ctx); err != nil {
+			return err
 		}
-		for i, p := range r.places {
-			for _, line := range r.lines(i) {
-				switch {
-				case strings.Contains(line, `"event":"rollout_leaves"`):
-					r.out[i] = time.Now()
-					p.process().ExpectExit()
-					p.leaving = time.Now()
-					if !stalled {
-						stalled = true
-						if err := p.process().Signal(syscall.SIGSTOP); err != nil {
-							return err
-						}
-						time.AfterFunc(roll.Stall, func() { p.process().Signal(syscall.SIGCONT) })
-					}
-				case strings.Contains(line, fmt.Sprintf(`"event":"rollout_fit","node":%d,`, i)) && !r.out[i].IsZero():
-					r.result.Slowest = max(r.result.Slowest, time.Since(r.out[i]))
-					r.out[i] = time.Time{}
-				case strings.Contains(line, `"event":"rollout_halted"`):
-					r.result.HaltedOnce = true
-				}
-			}
-			if !p.leaving.IsZero() && time.Since(p.leaving) > noticed {
-				p.used.Store(false) // the front sees that it closes
-			}
-			select {
-			case <-p.process().Done():
-				if err := r.again(ctx, i, program); err != nil {
-					return err
-				}
-			default:
-			}
+		if ro.isComplete() {
+			ro.result.Elapsed = time.Since(ro.orderedAt)
+			return nil
 		}
-		most := 0
-		for _, at := range r.out {
-			if !at.IsZero() {
-				most++
-			}
+		select {
+		case <-loadEnded:
+			loadEnded, tooLate = nil, time.After(rolloutSlack)
+		case <-tooLate:
+			return fmt.Errorf("%d of %d nodes ran the next release %s after the end of the load", ro.result.Done, len(ro.instances), rolloutSlack)
+		case <-ticker.C:
 		}
-		r.result.Most = max(r.result.Most, most)
-		r.result.Done = 0
-		for i := range r.places {
-			if r.on[i] == rollTo && r.out[i].IsZero() {
-				r.result.Done++
-			}
+	}
+}
+
+// step orders the release once all nodes are ready, and follows every node.
+func (ro *rollout) step(ctx context.Context) error {
+	if ro.orderedAt.IsZero() && ro.readyNodes(ctx, 0) == len(ro.instances) {
+		if err := ro.order(ctx); err != nil {
+			return err
 		}
-		if r.result.Done == len(r.places) && !began.IsZero() {
-			r.result.Took = time.Since(began)
-			return nil
+		ro.orderedAt = time.Now()
+	}
+	for i, instance := range ro.instances {
+		if err := ro.readLog(i); err != nil {
+			return err
+		}
+		if !instance.drainingSince.IsZero() && time.Since(instance.drainingSince) > frontNoticeDelay {
+			instance.isInUse.Store(false)
 		}
 		select {
-		case <-done:
-			done, late = nil, time.After(afterLoad)
-		case <-late:
-			return fmt.Errorf("%d of %d nodes had gone to the next release %s after the load was over", r.result.Done, len(r.places), afterLoad)
-		case <-tick.C:
+		case <-instance.currentProcess().Done():
+			if err := ro.startNextRelease(ctx, i); err != nil {
+				return err
+			}
+		default:
 		}
 	}
+	ro.countNodes()
+	return nil
 }
 
-// afterLoad is how much longer than the load a roll may take: on a busy machine it does.
-const afterLoad = time.Minute
+// countNodes updates the numbers of nodes that are out of service and done.
+func (ro *rollout) countNodes() {
+	out := 0
+	ro.result.Done = 0
+	for i := range ro.nodes {
+		switch node := &ro.nodes[i]; {
+		case node.isOut():
+			out++
+		case node.release == releaseAfter:
+			ro.result.Done++
+		}
+	}
+	ro.result.MostOut = max(ro.result.MostOut, out)
+}
 
-// noticed is how long a front takes to see that a node goes.
-const noticed = 300 * time.Millisecond
+func (ro *rollout) isComplete() bool {
+	return ro.result.Done == len(ro.instances) && !ro.orderedAt.IsZero()
+}
 
-// again starts the next process of a node that went out.
-func (r *rolling) again(ctx context.Context, i int, program string) error {
-	p := r.places[i]
-	if err := p.process().Stop(stopWithin); err != nil {
-		return err
+// Events of a node's log, as they are written there.
+const (
+	eventDrains = `"event":"rollout_leaves"`
+	eventReady  = `"event":"rollout_fit","node":%d,` // of the node with this number
+	eventHalted = `"event":"rollout_halted"`
+)
+
+// readLog follows the rollout in what a node has logged since the last call.
+func (ro *rollout) readLog(node int) error {
+	ready := fmt.Sprintf(eventReady, node)
+	state := &ro.nodes[node]
+	for _, entry := range ro.newLogEntries(node) {
+		switch {
+		case strings.Contains(entry, eventDrains):
+			if err := ro.nodeDrains(node); err != nil {
+				return err
+			}
+		case strings.Contains(entry, ready) && state.isOut():
+			ro.result.Slowest = max(ro.result.Slowest, time.Since(state.outSince))
+			state.outSince = time.Time{}
+		case strings.Contains(entry, eventHalted):
+			ro.result.WasHalted = true
+		}
+	}
+	return nil
+}
+
+// newLogEntries returns the complete lines that a node's log has gained.
+func (ro *rollout) newLogEntries(node int) (entries []string) {
+	file, err := os.Open(ro.instances[node].currentProcess().LogPath)
+	if err != nil {
+		return nil
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	if _, err := file.Seek(ro.nodes[node].logOffset, io.SeekStart); err != nil {
+		return nil
 	}
-	p.used.Store(false)
-	p.cpu += p.process().Usage().CPU
-	r.em.Tell(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(p.Number) })
-	if err := r.em.WriteConfig(p.NodeConfig); err != nil {
+	reader := bufio.NewReader(file)
+	for {
+		entry, err := reader.ReadString('\n')
+		if err != nil {
+			return entries // an incomplete line is read the next time
+		}
+		ro.nodes[node].logOffset += int64(len(entry))
+		entries = append(entries, entry)
+	}
+}
+
+// nodeDrains records that a node drains, and stops the first one for the stall of the options.
+func (ro *rollout) nodeDrains(node int) error {
+	instance := ro.instances[node]
+	process := instance.currentProcess()
+	ro.nodes[node].outSince = time.Now()
+	instance.drainingSince = time.Now()
+	process.ExpectExit()
+	if ro.isStalled || ro.options.Rollout.Stall <= 0 {
+		return nil
+	}
+	ro.isStalled = true
+	if err := process.Signal(syscall.SIGSTOP); err != nil {
+		return fmt.Errorf("stall node %d: %w", node, err)
+	}
+	time.AfterFunc(ro.options.Rollout.Stall, func() {
+		_ = process.Signal(syscall.SIGCONT) // it fails if the process has ended, which step notices
+	})
+	return nil
+}
+
+// startNextRelease starts the next process of a node that has drained and ended.
+func (ro *rollout) startNextRelease(ctx context.Context, node int) error {
+	instance := ro.instances[node]
+	process := instance.currentProcess()
+	if err := process.Stop(stopTimeout); err != nil {
 		return err
 	}
-	args, err := r.args(i, rollTo)
+	instance.isInUse.Store(false)
+	instance.earlierCPU += process.Usage().CPU
+	args, err := ro.nodeArgs(node, releaseAfter)
 	if err != nil {
 		return err
 	}
-	r.on[i], p.leaving = rollTo, time.Time{}
-	up, cancel := context.WithTimeout(ctx, startWithin)
-	defer cancel()
-	return p.start(up, program, args)
+	ro.nodes[node].release, instance.drainingSince = releaseAfter, time.Time{}
+	return ro.startNext(ctx, instance, args)
 }
 
-// call makes an operator's call at a node.
-func (r *rolling) call(i int, method, path string, into any) error {
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+// callControl makes an operator's call at the control socket of a node and decodes its answer. The end of the context does
+// not cancel it: a run that is interrupted still finishes its calls.
+func (ro *rollout) callControl(ctx context.Context, node int, method, path string, answer any) error {
+	client := http.Client{Timeout: controlCallTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{}).DialContext(ctx, "unix", r.socket(i))
+			return (&net.Dialer{}).DialContext(ctx, "unix", ro.controlSocket(node))
 		}}}
-	req, err := http.NewRequest(method, "http://node"+path, nil)
+	request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), method, "http://node"+path, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return errors.New(resp.Status)
+	defer func() { _ = response.Body.Close() }() // it was only read
+	if response.StatusCode != http.StatusOK {
+		return errors.New(response.Status)
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(answer)
 }
 
-// fit is how many nodes a node knows to be in service.
-func (r *rolling) fit(i int) int {
-	var status struct{ Fit int }
-	r.call(i, http.MethodGet, "/status", &status) // one that does not answer knows of none
-	return status.Fit
+// readyNodes returns how many nodes are ready as far as a node knows; 0 if that node does not answer.
+func (ro *rollout) readyNodes(ctx context.Context, node int) int {
+	var status struct {
+		Ready int `json:"fit"`
+	}
+	if err := ro.callControl(ctx, node, http.MethodGet, "/status", &status); err != nil {
+		return 0
+	}
+	return status.Ready
 }
 
-func (r *rolling) order() error {
+// order orders the next release at the first node.
+func (ro *rollout) order(ctx context.Context) error {
 	var status any
-	if err := r.call(0, http.MethodPost, "/roll?to="+rollTo, &status); err != nil {
-		return fmt.Errorf("the order to roll: %w", err)
+	if err := ro.callControl(ctx, 0, http.MethodPost, "/roll?to="+releaseAfter, &status); err != nil {
+		return fmt.Errorf("order the release: %w", err)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/testbed/loadrunner/loadrunner.go
@@ -0,0 +1,90 @@
+// Package loadrunner sends the load of a plan, or of a trace in its place, to nodes that run already, and may record what it
+// sends as a trace.
+package loadrunner
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"shelfproxy/internal/testbed/clients"
+	"shelfproxy/internal/testbed/scenario"
+	"shelfproxy/internal/testbed/trace"
+	"shelfproxy/internal/testbed/workload"
+)
+
+// Options say what is sent where.
+type Options struct {
+	Plan        *scenario.Plan // which Run changes: the nodes share the load evenly
+	Addresses   []string       // of the nodes
+	Rate        float64        // steady rate in requests a second, if above 0, in place of the plan's
+	ClosedLoop  int            // if above 0, the number of clients of a closed loop that is run instead of an open one
+	RecordPath  string         // if set, a new file for a trace of the requests
+	RecordFrom  string         // where that trace says that it comes from
+	ReplayPath  string         // if set, a trace whose requests are sent in place of the plan's
+	ReplaySpeed float64        // of the replay; 2 is twice as fast
+	// OnReplayError, if set, is called with the error that ends a replay before the end of its trace.
+	OnReplayError func(error)
+}
+
+// Result is the result of a load.
+type Result struct {
+	Classes   []clients.Class
+	Generator clients.Generator
+}
+
+// Run sends the load until its end or that of the context. An error says that a trace could not be read or recorded.
+func Run(ctx context.Context, options Options) (*Result, error) {
+	plan := options.Plan
+	if options.Rate > 0 {
+		plan.Workload.Processes[0].Rate = options.Rate
+	}
+	clientOptions := clients.Options{ClosedLoop: options.ClosedLoop}
+	plan.Workload.NodeWeights = nil
+	for _, address := range options.Addresses {
+		clientOptions.Nodes = append(clientOptions.Nodes, clients.Node{Address: address})
+		plan.Workload.NodeWeights = append(plan.Workload.NodeWeights, 1)
+	}
+	if options.ReplayPath != "" {
+		reader, replay, err := openReplay(options)
+		if err != nil {
+			return nil, err
+		}
+		defer func() { _ = reader.Close() }() // it was only read
+		clientOptions.Source = replay.Next
+	}
+	var recordErr error
+	if options.RecordPath != "" {
+		writer, err := trace.Create(options.RecordPath, trace.Meta{Classes: classNames(plan), Nodes: len(options.Addresses),
+			From: options.RecordFrom, StartedAt: time.Now().UTC()})
+		if err != nil {
+			return nil, err
+		}
+		defer func() { _ = writer.Close() }()
+		clientOptions.Record = func(arrival workload.Arrival) { recordErr = errors.Join(recordErr, writer.Add(arrival)) }
+	}
+	load := clients.New(plan, clientOptions)
+	load.Run(ctx)
+	return &Result{Classes: load.Classes(), Generator: load.Generator()}, recordErr
+}
+
+func openReplay(options Options) (*trace.Reader, *trace.Replay, error) {
+	reader, err := trace.Open(options.ReplayPath)
+	if err != nil {
+		return nil, nil, err
+	}
+	replay, err := trace.NewReplay(reader, classNames(options.Plan), len(options.Addresses), options.ReplaySpeed)
+	if err != nil {
+		_ = reader.Close() // it was only read
+		return nil, nil, err
+	}
+	replay.OnError = options.OnReplayError
+	return reader, replay, nil
+}
+
+func classNames(plan *scenario.Plan) (names []string) {
+	for _, class := range plan.Classes {
+		names = append(names, class.Name)
+	}
+	return names
+}
--- /dev/null
+++ b/internal/testbed/nodes/usage.go
@@ -0,0 +1,55 @@
+package nodes
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Usage is what a process has used.
+type Usage struct {
+	CPU         time.Duration // processor time since the start of the process
+	Memory      int64         // bytes that are resident now
+	Descriptors int           // file descriptors that are open now
+}
+
+// Fields of /proc/PID/stat behind the command name, and their unit (proc_pid_stat(5)).
+const (
+	statUserTime   = 11
+	statSystemTime = 12
+	statResident   = 21                    // in pages
+	clockTick      = 10 * time.Millisecond // unit of the times
+)
+
+// Usage reads what the process has used from /proc. What cannot be read is zero.
+func (p *Process) Usage() Usage {
+	var usage Usage
+	dir := fmt.Sprintf("/proc/%d/", p.PID())
+	if stat, err := os.ReadFile(dir + "stat"); err == nil {
+		usage.parseStat(string(stat))
+	}
+	if descriptors, err := os.ReadDir(dir + "fd"); err == nil {
+		usage.Descriptors = len(descriptors)
+	}
+	return usage
+}
+
+// parseStat reads the content of /proc/PID/stat. The command name, in parentheses, may contain spaces.
+func (u *Usage) parseStat(stat string) {
+	_, rest, ok := strings.Cut(stat, ") ")
+	fields := strings.Fields(rest)
+	if !ok || len(fields) <= statResident {
+		return
+	}
+	number := func(field int) int64 {
+		value, err := strconv.ParseInt(fields[field], 10, 64)
+		if err != nil {
+			return 0
+		}
+		return value
+	}
+	u.CPU = time.Duration(number(statUserTime)+number(statSystemTime)) * clockTick
+	u.Memory = number(statResident) * int64(os.Getpagesize())
+}
--- /dev/null
+++ b/internal/testbed/overhead/client.go
@@ -0,0 +1,130 @@
+package overhead
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/tidwall/redcon"
+)
+
+const (
+	keys              = 512 // that clients ask for in turn
+	maxLatency        = time.Minute
+	significantDigits = 3
+)
+
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
+}
+
+// client sends requests one after another over one connection.
+type client struct {
+	id       string // prefix of its requests' ids
+	requests int64
+	latency  *hdrhistogram.Histogram
+}
+
+// sendRequests sends requests from several clients in a closed loop: the question is what a request costs, not how a queue
+// grows. It returns the number of requests and their latencies.
+func sendRequests(ctx context.Context, address string, clients int, span time.Duration, tag string) (int64, *hdrhistogram.Histogram, error) {
+	var mu sync.Mutex
+	var running sync.WaitGroup
+	var firstErr error
+	requests, latency := int64(0), newHistogram()
+	end := time.Now().Add(span)
+	for number := range clients {
+		running.Go(func() {
+			c := client{id: fmt.Sprintf("%s-%d", tag, number), latency: newHistogram()}
+			err := c.run(ctx, address, end)
+			mu.Lock()
+			defer mu.Unlock()
+			requests += c.requests
+			latency.Merge(c.latency)
+			if firstErr == nil {
+				firstErr = err
+			}
+		})
+	}
+	running.Wait()
+	return requests, latency, firstErr
+}
+
+// run sends requests until the end or that of the context.
+func (c *client) run(ctx context.Context, address string, end time.Time) error {
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	if err != nil {
+		if ctx.Err() != nil {
+			return nil
+		}
+		return err
+	}
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	var command []byte
+	for number := 0; ctx.Err() == nil && time.Now().Before(end); number++ {
+		command = appendGet(command[:0], fmt.Sprint("k", number%keys), fmt.Sprintf("%s-%d", c.id, number))
+		sentAt := time.Now()
+		if _, err := conn.Write(command); err != nil {
+			return err
+		}
+		if err := readValue(reader); err != nil {
+			return err
+		}
+		if err := c.latency.RecordValue(max(1, time.Since(sentAt).Microseconds())); err != nil {
+			return err
+		}
+		c.requests++
+	}
+	return nil
+}
+
+func appendGet(command []byte, key, id string) []byte {
+	command = redcon.AppendArray(command, 4)
+	for _, word := range []string{"CACHE.GET", key, id, "c=read,d=5000"} {
+		command = redcon.AppendBulkString(command, word)
+	}
+	return command
+}
+
+// readValue reads a value, alone as a node answers or first in an array of three as a cache server does.
+func readValue(reader *bufio.Reader) error {
+	header, err := reader.ReadString('\n')
+	if err != nil {
+		return err
+	}
+	moreElements := 0
+	if header == "*3\r\n" {
+		moreElements = 2 // "hit", and no load report
+		if header, err = reader.ReadString('\n'); err != nil {
+			return err
+		}
+	}
+	var size int
+	if _, err := fmt.Sscanf(header, "$%d", &size); err != nil || size < 0 {
+		return fmt.Errorf("answer %q", strings.TrimSpace(header))
+	}
+	if _, err := reader.Discard(size + len("\r\n")); err != nil {
+		return err
+	}
+	for range moreElements {
+		if err := skipElement(reader); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// skipElement reads a bulk string of one line, or a nil one.
+func skipElement(reader *bufio.Reader) error {
+	header, err := reader.ReadString('\n')
+	if err == nil && header[0] == '$' && header != "$-1\r\n" {
+		_, err = reader.ReadString('\n')
+	}
+	return err
+}
--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -1,322 +1,184 @@
-// Package overhead measures what a node costs beside nothing at all: the same clients ask a box straight, through a
-// program that only copies bytes both ways, and through a node, in turns within one run. Each of the three is a process
-// of its own with one processor, so that what it uses can be read off. Ratios to the copying program tell builds and
-// machines apart; the figures alone do not.
+// Package overhead measures what a node costs: the same clients send requests to a cache server straight, through a program
+// that only copies bytes both ways, and through a node, in turns within one run. Each of the three is a process of its own,
+// so that its processor time can be read. Ratios to the copying program compare builds and machines; the figures alone do
+// not.
 package overhead
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net"
-	"os"
 	"path/filepath"
-	"strings"
-	"sync"
+	"strconv"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/olekukonko/tablewriter"
-	"github.com/tidwall/redcon"
 
-	"shelfproxy/internal/testbed/clients"
 	"shelfproxy/internal/testbed/nodes"
 )
 
-// Options say how it is measured.
+// Options say how to measure.
 type Options struct {
-	Self    string // this program, which serves as box and splice too
-	Node    string // the node's
-	Dir     string
-	Clients int
-	Rounds  int
-	Span    time.Duration // of a way in a round
-	Bytes   int           // of a value
+	Self      string        // path of the program that runs CacheServerVerb and CopyVerb
+	Node      string        // path of the node's program
+	Dir       string        // directory for configurations and logs, which must exist
+	Clients   int           // that send requests at a time
+	Rounds    int           // after one to warm up
+	Span      time.Duration // length of a path in a round
+	ValueSize int           // bytes of a value
 }
 
-// Ways are the ways to the box, in their order.
-var Ways = [...]string{"straight", "splice", "node"}
+// Verbs with which Options.Self is started, each with two arguments.
+const (
+	CacheServerVerb = "overhead-box"    // arguments of ServeCache: its address and the size of values
+	CopyVerb        = "overhead-splice" // arguments of ServeCopy: its address and that of the cache server
+)
+
+// Paths of a request to the cache server, by their numbers.
+const (
+	pathStraight = iota
+	pathCopy
+	pathNode
+	numPaths
+)
 
-// Result is what a way came to, over all rounds.
+// Ways are the names of the paths that requests take to the cache server, in the order of the results.
+var Ways = [numPaths]string{pathStraight: "straight", pathCopy: "splice", pathNode: "node"}
+
+const (
+	startTimeout = 20 * time.Second // for a process to answer after its start
+	stopTimeout  = 10 * time.Second // for a process to end after SIGTERM
+)
+
+// Result is the result of a path, over all rounds.
 type Result struct {
-	Way      string
+	Way      string // name of the path
 	Requests int64
 	Elapsed  time.Duration
-	CPU      time.Duration // of the process on the way; 0 for straight
-	Memory   int64
+	CPU      time.Duration           // processor time of the process on the path; 0 for the straight one
+	Memory   int64                   // highest resident bytes of that process
 	Latency  *hdrhistogram.Histogram // microseconds
 }
 
-// Rate is in requests a second.
+// Rate returns the requests a second.
 func (r Result) Rate() float64 { return float64(r.Requests) / max(r.Elapsed.Seconds(), 1e-9) }
 
-// PerRequest is the processor time of a request on the way.
-func (r Result) PerRequest() time.Duration { return r.CPU / time.Duration(max(r.Requests, 1)) }
+// CPUPerRequest returns the processor time that a request took on the path.
+func (r Result) CPUPerRequest() time.Duration { return r.CPU / time.Duration(max(r.Requests, 1)) }
 
-// Run measures all ways, in turns.
-func Run(ctx context.Context, opt Options) (out []Result, err error) {
-	box, splice, node := freeAddr(), freeAddr(), freeAddr()
-	config := filepath.Join(opt.Dir, "node.json")
-	if err := writeConfig(config, node, box); err != nil {
-		return nil, err
-	}
-	start := func(program, name, addr, config string, args ...string) (*nodes.Process, error) {
-		p, err := nodes.Start(program, name, addr, config, args...)
-		if err != nil {
-			return nil, err
-		}
-		up, cancel := context.WithTimeout(ctx, 20*time.Second)
-		defer cancel()
-		if err := p.Ready(up); err != nil {
-			p.Stop(time.Second)
-			return nil, err
-		}
-		return p, nil
-	}
-	procs := make([]*nodes.Process, 3)
-	defer func() {
-		for _, p := range procs {
-			if p != nil {
-				p.Stop(10 * time.Second)
-			}
-		}
-	}()
-	if procs[0], err = start(opt.Self, "box", box, filepath.Join(opt.Dir, "box.json"), "overhead-box", box, fmt.Sprint(opt.Bytes)); err != nil {
-		return nil, err
-	}
-	if procs[1], err = start(opt.Self, "splice", splice, filepath.Join(opt.Dir, "splice.json"), "overhead-splice", splice, box); err != nil {
+// setup is the processes of a measurement, by path: at each path's address one process answers.
+type setup struct {
+	addresses [numPaths]string
+	processes [numPaths]*nodes.Process
+}
+
+// Run measures all paths, in turns, and stops the processes that it started.
+func Run(ctx context.Context, options Options) ([]Result, error) {
+	s, err := newSetup(ctx)
+	if err != nil {
 		return nil, err
 	}
-	if procs[2], err = start(opt.Node, "node", node, config); err != nil {
+	defer s.stop()
+	if err := s.start(ctx, options); err != nil {
 		return nil, err
 	}
-	out = make([]Result, len(Ways))
-	for i := range out {
-		out[i] = Result{Way: Ways[i], Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	results := make([]Result, numPaths)
+	for path := range results {
+		results[path] = Result{Way: Ways[path], Latency: newHistogram()}
 	}
-	for round := range opt.Rounds + 1 {
-		for i, addr := range []string{box, splice, node} {
-			before := procs[i].Usage()
-			began := time.Now()
-			n, h, err := drive(ctx, addr, opt.Clients, opt.Span, fmt.Sprintf("%d.%d", round, i))
+	for round := range options.Rounds + 1 {
+		for path := range results {
+			tag := fmt.Sprintf("%d.%d", round, path)
+			measured, err := s.measure(ctx, path, options, tag)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", Ways[i], err)
+				return nil, err
 			}
-			if ctx.Err() != nil {
-				return nil, ctx.Err()
-			}
-			if round == 0 {
-				continue // to warm up
-			}
-			after := procs[i].Usage()
-			r := &out[i]
-			r.Requests += n
-			r.Elapsed += time.Since(began)
-			r.Latency.Merge(h)
-			if i > 0 {
-				r.CPU += after.CPU - before.CPU
-				r.Memory = max(r.Memory, after.Memory)
+			if isWarmup := round == 0; !isWarmup {
+				results[path].add(measured)
 			}
 		}
 	}
-	return out, nil
+	return results, nil
 }
 
-// drive asks in a closed loop: the question is what a request costs, not how a queue grows.
-func drive(ctx context.Context, addr string, n int, span time.Duration, tag string) (total int64, all *hdrhistogram.Histogram, err error) {
-	all = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	end := time.Now().Add(span)
-	for w := range n {
-		wg.Go(func() {
-			h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-			count, failed := int64(0), error(nil)
-			defer func() {
-				mu.Lock()
-				defer mu.Unlock()
-				total += count
-				all.Merge(h)
-				if err == nil {
-					err = failed
-				}
-			}()
-			c, dialed := net.Dial("tcp", addr)
-			if failed = dialed; failed != nil {
-				return
-			}
-			defer c.Close()
-			rd := bufio.NewReader(c)
-			var b []byte
-			for i := 0; ctx.Err() == nil && time.Now().Before(end); i++ {
-				b = redcon.AppendArray(b[:0], 4)
-				b = redcon.AppendBulkString(b, "CACHE.GET")
-				b = redcon.AppendBulkString(b, fmt.Sprint("k", i%512))
-				b = redcon.AppendBulkString(b, fmt.Sprintf("%s-%d-%d", tag, w, i))
-				b = redcon.AppendBulkString(b, "c=read,d=5000")
-				began := time.Now()
-				if _, failed = c.Write(b); failed != nil {
-					return
-				}
-				if failed = readValue(rd); failed != nil {
-					return
-				}
-				h.RecordValue(max(1, time.Since(began).Microseconds()))
-				count++
-			}
-		})
+func newSetup(ctx context.Context) (*setup, error) {
+	s := &setup{}
+	for path := range s.addresses {
+		address, err := freeAddress(ctx)
+		if err != nil {
+			return nil, err
+		}
+		s.addresses[path] = address
 	}
-	wg.Wait()
-	return total, all, err
+	return s, nil
 }
 
-// readValue reads a bulk string, alone or first in an array of three.
-func readValue(rd *bufio.Reader) error {
-	line, err := rd.ReadString('\n')
+// freeAddress returns an address on loopback that was free a moment ago.
+func freeAddress(ctx context.Context) (string, error) {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		return err
-	}
-	rest := 0
-	if line == "*3\r\n" {
-		rest = 2
-		if line, err = rd.ReadString('\n'); err != nil {
-			return err
-		}
-	}
-	var n int
-	if _, err := fmt.Sscanf(line, "$%d", &n); err != nil || n < 0 {
-		return fmt.Errorf("answer %q", strings.TrimSpace(line))
+		return "", fmt.Errorf("find a free address: %w", err)
 	}
-	if _, err := rd.Discard(n + 2); err != nil {
+	return listener.Addr().String(), listener.Close()
+}
+
+// start starts the cache server, the copying program and the node.
+func (s *setup) start(ctx context.Context, options Options) error {
+	cacheServer := s.addresses[pathStraight]
+	nodeConfig := filepath.Join(options.Dir, "node.json")
+	if err := writeNodeConfig(nodeConfig, s.addresses[pathNode], cacheServer); err != nil {
 		return err
 	}
-	for range rest { // "hit", and no load report
-		line, err := rd.ReadString('\n')
-		if err == nil && line[0] == '$' && line != "$-1\r\n" {
-			_, err = rd.ReadString('\n')
-		}
+	commands := [numPaths]nodes.Command{
+		pathStraight: {Program: options.Self, Name: "box", Config: filepath.Join(options.Dir, "box.json"),
+			Args: []string{CacheServerVerb, cacheServer, strconv.Itoa(options.ValueSize)}},
+		pathCopy: {Program: options.Self, Name: "splice", Config: filepath.Join(options.Dir, "splice.json"),
+			Args: []string{CopyVerb, s.addresses[pathCopy], cacheServer}},
+		pathNode: {Program: options.Node, Name: "node", Config: nodeConfig},
+	}
+	for path, command := range commands {
+		command.Listen = s.addresses[path]
+		process, err := nodes.StartReady(ctx, command, startTimeout)
 		if err != nil {
 			return err
 		}
+		s.processes[path] = process
 	}
 	return nil
 }
 
-// Box serves as a box that has every key and answers at once, until the context ends.
-func Box(ctx context.Context, addr string, size int) error {
-	value := strings.Repeat("x", size)
-	hit := fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", size, value)
-	return serve(ctx, addr, func(c net.Conn) {
-		rd, w := redcon.NewReader(c), bufio.NewWriter(c)
-		for {
-			cmd, err := rd.ReadCommand()
-			if err != nil {
-				return
-			}
-			out := hit
-			if string(cmd.Args[0]) == "PING" {
-				out = []byte("+PONG\r\n")
-			}
-			w.Write(out)
-			if w.Flush() != nil {
-				return
-			}
-		}
-	})
-}
-
-// Splice copies bytes between its clients and another address, until the context ends.
-func Splice(ctx context.Context, addr, to string) error {
-	return serve(ctx, addr, func(c net.Conn) {
-		d, err := net.Dial("tcp", to)
-		if err != nil {
-			return
-		}
-		defer d.Close()
-		go func() {
-			copyBytes(d, c)
-			d.Close()
-		}()
-		copyBytes(c, d)
-	})
-}
-
-// copyBytes copies through a buffer. The kernel's own splice, which io.Copy would use, is no measure for a program that
-// reads what it passes on.
-func copyBytes(to io.Writer, from io.Reader) {
-	io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, 16<<10))
-}
-
-func serve(ctx context.Context, addr string, handle func(net.Conn)) error {
-	ln, err := net.Listen("tcp", addr)
-	if err != nil {
-		return err
-	}
-	context.AfterFunc(ctx, func() { ln.Close() })
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			if ctx.Err() != nil {
-				return nil
-			}
-			return err
+func (s *setup) stop() {
+	for _, process := range s.processes {
+		if process != nil {
+			_ = process.Stop(stopTimeout) // the measurement has its result
 		}
-		go func() {
-			defer c.Close()
-			handle(c)
-		}()
 	}
 }
 
-// freeAddr is an address that is free now.
-func freeAddr() string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// measure sends requests on a path for the span of the options.
+func (s *setup) measure(ctx context.Context, path int, options Options, tag string) (Result, error) {
+	before := s.processes[path].Usage()
+	began := time.Now()
+	requests, latency, err := sendRequests(ctx, s.addresses[path], options.Clients, options.Span, tag)
 	if err != nil {
-		return "127.0.0.1:1"
+		return Result{}, fmt.Errorf("%s: %w", Ways[path], err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
-// writeConfig tells a node of one box, by the list that it knows from the start.
-func writeConfig(path, listen, box string) error {
-	type object = map[string]any
-	text, err := json.Marshal(object{"name": "overhead", "listen": listen, "discovery": "127.0.0.1:1", "seed": "1",
-		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-		"known": object{"generation": 1, "reset": true, "instances": []object{{"instanceId": "box", "hostPort": box, "zone": "a",
-			"machineType": "box", "cell": 0, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0}}},
-		"settings": object{"replicas_of_me": 1, "az": "a", "registry_mode": "automatic", "tick": 5000,
-			"machine_types": []string{"box", "origin"}, "family_info": object{"mode": "aside", "origin_kind": 1},
-			"lanes":  []object{{"name": "read", "semantics": "idempotent", "worth": 1.0, "goal_time": 2000000, "deadline": 5000000, "late_worth": 0.5}},
-			"limits": object{"probes": true, "cancel": true, "max_attempts": 6, "streams_per_conn": 32},
-			"rules":  object{"cold_from": 0.13, "warm_after": 23000000, "overload_factor": 3.0}}})
-	if err != nil {
-		return err
+	if ctx.Err() != nil {
+		return Result{}, ctx.Err()
+	}
+	result := Result{Requests: requests, Elapsed: time.Since(began), Latency: latency}
+	if path != pathStraight {
+		after := s.processes[path].Usage()
+		result.CPU, result.Memory = after.CPU-before.CPU, after.Memory
 	}
-	return os.WriteFile(path, text, 0o600)
+	return result, nil
 }
 
-// Write writes a table; ratios are to the splice.
-func Write(w io.Writer, rs []Result) {
-	t := tablewriter.NewWriter(w)
-	t.Header("way", "requests a second", "p50 ms", "p99 ms", "processor a request, us", "memory MB", "rate / splice", "p99 / splice", "processor / splice")
-	base := rs[1]
-	ratio := func(a, b float64) string {
-		if b <= 0 || a <= 0 {
-			return "-"
-		}
-		return fmt.Sprintf("%.2f", a/b)
-	}
-	for _, r := range rs {
-		cpu, memory := "-", "-"
-		if r.CPU > 0 {
-			cpu, memory = fmt.Sprintf("%.1f", float64(r.PerRequest().Nanoseconds())/1000), fmt.Sprintf("%.1f", float64(r.Memory)/(1<<20))
-		}
-		t.Append(r.Way, fmt.Sprintf("%.0f", r.Rate()), clients.Millis(r.Latency, 50), clients.Millis(r.Latency, 99), cpu, memory,
-			ratio(r.Rate(), base.Rate()), ratio(float64(r.Latency.ValueAtQuantile(99)), float64(base.Latency.ValueAtQuantile(99))),
-			ratio(float64(r.PerRequest()), float64(base.PerRequest())))
-	}
-	t.Render()
+// add adds the result of a round.
+func (r *Result) add(round Result) {
+	r.Requests += round.Requests
+	r.Elapsed += round.Elapsed
+	r.CPU += round.CPU
+	r.Memory = max(r.Memory, round.Memory)
+	r.Latency.Merge(round.Latency)
 }
--- a/internal/testbed/trace/golden_test.go
+++ b/internal/testbed/trace/golden_test.go
@@ -1,7 +1,6 @@
 package trace
 
 import (
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
@@ -10,7 +9,7 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// TestGoldenTrace: trace files of earlier releases are read, and the same bytes are written.
+// Trace files of earlier releases are read, and the same bytes are written.
 func TestGoldenTrace(t *testing.T) {
 	arrivals := []workload.Arrival{
 		{At: 1500 * time.Microsecond, Class: 0, Key: "anna", Node: 1, Size: 300},
@@ -19,34 +18,23 @@
 	}
 	meta := Meta{Classes: []string{"view", "sign"}, Nodes: 2, From: "golden", StartedAt: time.Date(2026, 12, 2, 1, 2, 3, 0, time.UTC)}
 	path := filepath.Join(t.TempDir(), "trace")
-	w, err := Create(path, meta)
+	writer, err := Create(path, meta)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create: %v", err)
 	}
-	for _, a := range arrivals {
-		if err := w.Add(a); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := w.Close(); err != nil {
-		t.Fatal(err)
-	}
-	content, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.Check(t, "trace.golden", content)
+	addAll(t, writer, arrivals)
+	golden.Check(t, "trace.golden", readFile(t, path))
 
-	r, err := Open(filepath.Join("testdata", "trace.golden"))
+	reader, err := Open(filepath.Join("testdata", "trace.golden"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the golden file: %v", err)
 	}
-	defer r.Close()
-	if r.Meta.Nodes != 2 || r.Meta.From != "golden" || !r.Meta.StartedAt.Equal(meta.StartedAt) {
-		t.Errorf("meta data %+v, want %+v", r.Meta, meta)
+	defer func() { _ = reader.Close() }()
+	if reader.Meta.Nodes != 2 || reader.Meta.From != "golden" || !reader.Meta.StartedAt.Equal(meta.StartedAt) {
+		t.Errorf("metadata %+v, want %+v", reader.Meta, meta)
 	}
 	for _, want := range arrivals {
-		if got, err := r.Next(); err != nil || got != want {
+		if got, err := reader.Next(); err != nil || got != want {
 			t.Errorf("read %+v, %v; want %+v", got, err, want)
 		}
 	}
--- a/internal/testbed/trace/trace_test.go
+++ b/internal/testbed/trace/trace_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -16,172 +17,241 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-var meta = Meta{Classes: []string{"read", "sign"}, Nodes: 2, From: "test"}
+var testMeta = Meta{Classes: []string{"read", "sign"}, Nodes: 2, From: "test"}
 
-func arrivals(n int) (out []workload.Arrival) {
+// testArrivals are n requests of both classes and nodes, one every 3 ms, for seven keys.
+func testArrivals(n int) (arrivals []workload.Arrival) {
 	for i := range n {
-		out = append(out, workload.Arrival{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7), Node: i % 2,
-			Size: i % 100, IdempotencyKey: []string{"", "0f"}[i%2]})
+		arrivals = append(arrivals, workload.Arrival{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7),
+			Node: i % 2, Size: i % 100, IdempotencyKey: []string{"", "0f"}[i%2]})
 	}
-	return out
+	return arrivals
 }
 
-func write(t testing.TB, path string, as []workload.Arrival) {
+func writeTrace(t testing.TB, path string, arrivals []workload.Arrival) {
 	t.Helper()
-	w, err := Create(path, meta)
+	writer, err := Create(path, testMeta)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create %s: %v", path, err)
 	}
-	for _, a := range as {
-		if err := w.Add(a); err != nil {
-			t.Fatal(err)
+	addAll(t, writer, arrivals)
+}
+
+// addAll adds requests and closes the writer.
+func addAll(t testing.TB, writer *Writer, arrivals []workload.Arrival) {
+	t.Helper()
+	for i, arrival := range arrivals {
+		if err := writer.Add(arrival); err != nil {
+			t.Fatalf("add request %d: %v", i, err)
 		}
 	}
-	if err := w.Close(); err != nil {
-		t.Fatal(err)
+	if err := writer.Close(); err != nil {
+		t.Fatalf("close the writer: %v", err)
+	}
+}
+
+func writeFile(t testing.TB, path string, content []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		t.Fatalf("write %s: %v", path, err)
+	}
+}
+
+func readFile(t testing.TB, path string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("read %s: %v", path, err)
 	}
+	return content
 }
 
-func read(path string) (out []workload.Arrival, torn int64, err error) {
-	r, err := Open(path)
+func readTrace(path string) (arrivals []workload.Arrival, torn int64, err error) {
+	reader, err := Open(path)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer r.Close()
+	defer func() { _ = reader.Close() }()
 	for {
-		a, err := r.Next()
-		if err == io.EOF {
-			return out, r.Torn(), nil
+		arrival, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			return arrivals, reader.Torn(), nil
 		}
 		if err != nil {
-			return out, 0, err
+			return arrivals, 0, err
 		}
-		out = append(out, a)
+		arrivals = append(arrivals, arrival)
 	}
 }
 
-// Whatever is written is read again, to the microsecond.
-func TestWrittenIsRead(t *testing.T) {
+func TestRequestsAreReadAsTheyWereWritten(t *testing.T) {
 	dir := t.TempDir()
-	n := 0
+	files := 0
 	rapid.Check(t, func(r *rapid.T) {
-		n++
-		path := filepath.Join(dir, fmt.Sprint(n))
-		var as []workload.Arrival
-		due := time.Duration(0)
+		files++
+		path := filepath.Join(dir, fmt.Sprint(files))
+		var arrivals []workload.Arrival
+		at := time.Duration(0)
 		for range rapid.IntRange(0, 700).Draw(r, "n") {
-			due += time.Duration(rapid.IntRange(0, 1e7).Draw(r, "gap")) * time.Microsecond
-			as = append(as, workload.Arrival{At: due, Class: rapid.IntRange(0, 1).Draw(r, "class"), Node: rapid.IntRange(0, 300).Draw(r, "node"),
+			at += time.Duration(rapid.IntRange(0, 1e7).Draw(r, "gap")) * time.Microsecond
+			arrivals = append(arrivals, workload.Arrival{At: at, Class: rapid.IntRange(0, 1).Draw(r, "class"), Node: rapid.IntRange(0, 300).Draw(r, "node"),
 				Size: rapid.IntRange(0, 1<<20).Draw(r, "size"), Key: rapid.StringN(0, 20, 80).Draw(r, "key"), IdempotencyKey: rapid.StringN(0, 4, 16).Draw(r, "once")})
 		}
-		write(t, path, as)
-		got, torn, err := read(path)
-		if err != nil || torn != 0 || len(got) != len(as) || len(as) > 0 && !reflect.DeepEqual(got, as) {
-			r.Fatalf("%d written, %d read, torn %d, %v", len(as), len(got), torn, err)
+		writeTrace(t, path, arrivals)
+		got, torn, err := readTrace(path)
+		if err != nil || torn != 0 || len(got) != len(arrivals) || len(arrivals) > 0 && !reflect.DeepEqual(got, arrivals) {
+			r.Fatalf("%d written, %d read, torn %d, %v", len(arrivals), len(got), torn, err)
+		}
+		if err := os.Remove(path); err != nil {
+			r.Fatalf("remove %s: %v", path, err)
 		}
-		os.Remove(path)
 	})
 }
 
-// A file that ends anywhere in its last block is read up to the block before, and can be added to: what was torn is cut
-// off and reported.
-func TestTornTail(t *testing.T) {
+// A file that ends anywhere in its last block is read up to the block before, and can be added to once the incomplete block
+// was cut off.
+func TestIncompleteLastBlockIsIgnoredAndReported(t *testing.T) {
 	dir := t.TempDir()
-	whole := filepath.Join(dir, "whole")
-	as := arrivals(perBlock + 10)
-	write(t, whole, as)
-	text, _ := os.ReadFile(whole)
-	w, _ := Create(filepath.Join(dir, "first"), meta)
-	for _, a := range as[:perBlock] {
-		w.Add(a)
-	}
-	w.Close()
-	first, _ := os.Stat(filepath.Join(dir, "first"))
-	for cut := int(first.Size()) + 1; cut < len(text); cut += 7 {
-		path := filepath.Join(dir, fmt.Sprint("cut", cut))
-		os.WriteFile(path, text[:cut], 0o600)
-		got, torn, err := read(path)
-		if err != nil || len(got) != perBlock || torn != int64(cut)-first.Size() {
-			t.Fatalf("cut at %d: %d read, torn %d, %v", cut, len(got), torn, err)
-		}
-		w, m, lost, err := Append(path)
-		if err != nil || lost != torn || !reflect.DeepEqual(m, meta) {
-			t.Fatalf("cut at %d: %v, lost %d, %+v", cut, err, lost, m)
+	arrivals := testArrivals(requestsPerBlock + 10)
+	complete, firstBlock := filepath.Join(dir, "complete"), filepath.Join(dir, "first-block")
+	writeTrace(t, complete, arrivals)
+	writeTrace(t, firstBlock, arrivals[:requestsPerBlock])
+	content, firstBlockSize := readFile(t, complete), len(readFile(t, firstBlock))
+	for size := firstBlockSize + 1; size < len(content); size += 7 {
+		path := filepath.Join(dir, fmt.Sprint("cut", size))
+		writeFile(t, path, content[:size])
+		got, torn, err := readTrace(path)
+		if err != nil || len(got) != requestsPerBlock || torn != int64(size-firstBlockSize) {
+			t.Fatalf("cut at %d: %d read, torn %d, %v; want %d and %d", size, len(got), torn, err, requestsPerBlock, size-firstBlockSize)
 		}
-		for _, a := range as[perBlock:] {
-			w.Add(a)
+		writer, meta, cutOff := appendTo(t, path)
+		if cutOff != torn || !reflect.DeepEqual(meta, testMeta) {
+			t.Fatalf("cut at %d: %d bytes cut off, metadata %+v; want %d, %+v", size, cutOff, meta, torn, testMeta)
 		}
-		w.Close()
-		if got, torn, err := read(path); err != nil || torn != 0 || !reflect.DeepEqual(got, as) {
-			t.Fatalf("cut at %d and added to: %d read, torn %d, %v", cut, len(got), torn, err)
+		addAll(t, writer, arrivals[requestsPerBlock:])
+		if got, torn, err := readTrace(path); err != nil || torn != 0 || !reflect.DeepEqual(got, arrivals) {
+			t.Fatalf("cut at %d and added to: %d read, torn %d, %v; want all %d", size, len(got), torn, err, len(arrivals))
 		}
 	}
-	spoilt := bytes.Clone(text)
-	spoilt[first.Size()-3] ^= 1 // in a block with another behind it
-	os.WriteFile(filepath.Join(dir, "spoilt"), spoilt, 0o600)
-	if _, _, err := read(filepath.Join(dir, "spoilt")); err == nil || !strings.Contains(err.Error(), "is spoilt") {
-		t.Errorf("a spoilt block in the middle: %v", err)
-	}
-	for name, text := range map[string]string{"is no trace": "hello, world", "has version '9'": "SLTRACE9", "has no meta data": magic} {
-		path := filepath.Join(dir, "bad")
-		os.WriteFile(path, []byte(text), 0o600)
-		if _, err := Open(path); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%q: %v", text, err)
+	corrupt := bytes.Clone(content)
+	corrupt[firstBlockSize-3] ^= 1 // in a block with another behind it
+	path := filepath.Join(dir, "corrupt")
+	writeFile(t, path, corrupt)
+	if _, _, err := readTrace(path); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("a corrupt block in the middle: %v, want %v", err, ErrCorrupt)
+	}
+}
+
+func TestFileThatIsNoTraceIsRejected(t *testing.T) {
+	for want, content := range map[string]string{"is no trace": "hello, world", "has version '9'": "SLTRACE9", "has no metadata": magic} {
+		path := filepath.Join(t.TempDir(), "bad")
+		writeFile(t, path, []byte(content))
+		if _, err := Open(path); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: %v, want %q", content, err, want)
 		}
 	}
 }
 
-func TestTools(t *testing.T) {
+func TestTraceIsCutScaledAndAnonymised(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
-	as := arrivals(1000) // 3 s
-	write(t, path("all"), as)
-	if n, err := Copy(path("all"), path("cut"), Cut(time.Second, 2*time.Second)); err != nil || n < 330 || n > 335 {
-		t.Errorf("cut: %d, %v", n, err)
+	arrivals := testArrivals(1000) // 3 s
+	writeTrace(t, path("all"), arrivals)
+	if written, err := Copy(path("all"), path("cut"), Cut(time.Second, 2*time.Second)); err != nil || written < 330 || written > 335 {
+		t.Errorf("cut: %d, %v; want 330 to 335", written, err)
 	}
 	if _, err := Copy(path("all"), path("fast"), Scale(2)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("scale: %v", err)
 	}
-	i, err := Inspect(path("fast"))
-	if err != nil || i.Requests != 1000 || i.Length > 1500*time.Millisecond || i.Keys != 7 || i.ByClass[1] != 500 || i.Busiest < 600 {
-		t.Errorf("at twice the speed: %+v, %v", i, err)
+	info, err := Inspect(path("fast"))
+	if err != nil || info.Requests != 1000 || info.Length > 1500*time.Millisecond || info.Keys != 7 || info.ByClass[1] != 500 || info.BusiestSecond < 600 {
+		t.Errorf("at twice the speed: %+v, %v", info, err)
 	}
 	if _, err := Copy(path("all"), path("anon"), Anonymise("salt")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("anonymise: %v", err)
+	}
+	anonymous, _, err := readTrace(path("anon"))
+	if err != nil {
+		t.Fatalf("read the anonymised trace: %v", err)
 	}
-	anon, _, _ := read(path("anon"))
-	if i, _ := Inspect(path("anon")); i.Keys != 7 || anon[0].Key == as[0].Key || anon[0].Key != anon[7].Key {
-		t.Errorf("keys become %q and %q, %d in all", anon[0].Key, anon[7].Key, i.Keys)
+	info, err = Inspect(path("anon"))
+	if err != nil || info.Keys != 7 || anonymous[0].Key == arrivals[0].Key || anonymous[0].Key != anonymous[7].Key {
+		t.Errorf("keys become %q and %q, %d in all, %v", anonymous[0].Key, anonymous[7].Key, info.Keys, err)
 	}
+}
+
+func TestExportedTraceCanBeImported(t *testing.T) {
+	dir := t.TempDir()
+	arrivals := testArrivals(1000)
+	original, copied := filepath.Join(dir, "original"), filepath.Join(dir, "copied")
+	writeTrace(t, original, arrivals)
 	var lines bytes.Buffer
-	if err := Export(path("all"), &lines); err != nil {
-		t.Fatal(err)
+	if err := Export(original, &lines); err != nil {
+		t.Fatalf("export: %v", err)
+	}
+	if requests, err := Import(&lines, copied); err != nil || requests != len(arrivals) {
+		t.Fatalf("import: %d, %v; want %d", requests, err, len(arrivals))
+	}
+	if got, _, err := readTrace(copied); err != nil || !reflect.DeepEqual(got, arrivals) {
+		t.Errorf("exported and imported: %d read, %v; want the %d that were written", len(got), err, len(arrivals))
+	}
+}
+
+func TestInvalidLineOfAnImportIsNamed(t *testing.T) {
+	for text, want := range map[string]string{
+		`{"due_us":1}`: "line 1: class, key",
+		`{"x":1}`:      "line 1: ",
+		`{"due_us":5,"class":"a","key":"k"}` + "\n" + `{"due_us":4,"class":"a","key":"k"}`: "line 2: due before",
+	} {
+		path := filepath.Join(t.TempDir(), "bad")
+		if _, err := Import(strings.NewReader(text), path); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", text, err, want)
+		}
 	}
-	if n, err := Import(&lines, path("again")); err != nil || n != 1000 {
-		t.Fatalf("import: %d, %v", n, err)
+}
+
+func TestReplayMapsClassesAndNodesToThoseOfThePlan(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "trace")
+	writeTrace(t, path, testArrivals(4))
+	reader, err := Open(path)
+	if err != nil {
+		t.Fatalf("open: %v", err)
 	}
-	if again, _, err := read(path("again")); err != nil || !reflect.DeepEqual(again, as) {
-		t.Errorf("exported and imported: %v", err)
+	t.Cleanup(func() { _ = reader.Close() })
+	replay, err := NewReplay(reader, []string{"sign", "other", "read"}, 1, 2)
+	if err != nil {
+		t.Fatalf("replay: %v", err)
 	}
-	for text, want := range map[string]string{`{"due_us":1}`: "line 1: class, key", `{"x":1}`: "line 1: ",
-		`{"due_us":5,"class":"a","key":"k"}` + "\n" + `{"due_us":4,"class":"a","key":"k"}`: "line 2: due before"} {
-		if _, err := Import(strings.NewReader(text), path("bad")); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+	for i, class := range []int{2, 0, 2, 0} {
+		arrival, ok := replay.Next()
+		if at := time.Duration(i) * 3 * time.Millisecond / 2; !ok || arrival.Class != class || arrival.Node != 0 || arrival.At != at {
+			t.Errorf("request %d: %+v, %v; want class %d, node 0, at %s", i, arrival, ok, class, at)
 		}
 	}
+	if arrival, ok := replay.Next(); ok {
+		t.Errorf("%+v after the last request", arrival)
+	}
+	if _, err := NewReplay(reader, []string{"sign"}, 1, 1); err == nil || !strings.Contains(err.Error(), `class "read"`) {
+		t.Errorf("a plan without a class: %v, want its name", err)
+	}
+	if _, err := NewReplay(reader, []string{"sign", "read"}, 1, 0); !errors.Is(err, ErrInvalidSpeed) {
+		t.Errorf("speed 0: %v, want %v", err, ErrInvalidSpeed)
+	}
 }
 
 // Whatever bytes a file has, reading it ends, with an error or without one.
 func FuzzReader(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "seed")
-	write(f, path, arrivals(300))
-	text, _ := os.ReadFile(path)
-	f.Add(text)
-	f.Add(text[:len(text)-5])
+	writeTrace(f, path, testArrivals(300))
+	content := readFile(f, path)
+	f.Add(content)
+	f.Add(content[:len(content)-5])
 	f.Add([]byte(magic + "\x02\x00\x00\x00\x00\x00\x00\x00{}"))
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, content []byte) {
 		path := filepath.Join(t.TempDir(), "f")
-		os.WriteFile(path, text, 0o600)
-		read(path)
+		writeFile(t, path, content)
+		if arrivals, _, err := readTrace(path); err != nil && len(arrivals) > len(content) {
+			t.Errorf("%d requests of %d bytes before %v", len(arrivals), len(content), err)
+		}
 	})
 }
--- a/tests/cold_test.go
+++ b/tests/cold_test.go
@@ -66,7 +66,7 @@
 func TestColdServerUnderThirtyProcesses(t *testing.T) {
 	r := play(t, program, coldBoxes, 0)
 	if !r.IsClean() {
-		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
+		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Failures)
 	}
 	served := int64(0)
 	for _, c := range r.Classes {
--- a/tests/lab_test.go
+++ b/tests/lab_test.go
@@ -37,7 +37,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Write(&out)
+	if err := r.Write(&out); err != nil {
+		t.Fatalf("write the summary: %v", err)
+	}
 	t.Log(out.String())
 	return r
 }
@@ -78,7 +80,7 @@
 	t.Parallel()
 	r := play(t, program, rough, 1)
 	if !r.IsClean() {
-		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
+		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Failures)
 	}
 	served := int64(0)
 	for _, c := range r.Classes {
@@ -98,9 +100,9 @@
 	r := playWith(t, program, text, 0, &demo.Rollout{Budget: 2, Stall: 500 * time.Millisecond,
 		Faults: faultproxy.Faults{Dropped: 0.1, Duplicated: 0.1, Delay: 20 * time.Millisecond}})
 	if !r.IsClean() {
-		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Ends)
+		t.Errorf("rules broken: %v %v", r.Summary.Broken, r.Failures)
 	}
-	if r.Rollout.Done != 5 || r.Rollout.Most < 1 || r.Rollout.Most > 2 {
+	if r.Rollout.Done != 5 || r.Rollout.MostOut < 1 || r.Rollout.MostOut > 2 {
 		t.Errorf("%+v", r.Rollout)
 	}
 }
