--- a/internal/testbed/clients/protocol.go
+++ b/internal/testbed/clients/protocol.go
@@ -7,9 +7,8 @@
 	"strconv"
 	"strings"
 
-	"github.com/tidwall/redcon"
-
 	"shelfproxy/internal/testbed/invariants"
+	"shelfproxy/internal/testbed/respcmd"
 	"shelfproxy/internal/testbed/scenario"
 )
 
@@ -22,15 +21,10 @@
 	if r.IdempotencyKey != "" {
 		extras += ",k=" + r.IdempotencyKey
 	}
-	words := []string{"CACHE.GET", r.Key, r.id, extras}
 	if class.Write {
-		words = []string{"CACHE.SET", r.Key, r.id, extras, strings.Repeat("v", r.Size)}
-	}
-	command := redcon.AppendArray(nil, len(words))
-	for _, word := range words {
-		command = redcon.AppendBulkString(command, word)
+		return respcmd.Append(nil, "CACHE.SET", r.Key, r.id, extras, strings.Repeat("v", r.Size))
 	}
-	return command
+	return respcmd.Append(nil, "CACHE.GET", r.Key, r.id, extras)
 }
 
 // answer is a node's final answer to a request.
--- a/internal/testbed/overhead/client.go
+++ b/internal/testbed/overhead/client.go
@@ -10,7 +10,8 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/tidwall/redcon"
+
+	"shelfproxy/internal/testbed/respcmd"
 )
 
 const (
@@ -68,7 +69,7 @@
 	reader := bufio.NewReader(conn)
 	var command []byte
 	for number := 0; ctx.Err() == nil && time.Now().Before(end); number++ {
-		command = appendGet(command[:0], fmt.Sprint("k", number%keys), fmt.Sprintf("%s-%d", c.id, number))
+		command = respcmd.Append(command[:0], "CACHE.GET", fmt.Sprint("k", number%keys), fmt.Sprintf("%s-%d", c.id, number), "c=read,d=5000")
 		sentAt := time.Now()
 		if _, err := conn.Write(command); err != nil {
 			return err
@@ -84,14 +85,6 @@
 	return nil
 }
 
-func appendGet(command []byte, key, id string) []byte {
-	command = redcon.AppendArray(command, 4)
-	for _, word := range []string{"CACHE.GET", key, id, "c=read,d=5000"} {
-		command = redcon.AppendBulkString(command, word)
-	}
-	return command
-}
-
 // readValue reads a value, alone as a node answers or first in an array of three as a cache server does.
 func readValue(reader *bufio.Reader) error {
 	header, err := reader.ReadString('\n')
--- a/tests/admission_test.go
+++ b/tests/admission_test.go
@@ -5,235 +5,226 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"shelfproxy/tests/harness"
 )
 
-// counter reads a counter of the node.
-func (c *client) counter(name string) (n int) {
-	for line := range strings.SplitSeq(c.send("INFO").answer(), "\n") {
-		if rest, ok := strings.CutPrefix(line, name+" "); ok {
-			fmt.Sscan(rest, &n)
+// bigKey is the key for which bigValueServer has a value of 60 KB.
+const bigKey = "big"
+
+// bigValueServer starts a cache server with a large value for bigKey and a short one for all others.
+func bigValueServer(t *testing.T) *harness.CacheServer {
+	t.Helper()
+	big := harness.HitWith(strings.Repeat("x", 60<<10))
+	return harness.NewCacheServer(t, func(command []string) string {
+		if command[1] == bigKey {
+			return big
 		}
-	}
-	return n
+		return harness.Hit(command)
+	})
 }
 
-// knock opens a connection without a deadline, or none where the node has no room just now.
-func (r *rig) knock() net.Conn {
-	c, err := net.DialTimeout("tcp", r.addr, time.Second)
-	if err != nil {
-		return nil
+// requestOnNewConnection sends a read on a connection of its own, and reports whether it was served in time.
+func requestOnNewConnection(node *harness.Node, id string, connectTimeout, timeout time.Duration) (served bool) {
+	conn := node.TryDialWithin(connectTimeout)
+	if conn == nil {
+		return false
 	}
-	r.t.Cleanup(func() { c.Close() })
-	return c
+	defer func() { _ = conn.Close() }() // the node may have closed it
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return false
+	}
+	if _, err := conn.Write(harness.GetCommand("k", id)); err != nil {
+		return false
+	}
+	value := "value-" + id
+	answer := make([]byte, len(fmt.Sprintf("$%d\r\n%s", len(value), value)))
+	_, err := io.ReadFull(conn, answer)
+	return err == nil && strings.HasSuffix(string(answer), id)
 }
 
-// Clients that ask for large values and read none of them are cut off at 32 MB of memory; usual ones are served.
-func TestStuckReaders(t *testing.T) {
+// Clients that request large values and read none of them are cut off at 32 MB of memory; usual ones are served.
+func TestClientsThatReadNothingAreCutOff(t *testing.T) {
 	t.Parallel()
-	big := strings.Repeat("x", 60<<10)
-	box := newTarget(t, func(args []string) string {
-		if args[1] == "big" {
-			return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(big), big)
-		}
-		return hit(args)
-	})
-	r := newRig(t, box)
-	r.config["limits"] = map[string]any{"cores": 1.0, "memory_mb": memory(32), "sockets": 256}
-	r.start()
-	usual := r.dial()
+	node := harness.NewNode(t, bigValueServer(t))
+	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: harness.MemoryLimit(32), Sockets: 256}
+	node.Start()
+	usual := node.Dial()
 	for i := range 8 {
-		c := r.knock()
-		if c == nil {
+		conn := node.TryDial()
+		if conn == nil {
 			continue
 		}
-		c.(*net.TCPConn).SetReadBuffer(4 << 10)
+		if err := conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+			t.Fatalf("shorten a read buffer: %v", err)
+		}
 		for j := range 200 {
-			fmt.Fprintf(c, "*4\r\n$9\r\nCACHE.GET\r\n$3\r\nbig\r\n$8\r\n%04d%04d\r\n$13\r\nc=read,d=2900\r\n", i, j)
+			_, _ = conn.Write(harness.GetCommand(bigKey, fmt.Sprintf("%04d%04d", i, j))) // fails once it is cut off
 		}
-		usual.send("CACHE.GET", "k", fmt.Sprint("u", i), "c=read,d=2900").want("value-u")
+		usual.Get("k", fmt.Sprint("u", i)).Want("value-u")
 	}
-	r.until("stuck clients are cut off", func() bool { return usual.counter("listener_closed_stuck") > 0 })
-	usual.send("CACHE.GET", "k", "last", "c=read,d=2900").want("value-last")
-	r.within(32)
+	node.WaitFor("clients that read nothing are cut off", func() bool { return usual.Counter("listener_closed_stuck") > 0 })
+	usual.Get("k", "last").Want("value-last")
+	node.CheckPeakMemory(32)
 }
 
-// With 256 descriptors, connections that say nothing by the hundreds and clients that ask once and stay do not keep
-// usual clients out, nor one with a rhythm.
-func TestCrowdsAtTheFront(t *testing.T) {
+// With 256 descriptors, connections that send nothing by the hundreds and clients that send one request and stay do not keep
+// usual clients out, nor one that sends a request regularly.
+func TestIdleConnectionsDoNotKeepClientsOut(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newTarget(t, hit))
-	r.config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 256}
-	r.start()
-	regular := r.dial()
-	stop := make(chan struct{})
-	var ended sync.WaitGroup
-	ended.Go(func() {
+	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
+	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: 64, Sockets: 256}
+	node.Start()
+	regular := node.Dial()
+	var others sync.WaitGroup
+	others.Go(func() {
 		for range 400 {
-			r.knock()
+			node.TryDial()
 		}
 	})
-	ended.Go(func() {
+	others.Go(func() {
 		for i := range 300 {
-			if c := r.knock(); c != nil {
-				fmt.Fprintf(c, "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$5\r\nx%04d\r\n$13\r\nc=read,d=2900\r\n", i)
+			if conn := node.TryDial(); conn != nil {
+				_, _ = conn.Write(harness.GetCommand("k", fmt.Sprintf("x%04d", i))) // the node may have closed it
 			}
 		}
 	})
-	var asked, served atomic.Int64
-	for w := range 8 { // usual clients, each on new connections
-		ended.Go(func() {
+	var sent, served atomic.Int64
+	for worker := range 8 { // usual clients, each request on a new connection
+		others.Go(func() {
 			for i := range 20 {
-				asked.Add(1)
-				c := r.knock()
-				if c == nil {
-					continue
-				}
-				c.SetDeadline(time.Now().Add(patience))
-				id := fmt.Sprintf("%02d%03d", w, i)
-				fmt.Fprintf(c, "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$5\r\n%s\r\n$13\r\nc=read,d=2900\r\n", id)
-				b := make([]byte, len("$11\r\nvalue-"+id))
-				if _, err := io.ReadFull(c, b); err == nil && strings.HasSuffix(string(b), id) {
+				sent.Add(1)
+				if requestOnNewConnection(node, fmt.Sprintf("%02d%03d", worker, i), time.Second, harness.Timeout) {
 					served.Add(1)
 				}
-				c.Close()
 			}
 		})
 	}
-	go func() { ended.Wait(); close(stop) }()
+	othersEnded := make(chan struct{})
+	go func() { others.Wait(); close(othersEnded) }()
+	sendRegularly(t, node, regular, othersEnded)
+	if served.Load() < sent.Load()*9/10 {
+		t.Errorf("%d of %d usual requests were served, want nine tenths", served.Load(), sent.Load())
+	}
+	if accepted := node.Dial().Counter("listener_accepted"); accepted < 500 {
+		t.Errorf("%d connections were accepted, want 500 at least", accepted)
+	}
+}
+
+// regularInterval is between two requests of a client that sends them regularly.
+const regularInterval = 20 * time.Millisecond
+
+// sendRegularly sends requests until done is closed, each of which has to be served. A machine that stands still for a moment
+// breaks the rhythm, and with it the claim to a place in the node; that a rhythm keeps its place is shown in virtual time. Here
+// no request on it may be dropped.
+func sendRegularly(t *testing.T, node *harness.Node, client *harness.Client, done <-chan struct{}) {
+	t.Helper()
+	ticker := time.NewTicker(regularInterval)
+	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
-		case <-stop:
-			if a, s := asked.Load(), served.Load(); s < a*9/10 {
-				t.Errorf("%d of %d usual requests were served", s, a)
-			}
-			if n := r.dial().counter("listener_accepted"); n < 500 {
-				t.Errorf("only %d connections were accepted", n)
-			}
+		case <-done:
 			return
-		default:
-			// A machine that stands still for a moment breaks the rhythm, and with it the claim to a place; that a rhythm
-			// keeps its place is shown in virtual time. Here no request on it may be lost.
-			got := regular.send("CACHE.GET", "k", fmt.Sprint("r", i), "c=read,d=2900").answer()
-			if got == "closed" {
-				regular = r.dial()
-				got = regular.send("CACHE.GET", "k", fmt.Sprint("s", i), "c=read,d=2900").answer()
-			}
-			if !strings.HasPrefix(got, "value-") {
-				t.Fatalf("answer %q", got)
-			}
-			time.Sleep(20 * time.Millisecond)
+		case <-ticker.C:
+		}
+		answer := client.Get("k", fmt.Sprint("r", i)).Answer()
+		if answer == harness.Closed {
+			client = node.Dial()
+			answer = client.Get("k", fmt.Sprint("s", i)).Answer()
+		}
+		if !strings.HasPrefix(answer, "value-") {
+			t.Fatalf("answer %q to a regular request, want a value", answer)
 		}
 	}
 }
 
-// Writes whose values fill the node while the origin stands still are turned away before the memory is full, reads of
-// usual clients before them, and the node is not killed: with 32 MB, clients push several times that.
-func TestValuesThatFillTheMemory(t *testing.T) {
+// Writes whose values fill the node while the origin stalls are rejected before the memory is full, reads of usual clients
+// before them, and the node is not killed: with 32 MB, clients push several times that.
+func TestWritesAreRejectedBeforeMemoryIsFull(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newTarget(t, hit))
+	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
 	release := make(chan struct{})
-	r.origin = func(w http.ResponseWriter, q *http.Request) {
+	node.Origin.Handle(func(w http.ResponseWriter, request *http.Request) {
 		select {
 		case <-release:
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 		}
 		fmt.Fprint(w, "stored")
-	}
-	r.config["limits"] = map[string]any{"cores": 1.0, "memory_mb": memory(32), "sockets": 256}
-	r.start()
-	usual := r.dial()
-	usual.send("CACHE.GET", "k", "before", "c=read,d=2900").want("value-")
+	})
+	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: harness.MemoryLimit(32), Sockets: 256}
+	node.Start()
+	usual := node.Dial()
+	usual.Get("k", "before").Want("value-")
+	const writers, writes = 10, 100 // 60 MB in all
 	value := strings.Repeat("x", 60<<10)
-	var sent sync.WaitGroup
-	answers := make(chan string, 1024)
-	for i := range 10 {
-		c := r.dial()
-		sent.Go(func() {
-			for j := range 100 { // 60 MB in all
-				c.send("CACHE.SET", fmt.Sprint("w", i), fmt.Sprintf("id%02d%03d", i, j), "c=put,d=2900,k="+fmt.Sprint(i*1000+j), value)
+	answers := make(chan string, writers*writes)
+	var writing sync.WaitGroup
+	for i := range writers {
+		client := node.Dial()
+		writing.Go(func() {
+			for j := range writes {
+				client.Send("CACHE.SET", fmt.Sprint("w", i), fmt.Sprintf("id%02d%03d", i, j), fmt.Sprintf("c=put,d=2900,k=%d", i*1000+j), value)
 			}
 		})
-		sent.Go(func() {
-			for range 100 {
-				a := c.answer()
-				answers <- a
-				if a == "closed" {
+		writing.Go(func() {
+			for range writes {
+				answer := client.Answer()
+				answers <- answer
+				if answer == harness.Closed {
 					return
 				}
 			}
 		})
 	}
-	r.until("some are turned away", func() bool { return usual.counter("flows_without_memory") > 0 })
+	node.WaitFor("some writes are rejected", func() bool { return usual.Counter("flows_without_memory") > 0 })
 	close(release)
-	sent.Wait()
+	writing.Wait()
 	close(answers)
 	count := map[string]int{}
-	for a := range answers {
-		count[a]++
+	for answer := range answers {
+		count[answer]++
 	}
-	if count["-BUSY"] == 0 || count["stored"] == 0 || count["closed"] > 0 {
-		t.Errorf("answers %v, want some stored, some turned away, no connection closed", count)
+	if count["-BUSY"] == 0 || count["stored"] == 0 || count[harness.Closed] > 0 {
+		t.Errorf("answers %v, want some stored, some rejected, no connection closed", count)
 	}
-	n := 0
-	r.until("usual clients are served again", func() bool { // the pressure falls once the memory has been given back
-		n++
-		return strings.HasPrefix(usual.send("CACHE.GET", "k", fmt.Sprint("after", n), "c=read,d=2900").answer(), "value-")
+	attempt := 0
+	node.WaitFor("usual clients are served again", func() bool { // the pressure falls once the memory has been released
+		attempt++
+		return strings.HasPrefix(usual.Get("k", fmt.Sprint("after", attempt)).Answer(), "value-")
 	})
-	r.within(32)
+	node.CheckPeakMemory(32)
 }
 
-// memory is a limit in MB for the build that is tested: one with the race detector takes several times as much.
-func memory(mb int) int {
-	if len(buildFlags) > 0 {
-		return 4 * mb
-	}
-	return mb
-}
-
-// within fails the test if the node ever held more memory than this, as far as the system tells.
-func (r *rig) within(mb int) {
-	r.t.Helper()
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
-	_, after, found := strings.Cut(string(status), "VmHWM:")
-	if err != nil || !found || len(buildFlags) > 0 { // a build with the race detector takes several times as much
-		return
-	}
-	kb := 0
-	fmt.Sscan(after, &kb)
-	if kb > mb<<10 {
-		r.t.Errorf("the node held %d MB, %d are allowed", kb>>10, mb)
-	}
-}
-
-// TestWorthOfTenants: a request counts against the share of the tenant that its client names. A full server's reads within
-// a share wait for room, and what lies beyond it is refused at once.
-func TestWorthOfTenants(t *testing.T) {
+// A request counts against the quota of the tenant that its client names. A full server's reads within a quota are retried, and
+// what lies beyond it is rejected at once.
+func TestRequestsBeyondATenantsQuotaAreRejected(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	asked := map[string]int{}
-	box := newTarget(t, func(args []string) string {
+	attempts := map[string]int{}
+	server := harness.NewCacheServer(t, func(command []string) string {
 		mu.Lock()
 		defer mu.Unlock()
-		if asked[args[2]]++; strings.Contains(args[3], "t=") && asked[args[2]] == 1 {
-			return "-BUSY\r\n"
+		if attempts[command[2]]++; strings.Contains(command[3], "t=") && attempts[command[2]] == 1 {
+			return harness.Busy
 		}
-		return hit(args)
+		return harness.Hit(command)
 	})
-	r := newRig(t, box)
-	set := r.config["settings"].(map[string]any)
-	set["lanes"].([]any)[0].(map[string]any)["worth"] = 10
-	set["accounts"] = []any{map[string]any{"name": "within", "quota_per_s": 1000}, map[string]any{"name": "beyond", "quota_per_s": 0}}
-	c := r.start().dial()
-	for i := range 4 { // what a tenant without a share may send by chance
-		c.send("CACHE.GET", "k", fmt.Sprint("chance", i), "c=read,d=2900,t=beyond").want("value-")
+	node := harness.NewNode(t, server)
+	node.Config.Settings.Classes[0].PriorityWeight = 10
+	node.Config.Settings.Tenants = []harness.TenantAccount{{Name: "within", Quota: 1000}, {Name: "beyond", Quota: 0}}
+	client := node.Start().Dial()
+	read := func(id, tenant string) *harness.Client {
+		return client.Send("CACHE.GET", "k", id, harness.ReadExtras+",t="+tenant)
+	}
+	for i := range 4 { // what a tenant without a quota may send by chance
+		read(fmt.Sprint("chance", i), "beyond").Want("value-")
 	}
-	c.send("CACHE.GET", "k", "in", "c=read,d=2900,t=within").want("value-in")
-	c.send("CACHE.GET", "k", "out", "c=read,d=2900,t=beyond").want("-BUSY")
-	c.send("CACHE.GET", "k", "other", "c=read,d=2900,t=nobody").want("value-other")
+	read("in", "within").Want("value-in")
+	read("out", "beyond").Want("-BUSY")
+	read("other", "nobody").Want("value-other")
 }
--- a/tests/ci_test.go
+++ b/tests/ci_test.go
@@ -1,38 +1,47 @@
 package tests
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"shelfproxy/tests/harness"
 )
 
-// TestKnownRed: CI passes over the tests that are listed as failing, says how each ended, and takes no list that is too long or names
+const redModule = `package red
+
+import "testing"
+
+func TestRed(t *testing.T) { t.Fatal("as ever") }
+
+func TestGreen(t *testing.T) {}
+`
+
+// CI passes over the tests that are listed as known to fail, says how each ended, and takes no list that is too long or names
 // what is no test.
-func TestKnownRed(t *testing.T) {
+func TestCIReportsKnownFailures(t *testing.T) {
 	t.Parallel()
 	script, err := filepath.Abs("../.ci/known-red")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("the path of the script: %v", err)
 	}
 	dir := t.TempDir()
-	for name, text := range map[string]string{"go.mod": "module red\n\ngo 1.26\n",
-		"red_test.go": "package red\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { t.Fatal(\"as ever\") }\n\nfunc TestGreen(t *testing.T) {}\n"} {
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	run := func(word string) (string, error) {
-		cmd := exec.Command("bash", script, word)
+	harness.WriteFile(t, filepath.Join(dir, "go.mod"), "module red\n\ngo 1.26\n")
+	harness.WriteFile(t, filepath.Join(dir, "red_test.go"), redModule)
+	run := func(verb string) (string, error) {
+		cmd := exec.CommandContext(t.Context(), "bash", script, verb)
 		cmd.Dir = dir
-		out, err := cmd.CombinedOutput()
-		return string(out), err
+		output, err := cmd.CombinedOutput()
+		return string(output), err
 	}
 	for name, test := range map[string]struct {
-		list          string
-		pattern, told string // what the words print, or the start of why they fail
-		fails         bool
+		list            string
+		pattern, report string // what the verbs print, or the start of why they fail
+		fails           bool
 	}{
 		"none":       {"", "", "", false},
 		"one":        {"TestRed: it is known to; issue 1\n", "^(TestRed)$\n", "known red: TestRed failed", false},
@@ -44,21 +53,21 @@
 		"empty line": {"TestRed: so; issue 1\n\n", "not \"TestName", "", true},
 	} {
 		list := filepath.Join(dir, "KNOWN-RED.txt")
-		os.Remove(list)
+		if err := os.Remove(list); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			t.Fatalf("%s: remove the list: %v", name, err)
+		}
 		if test.list != "" {
-			if err := os.WriteFile(list, []byte(test.list), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			harness.WriteFile(t, list, test.list)
 		}
-		out, err := run("pattern")
-		if (err != nil) != test.fails || !strings.Contains(out, test.pattern) {
-			t.Errorf("%s: pattern: %v, %q", name, err, out)
+		output, err := run("pattern")
+		if (err != nil) != test.fails || !strings.Contains(output, test.pattern) {
+			t.Errorf("%s: pattern: %v, %q; want %q", name, err, output, test.pattern)
 		}
 		if test.fails {
 			continue
 		}
-		if out, err := run("run"); err != nil || !strings.Contains(out, test.told) {
-			t.Errorf("%s: run: %v, %q", name, err, out)
+		if output, err := run("run"); err != nil || !strings.Contains(output, test.report) {
+			t.Errorf("%s: run: %v, %q; want %q", name, err, output, test.report)
 		}
 	}
 }
--- /dev/null
+++ b/tests/harness/cacheserver.go
@@ -0,0 +1,120 @@
+package harness
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"sync"
+	"testing"
+
+	"shelfproxy/internal/testbed/respcmd"
+)
+
+// Replies of a Handler.
+const (
+	Miss            = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
+	Busy            = "-BUSY\r\n"
+	CloseConnection = "close" // ends the connection in place of a reply
+)
+
+// Handler returns the bytes that a cache server replies to a command: its verb, key, id, extras and value. It is called in
+// the order of the commands of a connection.
+type Handler func(command []string) string
+
+// Hit replies with a value that names the request.
+func Hit(command []string) string { return HitWith("value-" + command[2]) }
+
+// HitWith replies with a value.
+func HitWith(value string) string {
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
+}
+
+// HitOnly replies with a value that names the request for one key, and with a miss for all others.
+func HitOnly(key string) Handler {
+	return func(command []string) string {
+		if command[1] == key {
+			return Hit(command)
+		}
+		return Miss
+	}
+}
+
+// CacheServer is a cache server that answers as its handler does.
+type CacheServer struct {
+	Address string
+
+	listener net.Listener
+	handle   Handler
+
+	mu          sync.Mutex
+	commands    [][]string
+	connections int
+}
+
+// NewCacheServer starts a cache server.
+func NewCacheServer(t testing.TB, handle Handler) *CacheServer {
+	t.Helper()
+	listener := Listen(t, "127.0.0.1:0")
+	s := &CacheServer{Address: listener.Addr().String(), listener: listener, handle: handle}
+	ServeConnections(listener, s.Serve)
+	return s
+}
+
+// StuckKey is the key that the server of NewStuckCacheServer does not answer.
+const StuckKey = "stuck"
+
+// NewStuckCacheServer starts a cache server that answers nothing for StuckKey, nor what comes behind it on the same
+// connection, until release is called. It may be called again; the end of the test calls it, too.
+func NewStuckCacheServer(t testing.TB) (server *CacheServer, release func()) {
+	t.Helper()
+	released := make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
+	t.Cleanup(release)
+	return NewCacheServer(t, func(command []string) string {
+		if command[1] == StuckKey {
+			<-released
+		}
+		return Hit(command)
+	}), release
+}
+
+// Serve serves a connection until it ends.
+func (s *CacheServer) Serve(conn net.Conn) {
+	s.connectionsChanged(1)
+	defer s.connectionsChanged(-1)
+	respcmd.Serve(conn, func(command []string) (string, bool) {
+		s.mu.Lock()
+		s.commands = append(s.commands, command)
+		s.mu.Unlock()
+		reply := s.handle(command)
+		return reply, reply != CloseConnection
+	})
+}
+
+func (s *CacheServer) connectionsChanged(by int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.connections += by
+}
+
+// StopAccepting takes no more connections.
+func (s *CacheServer) StopAccepting(t testing.TB) {
+	t.Helper()
+	if err := s.listener.Close(); err != nil {
+		t.Fatalf("close the listener of a cache server: %v", err)
+	}
+}
+
+// Commands returns the commands so far, without health checks.
+func (s *CacheServer) Commands() [][]string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.commands)
+}
+
+// Connections returns the number of connections that are open.
+func (s *CacheServer) Connections() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.connections
+}
--- /dev/null
+++ b/tests/harness/harness.go
@@ -0,0 +1,119 @@
+// Package harness starts the real programs as processes and plays what they talk to: clients, cache servers, the origin and
+// discovery. Everything that it starts is stopped when its test ends, and every wait has a deadline.
+//
+// Methods that take no error return fail the test of the handle they belong to.
+package harness
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Timeout bounds every wait. It is generous, as it only bounds how long a failing test takes.
+const Timeout = 20 * time.Second
+
+const pollInterval = 2 * time.Millisecond // between two checks of a condition
+
+// Paths of the programs that Main has built.
+var (
+	NodeProgram    string
+	TestbedProgram string
+)
+
+// Main builds the programs, with the race detector if the tests have it, runs the tests and ends the process.
+func Main(m *testing.M) {
+	code, err := buildAndRun(m)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		code = 1
+	}
+	os.Exit(code)
+}
+
+func buildAndRun(m *testing.M) (code int, err error) {
+	dir, err := os.MkdirTemp("", "shelfproxy")
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // a directory that stays does no harm
+	NodeProgram, TestbedProgram = filepath.Join(dir, "shelfproxy"), filepath.Join(dir, "testbed")
+	args := []string{"build", "-buildvcs=false", "-o", dir + "/"}
+	if RaceEnabled {
+		args = append(args, "-race")
+	}
+	build := exec.CommandContext(context.Background(), "go", append(args, "shelfproxy/cmd/shelfproxy", "shelfproxy/cmd/testbed")...)
+	if output, err := build.CombinedOutput(); err != nil {
+		return 0, fmt.Errorf("build the programs: %w: %s", err, output)
+	}
+	return m.Run(), nil
+}
+
+// WaitFor waits until the condition holds. If it does not by the deadline, the test fails with the texts of the logs.
+func WaitFor(t testing.TB, what string, condition func() bool, logs ...fmt.Stringer) {
+	t.Helper()
+	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			var texts strings.Builder
+			for _, log := range logs {
+				fmt.Fprintf(&texts, "; log: %s", log)
+			}
+			t.Fatalf("not within %s: %s%s", Timeout, what, &texts)
+		}
+	}
+}
+
+// LoopbackAddress returns an address, with port 0, that no other test listens on or dials from: an address that is given up
+// is not taken by them.
+func LoopbackAddress() string {
+	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
+}
+
+// Listen listens at an address until the test ends or the listener is closed.
+func Listen(t testing.TB, address string) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
+	if err != nil {
+		t.Fatalf("listen at %s: %v", address, err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
+}
+
+// ServeConnections calls serve in a goroutine for each connection, until the listener is closed.
+func ServeConnections(listener net.Listener, serve func(net.Conn)) {
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serve(conn)
+		}
+	}()
+}
+
+// WriteFile writes a file that only its owner may read.
+func WriteFile(t testing.TB, path, content string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+		t.Fatalf("write %s: %v", path, err)
+	}
+}
+
+// ReadFile returns the content of a file.
+func ReadFile(t testing.TB, path string) string {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("read %s: %v", path, err)
+	}
+	return string(content)
+}
--- /dev/null
+++ b/tests/harness/process.go
@@ -0,0 +1,95 @@
+package harness
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Process is a program that was started.
+type Process struct {
+	t       testing.TB
+	cmd     *exec.Cmd
+	exited  chan struct{} // closed by the goroutine that waits for the process
+	exitErr error         // valid once exited is closed
+}
+
+// StartProcess starts a program. Its user ends it.
+func StartProcess(t testing.TB, cmd *exec.Cmd) *Process {
+	t.Helper()
+	p := &Process{t: t, cmd: cmd, exited: make(chan struct{})}
+	if err := cmd.Start(); err != nil {
+		t.Fatalf("start %s: %v", cmd.Path, err)
+	}
+	go func() { // ends with the process
+		p.exitErr = cmd.Wait()
+		close(p.exited)
+	}()
+	return p
+}
+
+// PID returns the process id.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
+
+// Signal sends a signal; a process that has ended already is left alone.
+func (p *Process) Signal(signal syscall.Signal) {
+	p.t.Helper()
+	if err := p.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		p.t.Errorf("send %s to process %d: %v", signal, p.PID(), err)
+	}
+}
+
+// Pause stops the process until Resume, and waits until it stands still.
+func (p *Process) Pause() {
+	p.t.Helper()
+	p.Signal(syscall.SIGSTOP)
+	WaitFor(p.t, "the process stands still", func() bool {
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
+		return err == nil && bytes.Contains(stat, []byte(") T "))
+	})
+}
+
+// Resume lets a process that was stopped run again.
+func (p *Process) Resume() {
+	p.t.Helper()
+	p.Signal(syscall.SIGCONT)
+}
+
+// Exited returns a channel that is closed when the process has ended.
+func (p *Process) Exited() <-chan struct{} { return p.exited }
+
+// ExitCode returns the code that the process ended with; -1 if a signal ended it. The process must have ended.
+func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
+
+// Wait waits until the process ends and returns the error that it ends with. A process that does not end in time is killed,
+// and the test fails.
+func (p *Process) Wait() error {
+	p.t.Helper()
+	select {
+	case <-p.exited:
+	case <-time.After(Timeout):
+		p.Signal(syscall.SIGKILL)
+		<-p.exited
+		p.t.Errorf("process %d did not end within %s and was killed", p.PID(), Timeout)
+	}
+	return p.exitErr
+}
+
+// Terminate sends SIGTERM and waits until the process ends.
+func (p *Process) Terminate() error {
+	p.t.Helper()
+	p.Signal(syscall.SIGTERM)
+	return p.Wait()
+}
+
+// Kill ends the process at once, also one that was stopped.
+func (p *Process) Kill() {
+	p.t.Helper()
+	p.Signal(syscall.SIGKILL)
+	<-p.exited
+}
--- /dev/null
+++ b/tests/harness/scenario.go
@@ -0,0 +1,57 @@
+package harness
+
+import (
+	"bytes"
+	"log/slog"
+	"testing"
+	"time"
+
+	"shelfproxy/internal/testbed/demo"
+	"shelfproxy/internal/testbed/scenario"
+)
+
+// scenarioSeed draws the ranges of the scenarios that tests play.
+const scenarioSeed = 5
+
+// Play plays a scenario with a program as its nodes. The options may have restarts or a rollout; the others are set here.
+func Play(t testing.TB, program, scenarioText string, options demo.Options) *demo.Result {
+	t.Helper()
+	parsed, err := scenario.Parse("test.toml", []byte(scenarioText))
+	if err != nil {
+		t.Fatalf("parse the scenario: %v", err)
+	}
+	var out bytes.Buffer
+	options.Plan, options.Program, options.Dir = parsed.Draw(scenarioSeed), program, t.TempDir()
+	options.Log, options.Out, options.Every = slog.New(slog.DiscardHandler), &out, time.Second
+	result, err := demo.Run(t.Context(), options)
+	if err != nil {
+		t.Fatalf("play the scenario: %v", err)
+	}
+	if err := result.Write(&out); err != nil {
+		t.Fatalf("write the summary: %v", err)
+	}
+	t.Log(out.String())
+	return result
+}
+
+// CheckServed fails the test unless the run is clean, had enough requests and served a part of them.
+func CheckServed(t testing.TB, result *demo.Result, minRequests int, minServedPart float64) {
+	t.Helper()
+	CheckClean(t, result)
+	served := int64(0)
+	for _, class := range result.Classes {
+		served += class.Served
+	}
+	counts := result.Summary.Rules
+	if counts.Requests < minRequests || float64(served) < minServedPart*float64(counts.Requests) {
+		t.Errorf("%d of %d requests were served, want %.0f%% of %d at least: %+v", served, counts.Requests, 100*minServedPart, minRequests, counts)
+	}
+}
+
+// CheckClean fails the test if an invariant was violated or a node failed.
+func CheckClean(t testing.TB, result *demo.Result) {
+	t.Helper()
+	if !result.IsClean() {
+		t.Errorf("invariants violated: %v; failures: %v", result.Summary.Broken, result.Failures)
+	}
+}
--- a/tests/lists_test.go
+++ b/tests/lists_test.go
@@ -1,20 +1,29 @@
 package tests
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
 	"strings"
-	"syscall"
 	"testing"
+
+	"shelfproxy/tests/harness"
 )
 
-// A list that is empty, cut short, malformed or older than the one held is counted and logged with its cause. The node
-// goes on with the one it holds, asks again, and takes the next good one.
-func TestBadListsChangeNothing(t *testing.T) {
+// waitForAnswer waits until a read of a key is answered so.
+func waitForAnswer(node *harness.Node, client *harness.Client, what, prefix string) {
+	attempt := 0
+	node.WaitFor(what, func() bool {
+		attempt++
+		return strings.HasPrefix(client.Get("k", fmt.Sprint("id", attempt)).Answer(), prefix)
+	})
+}
+
+// A list that is empty, cut short, malformed or older than the present one is counted and logged with its cause. The node goes on
+// with the present list, polls again, and takes the next valid one.
+func TestInvalidListChangesNothing(t *testing.T) {
 	t.Parallel()
-	for name, test := range map[string]struct{ line, counter, cause string }{
+	for name, test := range map[string]struct{ text, counter, cause string }{
 		"empty":     {`{"generation":42,"reset":true,"instances":[]}`, "discovery_lists_refused", "without a server"},
 		"stale":     {`{"generation":7,"reset":true,"instances":[{"instanceId":"x","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`, "discovery_lists_refused", "older than the one held"},
 		"cut short": {`{"generation":42,"reset":true,"instan`, "discovery_watches_garbage", "no list"},
@@ -22,125 +31,106 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			box := newTarget(t, hit)
-			r := newRig(t, box).start()
-			c := r.dial()
-			r.changes <- test.line
-			r.until(test.counter, func() bool {
-				return strings.Contains(c.send("INFO").answer(), test.counter+" 1\n")
-			})
-			r.logged(test.cause)
+			server := harness.NewCacheServer(t, harness.Hit)
+			node := harness.NewNode(t, server).Start()
+			client := node.Dial()
+			node.Discovery.PublishText(test.text)
+			node.WaitForCounter(test.counter, 1)
+			node.WaitForLog(test.cause)
 			for i := range 5 {
-				c.send("CACHE.GET", fmt.Sprint("k", i), fmt.Sprint("id", i), "c=read,d=2900").want("value-")
+				client.Get(fmt.Sprint("k", i), fmt.Sprint("id", i)).Want("value-")
 			}
-			<-r.watches // the first
-			if again := <-r.watches; !strings.Contains(again, "after=41") {
-				t.Errorf("asked again with %s, want the version held", again)
+			node.Discovery.NextWatch() // the first
+			if query := node.Discovery.NextWatch(); !strings.Contains(query, "after=41") {
+				t.Errorf("polled again with %q, want the present version, 41", query)
 			}
-			r.tell(list(43, false, instance("s0", box.addr, "box", "draining")))
-			r.until("the drain is taken", func() bool {
-				return strings.Contains(c.send("INFO").answer(), "discovery_lists 3\n") // two watches began with one each
-			})
-			c.send("CACHE.GET", "k", "last", "c=read,d=2900").want("from-origin-")
+			drain(node, 43, server.Address)
+			node.WaitForCounter("discovery_lists", 3) // the first one of each watch, and the drain
+			client.Get("k", "last").Want("from-origin-")
 		})
 	}
 }
 
-// A node that is given no list, or one of servers long gone, starts, answers at once, and serves from the first list that
-// discovery sends.
-func TestStartWithoutAGoodList(t *testing.T) {
+// A node that has no list, or one of servers that do not exist any more, starts, answers at once, and serves from the first list
+// that discovery sends.
+func TestNodeStartsWithoutAUsableList(t *testing.T) {
 	t.Parallel()
-	for name, known := range map[string]any{"absent": nil, "out of date": list(1, true, instance("gone", "127.0.0.1:1", "box", "up"))} {
+	outOfDate := harness.NewList(1, true, harness.NewInstance("gone", "127.0.0.1:1", harness.KindCacheServer, harness.Up))
+	for name, known := range map[string]*harness.List{"absent": nil, "out of date": &outOfDate} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			box := newTarget(t, hit)
-			r := newRig(t, box)
-			delete(r.config, "known")
-			if known != nil {
-				r.config["known"] = known
-			}
-			c := r.start().dial()
-			c.send("CACHE.GET", "k", "early", "c=read,d=2900").want("-")
-			r.tell(list(42, true, instance("s0", box.addr, "box", "up")))
-			n := 0
-			r.until("reads are served", func() bool {
-				n++
-				return strings.HasPrefix(c.send("CACHE.GET", "k", fmt.Sprint("id", n), "c=read,d=2900").answer(), "value-")
-			})
+			server := harness.NewCacheServer(t, harness.Hit)
+			node := harness.NewNode(t, server)
+			node.Config.Known = known
+			client := node.Start().Dial()
+			client.Get("k", "early").Want("-")
+			node.Discovery.Publish(harness.NewList(42, true, harness.NewInstance("s0", server.Address, harness.KindCacheServer, harness.Up)))
+			waitForAnswer(node, client, "reads are served", "value-")
 		})
 	}
 }
 
-// TestStartWhileTheAddressIsTaken: a node whose predecessor has not let go of its address waits for it; one that cannot
-// have the socket to the other nodes serves without it.
-func TestStartWhileTheAddressIsTaken(t *testing.T) {
+// A node whose predecessor has not given up its address waits for it; one that cannot have the socket to the other nodes serves
+// without it.
+func TestNodeWaitsForATakenAddress(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, newTarget(t, hit))
-	peer, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
+	taken, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("take the socket to the other nodes: %v", err)
 	}
-	defer peer.Close()
-	r.config["peer_listen"], r.config["peers_all"] = peer.LocalAddr().String(), "127.0.0.1:9"
-	r.config["peers"] = []string{peer.LocalAddr().String()}
-	r.config["settings"].(map[string]any)["limits"].(map[string]any)["may_tell"] = true
-	held := r.address()
-	r.launch()
-	r.logged("peers_unavailable")
-	r.logged(`"address":"` + r.addr)
-	held.Close()
-	r.until("the node listens", r.listens)
-	r.until("the node watches", func() bool { return len(r.watches) > 0 })
-	r.dial().send("CACHE.GET", "k", "id", "c=read,d=2900").want("value-")
+	t.Cleanup(func() { _ = taken.Close() })
+	peerAddress := taken.LocalAddr().String()
+	node.Config.PeerListen, node.Config.PeersAll, node.Config.Peers = peerAddress, "127.0.0.1:9", []string{peerAddress}
+	node.Config.Settings.Limits.MayGossip = true
+	occupied := node.OccupyAddress()
+	node.Launch()
+	node.WaitForLog("peers_unavailable")
+	node.WaitForLog(`"address":"` + node.Config.Listen)
+	if err := occupied.Close(); err != nil {
+		t.Fatalf("give up the node's address: %v", err)
+	}
+	node.WaitListening()
+	node.Discovery.NextWatch()
+	node.Dial().Get("k", "id").Want("value-")
 }
 
-// TestReloadToAnAddressThatComesLater: nobody listens yet where discovery moves. The list held serves, and the node asks
-// there again until it is answered.
-func TestReloadToAnAddressThatComesLater(t *testing.T) {
+// Nothing listens yet where discovery moves to. The present list serves, and the node polls there again until it is answered.
+func TestReloadToADiscoveryThatComesLater(t *testing.T) {
 	t.Parallel()
-	r, next := newRig(t, newTarget(t, hit)).start(), newRig(t)
-	held, err := net.Listen("tcp", loopback())
-	if err != nil {
-		t.Fatal(err)
+	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit)).Start()
+	next := harness.NewDiscovery(t)
+	reserved := harness.Listen(t, harness.LoopbackAddress())
+	node.Config.Discovery = reserved.Addr().String()
+	if err := reserved.Close(); err != nil {
+		t.Fatalf("give up the address of discovery: %v", err)
 	}
-	addr := held.Addr().String()
-	held.Close()
-	r.config["discovery"] = addr
-	text, _ := json.Marshal(r.config)
-	r.replace(string(text))
-	r.cmd.Process.Signal(syscall.SIGHUP)
-	r.logged(`"event":"watch_ended"`)
-	c := r.dial()
-	c.send("CACHE.GET", "k", "meanwhile", "c=read,d=2900").want("value-")
-	late, err := net.Listen("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := &http.Server{Handler: http.HandlerFunc(next.discover)}
-	defer server.Close()
-	go server.Serve(late)
-	r.until("the new discovery is watched", func() bool { return len(next.watches) == 1 && next.open.Load() == 1 })
-	c.send("CACHE.GET", "k", "after", "c=read,d=2900").want("value-")
+	node.Reload()
+	node.WaitForLog(`"event":"watch_ended"`)
+	client := node.Dial()
+	client.Get("k", "meanwhile").Want("value-")
+	server := &http.Server{Handler: next}
+	listener := harness.Listen(t, node.Config.Discovery)
+	go func() { _ = server.Serve(listener) }() // ends when the server is closed
+	t.Cleanup(func() { _ = server.Close() })
+	node.WaitFor("the new discovery is watched", func() bool { return next.UnseenWatches() == 1 && next.OpenWatches() == 1 })
+	client.Get("k", "after").Want("value-")
 }
 
-// TestListThatAnAgentPushes: where lists are pushed the node follows the agent on its machine from its start, though the
-// module asks for nothing, takes what it is told, and follows again after the agent went away.
-func TestListThatAnAgentPushes(t *testing.T) {
+// Where lists are pushed, the node follows the agent on its machine from its start, though the policy polls nothing. It takes the
+// updates, and follows again after the agent was away.
+func TestPushedListsAreFollowed(t *testing.T) {
 	t.Parallel()
-	box := newTarget(t, hit)
-	r := newRig(t, box)
-	r.config["settings"].(map[string]any)["registry_mode"] = "automatic"
-	c := r.start().dial()
-	c.send("CACHE.GET", "k", "before", "c=read,d=2900").want("value-")
-	if first := <-r.watches; !strings.Contains(first, "after=41") {
-		t.Errorf("watched with %s, want the version known", first)
+	server := harness.NewCacheServer(t, harness.Hit)
+	node := harness.NewNode(t, server)
+	node.Config.Settings.RegistryMode = "automatic"
+	client := node.Start().Dial()
+	client.Get("k", "before").Want("value-")
+	if query := node.Discovery.NextWatch(); !strings.Contains(query, "after=41") {
+		t.Errorf("watched with %q, want the known version, 41", query)
 	}
-	r.changes <- "break"
-	r.until("the agent is followed again", func() bool { return len(r.watches) > 0 })
-	r.tell(list(42, false, instance("s0", box.addr, "box", "draining")))
-	n := 0
-	r.until("the drain is kept", func() bool {
-		n++
-		return strings.HasPrefix(c.send("CACHE.GET", "k", fmt.Sprint("id", n), "c=read,d=2900").answer(), "from-origin-")
-	})
+	node.Discovery.BreakWatch()
+	node.WaitFor("the agent is followed again", func() bool { return node.Discovery.UnseenWatches() > 0 })
+	drain(node, 42, server.Address)
+	waitForAnswer(node, client, "the drain is known", "from-origin-")
 }
--- a/tests/race_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build race
-
-package tests
-
-func init() { buildFlags = []string{"-race"} }
--- /dev/null
+++ b/tests/upstream_test.go
@@ -0,0 +1,257 @@
+package tests
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"shelfproxy/tests/harness"
+)
+
+// With few descriptors attempts share connections. One that is abandoned must not end those beside it.
+func TestAbandonedAttemptLeavesOthersOnItsConnection(t *testing.T) {
+	t.Parallel()
+	server, release := harness.NewStuckCacheServer(t)
+	node := harness.NewNode(t, server)
+	node.Config.Limits = harness.FewDescriptors()
+	node.Start()
+	stuck := node.Dial()
+	const requests = 40 // more than the connections that such a node opens
+	for i := range requests {
+		stuck.Send("CACHE.GET", harness.StuckKey, fmt.Sprint("s", i), "c=read,d=600")
+	}
+	others := node.Dial()
+	node.WaitFor("all connections are in use", func() bool { return server.Connections() > 20 })
+	for i := range requests {
+		others.Get("free", fmt.Sprint("f", i))
+	}
+	for range requests {
+		stuck.Want("-")
+	}
+	release()
+	for i := range requests {
+		others.Want(fmt.Sprint("value-f", i))
+	}
+}
+
+// A connection that breaks with a request on it, or has a corrupt response, may have executed it: an at-most-once write is not
+// retried, a read is, elsewhere.
+func TestAtMostOnceWriteIsNotRetriedOnceItMayHaveBeenExecuted(t *testing.T) {
+	t.Parallel()
+	for _, reply := range []string{harness.CloseConnection, "?what\r\n", "$9223372036854775807\r\n", "*99999999\r\n", "+PONG\r\n"} {
+		node := harness.NewNode(t, harness.NewCacheServer(t, func([]string) string { return reply }))
+		var writes atomic.Int64
+		node.Origin.Handle(func(w http.ResponseWriter, request *http.Request) {
+			if request.Method == http.MethodPut {
+				writes.Add(1)
+				writeRaw(t, w, "nonsense\r\n\r\n")
+				return
+			}
+			fmt.Fprint(w, "origin")
+		})
+		client := node.Start().Dial()
+		client.Get("k", "id1").Want("origin")
+		client.Send("CACHE.SET", "k", "id2", "c=cert,d=600", "v").Want("-ERR failed")
+		if writes.Load() != 1 {
+			t.Errorf("reply %q: the write was sent %d times, want once", reply, writes.Load())
+		}
+	}
+}
+
+// writeRaw takes over an HTTP connection, writes a response as it stands and closes the connection.
+func writeRaw(t *testing.T, w http.ResponseWriter, response string) {
+	conn, _, err := w.(http.Hijacker).Hijack()
+	if err != nil {
+		t.Errorf("take over a connection: %v", err)
+		return
+	}
+	_, _ = io.WriteString(conn, response) // the node may have closed it
+	_ = conn.Close()
+}
+
+// Bytes behind a good response belong to no request, and never pass for the response to the next one.
+func TestBytesBehindAResponseReachNoRequest(t *testing.T) {
+	t.Parallel()
+	var served atomic.Int64
+	server := harness.NewCacheServer(t, func(command []string) string {
+		if command[1] == "absent" {
+			return harness.Miss
+		}
+		if served.Add(1)%2 == 0 {
+			return harness.Hit(command) + harness.HitWith("value-of-another")
+		}
+		return harness.Hit(command) + "noise\r\n"
+	})
+	node := harness.NewNode(t, server)
+	node.Origin.Handle(func(w http.ResponseWriter, request *http.Request) {
+		id := harness.RequestID(request)
+		w.WriteHeader(http.StatusEarlyHints)
+		header := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(id))
+		conn, _, err := w.(http.Hijacker).Hijack()
+		if err != nil {
+			t.Errorf("take over a connection: %v", err)
+			return
+		}
+		_, _ = io.WriteString(conn, header+id+header+"of-another"[:len(id)]) // the node may have closed it
+	})
+	node.Config.Settings.Limits.MaxStreams = 1 // so that attempts wait for a connection to be free
+	node.Config.Limits = harness.FewDescriptors()
+	node.Start()
+	var clients []*harness.Client
+	for i := range 40 {
+		clients = append(clients, node.Dial().Get("k", fmt.Sprint("id", i)))
+	}
+	for i, client := range clients {
+		client.Want(fmt.Sprint("value-id", i))
+		id := fmt.Sprint("o", i)
+		answer := client.Get("absent", id).Answer()
+		if answer == harness.Closed { // idle in a crowded table while the others were looked at; sent once more, as clients do
+			answer = node.Dial().Get("absent", id).Answer()
+		}
+		if answer != id {
+			t.Fatalf("answer %q, want %q", answer, id)
+		}
+	}
+}
+
+// A request whose connection was refused was never executed: it goes on to where it can be served.
+func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
+	t.Parallel()
+	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
+	node.Config.Known.Instances[1].Address = "127.0.0.1:1"
+	node.Start().Dial().Get("k", "id").Want("from-origin-id")
+}
+
+// An attempt for which no connection is free does not wait for all the time of its request: the policy learns of it and ends the
+// request in good time.
+func TestAttemptWithoutAFreeConnectionEndsEarly(t *testing.T) {
+	t.Parallel()
+	node := harness.NewNode(t)
+	node.Config.Limits = harness.FewDescriptors()
+	node.SetDeadlines(longDeadline)
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
+	t.Cleanup(release)
+	node.Origin.Handle(func(w http.ResponseWriter, request *http.Request) {
+		<-released
+		fmt.Fprint(w, harness.RequestID(request))
+	})
+	node.Start()
+	const requests = 30 // more than the connections to the origin
+	observer := node.Dial()
+	var clients []*harness.Client
+	for i := range requests {
+		clients = append(clients, node.Dial().Send("CACHE.SET", "k", fmt.Sprint(i), "c=cert,d=60000", "v"))
+	}
+	node.WaitFor("requests without a connection are answered", func() bool {
+		answered := 0
+		for _, answer := range []string{"failed", "refused"} {
+			answered += observer.Counter(fmt.Sprintf("flows_answered{class=%q,answer=%q}", "cert", answer))
+		}
+		return answered == requests-node.Origin.Requests()
+	})
+	release()
+	for i, client := range clients {
+		if answer := client.Answer(); answer != fmt.Sprint(i) && answer != "-ERR failed" && answer != "-BUSY" {
+			t.Errorf("answer %q to request %d, want its value or that it failed or was rejected", answer, i)
+		}
+	}
+}
+
+// An idle connection may be closed by the server just as a request is written on it, which then may have been executed. An
+// at-most-once request is not written there; others are.
+func TestAtMostOnceWriteUsesANewConnection(t *testing.T) {
+	t.Parallel()
+	node := harness.NewNode(t)
+	node.Origin.Handle(func(w http.ResponseWriter, request *http.Request) { fmt.Fprint(w, request.RemoteAddr) })
+	client := node.Start().Dial()
+	for class, reuses := range map[string]bool{"put": true, "cert": false} {
+		var last string
+		for i := range 3 {
+			from := client.Send("CACHE.SET", "k", fmt.Sprint(class, i), "c="+class+",d=2900", "v").Answer()
+			if i > 0 && (from == last) != reuses {
+				t.Errorf("%s: sent from %s after %s, want the same connection: %v", class, from, last, reuses)
+			}
+			last = from
+		}
+	}
+}
+
+// After a change of the list nothing new goes to a server that drains, and a broken watch is opened again.
+func TestDrainingServerGetsNothingNew(t *testing.T) {
+	t.Parallel()
+	draining, other := harness.NewCacheServer(t, harness.Hit), harness.NewCacheServer(t, harness.Hit)
+	node := harness.NewNode(t, draining, other).Start()
+	client := node.Dial()
+	read := func(from, until int) {
+		for i := from; i < until; i++ {
+			client.Get(fmt.Sprint("k", i), fmt.Sprint("id", i)).Want("value-")
+		}
+	}
+	read(0, 40)
+	if len(draining.Commands()) == 0 || len(other.Commands()) == 0 {
+		t.Fatalf("%d and %d requests, want both servers in use", len(draining.Commands()), len(other.Commands()))
+	}
+	drain(node, 43, draining.Address)
+	node.WaitFor("connections to the draining server are closed", func() bool { return draining.Connections() == 0 })
+	before := len(draining.Commands())
+	read(40, 80)
+	if sent := len(draining.Commands()) - before; sent > 0 {
+		t.Errorf("%d requests were sent to a draining server, want none", sent)
+	}
+	node.Discovery.NextWatch()
+	node.Discovery.BreakWatch()
+	if query := node.Discovery.NextWatch(); !strings.Contains(query, "after=43") {
+		t.Errorf("the new watch has the query %q, want what came after 43", query)
+	}
+	node.Discovery.PublishText("no JSON")
+	node.Discovery.NextWatch()
+	read(80, 90)
+	if malformed := client.Counter("discovery_watches_garbage"); malformed != 1 {
+		t.Errorf("%d malformed watches were counted, want 1", malformed)
+	}
+}
+
+// Values far longer than the usual one come through complete, from a cache server and from the origin; one that is longer than a
+// node of this memory takes fails at once, and the connection of its client goes on.
+func TestLongValuesAreServedComplete(t *testing.T) {
+	t.Parallel()
+	sizes := map[string]int{"short": 100, "long": 399_998, "longest": 6<<20 - 100}
+	value := func(key, id string) string { return id + strings.Repeat("v", sizes[key]) }
+	const hugeSize = "3221225472"
+	server := harness.NewCacheServer(t, func(command []string) string {
+		if command[1] == "huge" {
+			return "*3\r\n$" + hugeSize + "\r\n" + strings.Repeat("x", 1000)
+		}
+		if strings.HasPrefix(command[1], "o-") {
+			return harness.Miss
+		}
+		return harness.HitWith(value(command[1], command[2]))
+	})
+	node := harness.NewNode(t, server)
+	node.Origin.Handle(func(w http.ResponseWriter, request *http.Request) {
+		key := strings.TrimPrefix(request.URL.Path, "/o-")
+		if key == "/huge" {
+			w.Header().Set("Content-Length", hugeSize)
+		}
+		fmt.Fprint(w, value(key, harness.RequestID(request)))
+	})
+	client := node.Start().Dial()
+	for i, key := range []string{"short", "long", "o-long", "longest", "o-short", "long"} {
+		id := fmt.Sprint("id", i)
+		want := value(strings.TrimPrefix(key, "o-"), id)
+		if got := client.Get(key, id).Answer(); got != want {
+			t.Errorf("%s: %d bytes, %.40q; want %d bytes", key, len(got), got, len(want))
+		}
+	}
+	if answer := client.Get("huge", "id-huge").Answer(); !strings.HasPrefix(answer, "-") {
+		t.Errorf("a value of 3 GB: answer %.40q, want an error", answer)
+	}
+	if answer := client.Get("short", "after").Answer(); answer != value("short", "after") {
+		t.Errorf("after it: answer %.40q, want the value", answer)
+	}
+}
