--- a/cmd/testbed/emulate.go
+++ b/cmd/testbed/emulate.go
@@ -98,14 +98,14 @@
 		}
 	}
 	fmt.Fprintf(out, "%.1f s: %d connections, %d attempts, %d health checks, %d malformed, event log %016x\n", summary.Length.Seconds(),
-		summary.Connections, summary.Requests, summary.Probes, summary.Malformed, summary.Events)
-	if len(summary.Broken) == 0 {
+		summary.Connections, summary.Requests, summary.HealthChecks, summary.Malformed, summary.Events)
+	if len(summary.Violations) == 0 {
 		return nil
 	}
-	for _, violation := range summary.Broken {
+	for _, violation := range summary.Violations {
 		fmt.Fprintln(out, violation)
 	}
-	return exit.With(exitInvariant, fmt.Errorf("%d invariants were violated", len(summary.Broken)))
+	return exit.With(exitInvariant, fmt.Errorf("%d invariants were violated", len(summary.Violations)))
 }
 
 func writeJSON(path string, value any) error {
--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -77,7 +77,7 @@
 	summary := seedrunner.Run(ctx, flags.simulation(), seedrunner.Options{
 		First: flags.from, Count: flags.seeds, Workers: flags.workers, StopAtViolation: flags.firstOnly,
 		OnReport: func(report *simulation.Report, sofar *seedrunner.Summary) {
-			if flags.reports || len(report.Broken) > 0 {
+			if flags.reports || len(report.Violations) > 0 {
 				fmt.Fprintln(out, report)
 			}
 			if sofar.Seeds%progressEvery == 0 {
@@ -109,7 +109,7 @@
 
 // printShrunk searches for a smaller run that violates the same invariant and prints how to replay it.
 func printShrunk(out io.Writer, sim seedrunner.Simulation, report *simulation.Report) {
-	skip, shrunk := sim.Shrink(report.Seed, report.Broken[0].Rule)
+	skip, shrunk := sim.Shrink(report.Seed, report.Violations[0].Invariant)
 	fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", report.Seed, simulation.SkipWords(skip), shrunk)
 }
 
@@ -130,10 +130,10 @@
 	sim := flags.simulation()
 	report := sim.Run(flags.replay, skip, simulation.Options{Trace: trace})
 	fmt.Fprintln(out, report)
-	for _, violation := range report.Broken {
+	for _, violation := range report.Violations {
 		fmt.Fprintln(out, " ", violation)
 	}
-	if len(report.Broken) == 0 {
+	if len(report.Violations) == 0 {
 		return nil
 	}
 	if flags.shrink {
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -56,7 +56,7 @@
 }
 
 // IsClean reports whether no invariant was violated and no node failed.
-func (r *Result) IsClean() bool { return len(r.Summary.Broken) == 0 && len(r.Failures) == 0 }
+func (r *Result) IsClean() bool { return len(r.Summary.Violations) == 0 && len(r.Failures) == 0 }
 
 const (
 	startTimeout = 20 * time.Second // for nodes to answer after their start
--- a/internal/testbed/demo/instance.go
+++ b/internal/testbed/demo/instance.go
@@ -91,7 +91,7 @@
 
 // startNext starts the next process of an instance whose last one has ended.
 func (r *run) startNext(ctx context.Context, in *instance, args []string) error {
-	r.emulator.Tell(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(in.Number) })
+	r.emulator.Report(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(in.Number) })
 	if err := r.emulator.WriteConfig(in.NodeConfig); err != nil {
 		return err
 	}
--- a/internal/testbed/demo/observer.go
+++ b/internal/testbed/demo/observer.go
@@ -14,16 +14,16 @@
 // RequestSent implements clients.Observer.
 func (o observer) RequestSent(id, class string, node int, timeout time.Duration) {
 	deadline := o.emulator.Now() + timeout
-	o.emulator.Tell(func(now time.Duration, check *invariants.Checker) { check.RequestSent(now, id, class, node, deadline) })
+	o.emulator.Report(func(now time.Duration, check *invariants.Checker) { check.RequestSent(now, id, class, node, deadline) })
 }
 
 // RequestAnswered implements clients.Observer.
 func (o observer) RequestAnswered(id string, kind invariants.Final, value []byte) {
 	madeFor := wireformat.RequestOfValue(value)
-	o.emulator.Tell(func(now time.Duration, check *invariants.Checker) { check.RequestAnswered(now, id, kind, madeFor) })
+	o.emulator.Report(func(now time.Duration, check *invariants.Checker) { check.RequestAnswered(now, id, kind, madeFor) })
 }
 
 // ConnectionEnded implements clients.Observer.
 func (o observer) ConnectionEnded(id string, maybeUnread bool) {
-	o.emulator.Tell(func(now time.Duration, check *invariants.Checker) { check.ConnectionEnded(now, id, maybeUnread) })
+	o.emulator.Report(func(now time.Duration, check *invariants.Checker) { check.ConnectionEnded(now, id, maybeUnread) })
 }
--- a/internal/testbed/demo/summary.go
+++ b/internal/testbed/demo/summary.go
@@ -50,9 +50,9 @@
 		cpu += node.CPU
 	}
 	summary := r.Summary
-	requests := float64(max(1, summary.Rules.Requests))
+	requests := float64(max(1, summary.Counts.Requests))
 	fmt.Fprintf(out, "nodes: %.2f ms of processor a request, %.2f attempts a request, %d health checks, %d calls of discovery\n",
-		cpu.Seconds()*1000/requests, float64(summary.Requests)/requests, summary.Probes, summary.Calls)
+		cpu.Seconds()*1000/requests, float64(summary.Requests)/requests, summary.HealthChecks, summary.Calls)
 	fmt.Fprintf(out, "testbed: sends late by p99 %s ms, max %s ms; emulator late by p99 %.1f ms, max %.1f ms; event log %016x\n",
 		clients.Millis(r.Generator.Lag, 99), clients.Millis(r.Generator.Lag, 100), summary.LateP99.Seconds()*1000,
 		summary.LateMax.Seconds()*1000, summary.Events)
@@ -71,13 +71,13 @@
 	for _, failure := range r.Failures {
 		fmt.Fprintln(out, "failed:", failure)
 	}
-	for _, violation := range r.Summary.Broken {
+	for _, violation := range r.Summary.Violations {
 		fmt.Fprintln(out, violation)
 	}
 	if r.IsClean() {
-		fmt.Fprintf(out, "no invariant violated: %d requests sent and %d answered, %d attempts, %d list updates\n", r.Summary.Rules.Requests,
-			r.Summary.Rules.Answered, r.Summary.Rules.Attempts, r.Summary.Rules.Notifications)
+		fmt.Fprintf(out, "no invariant violated: %d requests sent and %d answered, %d attempts, %d list updates\n", r.Summary.Counts.Requests,
+			r.Summary.Counts.Answered, r.Summary.Counts.Attempts, r.Summary.Counts.Notifications)
 	} else {
-		fmt.Fprintf(out, "invariants violated: %d\n", len(r.Summary.Broken)+len(r.Failures))
+		fmt.Fprintf(out, "invariants violated: %d\n", len(r.Summary.Violations)+len(r.Failures))
 	}
 }
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -60,9 +60,9 @@
 // respond reports a response to the checker, unless it is to a health check, and writes it to its connection.
 func (e *Emulator) respond(now time.Duration, response model.Response) {
 	if response.Request != "" {
-		proof := invariants.MayHaveRun
+		proof := invariants.PossiblyExecuted
 		if response.WasNotExecuted() {
-			proof = invariants.NeverRan
+			proof = invariants.NotExecuted
 		}
 		e.checker.ResponseSent(now, response.Server, response.Request, response.Seq, proof, response.HasValue(), response.Outcome.String())
 	}
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -73,7 +73,7 @@
 	}
 	cache.send("CACHE.GET", "k", "id4", "c=read,d=900")
 	cache.wantLines("read after the write", 4, "*3 $-1 $4 miss")
-	if got := rig.emulator.Summary(); got.Requests != 5 || got.Probes != 2 || got.Malformed != 0 || len(got.Broken) != 0 {
+	if got := rig.emulator.Summary(); got.Requests != 5 || got.HealthChecks != 2 || got.Malformed != 0 || len(got.Violations) != 0 {
 		t.Errorf("summary %+v, want 5 requests, 2 health checks, nothing malformed and no violation", got)
 	}
 }
@@ -213,7 +213,7 @@
 	if got := watch.waitFor("box-2", "up"); got.Address != rig.list.Endpoints[1].Address || got.Started == 0 {
 		t.Errorf("replacement %+v, want it at %s with a start time", got, rig.list.Endpoints[1].Address)
 	}
-	violations := rig.emulator.Summary().Broken
+	violations := rig.emulator.Summary().Violations
 	if len(violations) != 1 || violations[0].Invariant != invariants.SentToDraining || !strings.Contains(violations[0].Text, "late was sent to box-0") {
 		t.Errorf("violations %v, want one that late was sent to box-0", violations)
 	}
--- a/internal/testbed/emulator/loop.go
+++ b/internal/testbed/emulator/loop.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Tell reports something to the checker of the invariants without waiting for it.
-func (e *Emulator) Tell(report func(now time.Duration, checker *invariants.Checker)) {
+// Report reports something to the checker of the invariants without waiting for it.
+func (e *Emulator) Report(report func(now time.Duration, checker *invariants.Checker)) {
 	e.post(func(now time.Duration) { report(now, e.checker) })
 }
 
--- a/internal/testbed/emulator/summary.go
+++ b/internal/testbed/emulator/summary.go
@@ -13,13 +13,13 @@
 	Length                    time.Duration
 	Connections               int64
 	Requests                  int64 // attempts at servers
-	Probes                    int64 // health checks
+	HealthChecks              int64 // health checks
 	Malformed                 int64 // commands that no client sent
 	CorruptResponses          int64
 	Calls                     int64  // of the discovery service
 	Events                    uint64 // hash of the model's event log
-	Rules                     invariants.Counts
-	Broken                    []invariants.Violation
+	Counts                    invariants.Counts
+	Violations                []invariants.Violation
 	LateP50, LateP99, LateMax time.Duration // by which scheduled events ran late
 }
 
@@ -32,13 +32,13 @@
 			Length:           now,
 			Connections:      e.counters.connections.Load(),
 			Requests:         e.counters.requests.Load(),
-			Probes:           e.counters.healthChecks.Load(),
+			HealthChecks:     e.counters.healthChecks.Load(),
 			Malformed:        e.counters.malformed.Load(),
 			CorruptResponses: e.counters.corrupted.Load(),
 			Calls:            e.counters.discoveryCalls.Load(),
 			Events:           system.Hash(),
-			Rules:            checker.Counts(),
-			Broken:           slices.Clone(checker.Violations()),
+			Counts:           checker.Counts(),
+			Violations:       slices.Clone(checker.Violations()),
 			LateP50:          microseconds(e.loopDelay.ValueAtQuantile(50)),
 			LateP99:          microseconds(e.loopDelay.ValueAtQuantile(99)),
 			LateMax:          microseconds(e.loopDelay.Max()),
--- a/internal/testbed/invariants/attempt.go
+++ b/internal/testbed/invariants/attempt.go
@@ -13,7 +13,7 @@
 // possiblyExecuted returns the first attempt that may have been executed, or nil.
 func (r *request) possiblyExecuted() *attempt {
 	for _, attempt := range r.attempts {
-		if attempt.proof == MayHaveRun {
+		if attempt.proof == PossiblyExecuted {
 			return attempt
 		}
 	}
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -19,7 +19,7 @@
 
 // served reports that server b made a value for the request and that the client got it.
 func (r rig) served(at time.Duration) {
-	r.ResponseSent(at, "b", "r", 1, MayHaveRun, true, "hit")
+	r.ResponseSent(at, "b", "r", 1, PossiblyExecuted, true, "hit")
 	r.RequestAnswered(at, "r", Served, "r")
 }
 
@@ -67,7 +67,7 @@
 		{"value of another request", func(r rig) {
 			r.accepted("read")
 			r.attempt(s, "b", "read", 1)
-			r.ResponseSent(s, "b", "r", 1, MayHaveRun, true, "hit")
+			r.ResponseSent(s, "b", "r", 1, PossiblyExecuted, true, "hit")
 			r.RequestAnswered(2*s, "r", Served, "q")
 		}, MissingAnswer},
 		{"value that no server made", func(r rig) { r.accepted("read"); r.RequestAnswered(s, "r", Served, "r") }, MissingAnswer},
@@ -85,7 +85,7 @@
 		}, DuplicateExecution},
 		{"at most once, sent again after a rejection", func(r rig) {
 			r.attempt(s, "origin", "cert", 1)
-			r.ResponseSent(s, "origin", "r", 1, NeverRan, false, "turned_away")
+			r.ResponseSent(s, "origin", "r", 1, NotExecuted, false, "turned_away")
 			r.attempt(2*s, "origin", "cert", 2)
 		}, ""},
 		{"at most once, executed twice", func(r rig) {
@@ -149,13 +149,13 @@
 
 func TestServersInSlowStartAreNotOverloaded(t *testing.T) {
 	checkViolations(t, []violationCase{
-		{"start unknown", func(r rig) { r.attempt(0, "b", "read", 1); r.ServerOverloaded(s, "b") }, ColdServerOverloaded},
+		{"start unknown", func(r rig) { r.attempt(0, "b", "read", 1); r.ServerOverloaded(s, "b") }, SlowStartOverload},
 		{"by nodes that were notified", func(r rig) {
 			r.ServerStarted("b", 1)
 			r.NodeKnowsStart(0, "b", 1)
 			r.attempt(0, "b", "read", 1)
 			r.ServerOverloaded(s, "b")
-		}, ColdServerOverloaded},
+		}, SlowStartOverload},
 		{"by nodes that were notified of other servers", func(r rig) {
 			r.ServerStarted("b", 1)
 			r.NodeKnowsStart(0, "a", 1)
@@ -175,7 +175,7 @@
 			r.NodeKnowsStart(0, "b", 1)
 			r.attempt(0, "b", "read", 1)
 			r.ServerOverloaded(s, "b")
-		}, ColdServerOverloaded},
+		}, SlowStartOverload},
 	})
 }
 
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -65,10 +65,10 @@
 	// SentToDraining is broken by a new request for a server that drains or was removed, once the node was notified of
 	// it, or counts as notified, and Tolerances.DrainWithin has passed. Requests in flight may be finished.
 	SentToDraining Invariant = "drain"
-	// ColdServerOverloaded is broken by the nodes together, if a server crashes because they sent it more than it can
+	// SlowStartOverload is broken by the nodes together, if a server crashes because they sent it more than it can
 	// do in slow start. It is not broken if a third or more of the attempts came from nodes that had not been notified
 	// of the server's start.
-	ColdServerOverloaded Invariant = "cold"
+	SlowStartOverload Invariant = "cold"
 )
 
 // Violation is a case in which an invariant was broken.
@@ -108,8 +108,8 @@
 
 // The proofs.
 const (
-	MayHaveRun Proof = iota // the attempt may have been executed
-	NeverRan                // it was rejected, or the server had no copy
+	PossiblyExecuted Proof = iota // the attempt may have been executed
+	NotExecuted                   // it was rejected, or the server had no copy
 )
 
 // Counts counts what was checked.
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -42,5 +42,5 @@
 	if start.uninformedAttempts > 0 && 3*start.uninformedAttempts >= start.attempts {
 		return
 	}
-	c.report(ColdServerOverloaded, now, nil, "%s crashed in slow start from what all nodes together sent it", server)
+	c.report(SlowStartOverload, now, nil, "%s crashed in slow start from what all nodes together sent it", server)
 }
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -17,7 +17,7 @@
 	At           Span              `toml:"at"`
 	For          Span              `toml:"for"`
 	CacheServers []string          `toml:"boxes"`
-	Of           string            `toml:"of"` // kind of cache server
+	OfKind       string            `toml:"of"` // kind of cache server
 	Zone         string            `toml:"zone"`
 	Count        Range             `toml:"count"`
 	Share        Range             `toml:"share"`
@@ -72,14 +72,14 @@
 
 // validateFaultValues checks the fields that a fault has; table is the prefix of their names.
 func (s *Scenario) validateFaultValues(table string, fault Fault) error {
-	hasKind := slices.ContainsFunc(s.Kinds, func(kind CacheServerKind) bool { return kind.Name == fault.Of })
+	hasKind := slices.ContainsFunc(s.Kinds, func(kind CacheServerKind) bool { return kind.Name == fault.OfKind })
 	hasZone := slices.Contains(s.Zones.Names, fault.Zone)
 	areFractions := fault.Share.in(0, 1) && fault.Answers.in(0, 1) && fault.Messages.in(0, 1) && fault.SameAddr.in(0, 1)
 	isBatchValid := fault.Batch.Least > 0 && fault.Batch.Most <= 1
 	return s.firstError(table,
 		require(fault.At.Least >= 0, "at", "must not be negative"),
 		require(fault.For.Least >= 0, "for", "must not be negative"),
-		require(fault.Of == "" || hasKind, "of", "there is no kind of cache server %q", fault.Of),
+		require(fault.OfKind == "" || hasKind, "of", "there is no kind of cache server %q", fault.OfKind),
 		require(fault.Zone == "" || hasZone, "zone", "there is no zone %q", fault.Zone),
 		require(areFractions, "kind", "share, answers, messages and same_address must be from 0 to 1"),
 		require(!s.file.Has(table+"factor") || fault.Factor.Least > 0, "factor", "must be above 0"),
@@ -94,7 +94,7 @@
 		Kind: model.FaultKind(slices.Index(model.FaultKinds[:], f.Kind)),
 		At:   f.At.Draw(random),
 		For:  f.For.Draw(random),
-		Select: model.Selector{IDs: f.CacheServers, Kind: f.Of, Zone: f.Zone, Count: f.Count.Int(random),
+		Select: model.Selector{IDs: f.CacheServers, Kind: f.OfKind, Zone: f.Zone, Count: f.Count.Int(random),
 			Share: f.Share.Draw(random)},
 		Nodes:    f.Nodes,
 		Factor:   f.Factor.Draw(random),
--- a/internal/testbed/scenario/plan.go
+++ b/internal/testbed/scenario/plan.go
@@ -139,11 +139,11 @@
 	}
 	for i, popular := range s.Workload.PopularKeys {
 		random := stream(fmt.Sprintf("load/heat/%d", i))
-		spec.PopularKeys = append(spec.PopularKeys, workload.PopularKeys{Share: popular.Share.Draw(random), Keys: popular.Keys,
-			At: popular.At.Draw(random), For: popular.For.Draw(random), Move: popular.ChangeEvery.D()})
+		spec.PopularKeys = append(spec.PopularKeys, workload.PopularKeys{Fraction: popular.Share.Draw(random), Keys: popular.Keys,
+			At: popular.At.Draw(random), For: popular.For.Draw(random), RotateEvery: popular.ChangeEvery.D()})
 	}
 	for _, class := range s.Classes {
-		spec.Classes = append(spec.Classes, workload.Class{Name: class.Name, Share: class.Share,
+		spec.Classes = append(spec.Classes, workload.Class{Name: class.Name, Weight: class.Share,
 			HasIdempotencyKey: class.Effect == effectDeduplicated, BytesLeast: int(class.Bytes.Least), BytesMost: int(class.Bytes.Most)})
 	}
 	return spec
--- a/internal/testbed/seedrunner/seedrunner.go
+++ b/internal/testbed/seedrunner/seedrunner.go
@@ -112,10 +112,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Seeds++
-	r.summary.Requests += report.Due
-	if len(report.Broken) > 0 {
+	r.summary.Requests += report.Scheduled
+	if len(report.Violations) > 0 {
 		r.summary.Violating = append(r.summary.Violating, report)
-		r.summary.ByInvariant[report.Broken[0].Rule]++
+		r.summary.ByInvariant[report.Violations[0].Invariant]++
 	}
 	r.summary.Elapsed = time.Since(r.began)
 	if r.options.OnReport != nil {
--- a/internal/testbed/seedrunner/seedrunner_test.go
+++ b/internal/testbed/seedrunner/seedrunner_test.go
@@ -11,9 +11,9 @@
 // violatingFrom is a simulation whose runs violate an invariant from a seed on.
 func violatingFrom(first uint64) Simulation {
 	return Simulation{Run: func(seed uint64, _ map[int]bool, _ simulation.Options) *simulation.Report {
-		report := &simulation.Report{Seed: seed, Due: 2}
+		report := &simulation.Report{Seed: seed, Scheduled: 2}
 		if seed >= first {
-			report.Broken = []simulation.Broken{{Rule: "test"}}
+			report.Violations = []simulation.Violation{{Invariant: "test"}}
 		}
 		return report
 	}}
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -70,7 +70,7 @@
 		return
 	}
 	c.world.at(arrival.At, func() {
-		c.world.report.Due++
+		c.world.report.Scheduled++
 		class := c.world.plan.Classes[arrival.Class]
 		request := &clientRequest{Arrival: arrival, class: class.Name, isWrite: class.Write}
 		if c.world.now >= c.world.plan.HealthyFrom {
@@ -216,14 +216,14 @@
 	case "served":
 		c.world.report.Served++
 	case "refused":
-		c.world.report.Refused++
+		c.world.report.Rejected++
 		if c.world.plan.Classes[request.Class].Effect == "at_most_once" {
 			c.rejected[request.id] = true
 		}
 	case "failed":
 		c.world.report.Failed++
 	case "left":
-		c.world.report.Left++
+		c.world.report.Disconnected++
 	}
 }
 
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -85,7 +85,7 @@
 		f.now = max(f.now, next.At)
 		next.Run()
 		f.checkAlways()
-		if len(f.report.Broken) > maxViolations || steps > maxSteps {
+		if len(f.report.Violations) > maxViolations || steps > maxSteps {
 			f.violation(InvariantNoPanic, "too much is broken, or too much happens: %d steps", steps)
 			return
 		}
--- a/internal/testbed/simulation/report.go
+++ b/internal/testbed/simulation/report.go
@@ -12,16 +12,16 @@
 	Trace func(line []byte)
 }
 
-// Broken is a violation of an invariant in a run.
-type Broken struct {
-	Rule string // name of the invariant, of the service (package invariants) or of the simulation
-	At   Time
-	Text string
+// Violation is a violation of an invariant in a run.
+type Violation struct {
+	Invariant string // name of the invariant, of the service (package invariants) or of the simulation
+	At        Time
+	Text      string
 }
 
 // String describes the violation in one line.
-func (b Broken) String() string {
-	return fmt.Sprintf("%s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Text)
+func (b Violation) String() string {
+	return fmt.Sprintf("%s at %.3f s: %s", b.Invariant, b.At.Seconds(), b.Text)
 }
 
 // The simulation's own invariants, beside those of package invariants, by the names that reports use.
@@ -39,22 +39,22 @@
 
 // Report is the result of a run.
 type Report struct {
-	Seed                                      uint64
-	Hash                                      uint64 // of the event log
-	Events                                    int    // lines of the event log
-	Due, Taken, Served, Refused, Failed, Left int    // requests: scheduled, read by a node, and how they ended
-	Kills, Restarts                           int    // processes of nodes that were killed, and shut down
-	Faults                                    []string
-	Broken                                    []Broken
-	Took                                      time.Duration // of real time
+	Seed                                                     uint64
+	Hash                                                     uint64 // of the event log
+	Events                                                   int    // lines of the event log
+	Scheduled, Taken, Served, Rejected, Failed, Disconnected int    // requests: scheduled, read by a node, and how they ended
+	Kills, Restarts                                          int    // processes of nodes that were killed, and shut down
+	Faults                                                   []string
+	Violations                                               []Violation
+	Took                                                     time.Duration // of real time
 }
 
 // String describes the run in one line.
 func (r *Report) String() string {
 	verdict := "kept"
-	if len(r.Broken) > 0 {
-		verdict = "BROKEN " + r.Broken[0].String()
+	if len(r.Violations) > 0 {
+		verdict = "BROKEN " + r.Violations[0].String()
 	}
-	return fmt.Sprintf("seed %d: %d due, %d taken, %d served, %d refused, %d failed, %d left; %s; %d events, hash %016x: %s", r.Seed, r.Due, r.Taken,
-		r.Served, r.Refused, r.Failed, r.Left, strings.Join(r.Faults, " "), r.Events, r.Hash, verdict)
+	return fmt.Sprintf("seed %d: %d due, %d taken, %d served, %d refused, %d failed, %d left; %s; %d events, hash %016x: %s", r.Seed, r.Scheduled, r.Taken,
+		r.Served, r.Rejected, r.Failed, r.Disconnected, strings.Join(r.Faults, " "), r.Events, r.Hash, verdict)
 }
--- a/internal/testbed/simulation/server_conn.go
+++ b/internal/testbed/simulation/server_conn.go
@@ -244,9 +244,9 @@
 
 // checkResponse notifies the checker of a response to a client's request.
 func (w *world) checkResponse(response model.Response) {
-	proof := invariants.MayHaveRun
+	proof := invariants.PossiblyExecuted
 	if response.WasNotExecuted() {
-		proof = invariants.NeverRan
+		proof = invariants.NotExecuted
 	}
 	w.checker.ResponseSent(w.now, response.Server, response.Request, response.Seq, proof, response.HasValue(), response.Outcome.String())
 }
--- a/internal/testbed/simulation/shrink.go
+++ b/internal/testbed/simulation/shrink.go
@@ -39,7 +39,7 @@
 }
 
 func (r *Report) violates(invariant string) bool {
-	return slices.ContainsFunc(r.Broken, func(b Broken) bool { return b.Rule == invariant })
+	return slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Invariant == invariant })
 }
 
 // SkipWords writes the numbers of parts that are left out for a command line, separated by commas.
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -44,7 +44,7 @@
 		for _, w := range r.Faults {
 			words[w]++
 		}
-		if len(r.Broken) > 0 {
+		if len(r.Violations) > 0 {
 			t.Errorf("%s; testbed simulate --replay %d shows it", r, r.Seed)
 		}
 	})
@@ -65,7 +65,7 @@
 		for _, w := range r.Faults {
 			words[w]++
 		}
-		if len(r.Broken) > 0 {
+		if len(r.Violations) > 0 {
 			t.Errorf("%s; testbed simulate --fleet --replay %d shows it", r, r.Seed)
 		}
 	})
--- a/internal/testbed/simulation/timeline.go
+++ b/internal/testbed/simulation/timeline.go
@@ -51,6 +51,6 @@
 
 // violation adds a violation of an invariant to the report and to the event log.
 func (w *timeline) violation(rule, format string, args ...any) {
-	w.report.Broken = append(w.report.Broken, Broken{rule, w.now, fmt.Sprintf(format, args...)})
+	w.report.Violations = append(w.report.Violations, Violation{rule, w.now, fmt.Sprintf(format, args...)})
 	w.logEvent("broken", rule)
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -150,7 +150,7 @@
 		if w.plan.Agreements {
 			w.checkLeases()
 		}
-		if len(w.report.Broken) > maxViolations || steps > maxSteps {
+		if len(w.report.Violations) > maxViolations || steps > maxSteps {
 			w.violation(InvariantNoPanic, "too much is broken, or too much happens: %d steps", steps)
 			return
 		}
--- a/internal/testbed/workload/process.go
+++ b/internal/testbed/workload/process.go
@@ -73,10 +73,10 @@
 
 // PopularKeys sends a fixed part of the requests to a few hot keys.
 type PopularKeys struct {
-	Share   float64       // part of all requests that goes to these keys, from 0 to 1
-	Keys    int           // number of keys, each drawn equally often
-	At, For time.Duration // when it starts, and how long it lasts; 0 lasts until the end of the load
-	Move    time.Duration // after each of these periods the keys are replaced by others; 0 is never
+	Fraction    float64       // part of all requests that goes to these keys, from 0 to 1
+	Keys        int           // number of keys, each drawn equally often
+	At, For     time.Duration // when it starts, and how long it lasts; 0 lasts until the end of the load
+	RotateEvery time.Duration // after each of these periods the keys are replaced by others; 0 is never
 }
 
 // keySet returns the number of the set of keys that is popular at a time; false if none is.
@@ -85,8 +85,8 @@
 	if elapsed < 0 || p.For > 0 && elapsed >= p.For {
 		return 0, false
 	}
-	if p.Move > 0 {
-		set = int(elapsed / p.Move)
+	if p.RotateEvery > 0 {
+		set = int(elapsed / p.RotateEvery)
 	}
 	return set, true
 }
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -11,7 +11,7 @@
 // Class is a class of requests in the mix.
 type Class struct {
 	Name                  string
-	Share                 float64 // weight in the mix, against the sum over all classes
+	Weight                float64 // weight in the mix, against the sum over all classes
 	HasIdempotencyKey     bool    // its requests carry an idempotency key
 	BytesLeast, BytesMost int     // size of the value of a write, drawn evenly between the two; 0 for reads
 }
@@ -156,7 +156,7 @@
 			break
 		}
 	}
-	return drawWeighted(s.random.mix, len(s.spec.Classes), func(i int) float64 { return s.spec.Classes[i].Share })
+	return drawWeighted(s.random.mix, len(s.spec.Classes), func(i int) float64 { return s.spec.Classes[i].Weight })
 }
 
 func (s *Schedule) drawNode() int {
@@ -187,7 +187,7 @@
 		if !ok {
 			continue
 		}
-		if position -= popular.Share; position < 0 {
+		if position -= popular.Fraction; position < 0 {
 			return "hot-" + strconv.Itoa(i) + "-" + strconv.Itoa(set) + "-" + strconv.FormatUint(member%uint64(max(1, popular.Keys)), 36)
 		}
 	}
--- a/internal/testbed/workload/schedule_test.go
+++ b/internal/testbed/workload/schedule_test.go
@@ -11,7 +11,7 @@
 // testSpec is a load of 20 s with two classes and two nodes.
 func testSpec(processes ...ArrivalProcess) Spec {
 	return Spec{Seed: 3, Length: 20 * time.Second, Processes: processes, Keys: 1000, Skew: 1.2, NodeWeights: []float64{3, 1},
-		Classes: []Class{{Name: "read", Share: 9}, {Name: "sign", Share: 1, HasIdempotencyKey: true, BytesLeast: 10, BytesMost: 20}}}
+		Classes: []Class{{Name: "read", Weight: 9}, {Name: "sign", Weight: 1, HasIdempotencyKey: true, BytesLeast: 10, BytesMost: 20}}}
 }
 
 // drawAll draws a schedule to its end.
@@ -83,7 +83,7 @@
 	spec := testSpec(ArrivalProcess{Kind: Steady, Rate: 500})
 	plain := drawAll(spec)
 	const start, end = 5 * time.Second, 15 * time.Second
-	spec.PopularKeys = []PopularKeys{{Share: 0.2, Keys: 1, At: start, For: end - start, Move: time.Second}}
+	spec.PopularKeys = []PopularKeys{{Fraction: 0.2, Keys: 1, At: start, For: end - start, RotateEvery: time.Second}}
 	popular := drawAll(spec)
 	hotKeys, hotRequests := map[string]bool{}, 0.0
 	for i, arrival := range popular {
--- a/tests/harness/scenario.go
+++ b/tests/harness/scenario.go
@@ -42,7 +42,7 @@
 	for _, class := range result.Classes {
 		served += class.Served
 	}
-	counts := result.Summary.Rules
+	counts := result.Summary.Counts
 	if counts.Requests < minRequests || float64(served) < minServedPart*float64(counts.Requests) {
 		t.Errorf("%d of %d requests were served, want %.0f%% of %d at least: %+v", served, counts.Requests, 100*minServedPart, minRequests, counts)
 	}
@@ -52,6 +52,6 @@
 func CheckClean(t testing.TB, result *demo.Result) {
 	t.Helper()
 	if !result.IsClean() {
-		t.Errorf("invariants violated: %v; failures: %v", result.Summary.Broken, result.Failures)
+		t.Errorf("invariants violated: %v; failures: %v", result.Summary.Violations, result.Failures)
 	}
 }
--- a/tests/testbed_test.go
+++ b/tests/testbed_test.go
@@ -56,7 +56,7 @@
 	t.Parallel()
 	result := harness.Play(t, harness.NodeProgram, roughScenario, demo.Options{Restarts: 1})
 	harness.CheckServed(t, result, 200, 0.7)
-	if open := result.Summary.Rules.Open; open > 0 {
+	if open := result.Summary.Counts.Open; open > 0 {
 		t.Errorf("%d requests are open at the end, want none", open)
 	}
 }
@@ -139,7 +139,7 @@
 			if err := os.WriteFile(program, []byte(script), 0o755); err != nil {
 				t.Fatalf("write the script that starts the node: %v", err)
 			}
-			violations := harness.Play(t, program, calmScenario, demo.Options{}).Summary.Broken
+			violations := harness.Play(t, program, calmScenario, demo.Options{}).Summary.Violations
 			for _, violation := range violations {
 				if violation.Invariant != want || want != invariants.SentToDraining && len(violation.History) == 0 {
 					t.Errorf("%v, want one of the invariant %q with a history", violation, want)
