--- a/internal/testbed/respcmd/respcmd.go
+++ b/internal/testbed/respcmd/respcmd.go
@@ -8,7 +8,11 @@
 	"github.com/tidwall/redcon"
 )
 
-const pong = "+PONG\r\n"
+// Ping is the verb of a health check, Pong the reply to it.
+const (
+	Ping = "PING"
+	Pong = "+PONG\r\n"
+)
 
 // Append appends a command, an array of bulk strings, to a buffer.
 func Append(buffer []byte, words ...string) []byte {
@@ -25,6 +29,16 @@
 // Serve answers the commands of a connection in their order until it or the handler ends it, and closes it. PING is answered
 // without the handler.
 func Serve(conn net.Conn, handle Handler) {
+	ServeAll(conn, func(words []string) (string, bool) {
+		if words[0] == Ping {
+			return Pong, true
+		}
+		return handle(words)
+	})
+}
+
+// ServeAll is Serve with PING given to the handler, too.
+func ServeAll(conn net.Conn, handle Handler) {
 	defer func() { _ = conn.Close() }() // whatever was owed is written
 	reader := redcon.NewReader(conn)
 	for {
@@ -36,10 +50,7 @@
 		for i, word := range command.Args {
 			words[i] = string(word)
 		}
-		reply, ok := pong, true
-		if words[0] != "PING" {
-			reply, ok = handle(words)
-		}
+		reply, ok := handle(words)
 		if !ok {
 			return
 		}
--- a/tests/harness/cacheserver.go
+++ b/tests/harness/cacheserver.go
@@ -46,9 +46,10 @@
 	listener net.Listener
 	handle   Handler
 
-	mu          sync.Mutex
-	commands    [][]string
-	connections int
+	mu                  sync.Mutex
+	commands            [][]string
+	connections         int
+	ignoresHealthChecks bool
 }
 
 // NewCacheServer starts a cache server.
@@ -82,7 +83,10 @@
 func (s *CacheServer) Serve(conn net.Conn) {
 	s.connectionsChanged(1)
 	defer s.connectionsChanged(-1)
-	respcmd.Serve(conn, func(command []string) (string, bool) {
+	respcmd.ServeAll(conn, func(command []string) (string, bool) {
+		if command[0] == respcmd.Ping {
+			return s.healthCheck(), true
+		}
 		s.mu.Lock()
 		s.commands = append(s.commands, command)
 		s.mu.Unlock()
@@ -91,6 +95,23 @@
 	})
 }
 
+// healthCheck returns the reply to a health check, empty where none is given.
+func (s *CacheServer) healthCheck() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ignoresHealthChecks {
+		return ""
+	}
+	return respcmd.Pong
+}
+
+// IgnoreHealthChecks leaves health checks without a reply from now on.
+func (s *CacheServer) IgnoreHealthChecks() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ignoresHealthChecks = true
+}
+
 func (s *CacheServer) connectionsChanged(by int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
