--- a/tests/gossip_test.go
+++ b/tests/gossip_test.go
@@ -126,7 +126,7 @@
 		t.Fatal("gossip of an unknown sender took a server out")
 	}
 	time.Sleep(recentlyAlive) // the age that is believed is what is tested
-	up.IgnoreHealthChecks() // one that is answered would take the server back in
+	up.IgnoreHealthChecks()   // one that is answered would take the server back in
 	sendDatagram(t, other, firstPeer, report)
 	sendDatagram(t, other, secondPeer, report)
 	other.WaitForLog("is silent: out of the map")
