--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Action is something that the router wants done: one of the types below it.
+// Action is something that the router asks its caller to do: one of the types below.
 type Action interface{ action() }
 
 // Send starts an attempt, which waits for an answer until the client's deadline.
 type Send struct {
 	ID      uint64
 	Server  string
-	WriteBy Time // the attempt is to be written by then or not at all; 0 means no bound but the deadline
+	WriteBy Time // an attempt not written by then must not be sent; 0: only the deadline bounds it
 }
 
-// Reject is a final answer: the request was rejected without effect, and trying again is harmless.
+// Reject is a final answer. It tells the client that the request had no effect and that a retry is harmless.
 type Reject struct {
 	ID         uint64
-	RetryAfter time.Duration // how long the client should stay away; 0 gives no advice
+	RetryAfter time.Duration // how long the client should wait before a retry; 0: no advice
 	Cause      Cause
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that does not promise that the request had no effect.
 type Fail struct {
 	ID    uint64
 	Cause Cause
 }
 
-// Cancel stops the wait for an attempt.
+// Cancel asks the caller to stop waiting for an attempt.
 type Cancel struct {
 	ID      uint64
 	Attempt int
 }
 
-// HealthCheck asks a server whether it responds; a HealthChecked event answers it.
+// HealthCheck asks for a health check of a server. A HealthChecked event brings the result.
 type HealthCheck struct{ Server string }
 
-// CloseIdle closes the idle connections to a server.
+// CloseIdle asks the caller to close the idle connections to a server.
 type CloseIdle struct{ Server string }
 
 // SetTimer asks for a TimerFired event at or after At.
@@ -43,16 +43,16 @@
 	Token uint64
 }
 
-// Subscribe asks for the endpoint list and its changes from now on.
+// Subscribe asks discovery for the endpoint list and for all later changes.
 type Subscribe struct{}
 
 // Gossip sends a datagram of at most 256 bytes to all other routers. It may be lost.
 type Gossip struct{ Data []byte }
 
-// Announce sends all other routers the announcement of the holder of a role. It may be lost.
+// Announce sends the announcement of a role's holder to all other routers. It may be lost.
 type Announce struct{ Role Role }
 
-// Log is a line for the operators.
+// Log asks for a log line for the operators.
 type Log struct{ Text string }
 
 func (Send) action()        {}
--- a/internal/policy/cause.go
+++ b/internal/policy/cause.go
@@ -1,23 +1,23 @@
 package policy
 
-// Cause is why a router ended a request without a value. Operators read its name in counters and in the log.
+// Cause is the reason for which a router ended a request without a value. Counters and logs show its name.
 type Cause int
 
-// The causes.
+// The causes for which a request ends without a value.
 const (
-	CauseDeadline        Cause = iota // its time was over before a step could be taken
-	CauseNoTime                       // less time was left than the fastest answers take
-	CauseNodeBehind                   // shed, as the node is behind with its own work
-	CauseServerCrowded                // shed at its cache server
-	CauseOriginSlow                   // shed at the origin
-	CauseNoServer                     // no server is listed for it
-	CauseMaxAttempts                  // it had as many attempts as it may have
-	CauseWait                         // it waited for the origin, a fetch or a retry for as long as is worth it
-	CauseRetryNotAllowed              // its class allows no attempt at the server, as it was possibly executed
-	CauseRetryBudget                  // the retry budget of its class is spent
-	CauseServerBusy                   // a read of the lowest bucket met a server that failed or rejected it
-	CauseTimedOut                     // its last attempt timed out
-	CauseNeverSent                    // its last attempt was not written
+	CauseDeadline        Cause = iota // the deadline passed before the request could take its next step
+	CauseNoTime                       // less time was left than the fastest cache hits take
+	CauseNodeBehind                   // shed because the node is behind with its own work
+	CauseServerCrowded                // shed because the request's cache server is overloaded
+	CauseOriginSlow                   // shed because the origin is overloaded
+	CauseNoServer                     // no server is available for the request
+	CauseMaxAttempts                  // the request has used up Settings.MaxAttempts
+	CauseWait                         // a longer wait for the origin, a fetch or a retry is not worthwhile
+	CauseRetryNotAllowed              // an attempt was possibly executed and the class forbids another one there
+	CauseRetryBudget                  // the retry budget of the request's class is spent
+	CauseServerBusy                   // a cache server failed or rejected a read of the lowest bucket
+	CauseTimedOut                     // the request's last attempt timed out
+	CauseNeverSent                    // the request's last attempt was never written to a connection
 	causeCount                        // number of causes
 )
 
@@ -26,13 +26,13 @@
 	"retry_not_allowed", "retry_budget", "server_busy", "timed_out", "never_sent",
 }
 
-// String returns the name for operators.
+// String returns the name that counters and logs show.
 func (c Cause) String() string { return causeNames[c] }
 
 // CauseNames returns the names of all causes, indexed by Cause.
 func CauseNames() []string { return causeNames[:] }
 
-// causeOfOutcome is why a request is not tried again after an attempt that ended for the reason.
+// causeOfOutcome returns why a request is not retried after an attempt that ended for the given reason.
 func causeOfOutcome(reason Reason) Cause {
 	switch reason {
 	case TimedOut:
--- a/internal/policy/coalescing.go
+++ b/internal/policy/coalescing.go
@@ -1,24 +1,24 @@
 package policy
 
-// flight is the fetch of one key from the origin; later misses of the key wait for it.
+// flight is a fetch of one key from the origin. Later misses of the same key wait for the fetch.
 type flight struct {
 	leader  *request
 	waiters []*request
 }
 
-// joinFlight has a request wait for the fetch of its key that is in flight: after a flush every reader of a popular
-// key misses at once.
+// joinFlight makes a request wait for the fetch of its key that is already in flight. After a flush all readers of a
+// popular key miss at once, and one fetch has to serve them all.
 func (r *Router) joinFlight(req *request) {
 	joined := r.flights[req.Key]
 	joined.waiters = append(joined.waiters, req)
-	if r.originQueue.Contains(joined.leader) { // what many wait for goes first
+	if r.originQueue.Contains(joined.leader) { // each waiter adds its weight, so a fetch that many wait for goes first
 		r.originQueue.Add(joined.leader, req.priorityWeight)
 	}
 	r.waitUntil(req, r.waitLimit(req))
 }
 
-// completeFlight ends the flight that the request leads, if there is one. Those who waited go on to the cache, where
-// the object now is if the fetch succeeded.
+// completeFlight ends the flight that the request leads, if there is one. If the fetch succeeded, the waiting requests
+// go on to the cache, which now holds the object.
 func (r *Router) completeFlight(leader *request, hasSucceeded bool) {
 	ended := r.flights[leader.Key]
 	if ended == nil || ended.leader != leader {
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -6,15 +6,15 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// How routers spread their polls of discovery, a single service for all, and the protocol's bounds on them.
+// Spacing and time bounds of the polls of discovery, a single service that all routers share.
 const (
-	pollPace          = 50 * time.Millisecond // between two polls, where there is time for that
-	updateKnownWithin = 6 * time.Second       // after this a router counts as notified of a change, received or not
+	pollPace          = 50 * time.Millisecond // time between the polls of two routers, if possible
+	updateKnownWithin = 6 * time.Second       // a router counts as notified this long after a change, even if it is not
 	pollCallTimeout   = 2 * time.Second       // a poll that takes longer fails
 )
 
-// endpointUpdate follows the endpoint list. A failed poll is made again after growing waits; the last list stays in
-// force meanwhile.
+// endpointUpdate applies a change of the endpoint list or records a failed poll. A failed poll is repeated with growing
+// backoff, and the last list stays in force meanwhile.
 func (r *Router) endpointUpdate(e EndpointUpdate) {
 	r.startUpkeep()
 	switch e.Scope {
@@ -39,7 +39,7 @@
 	r.pruneServers()
 }
 
-// applyEntry takes one entry of the endpoint list.
+// applyEntry applies one entry of the endpoint list to its server.
 func (r *Router) applyEntry(entry Server) {
 	srv := r.findOrAddServer(entry.ID)
 	if entry.StartedAt > srv.StartedAt && r.now < entry.StartedAt+r.settings.SlowStartDuration {
@@ -56,8 +56,9 @@
 	}
 }
 
-// pollSlack is what is left of the time between a change and the last attempt that may ignore it, once it took so
-// long to find out, the poll that brings the change was answered, and upkeep came round to make it.
+// pollSlack returns how long a poll may be delayed after a change of the endpoint list. Attempts may ignore the change
+// for a limited time. From that time pollSlack subtracts foundOutAfter, the time until the router notices that it needs
+// to poll, the longest duration of the poll, and the wait for upkeep to make the poll.
 func (r *Router) pollSlack(foundOutAfter time.Duration) time.Duration {
 	knownWithin := updateKnownWithin
 	if r.settings.MaxPollInterval > 0 {
@@ -66,12 +67,12 @@
 	return max(upkeepInterval, knownWithin+r.settings.DrainGrace-foundOutAfter-pollCallTimeout-upkeepInterval)
 }
 
-// pollSpread is the time over which routers spread their first polls: a watch that falls silent as a change is made
-// is found out a while later.
+// pollSpread returns the time over which routers spread their first polls. It allows for a watch that breaks unnoticed
+// just as the list changes: the router notices this only after polling.WatchTimeout.
 func (r *Router) pollSpread() time.Duration {
 	return min(pollPace*time.Duration(r.settings.Nodes), r.pollSlack(polling.WatchTimeout))
 }
 
-// maxPollBackoff is the longest wait after a poll that failed: discovery may answer again the moment after the poll
-// was made, and the poll is given up late.
+// maxPollBackoff returns the longest wait after a failed poll. Discovery may recover just after the poll was made, and
+// the router notices the failure only after polling.CallTimeout.
 func (r *Router) maxPollBackoff() time.Duration { return r.pollSlack(polling.CallTimeout) }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -6,15 +6,15 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// Event is something that the router is notified of: one of the types below it.
+// Event is something that the router is notified of: one of the types below.
 type Event interface{ event() }
 
-// Request is a client's request. The router owes it exactly one final answer by its Deadline.
+// Request is a client's request. The router must give it exactly one final answer by its Deadline.
 type Request struct {
 	ID       uint64
-	Key      string // what it asks for; may be empty
-	Class    string // the name of a Class; an unknown one counts as the first of Settings.Classes
-	Tenant   string // may be empty
+	Key      string // cache key that the request is for; may be empty
+	Class    string // name of a Class; an unknown name counts as the first of Settings.Classes
+	Tenant   string // name of the sending tenant; may be empty
 	Deadline Time   // when the client gives up
 	Write    bool
 }
@@ -25,25 +25,25 @@
 // The scopes of an endpoint update.
 const (
 	DeltaUpdate EndpointScope = iota // only the entries that changed
-	FullUpdate                       // all servers; one that is missing is gone
+	FullUpdate                       // all servers; a server that is missing is gone
 	CachedList                       // all servers as last known, perhaps long ago
 	PollFailed                       // a poll failed or a watch broke; the earlier list stays in force
 )
 
-// EndpointUpdate is a change of the endpoint list, or the failure to get one.
+// EndpointUpdate is a change of the endpoint list, or reports that a poll or a watch failed.
 type EndpointUpdate struct {
 	Scope   EndpointScope
 	Servers []Server
 }
 
-// ServerState is what the endpoint list says of a server.
+// ServerState is the state of a server in the endpoint list.
 type ServerState int
 
 // The states of a listed server.
 const (
-	Live     ServerState = iota // takes work
-	Draining                    // finishes its work and takes nothing new
-	Removed                     // taken away
+	Live     ServerState = iota // accepts requests
+	Draining                    // finishes its requests and accepts no new ones
+	Removed                     // no longer part of the fleet
 )
 
 // Server is one entry of the endpoint list.
@@ -53,41 +53,41 @@
 	Kind      string
 	Cell      int
 	State     ServerState
-	Capacity  float64 // relative to other servers, see Settings.WeightByCapacity
-	StartedAt Time    // last start; 0 means long ago
+	Capacity  float64 // capacity relative to other servers, see Settings.WeightByCapacity
+	StartedAt Time    // time of the last start; 0 means long ago
 }
 
-// Reason is how an attempt or a health check ended.
+// Reason says how an attempt or a health check ended.
 type Reason int
 
-// The reasons. Rejected, NoConnection, NeverSent and Miss prove that the attempt was not executed.
+// The reasons for which an attempt ends. Rejected, NoConnection, NeverSent and Miss prove that it was not executed.
 const (
-	Succeeded       Reason = iota // served
+	Succeeded       Reason = iota // answered with success
 	Errored                       // answered with an error
-	Rejected                      // rejected before execution: the queue is full or the server drains
+	Rejected                      // rejected before execution, because the queue is full or the server drains
 	TimedOut                      // no answer in time
-	NoConnection                  // no connection was made in time
+	NoConnection                  // no connection was established in time
 	Reset                         // the connection broke
 	Cancelled                     // cancelled by the router
-	NeverSent                     // never sent
+	NeverSent                     // the attempt was never written to a connection
 	Miss                          // the server holds nothing for the key
-	CorruptResponse               // the answer can't be parsed: possibly executed, and the server responds
+	CorruptResponse               // unparsable answer: the server responds and may have executed the attempt
 )
 
 // Outcome says how one attempt ended.
 type Outcome struct {
 	ID      uint64
-	Attempt int // attempts of a request count from 0 in the order of their Send
+	Attempt int // index of the attempt among the request's Send actions, from 0
 	Server  string
 	Reason  Reason
-	Took    time.Duration // time since the send
-	Ended   bool          // the request has ended; no final answer is owed any more
+	Took    time.Duration // time from the Send action to the end of the attempt
+	Ended   bool          // the request has ended and needs no further final answer
 }
 
-// ClientDisconnected says that a client left: its request has ended.
+// ClientDisconnected says that the client of a request disconnected, which ends the request.
 type ClientDisconnected struct{ ID uint64 }
 
-// ResponseStarted says that the response to an attempt has begun to arrive; it belongs to the client from here on.
+// ResponseStarted says that the response to an attempt has begun to arrive. From here on it is forwarded to the client.
 type ResponseStarted struct {
 	ID      uint64
 	Attempt int
@@ -99,53 +99,53 @@
 	Reason Reason
 }
 
-// LoadLevel says how far the program around the router is behind with its own work: the fraction, from 0 (none) to 1
-// (all), of the requests that may be shed which should be. It holds until the next one.
+// LoadLevel says how far the program around the router is behind with its own work. Level is the fraction of sheddable
+// requests that should be shed, from 0 (none) to 1 (all). It holds until the next LoadLevel.
 type LoadLevel struct{ Level float64 }
 
 // GossipReceived brings a datagram that another router sent with Gossip.
 type GossipReceived struct {
-	From int // number of the node that sent it
+	From int // number of the sending node
 	Data []byte
 }
 
-// Role is work that one router may do for all, where the program around them agrees on which one does.
+// Role is work that one router may do for all routers. The programs around the routers agree on which one does it.
 type Role int
 
-// The roles.
+// The roles that a router may have.
 const (
 	HealthChecker   Role = iota // checks whether unresponsive servers respond again
-	DiscoveryPoller             // polls discovery while it does not answer
+	DiscoveryPoller             // polls discovery for all while discovery does not answer
 	roleCount                   // number of roles
 )
 
-// RoleNames are the names that operators use for the roles, indexed by Role.
+// RoleNames holds the names that operators see for the roles, indexed by Role.
 var RoleNames = [roleCount]string{"prober", "caller"}
 
 // Responsibility says which router has a role.
 type Responsibility = polling.Responsibility
 
-// The values of a Responsibility. Where a role is unassigned, each router acts as if there were no role.
+// The values of a Responsibility. While a role is unassigned, each router acts as if the role did not exist.
 const (
 	Unassigned        = polling.Unassigned
 	AssignedHere      = polling.AssignedHere
 	AssignedElsewhere = polling.AssignedElsewhere
 )
 
-// RoleAssigned says who has a role from now on, as far as is known.
+// RoleAssigned says which router has a role from now on, as far as this node knows.
 type RoleAssigned struct {
 	Role           Role
 	Responsibility Responsibility
 }
 
-// RoleAnnouncement brings what the holder of a role announced to all routers with Announce: the DiscoveryPoller, that
-// discovery answers again.
+// RoleAnnouncement brings the announcement that the holder of a role sent with Announce. The DiscoveryPoller announces
+// that discovery answers again.
 type RoleAnnouncement struct{ Role Role }
 
-// FleetSize says how many routers share the traffic from now on, this one included; 0 means Settings.Nodes.
+// FleetSize says how many routers, including this one, share the traffic from now on. 0 means Settings.Nodes.
 type FleetSize struct{ Nodes int }
 
-// TimerFired says that a SetTimer has come due.
+// TimerFired says that the timer of a SetTimer action has fired.
 type TimerFired struct{ Token uint64 }
 
 func (Request) event()            {}
--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -2,39 +2,39 @@
 
 import "fmt"
 
-// Explanation is what a router makes of one key at this moment, for operators. Its JSON is an interface of the
-// control socket.
+// Explanation tells operators where a router sends requests for one key at this moment. The control socket returns it
+// as JSON, so the JSON names are part of an interface.
 type Explanation struct {
 	Key string `json:"key"`
-	// Popularity is the part of an average server's requests that other requests for the key bring.
+	// Popularity is the rate of requests for the key, as a multiple of the requests of an average server.
 	Popularity float64 `json:"heat"`
-	// Servers are in the order in which requests for the key would go to them, then those that get none.
+	// Servers holds the servers in the order in which requests for the key would go to them, then the excluded ones.
 	Servers []ServerExplanation `json:"servers"`
-	// Origin is nil where none is listed for work.
+	// Origin is nil if no origin is listed as live.
 	Origin *OriginExplanation `json:"origin,omitempty"`
 }
 
-// ServerExplanation is one cache server of an Explanation.
+// ServerExplanation is the state of one cache server in an Explanation.
 type ServerExplanation struct {
 	Server           string   `json:"server"`
 	Zone             string   `json:"zone"`
-	SlowStartWeight  float64  `json:"warmth"`     // share of its slots that it has while it warms up
-	KeptFraction     float64  `json:"keeps"`      // share of its slots that it keeps as an outlier
-	SlowFraction     float64  `json:"slow_share"` // share of its recent answers that were slow
-	InFlight         int      `json:"out"`        // attempts
+	SlowStartWeight  float64  `json:"warmth"`     // share of its slots that the server has during slow start
+	KeptFraction     float64  `json:"keeps"`      // share of its slots that the server keeps as an outlier
+	SlowFraction     float64  `json:"slow_share"` // share of the server's recent answers that were slow
+	InFlight         int      `json:"out"`        // attempts in flight
 	ExclusionReasons []string `json:"not,omitempty"`
 }
 
-// OriginExplanation is the state of the origin.
+// OriginExplanation is the state of the origin in an Explanation.
 type OriginExplanation struct {
-	SlowFraction float64 `json:"slow_share"` // share of its recent answers that were slow
-	TargetMillis float64 `json:"target_ms"`  // latency over which an answer is slow, learned from quiet times
-	InFlight     int     `json:"out"`        // attempts
+	SlowFraction float64 `json:"slow_share"` // share of the origin's recent answers that were slow
+	TargetMillis float64 `json:"target_ms"`  // latency above which an answer is slow; learned while load is low
+	InFlight     int     `json:"out"`        // attempts in flight
 	MaxInFlight  int     `json:"most"`
-	Queued       int     `json:"waiting"` // requests
+	Queued       int     `json:"waiting"` // requests in the queue for the origin
 }
 
-// Explain returns where requests for a key go, and why not elsewhere. It changes nothing.
+// Explain returns which servers requests for a key go to, and why the others are excluded. It changes no state.
 func (r *Router) Explain(now Time, key string) Explanation {
 	before := r.now
 	r.now = now
@@ -61,7 +61,7 @@
 	return explanation
 }
 
-// exclusionReasons says why a cache server gets no requests for a slot.
+// exclusionReasons returns why a cache server gets no requests for a slot.
 func (r *Router) exclusionReasons(srv *server, slot uint64) (reasons []string) {
 	if !srv.isListed {
 		reasons = append(reasons, "not in the list")
@@ -84,7 +84,7 @@
 
 // explainServer returns the state of a cache server.
 func (r *Router) explainServer(srv *server) ServerExplanation {
-	gauge, aggregate := srv.gauge, r.cacheGauge // copies, as reading a gauge lets its samples fade
+	gauge, aggregate := srv.gauge, r.cacheGauge // copies, because reading a gauge fades its samples
 	if gauge.aggregate != nil {
 		gauge.aggregate = &aggregate
 	}
@@ -98,9 +98,9 @@
 	}
 }
 
-// explainOrigin returns the state of the origin, which must be there.
+// explainOrigin returns the state of the origin. r.origin must not be nil.
 func (r *Router) explainOrigin() *OriginExplanation {
-	gauge := r.origin.gauge // a copy
+	gauge := r.origin.gauge // a copy, because reading a gauge fades its samples
 	return &OriginExplanation{
 		SlowFraction: gauge.slowFraction(r.now),
 		TargetMillis: gauge.target.Seconds() * 1000,
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -2,10 +2,10 @@
 
 import "shelfproxy/internal/fleet/gossip"
 
-// gossipReceived takes what another router observed as if this one had: alone it meets most servers too seldom. A
-// malformed datagram counts for nothing.
+// gossipReceived counts another router's observations like own ones. A single router sends too few requests to most
+// servers to judge them alone. A malformed datagram is ignored.
 func (r *Router) gossipReceived(e GossipReceived) {
-	message, _ := gossip.Decode(e.Data) // what can't be decoded is an empty message
+	message, _ := gossip.Decode(e.Data) // a malformed datagram yields an empty message
 	for _, key := range message.Keys {
 		r.keyCounts.Add(r.now, key, float64(len(r.servers)))
 	}
@@ -16,9 +16,9 @@
 	}
 }
 
-// applyObservation takes what the node with the number observed of a server.
+// applyObservation applies what the node with number from observed about a server.
 func (r *Router) applyObservation(from int, srv *server, seen gossip.Observation) {
-	if srv.gauge.samples < 2*minLatencySamples { // else this router knows enough itself
+	if srv.gauge.samples < 2*minLatencySamples { // with more samples this router's own measurements suffice
 		srv.gauge.addReported(r.now, float64(seen.Attempts), float64(seen.Failures))
 	}
 	r.assess(srv)
@@ -30,8 +30,8 @@
 	}
 }
 
-// showsResponse reports whether an observation is a sign of life. One that is unresponsive here has to have
-// recovered, and not at the time when it became so.
+// showsResponse reports whether an observation shows that the server responds. If this router considers the server
+// unresponsive, only a reported recovery counts, and only later than minRecheckInterval after it became unresponsive.
 func (r *Router) showsResponse(srv *server, seen gossip.Observation) bool {
 	if srv.isUnresponsive {
 		return seen.Recovered && r.now-srv.unresponsiveSince > minRecheckInterval
@@ -39,8 +39,8 @@
 	return seen.Attempts > seen.Failures
 }
 
-// believesUnresponsive reports whether this router takes a server out as the node with the number says that it does
-// not respond: where its own health check failed, or where a second node says so and the ejection budget allows.
+// believesUnresponsive reports whether this router accepts the report of node number from that a server does not
+// respond. It does if its own health check failed, or if a second node reports the same and the ejection budget allows.
 func (r *Router) believesUnresponsive(from int, srv *server) bool {
 	if srv.isUnresponsive || r.now-srv.lastSeen <= minRecheckInterval/2 {
 		return false
@@ -49,7 +49,7 @@
 	return srv.assessment.Corroborate(r.now, from, hasFailedCheck) && (hasFailedCheck || !r.isEjectionBudgetSpent())
 }
 
-// sendGossip sends the other routers what there is to tell, when it is time.
+// sendGossip sends pending observations to the other routers when the next datagram is due.
 func (r *Router) sendGossip() {
 	if datagram := r.gossipSender.NextDatagram(r.now, r.rng.Float64()); datagram != nil {
 		r.emit(Gossip{datagram})
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	connectRefusedWithin    = 50 * time.Millisecond // a connect that fails sooner was refused: nobody listens
-	maxCheckResets          = 2                     // health checks in a row that may break without counting as failed
-	minRecheckInterval      = time.Second           // first wait before an unresponsive server is checked again
-	recheckPaceAlone        = 10 * time.Millisecond // between two routers' health checks of an unresponsive server
-	recheckPaceShared       = 50 * time.Millisecond // the same where the one that finds it responsive tells the others
-	delegatedRecheckFactor  = 16                    // times the interval where health checks are another router's role
-	assignedRecheckInterval = upkeepInterval / 2    // where they are this router's role: at each round of upkeep
+	connectRefusedWithin    = 50 * time.Millisecond // a connect that fails sooner counts as refused: no process listens
+	maxCheckResets          = 2                     // resets in a row of health checks that do not count as failures
+	minRecheckInterval      = time.Second           // shortest wait before a router checks an unresponsive server again
+	recheckPaceAlone        = 10 * time.Millisecond // time between two routers' checks of one unresponsive server
+	recheckPaceShared       = 50 * time.Millisecond // the same time with gossip, which tells all routers of a recovery
+	delegatedRecheckFactor  = 16                    // factor on the interval while another router is the HealthChecker
+	assignedRecheckInterval = upkeepInterval / 2    // interval of the HealthChecker: a check is due at each upkeep
 )
 
-// checkHealth starts a health check of a server, unless one is under way.
+// checkHealth starts a health check of a server, unless one is in progress.
 func (r *Router) checkHealth(srv *server) {
 	if r.settings.MayHealthCheck && srv.isListed && !srv.isBeingChecked {
 		srv.isBeingChecked, srv.checkedAt = true, r.now
@@ -20,12 +20,13 @@
 	}
 }
 
-// isUnanswered reports whether a health check that ended for the reason got no answer. A rejection is an answer.
+// isUnanswered reports whether a health check that ended for the given reason got no answer. A rejection is an answer.
 func isUnanswered(reason Reason) bool {
 	return reason == TimedOut || reason == NoConnection || reason == Reset
 }
 
-// healthChecked takes the result of a health check. The second one in a row without an answer takes the server out.
+// healthChecked handles the result of a health check. After two checks in a row without an answer, the server counts as
+// unresponsive.
 func (r *Router) healthChecked(srv *server, reason Reason) {
 	srv.isBeingChecked = false
 	switch {
@@ -34,7 +35,7 @@
 			r.gossipSender.Recovered(srv.assessment.Fingerprint)
 		}
 		r.markResponsive(srv)
-	case reason == Reset && srv.checkResets < maxCheckResets: // bad networks break connections too: check on another
+	case reason == Reset && srv.checkResets < maxCheckResets: // unreliable networks cause resets: check again
 		srv.checkResets++
 		r.checkHealth(srv)
 	case srv.isUnresponsive || srv.lastSeen >= srv.checkedAt:
@@ -47,7 +48,8 @@
 	}
 }
 
-// markResponsive takes a sign of life of a server. One that was unresponsive for long may have restarted.
+// markResponsive records that a server responds. A server that was unresponsive for longer than minRecheckInterval may
+// have restarted.
 func (r *Router) markResponsive(srv *server) {
 	srv.lastSeen, srv.checkResets = r.now, 0
 	srv.breaker.Succeeded(r.now)
@@ -62,7 +64,7 @@
 	r.logf("server %s answers again", srv.ID)
 }
 
-// markUnresponsive takes a server out of the map of keys and cancels what may be tried elsewhere.
+// markUnresponsive removes a server from routing and cancels its attempts that may be repeated elsewhere.
 func (r *Router) markUnresponsive(srv *server) {
 	srv.isUnresponsive, srv.unresponsiveSince, srv.connectRefused, srv.hitsToClear = true, r.now, false, 0
 	r.logf("server %s is silent: out of the map", srv.ID)
@@ -73,10 +75,11 @@
 	}
 }
 
-// recheckInterval is the least time between two health checks of an unresponsive server by this router. The pace is
-// that of all routers together. The router with the role of HealthChecker checks for all of them and tells at once;
-// whoever finds the server responsive tells all, so that one that the role's holder alone can't reach is found within
-// delegatedRecheckFactor times the pace of the whole fleet.
+// recheckInterval returns the least time between two of this router's health checks of an unresponsive server. It grows
+// with the number of routers, as all of them check. A router with the role of HealthChecker checks for all and reports
+// at once. The others then check delegatedRecheckFactor times less often. Any router that finds the server responsive
+// tells all others. So even a server that only the HealthChecker can't reach is found to respond, within
+// delegatedRecheckFactor times the interval between the checks of the whole fleet.
 func (r *Router) recheckInterval() time.Duration {
 	shared := max(minRecheckInterval, r.recheckPace*time.Duration(r.settings.Nodes))
 	switch r.responsibilities[HealthChecker] {
@@ -88,8 +91,8 @@
 	return shared
 }
 
-// checkIfQuiet starts a health check of a server that has not responded for longer than the cache servers' maximum,
-// or of an unresponsive one that is due for one.
+// checkIfQuiet starts a health check of a server that has owed a response for longer than the maximum latency of the
+// cache servers, or of an unresponsive server whose next check is due.
 func (r *Router) checkIfQuiet(srv *server) {
 	patience := max(r.cacheGauge.max, upkeepInterval)
 	sinceCheck := r.now - srv.checkedAt
--- a/internal/policy/hedging.go
+++ b/internal/policy/hedging.go
@@ -3,28 +3,28 @@
 import "slices"
 
 const (
-	maxHedgesPerServer    = 4 // reads that are hedged at a cache server at a time
-	crowdedPatienceFactor = 2 // times the maximum, where the server has many slow answers
+	maxHedgesPerServer    = 4 // reads of one cache server that are hedged at a time
+	crowdedPatienceFactor = 2 // factor on the hedging threshold of a server with many slow answers
 )
 
-// isCancellable reports whether an attempt may be cancelled for another one.
+// isCancellable reports whether an attempt may be cancelled and replaced by an attempt at another server.
 func (r *Router) isCancellable(attempt *attempt) bool {
 	return r.settings.MayCancel && !attempt.request.isEnded && attempt.request.class.Effect == Idempotent
 }
 
-// cancelAttempt stops the wait for an attempt; its outcome follows.
+// cancelAttempt requests that an attempt be cancelled. The attempt's Outcome event follows later.
 func (r *Router) cancelAttempt(attempt *attempt) {
 	index := slices.Index(attempt.request.attempts, attempt)
 	r.emit(Cancel{ID: attempt.request.ID, Attempt: index})
 }
 
-// mayHedge reports whether slow reads are moved to the origin: under a general overload it would only add to the work.
+// mayHedge reports whether slow reads may be moved to the origin. During a general overload that would only add load.
 func (r *Router) mayHedge() bool {
 	return r.cacheGauge.slowFraction(r.now) <= calmUtilisation && r.originHasCapacity(calmUtilisation)
 }
 
-// hedgeSlowReads moves reads that have been in flight at a cache server for longer than its maximum to the origin,
-// twice that where many of its answers are slow, a few at a time.
+// hedgeSlowReads moves slow reads of a cache server to the origin, at most maxHedgesPerServer at a time. A read is slow
+// once it has been in flight for longer than the server's maximum latency, or twice that if many answers are slow.
 func (r *Router) hedgeSlowReads(srv *server) {
 	if len(srv.gauge.inFlight) == 0 {
 		return
--- a/internal/policy/hotkey.go
+++ b/internal/policy/hotkey.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	hotKeyFraction       = 0.5              // of a server's fair share, past which a single key is spread
-	minRequestsPerServer = 8.0              // the part of a server is judged from at least as many requests
-	sparseRequestWindow  = 30 * time.Second // requests weigh 1/e after this long where there are fewer
+	hotKeyFraction       = 0.5              // fraction of a server's fair share past which a single key is spread
+	minRequestsPerServer = 8.0              // minimum number of requests per server from which shares are estimated
+	sparseRequestWindow  = 30 * time.Second // time until a request weighs 1/e below minRequestsPerServer
 )
 
-// countRequest counts a request, and its key for all routers. Counts fade by making later ones weigh more.
+// countRequest counts a request and its key, and samples the key for gossip to the other routers. Old counts fade
+// because later requests weigh more.
 func (r *Router) countRequest(key string) {
 	r.requestWeight = decay.Increment(r.requestTotal, r.requestWeight, r.now-r.requestTotalAt,
 		latencyWindow, minRequestsPerServer*float64(len(r.servers)), sparseRequestWindow)
@@ -24,14 +25,16 @@
 	r.sendGossip()
 }
 
-// keyPopularity is the part of an average server's requests that other requests for the key bring, at all routers.
+// keyPopularity returns the requests for a key at all routers, without the current one, as a multiple of the requests
+// of an average server.
 func (r *Router) keyPopularity(key string) float64 {
 	return r.keyCounts.Popularity(gossip.FingerprintOf(hash(key)), r.activeServers)
 }
 
-// chooseServer returns the cache server for a request, or nil: the owner of its key's slot. A key that alone brings
-// more than a part of its owner's fair share would overload it: it is spread over as many of the next servers as
-// bring it under that part of each, and goes to the one of them with the fewest attempts in flight.
+// chooseServer returns the cache server for a request, or nil if there is none. Usually this is the owner of the key's
+// slot. A key that alone brings more than hotKeyFraction of its owner's fair share would overload the owner. Such a key
+// is spread over as many of the next servers as bring it below that fraction at each of them. The request goes to the
+// one of these with the fewest attempts in flight.
 func (r *Router) chooseServer(req *request) *server {
 	order := r.orderOf(slotOf(req.Key), req)
 	var best *server
@@ -39,7 +42,7 @@
 	part := r.requestWeight / float64(1+int(excess))
 	candidates := 0
 	for srv := order.next(); srv != nil; srv = order.next() {
-		if r.isWarmingUp(srv) { // the draw alone decides: with little in flight it would always be chosen
+		if r.isWarmingUp(srv) { // chosen by the draw alone: with few attempts in flight it would always win
 			srv.offered += r.requestWeight
 			if r.admitsDuringSlowStart(srv, req) {
 				return srv
@@ -59,8 +62,8 @@
 	return best
 }
 
-// isBetterChoice reports whether a candidate has fewer attempts in flight than the best one so far. Among equal ones,
-// chance decides such that each of the candidates is as likely.
+// isBetterChoice reports whether a candidate has fewer attempts in flight than the best server so far. Ties are broken
+// at random, so that each of the tied candidates is equally likely.
 func (r *Router) isBetterChoice(candidate, best *server, candidates int) bool {
 	if best == nil {
 		return true
@@ -69,7 +72,8 @@
 	return inFlight < fewest || inFlight == fewest && r.rng.IntN(candidates) == 0
 }
 
-// pruneKeyCounts drops keys that are no longer requested and scales the counts back, now and then.
+// pruneKeyCounts drops keys that are no longer requested. Once in each sparseRequestWindow it also divides all counts
+// by the weight of a request, which would otherwise grow without bound.
 func (r *Router) pruneKeyCounts() {
 	r.keyCounts.Prune(r.now)
 	if r.now < r.rescaleAt {
--- a/internal/policy/originqueue.go
+++ b/internal/policy/originqueue.go
@@ -1,22 +1,22 @@
 package policy
 
 const (
-	maxOriginInFlight = 64                    // attempts in flight at the origin, before anything is known of it
-	writePrecedence   = 1e6                   // priority weight of a queued write on top of that of any read
-	minOriginSamples  = minLatencySamples / 2 // the origin is judged to have capacity from more than that
+	maxOriginInFlight = 64                    // bound on attempts in flight at the origin, and the limit at the start
+	writePrecedence   = 1e6                   // added to a queued write's priority weight, so that writes precede reads
+	minOriginSamples  = minLatencySamples / 2 // the origin counts as having capacity only with more samples than this
 )
 
-// originHasCapacity reports whether recent fetches show that the origin could do more: its utilisation is below the
-// one given.
+// originHasCapacity reports whether recent samples show that the origin can take more load: its utilisation has to be
+// less than the argument below.
 func (r *Router) originHasCapacity(below float64) bool {
 	return r.origin != nil && r.origin.gauge.slowFraction(r.now) < below &&
 		r.origin.gauge.samples > minOriginSamples
 }
 
-// hasOriginSlot reports whether one more attempt may be in flight at the origin, which must be there.
+// hasOriginSlot reports whether one more attempt may be in flight at the origin. r.origin must not be nil.
 func (r *Router) hasOriginSlot() bool { return len(r.origin.gauge.inFlight) < r.originLimiter.Limit() }
 
-// fetchFromOrigin gets a missed key from the origin, unless its bucket is being shed.
+// fetchFromOrigin fetches the key of a request from the origin, unless the request is shed there.
 func (r *Router) fetchFromOrigin(req *request) {
 	if r.origin != nil && r.shouldShed(req.bucket, &r.origin.gauge) {
 		r.reject(req, CauseOriginSlow)
@@ -29,8 +29,8 @@
 	}
 }
 
-// sendOrQueueAtOrigin sends to the origin if it has a slot; else the request waits in the queue while an answer may
-// be in time.
+// sendOrQueueAtOrigin sends a request to the origin if the origin has a free slot. Otherwise the request waits in the
+// queue for as long as an answer may still be in time.
 func (r *Router) sendOrQueueAtOrigin(req *request) {
 	if r.origin == nil || r.hasOriginSlot() {
 		r.send(req, r.origin)
@@ -38,7 +38,7 @@
 	}
 	until, weight := req.objectiveAt-r.origin.gauge.target, req.priorityWeight
 	if req.Write {
-		until = min(req.objectiveAt, (r.now+req.Deadline)/2) // what was never sent is not rejected late
+		until = min(req.objectiveAt, (r.now+req.Deadline)/2) // reject an unsent write early rather than at its deadline
 		if !req.isOverQuota {
 			weight += writePrecedence
 		}
@@ -47,7 +47,7 @@
 	r.originQueue.Add(req, weight)
 }
 
-// dequeueForOrigin sends the queued requests of the highest weight to the origin, as far as it has slots.
+// dequeueForOrigin sends queued requests to the origin, those of the highest weight first, while it has free slots.
 func (r *Router) dequeueForOrigin() {
 	for r.origin != nil && r.originQueue.Len() > 0 && r.hasOriginSlot() {
 		next, _ := r.originQueue.Next()
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -6,11 +6,11 @@
 	"shelfproxy/internal/admission"
 )
 
-// idleCostUnit is how many idle connections at each server Settings.ConnectionCost is for.
+// idleCostUnit is the number of idle connections at each server that Settings.ConnectionCost is the cost of.
 const idleCostUnit = 100
 
-// attemptEnded takes the outcome of an attempt: it updates what is known of the server, and the request takes its
-// next step if it has not ended. Outcomes of attempts that are not in flight are ignored.
+// attemptEnded handles the outcome of an attempt. It updates the state of the server, and the request takes its next
+// step if it has not ended. Outcomes of attempts that are not in flight are ignored.
 func (r *Router) attemptEnded(e Outcome) {
 	ended := r.openAttempt(e.ID, e.Attempt)
 	if ended == nil {
@@ -34,7 +34,7 @@
 	r.continueAfter(ended, e.Reason)
 }
 
-// closeAttempt takes an attempt out of those in flight.
+// closeAttempt removes an attempt from those in flight.
 func (r *Router) closeAttempt(ended *attempt) {
 	srv := ended.server
 	ended.isInFlight = false
@@ -45,18 +45,18 @@
 	}
 }
 
-// isIdleCostly reports whether the idle connections of all routers cost more than new ones. Then none is kept open
-// but to the origin.
+// isIdleCostly reports whether the idle connections of all routers cost more than opening new ones. If so, only
+// connections to the origin are kept open.
 func (r *Router) isIdleCostly() bool {
 	return r.settings.ConnectionCost*float64(r.settings.Nodes)/idleCostUnit > r.settings.HandshakeCost
 }
 
-// recordOutcome updates the latency and the liveness of the attempt's server.
+// recordOutcome updates the latency samples and the liveness of the attempt's server.
 func (r *Router) recordOutcome(ended *attempt, e Outcome) {
 	srv := ended.server
 	switch e.Reason {
 	case Cancelled:
-		if !ended.request.isEnded { // hedged
+		if !ended.request.isEnded { // a hedged read: the server was slow
 			r.observeLatency(srv, e.Took, true)
 		}
 	case TimedOut, NoConnection, Reset:
@@ -67,16 +67,16 @@
 			r.recordHit(srv, e)
 		}
 		r.markResponsive(srv)
-	case Miss: // says nothing of the load
+	case Miss: // the latency of a miss does not show the load
 		r.markResponsive(srv)
-		srv.hitsToClear = 0 // its cache may be gone
+		srv.hitsToClear = 0 // the server's cache may be lost
 	case CorruptResponse:
 		r.markResponsive(srv)
 	}
 }
 
-// recordNoResponse takes an attempt that got no response. None of these is by itself a sign that the server is down:
-// a health check decides, or, where none is allowed, several failures in a row that load does not explain.
+// recordNoResponse records an attempt without a response. One such attempt does not show that the server is down. A
+// health check decides that, or, if none is allowed, several failures in a row that overload does not explain.
 func (r *Router) recordNoResponse(srv *server, e Outcome) {
 	if e.Reason == NoConnection {
 		srv.zone.failedConnects++
@@ -93,7 +93,7 @@
 	}
 }
 
-// recordHit takes an answer of a cache server.
+// recordHit records a hit at a cache server.
 func (r *Router) recordHit(srv *server, e Outcome) {
 	r.fastestHit += r.fastestHit / riseDivisor
 	if r.fastestHit == 0 || e.Took < r.fastestHit {
@@ -103,8 +103,8 @@
 	countHitAfterRestart(srv)
 }
 
-// recordAtOrigin takes the outcome of a fetch or a write: it moves the limit on attempts in flight, and a fetch that
-// others wait for is over.
+// recordAtOrigin records the outcome of a fetch or a write. The outcome adjusts the limit on attempts in flight at the
+// origin, and ends the flight that the request leads, if there is one.
 func (r *Router) recordAtOrigin(ended *attempt, e Outcome) {
 	if e.Reason != NeverSent {
 		sample := admission.LatencySample{
@@ -119,8 +119,8 @@
 	r.completeFlight(ended.request, e.Reason == Succeeded)
 }
 
-// observeLatency takes a latency sample of a server, tells the other routers of a server that is suspect, and
-// assesses it anew.
+// observeLatency records a latency sample of a server, queues gossip about a suspect server for the other routers, and
+// assesses the server again.
 func (r *Router) observeLatency(srv *server, latency time.Duration, hasFailed bool) {
 	srv.gauge.observe(r.now, latency, hasFailed)
 	if srv != r.origin {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -6,17 +6,18 @@
 	"shelfproxy/internal/policy/outlier"
 )
 
-// assess compares a server with the others anew: one that does worse gives up a part of its slots.
+// assess compares a server with all cache servers. A server that is slower or fails more often than the others gives up
+// a part of its slots.
 func (r *Router) assess(srv *server) {
 	before := srv.assessment.EjectionFraction()
 	srv.assessment.Update(srv.gauge.slowFraction(r.now), r.cacheGauge.slowFraction(r.now))
-	if srv.assessment.EjectionFraction() != before { // else the others' budget is as it was
+	if srv.assessment.EjectionFraction() != before { // otherwise the budget left for the others is unchanged
 		r.limitEjections()
 	}
 }
 
-// assessAll compares all servers with each other. Most of thousands have no recent samples: these do as well as those
-// that are measured together with them.
+// assessAll compares all cache servers with each other. Among thousands of servers most have no recent samples. Such a
+// server is assumed to be as slow as the aggregate of its zone or of all servers.
 func (r *Router) assessAll() {
 	ofAll, ofZone := r.cacheGauge.slowFraction(r.now), r.zoneGauge.slowFraction(r.now)
 	for _, listed := range r.keyServers {
@@ -32,12 +33,12 @@
 	r.limitEjections()
 }
 
-// isEjectionCandidate reports whether the ejection budget counts the server.
+// isEjectionCandidate reports whether the server counts for the ejection budget.
 func (r *Router) isEjectionCandidate(srv *server) bool {
 	return srv != r.origin && srv.isListed && !r.isOriginKind(srv)
 }
 
-// ejectionStates returns the cache servers as the ejection budget sees them. The slice is reused by the next call.
+// ejectionStates returns the state of each cache server for the ejection budget. The next call reuses the slice.
 func (r *Router) ejectionStates() []outlier.Server {
 	r.ejectionCandidates = r.ejectionCandidates[:0]
 	for _, srv := range r.servers {
@@ -58,12 +59,12 @@
 	return r.ejectionCandidates
 }
 
-// isEjectionBudgetSpent reports whether so many cache servers are out that none is taken out on gossip alone.
+// isEjectionBudgetSpent reports whether so much capacity is out that no further server is taken out on gossip alone.
 func (r *Router) isEjectionBudgetSpent() bool {
 	return r.ejectionBudget.IsBounded() && r.ejectionBudget.IsSpent(r.ejectionStates())
 }
 
-// limitEjections keeps what cache servers give up within the budget, where there is one.
+// limitEjections keeps the slots that outliers give up within the ejection budget, if the budget is bounded.
 func (r *Router) limitEjections() {
 	if !r.ejectionBudget.IsBounded() {
 		return
@@ -81,7 +82,7 @@
 	r.logEjectionLimit(isLimited)
 }
 
-// logEjectionLimit logs when the budget begins and ceases to be too small for the outliers.
+// logEjectionLimit logs when the ejection budget becomes too small for the outliers, and when it suffices again.
 func (r *Router) logEjectionLimit(isLimited bool) {
 	if isLimited == r.isEjectionLimited {
 		return
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// request is one that the router has taken and that has not ended.
+// request holds the state of a client's request that has not ended or still has attempts in flight.
 type request struct {
 	Request
 	class          *Class
 	bucket         bucket
-	priorityWeight float64 // over the greatest of all classes
-	objectiveAt    Time    // until when an answer earns the full weight
-	isOverQuota    bool    // beyond its tenant's quota
+	priorityWeight float64 // relative to the greatest weight of all classes
+	objectiveAt    Time    // time until which an answer earns the full weight
+	isOverQuota    bool    // the request is beyond its tenant's quota
 
 	attempts         []*attempt
-	inFlight         int      // attempts
-	possiblyExecuted *attempt // the first such attempt
-	hasMissed        bool     // at a cache server; the next step is the origin
-	avoidedServer    *server  // it failed this request
-	avoidsSuspects   bool     // a server that does worse than the others rejected it: no such server will do
-
-	isWaiting bool // for a flight, the origin or a retry
-	wakeAt    Time // until when
+	inFlight         int      // number of attempts in flight
+	possiblyExecuted *attempt // first attempt that may have been executed; nil if there is none
+	hasMissed        bool     // a cache server had no object; the next step is a fetch from the origin
+	avoidedServer    *server  // this server failed the request
+	avoidsSuspects   bool     // a suspect server rejected the request, which now avoids all suspect servers
+
+	isWaiting bool // waits for a flight, the origin or a retry
+	wakeAt    Time // end of the wait
 	isEnded   bool
 }
 
-// attempt is one try to have a request answered by one server.
+// attempt is one try to get a request answered by one server.
 type attempt struct {
 	request    *request
 	server     *server
@@ -34,14 +34,14 @@
 	isInFlight bool
 }
 
-// requestReceived takes a client's request.
+// requestReceived accepts a client's request: it is shed or takes its first step.
 func (r *Router) requestReceived(e Request) {
 	class := r.classByName[e.Class]
 	if class == nil {
 		class = &r.settings.Classes[0]
 	}
 	if e.Key == "" {
-		e.Key = strconv.FormatUint(e.ID, 10) // nothing to keep together
+		e.Key = strconv.FormatUint(e.ID, 10) // a request without a key can go to any server
 	}
 	req := &request{Request: e, class: class, objectiveAt: min(r.now+class.LatencyObjective, e.Deadline)}
 	r.requests[e.ID] = req
@@ -53,7 +53,7 @@
 	}
 	req.bucket = bucketOf(req)
 	r.retryBudgets[class].RecordAttempt(r.now)
-	// A read with less time left than the fastest recent answers took would only fail later.
+	// A read with less time left than the fastest recent hits took would only fail later.
 	switch {
 	case r.shedsForLoad(req):
 		r.reject(req, CauseNodeBehind)
@@ -83,8 +83,8 @@
 	}
 }
 
-// sendToCache starts an attempt at the cache server of the request's key. Past one that is crowded, a request that
-// would be shed there goes to an origin that is quiet, or else is rejected.
+// sendToCache starts an attempt at the cache server of the request's key. If the request would be shed at that server,
+// it is fetched from the origin while the origin has capacity, and is rejected otherwise.
 func (r *Router) sendToCache(req *request) {
 	srv := r.chooseServer(req)
 	switch {
@@ -101,7 +101,8 @@
 	}
 }
 
-// send starts an attempt if there is a server and the class allows one there; else it gives the request up.
+// send starts an attempt at the server. If the server is nil, or the class allows no attempt there, send gives up the
+// request.
 func (r *Router) send(req *request, srv *server) {
 	switch {
 	case srv == nil:
@@ -119,14 +120,14 @@
 	r.emit(Send{ID: req.ID, Server: srv.ID, WriteBy: r.dedupDeadline(req)})
 }
 
-// responseStarted takes an attempt out of those waited for: its answer is on the way.
+// responseStarted removes an attempt from those that wait for a response, because its response has begun to arrive.
 func (r *Router) responseStarted(e ResponseStarted) {
 	if started := r.openAttempt(e.ID, e.Attempt); started != nil {
 		started.server.gauge.remove(started)
 	}
 }
 
-// openAttempt finds an attempt that is in flight; nil where there is none.
+// openAttempt returns the attempt with the given index if it is in flight, and nil otherwise.
 func (r *Router) openAttempt(id uint64, index int) *attempt {
 	req := r.requests[id]
 	if req == nil || index < 0 || index >= len(req.attempts) || !req.attempts[index].isInFlight {
@@ -135,7 +136,7 @@
 	return req.attempts[index]
 }
 
-// waitLimit is when a request is no longer worth waiting with.
+// waitLimit returns the time after which it is not worthwhile for a request to wait any longer.
 func (r *Router) waitLimit(req *request) Time {
 	if req.class.LateFraction > 0 {
 		return req.Deadline
@@ -143,9 +144,9 @@
 	return req.objectiveAt
 }
 
-// waitUntil has a request wait for its next step, until the given time at the latest.
+// waitUntil makes a request wait for its next step, until the given time at the latest.
 func (r *Router) waitUntil(req *request, until Time) {
-	// Whole microseconds, rounded up: what is woken before its time would wait again at once.
+	// The time is rounded up to whole microseconds: a request woken too early would have to wait again at once.
 	req.isWaiting = true
 	req.wakeAt = (min(until, r.waitLimit(req)) + time.Microsecond - 1).Truncate(time.Microsecond)
 	r.emit(SetTimer{At: req.wakeAt, Token: req.ID})
@@ -161,7 +162,7 @@
 	}
 }
 
-// giveUp answers a request for which there is no further step.
+// giveUp ends a request that has no further step with a final answer.
 func (r *Router) giveUp(req *request, cause Cause) {
 	if r.now >= req.objectiveAt {
 		r.emit(Fail{ID: req.ID, Cause: cause})
@@ -171,7 +172,8 @@
 	r.reject(req, cause)
 }
 
-// reject answers a request, with Reject where the class allows to promise that trying again is harmless.
+// reject ends a request without a value. It answers with Reject if the client can be told that a retry is harmless, and
+// with Fail otherwise.
 func (r *Router) reject(req *request, cause Cause) {
 	if mayPromiseNoEffect(req) {
 		r.emit(Reject{ID: req.ID, RetryAfter: r.settings.MaxRetryAfter, Cause: cause})
@@ -181,10 +183,10 @@
 	r.endRequest(req)
 }
 
-// endRequest forgets a request once it has ended and nothing of it is in flight.
+// endRequest marks a request as ended. The router forgets the request once none of its attempts is in flight.
 func (r *Router) endRequest(req *request) {
 	req.isEnded, req.isWaiting = true, false
-	if r.originQueue.Remove(req) { // those that wait for its fetch need another one
+	if r.originQueue.Remove(req) { // requests that wait for this fetch need another one
 		r.completeFlight(req, false)
 	}
 	if req.inFlight == 0 {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -6,28 +6,29 @@
 	"shelfproxy/internal/admission"
 )
 
-// Retries that a class may have: a ratio of its first attempts, some a second in any case, and so many saved up, past
-// the first few no more than the last second earned: 300 routers of 18 requests a second would else have 9,000 of
-// them saved when an overload begins, half of all requests of three seconds, and 900 more a second. Requests of the
-// greatest weight may be retried more than once each; a partial failure of the others costs a third more.
+// Bounds on the retries of a class. Each first attempt earns a fraction of a retry, and each second earns some in any
+// case. Up to maxSavedRetries are saved, but beyond retryBurst no more than the last second earned. Without that bound,
+// 300 routers of 18 requests a second would have 9,000 retries saved when an overload begins, as many as half of all
+// requests of three seconds, and 900 more a second. Requests of the greatest weight may be retried more than once each.
+// For the others, a partial failure adds at most a third to the load.
 const (
 	retryRatio             = 0.34
 	criticalRetryRatio     = 1.5
 	minRetriesPerSecond    = 0.5
 	retryBurst             = 3
 	maxSavedRetries        = 30
-	criticalWeightFraction = 0.7 // of the greatest weight, above which the critical ratio holds
+	criticalWeightFraction = 0.7 // fraction of the greatest weight above which the critical ratio applies
 )
 
 const (
-	maxImmediateAttempts = 3                     // up to which a rejected or failed read goes elsewhere at once
-	spillUtilisation     = 0.05                  // origin utilisation up to which a full server's reads go elsewhere
-	firstBackoff         = 25 * time.Millisecond // mean wait after a server was full
-	maxBackoffDoublings  = 4                     // of that wait
-	dedupMarginTicks     = 2                     // ticks before the end of a deduplication window
+	maxImmediateAttempts = 3                     // a read goes elsewhere at once only after fewer attempts than this
+	spillUtilisation     = 0.05                  // origin utilisation below which rejected reads go elsewhere at once
+	firstBackoff         = 25 * time.Millisecond // mean wait before the first retry at a full server
+	maxBackoffDoublings  = 4                     // how often the mean wait may double
+	dedupMarginTicks     = 2                     // a retry is due this many ticks before its deduplication window ends
 )
 
-// newRetryBudget returns the retry budget of a class, where the greatest weight of all classes is given.
+// newRetryBudget returns the retry budget of a class. maxPriorityWeight is the greatest weight of all classes.
 func newRetryBudget(class *Class, maxPriorityWeight float64) *admission.RetryBudget {
 	budget := &admission.RetryBudget{
 		Ratio: retryRatio, MinPerSecond: minRetriesPerSecond, MaxSaved: maxSavedRetries, Burst: retryBurst,
@@ -38,8 +39,8 @@
 	return budget
 }
 
-// leavesExecutionOpen reports whether an attempt that ended for the reason was possibly executed, without its outcome
-// being known.
+// leavesExecutionOpen reports whether an attempt that ended for the given reason was possibly executed, although it
+// brought no usable answer.
 func leavesExecutionOpen(reason Reason) bool {
 	switch reason {
 	case Errored, TimedOut, Reset, Cancelled, CorruptResponse:
@@ -48,8 +49,8 @@
 	return false
 }
 
-// mayRetryAt keeps the rule that no effect happens twice: it reports whether an attempt of the request, which may be
-// its first, is allowed at the server.
+// mayRetryAt reports whether an attempt of the request is allowed at the server. It enforces the rule that no effect
+// happens twice. A first attempt is always allowed.
 func (r *Router) mayRetryAt(req *request, srv *server) bool {
 	if req.possiblyExecuted == nil || req.class.Effect == Idempotent {
 		return true
@@ -60,8 +61,8 @@
 	return req.class.Effect == Deduplicated && isInScope && r.now <= r.dedupDeadline(req)
 }
 
-// dedupDeadline is until when a retry of a deduplicated request that was possibly executed is recognised as a repeat:
-// it has to be written by then. 0 is no bound.
+// dedupDeadline returns the time by which a retry of a possibly executed Deduplicated request must be written. Servers
+// recognise the retry as a repeat only until then. 0 means no bound.
 func (r *Router) dedupDeadline(req *request) Time {
 	if req.possiblyExecuted == nil || req.class.Effect != Deduplicated {
 		return 0
@@ -69,7 +70,7 @@
 	return req.possiblyExecuted.sentAt + req.class.DedupWindow - dedupMarginTicks*r.settings.Tick
 }
 
-// mayPromiseNoEffect reports whether the client can be told that trying again is harmless.
+// mayPromiseNoEffect reports whether the client can be told that a retry is harmless.
 func mayPromiseNoEffect(req *request) bool {
 	if req.possiblyExecuted == nil || req.class.Effect == Idempotent {
 		return true
@@ -77,8 +78,8 @@
 	return req.class.Effect == Deduplicated && req.class.DedupScope == AllServers
 }
 
-// continueAfter takes the next step of a request after an attempt that did not answer it. What is a retry is charged
-// to the budget of its class.
+// continueAfter takes the next step of a request after an attempt that did not answer it. A retry is charged to the
+// retry budget of the request's class.
 func (r *Router) continueAfter(ended *attempt, reason Reason) {
 	req := ended.request
 	switch {
@@ -86,7 +87,7 @@
 		req.hasMissed = true
 		r.advance(req)
 	case reason == Rejected && r.mayRedirect(ended):
-		r.advance(req) // nothing was executed, so it is no retry
+		r.advance(req) // nothing was executed, so this does not count as a retry
 	case reason == TimedOut || reason == NeverSent || !r.retryBudgets[req.class].AllowRetry(r.now):
 		r.giveUp(req, causeOfOutcome(reason))
 	default:
@@ -94,8 +95,8 @@
 	}
 }
 
-// mayRedirect reports whether a request that a cache server rejected goes to another one: as the server left, or as
-// it does worse than others that have capacity.
+// mayRedirect reports whether a request that a cache server rejected goes to another server. It does if the server no
+// longer serves keys, or if it is suspect and another server remains.
 func (r *Router) mayRedirect(ended *attempt) bool {
 	req, srv := ended.request, ended.server
 	if srv == r.origin {
@@ -105,12 +106,12 @@
 		r.avoidSuspects(req, srv)
 }
 
-// retry has a request try again, at once or after a backoff, or rejects it.
+// retry makes a request try again, at once or after a backoff, or rejects the request.
 func (r *Router) retry(ended *attempt, reason Reason) {
 	req, srv := ended.request, ended.server
 	isCache := srv != r.origin
 	switch {
-	case isCache && reason == CorruptResponse: // again where the object is: any server does so now and then
+	case isCache && reason == CorruptResponse: // retry the server that holds the object: any may fail so once
 		if len(req.attempts) > 1 {
 			req.avoidedServer = srv
 		}
@@ -125,7 +126,7 @@
 	}
 }
 
-// mayRetryElsewhere reports whether a request goes on to another server at once after an attempt at a cache server.
+// mayRetryElsewhere reports whether a request goes to another server at once after an attempt at a cache server failed.
 func (r *Router) mayRetryElsewhere(req *request, reason Reason) bool {
 	switch reason {
 	case NoConnection, Reset, Cancelled:
@@ -138,7 +139,8 @@
 	return false
 }
 
-// backOff has a request wait for capacity: a full queue empties within a few services. The waits double.
+// backOff makes a request wait for capacity: a full queue empties within a few service times. The mean wait doubles
+// with each attempt.
 func (r *Router) backOff(req *request) {
 	wait := firstBackoff << min(len(req.attempts)-1, maxBackoffDoublings)
 	r.waitUntil(req, r.now+wait/2+time.Duration(r.rng.Int64N(int64(wait))))
--- a/internal/policy/roles.go
+++ b/internal/policy/roles.go
@@ -1,6 +1,6 @@
 package policy
 
-// assignRole takes who has a role from now on.
+// assignRole records which router has a role from now on and informs the parts that depend on the role.
 func (r *Router) assignRole(e RoleAssigned) {
 	r.responsibilities[e.Role] = e.Responsibility
 	switch e.Role {
@@ -11,8 +11,8 @@
 	}
 }
 
-// resizeFleet takes how many routers share the traffic; 0 means as many as configured. What is divided by them, or
-// spread over them, follows.
+// resizeFleet sets how many routers share the traffic; 0 means the configured number. Quotas, gossip and the spread of
+// polls are adjusted to the new number.
 func (r *Router) resizeFleet(nodes int) {
 	if nodes <= 0 {
 		nodes = r.configuredNodes
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -21,65 +21,65 @@
 	settings    Settings
 	rng         *rand.Rand
 	now         Time
-	actions     []Action // of the event in hand
+	actions     []Action // actions that the current event has caused so far
 	classByName map[string]*Class
 
-	// Requests.
+	// State of client requests.
 	requests          map[uint64]*request
-	flights           map[string]*flight // by key
+	flights           map[string]*flight // flights in progress, by key
 	quotas            *quota.Tracker
-	maxPriorityWeight float64 // of all classes
+	maxPriorityWeight float64 // greatest priority weight of all classes
 	retryBudgets      map[*Class]*admission.RetryBudget
-	loadLevel         float64           // fraction of what may be shed that should be, as the node is behind
-	shedDebt          [bulk + 1]float64 // rejections that are due, by bucket, less than one each
-	fastestHit        time.Duration     // recent answers of cache servers; 0 before the first
+	loadLevel         float64           // fraction of sheddable requests to shed, see LoadLevel
+	shedDebt          [bulk + 1]float64 // fraction of a rejection that is due, by bucket
+	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first
 
-	// Servers.
+	// State of servers and zones.
 	servers             []*server // sorted by id
 	serverByID          map[string]*server
 	serverByFingerprint map[gossip.Fingerprint]*server
-	keyServers          []keyServer   // those of servers that serve keys, in the same order
-	ranked              rankedServers // reused by one slotOrder after the other
+	keyServers          []keyServer   // the servers that serve keys, in the same order
+	ranked              rankedServers // buffer that each slotOrder reuses
 	zones               map[string]*zone
 	ownZone             *zone
-	cacheGauge          gauge   // of all cache servers
-	zoneGauge           gauge   // of the cache servers of the own zone
-	totalWeight         float64 // of the cache servers that are listed for work
-	zoneFraction        float64 // of all cache servers' weights, that of the own zone
-	activeServers       float64 // cache servers that are listed for work, also unresponsive ones
-	meanCapacity        float64 // of these
+	cacheGauge          gauge   // latencies of all cache servers
+	zoneGauge           gauge   // latencies of the cache servers in this router's zone
+	totalWeight         float64 // sum of the weights of keyServers
+	zoneFraction        float64 // fraction of totalWeight that is in this router's zone
+	activeServers       float64 // number of cache servers that are listed as live, even if unresponsive
+	meanCapacity        float64 // mean Capacity of the active servers
 	crossZoneWeight     locality.CrossZoneWeight
 
-	// The origin.
-	origin        *server                           // nil where none is listed for work
-	originLimiter admission.ConcurrencyLimiter      // how many attempts may be in flight at it
-	originQueue   admission.PriorityQueue[*request] // what waits for that
+	// State of the origin.
+	origin        *server                           // nil if no origin is listed as live
+	originLimiter admission.ConcurrencyLimiter      // bounds the attempts in flight at the origin
+	originQueue   admission.PriorityQueue[*request] // requests that wait for originLimiter
 
-	// How popular keys are. Counts fade by making later requests weigh more.
-	keyCounts      decay.KeyCounts // by key, of this router and of samples of the others
-	requestTotal   float64         // requests of this router
-	requestWeight  float64         // what one request counts now
+	// Popularity of keys. Old counts fade because later requests weigh more.
+	keyCounts      decay.KeyCounts // requests by key, from this router and from samples of the others
+	requestTotal   float64         // weighted number of this router's requests
+	requestWeight  float64         // weight of one request now
 	requestTotalAt Time            // when requestTotal was last added to
-	servedTotal    float64         // answers of a mean cache server, counted like requestTotal
-	rescaleAt      Time            // when these counts are scaled back next
+	servedTotal    float64         // hits per active cache server, counted like requestTotal
+	rescaleAt      Time            // when these counts are next divided by requestWeight
 
-	// Ejection of outliers.
+	// Ejection of outliers, see outlier.go.
 	ejectionBudget     outlier.Budget
-	ejectionCandidates []outlier.Server // reused from call to call
-	ejectionGrants     []float64        // reused from call to call
-	isEjectionLimited  bool             // the budget was not enough of late
+	ejectionCandidates []outlier.Server // buffer, reused from call to call
+	ejectionGrants     []float64        // buffer, reused from call to call
+	isEjectionLimited  bool             // the budget was too small for the outliers at the last check
 
-	// The fleet.
+	// Cooperation with the other routers.
 	gossipSender     gossip.Sender
-	recheckPace      time.Duration    // between two routers' health checks of an unresponsive server
-	polls            polling.Schedule // of discovery
+	recheckPace      time.Duration    // time between two routers' health checks of one unresponsive server
+	polls            polling.Schedule // when to poll discovery
 	responsibilities [roleCount]Responsibility
-	configuredNodes  int  // Settings.Nodes as given
-	isTimerRunning   bool // that of the periodic work
+	configuredNodes  int  // Settings.Nodes as passed to New
+	isTimerRunning   bool // the timer of upkeep has been started
 }
 
-// New returns a router with the settings, or a *SettingsError. The seed feeds its only random numbers: those of
-// waits, of draws by chance, and of the phase of rejections.
+// New returns a router with the settings, or a *SettingsError. The seed determines all random numbers of the router:
+// those of waits, of random choices, and of the phase of rejections.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 		Jitter:     router.jitter,
 	}
 	for rank := range router.shedDebt {
-		router.shedDebt[rank] = router.rng.Float64() // or all routers would reject in step
+		router.shedDebt[rank] = router.rng.Float64() // otherwise all routers would reject at the same moments
 	}
 	for _, tenant := range settings.Tenants {
 		router.quotas.Add(tenant.Name, tenant.Quota)
@@ -126,7 +126,7 @@
 	return router, nil
 }
 
-// addClasses indexes the classes and gives each its retry budget.
+// addClasses indexes the classes by name and creates the retry budget of each.
 func (r *Router) addClasses() {
 	for i := range r.settings.Classes {
 		class := &r.settings.Classes[i]
@@ -139,7 +139,7 @@
 	}
 }
 
-// newObjectives returns those of a router that has measured nothing yet.
+// newObjectives returns the latency objectives of servers of which nothing has been measured yet.
 func (r *Router) newObjectives() *objectives {
 	shortest := slices.MinFunc(r.settings.Classes, func(a, b Class) int {
 		return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
@@ -147,7 +147,7 @@
 	return &objectives{maxTarget: shortest, target: shortest, max: 2 * shortest}
 }
 
-// Handle takes one event and returns the actions that it calls for, in order; they belong to the caller.
+// Handle processes one event and returns the resulting actions in order. The caller owns the returned slice.
 //
 //nolint:gocyclo // a flat dispatch on the type of the event
 func (r *Router) Handle(now Time, event Event) []Action {
@@ -178,7 +178,7 @@
 	case FleetSize:
 		r.resizeFleet(ev.Nodes)
 	case RoleAnnouncement:
-		r.polls.RecoveryAnnounced(r.now) // the only role with something to announce
+		r.polls.RecoveryAnnounced(r.now) // only the DiscoveryPoller announces anything
 	case TimerFired:
 		r.timerFired(ev.Token)
 	}
@@ -189,7 +189,7 @@
 	return r.actions
 }
 
-// timerFired starts the periodic work or resumes the request that waited; the token tells which.
+// timerFired does the periodic work or resumes a waiting request, depending on the token.
 func (r *Router) timerFired(token uint64) {
 	if token == upkeepToken {
 		r.upkeep()
@@ -200,14 +200,14 @@
 	}
 }
 
-// emit adds an action to those that the event in hand calls for.
+// emit adds an action to those that Handle returns for the current event.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// logf emits a line for the operators.
+// logf emits a formatted log line for the operators.
 func (r *Router) logf(format string, args ...any) { r.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// jitter draws a full-jitter wait, any duration below the bound: routers that got the same update must not act on it
-// together.
+// jitter returns a random duration below the bound (full jitter). It keeps routers that got the same update from acting
+// on it at the same moment.
 func (r *Router) jitter(bound time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(max(bound, 1))))
 }
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -1,15 +1,15 @@
 package policy
 
 const (
-	slotCount          = 4096 // keys move between servers by slot
-	zoneCutOffFailures = 4    // connects that fail in a row before a zone counts as unreachable
+	slotCount          = 4096 // number of slots; keys move between servers slot by slot
+	zoneCutOffFailures = 4    // failed connects in a row after which a zone counts as unreachable
 )
 
-// slotOf maps a key to its slot, spread over 64 bits.
+// slotOf maps a key to its slot. A slot is identified by a well-distributed 64-bit number.
 func slotOf(key string) uint64 { return mix(hash(key)%slotCount + 1) }
 
-// keepsSlot reports whether the server keeps the slot as an outlier: it keeps a part of its slots, the same ones at
-// every router.
+// keepsSlot reports whether a server may still get requests for the slot. An outlier keeps only a part of its slots,
+// and every router picks the same ones.
 func keepsSlot(srv *server, slot uint64) bool {
 	if fraction := srv.assessment.KeptFraction; fraction < 1 {
 		return unitInterval(mix(slot+srv.hash)) < fraction
@@ -20,19 +20,20 @@
 // isExcluded reports whether the server, or its zone, is believed to be unreachable.
 func (r *Router) isExcluded(srv *server) bool { return r.isOut(srv) || r.isZoneCutOff(srv) }
 
-// isOut reports whether the server gets no keys as it does not respond. Where no health checks are allowed its
-// circuit breaker lets single requests through.
+// isOut reports whether a server gets no requests because it is unresponsive. If health checks are not allowed, the
+// circuit breaker of the server lets single requests through.
 func (r *Router) isOut(srv *server) bool {
 	return srv.isUnresponsive && (r.settings.MayHealthCheck || srv.breaker.IsOpen(r.now))
 }
 
-// isZoneCutOff reports whether the server's zone is another one that can't be reached. That must not be found out
-// server by server: each costs a connect that fails.
+// isZoneCutOff reports whether the server is in another zone that is unreachable. Finding this out for each server of
+// the zone would cost a failed connect each time.
 func (r *Router) isZoneCutOff(srv *server) bool {
 	return r.settings.MayHealthCheck && srv.zone != r.ownZone && srv.zone.failedConnects >= zoneCutOffFailures
 }
 
-// rendezvousWeight is the server's weight in the spread of keys. One that warms up weighs less.
+// rendezvousWeight returns the server's weight in rendezvous hashing. A server in slow start or in another zone weighs
+// less.
 func (r *Router) rendezvousWeight(srv *server) float64 {
 	weight := r.slowStartWeight(srv)
 	weight *= r.capacityWeight(srv)
@@ -42,13 +43,13 @@
 	return weight
 }
 
-// avoids reports whether the request is not to go to a server that would do for its key.
+// avoids reports whether the request must not go to the server, although the server could serve its key.
 func (req *request) avoids(srv *server) bool {
 	return srv == req.avoidedServer || req.avoidsSuspects && srv.assessment.IsSuspect()
 }
 
-// avoidSuspects has a request pass the server that rejected it, and all that do as badly, and reports whether a
-// server is left. If none is, the request is as before.
+// avoidSuspects makes a request avoid the server that rejected it and all other suspect servers, and reports whether a
+// server remains. If none remains, the request is left unchanged.
 func (r *Router) avoidSuspects(req *request, rejectedBy *server) bool {
 	avoided := req.avoidedServer
 	req.avoidedServer, req.avoidsSuspects = rejectedBy, true
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/policy/circuitbreaker"
 )
 
-// server is a cache server or the origin, as this router sees it.
+// server holds this router's state of a cache server or of the origin.
 type server struct {
 	Server
 	zone     *zone
@@ -16,30 +16,30 @@
 	isListed bool
 	gauge    gauge
 
-	// Liveness, see healthcheck.go.
-	isUnresponsive    bool // gets no keys until a health check, an answer or a new start
-	unresponsiveSince Time // when it last became so
+	// Liveness of the server, see healthcheck.go.
+	isUnresponsive    bool // the server gets no requests until it answers, passes a health check or restarts
+	unresponsiveSince Time // when the server last became unresponsive
 	isBeingChecked    bool
-	checkedAt         Time // last health check
-	checkFailedAt     Time // last health check that failed
-	lastSeen          Time // last sign of life
-	checkResets       int  // connections of health checks that broke since
+	checkedAt         Time // start of the last health check
+	checkFailedAt     Time // end of the last failed health check
+	lastSeen          Time // last time that the server is known to have responded
+	checkResets       int  // health checks that were reset since lastSeen
 	breaker           circuitbreaker.Breaker
 
-	// Slow start, see slowstart.go.
-	slowStartFrom   Time    // start of its warm-up; 0 when warm
-	slowStartBefore Time    // slowStartFrom before it was unresponsive
-	connectRefused  bool    // a connect was refused while it was unresponsive
-	hitsToClear     int     // hits that it still takes to show that it did not restart; 0 where that is settled
-	offered         float64 // requests, or parts of those of hot keys, that it was a candidate for; counted like keys
+	// Slow start of the server, see slowstart.go.
+	slowStartFrom   Time    // start of the slow start; 0 if there was none
+	slowStartBefore Time    // slowStartFrom before the server was unresponsive
+	connectRefused  bool    // a connect was refused while the server was unresponsive
+	hitsToClear     int     // hits still needed to show that the server did not restart; 0 if that is settled
+	offered         float64 // weighted requests that the server was a candidate for, those for hot keys in part
 
-	assessment gossip.Assessment // against the other servers, see outlier.go
+	assessment gossip.Assessment // comparison with the other servers, see outlier.go
 }
 
-// zone is what is known of a zone as a whole.
-type zone struct{ failedConnects int } // in a row
+// zone holds the state of a zone as a whole.
+type zone struct{ failedConnects int } // connects to the zone that failed in a row
 
-// zoneNamed returns the zone with the name, a new one where it is not known.
+// zoneNamed returns the zone with the given name and adds an unknown one.
 func (r *Router) zoneNamed(name string) *zone {
 	known := r.zones[name]
 	if known == nil {
@@ -49,17 +49,17 @@
 	return known
 }
 
-// isOriginKind reports whether the server is the origin by its kind.
+// isOriginKind reports whether the server is an origin, judged by its Kind in the endpoint list.
 func (r *Router) isOriginKind(srv *server) bool {
 	return r.settings.OriginKind != "" && srv.Kind == r.settings.OriginKind
 }
 
-// servesKeys reports whether the server is a cache server that is listed for work.
+// servesKeys reports whether the server is a cache server that is listed as live.
 func (r *Router) servesKeys(srv *server) bool {
 	return !r.isOriginKind(srv) && srv.isListed && srv.State == Live
 }
 
-// capacityWeight is what the server's capacity counts in the spread of keys; 1 where the list states none.
+// capacityWeight returns the weight of the server's capacity in the distribution of keys; 1 if the list states none.
 func (r *Router) capacityWeight(srv *server) float64 {
 	if r.settings.WeightByCapacity && srv.Capacity > 0 {
 		return srv.Capacity
@@ -67,7 +67,7 @@
 	return 1
 }
 
-// relativeCapacity is the server's capacity over the mean, where the list states capacities.
+// relativeCapacity returns the server's capacity divided by the mean of all; 1 if the list states no capacities.
 func (r *Router) relativeCapacity(srv *server) float64 {
 	if !r.settings.WeightByCapacity || srv.Capacity <= 0 || r.meanCapacity <= 0 {
 		return 1
@@ -75,7 +75,7 @@
 	return srv.Capacity / r.meanCapacity
 }
 
-// findOrAddServer returns the server with the id, a new one where it is not known.
+// findOrAddServer returns the server with the given id and adds an unknown one.
 func (r *Router) findOrAddServer(id string) *server {
 	if srv := r.serverByID[id]; srv != nil {
 		return srv
@@ -91,7 +91,7 @@
 	return srv
 }
 
-// pruneServers forgets the servers that left the list and have nothing in flight.
+// pruneServers forgets servers that left the endpoint list and have no attempt or health check in flight.
 func (r *Router) pruneServers() {
 	r.servers = slices.DeleteFunc(r.servers, func(srv *server) bool {
 		isUnused := !srv.isListed && !srv.isBeingChecked && len(srv.gauge.inFlight) == 0
@@ -103,12 +103,13 @@
 	})
 }
 
-// minTotalWeight bounds a divisor away from zero where no server is listed for work.
+// minTotalWeight keeps a divisor above zero if no cache server is listed as live.
 const minTotalWeight = 1e-9
 
-// countActiveServers finds the cache servers that are listed for work, and their capacity here and in other zones.
+// countActiveServers collects the cache servers that are listed as live, their mean capacity, and the fraction of the
+// total weight that is in this router's zone.
 func (r *Router) countActiveServers() {
-	clear(r.keyServers) // those that are not listed any more must not stay in memory
+	clear(r.keyServers) // drop references to servers that are no longer listed
 	r.keyServers, r.activeServers, r.meanCapacity = r.keyServers[:0], 0, 0
 	var zoneWeight float64
 	r.totalWeight = 0
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Time is a point on the caller's clock, counted from any fixed origin. It only moves forward.
+// Time is a point on the caller's clock, measured from any fixed start. It only moves forward.
 type Time = time.Duration
 
-// Effect says how far a class of requests may be retried.
+// Effect says under which conditions a class of requests may be retried.
 type Effect int
 
-// The effects of a request.
+// The effects of a class of requests.
 const (
 	Idempotent   Effect = iota // may be retried at any time
-	Deduplicated               // servers of one scope drop repeats within a window
-	AtMostOnce                 // may be retried only where no earlier attempt can have been executed
+	Deduplicated               // servers of a DedupScope drop repeats within a window
+	AtMostOnce                 // may be retried only if no earlier attempt can have been executed
 )
 
 // DedupScope says which servers drop the repeats of a Deduplicated request.
 type DedupScope int
 
-// The groups of servers that share which requests they have seen.
+// The groups of servers that recognise each other's requests as repeats.
 const (
-	AllServers DedupScope = iota // every server
+	AllServers DedupScope = iota // all servers
 	SameZone                     // servers in the zone of the attempt that was possibly executed
-	SameCell                     // servers in its cell
+	SameCell                     // servers in the cell of the attempt that was possibly executed
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name             string
-	PriorityWeight   float64       // weight of one answer, relative to other classes
+	PriorityWeight   float64       // value of one answer, relative to other classes
 	LatencyObjective time.Duration // an answer within it earns the full weight
-	LateFraction     float64       // fraction of the weight that a later answer earns
+	LateFraction     float64       // fraction of the weight that an answer after LatencyObjective earns
 	Effect           Effect
-	DedupScope       DedupScope    // Deduplicated only
-	DedupWindow      time.Duration // Deduplicated only: how long repeats are dropped, from the send possibly executed
+	DedupScope       DedupScope    // Deduplicated only: the servers that drop repeats
+	DedupWindow      time.Duration // Deduplicated only: how long after the possibly executed send repeats are dropped
 }
 
 // Tenant is a customer with a quota.
@@ -45,54 +45,55 @@
 	Quota float64 // requests a second, over all routers together
 }
 
-// Settings are what a router is given at its start.
+// Settings configures a router.
 type Settings struct {
-	Nodes             int    // how many routers share the traffic
-	Zone              string // of this router
+	Nodes             int    // number of routers that share the traffic
+	Zone              string // zone of this router
 	Classes           []Class
 	Tenants           []Tenant
-	OverQuotaFraction float64 // fraction of the priority weight left to traffic beyond a tenant's quota
-	OriginKind        string  // Server.Kind of the origin; empty where servers fetch for themselves
-	WeightByCapacity  bool    // Server.Capacity states a size that weighs in the spread of keys
-	MustPoll          bool    // the endpoint list comes only to a router that subscribes
-
-	// A router without a watch that has not polled for MaxPollInterval counts as notified. DrainGrace after it was
-	// notified that a server drains or is gone, nothing more may be sent there.
+	OverQuotaFraction float64 // factor on the priority weight of requests beyond their tenant's quota
+	OriginKind        string  // Server.Kind of the origin; empty if servers fetch from the origin themselves
+	WeightByCapacity  bool    // Server.Capacity weighs in the distribution of keys
+	MustPoll          bool    // the router gets the endpoint list only if it subscribes
+
+	// Bounds on stale endpoint lists. A router without a watch that has not polled for MaxPollInterval counts as
+	// notified of all changes. Once DrainGrace has passed after it was notified that a server drains or is gone,
+	// nothing more may be sent to that server.
 	MaxPollInterval, DrainGrace time.Duration
 
-	MayHealthCheck bool // HealthCheck is allowed
-	MayGossip      bool // Gossip is allowed
-	MayCancel      bool // Cancel is allowed
+	MayHealthCheck bool // HealthCheck actions are allowed
+	MayGossip      bool // Gossip actions are allowed
+	MayCancel      bool // Cancel actions are allowed
 
-	// What connections cost, in points of the service: 100 idle ones at each server, and a new one for each request;
-	// and what each request costs that crosses zones once. Zero is no cost.
+	// Costs in points of the service. ConnectionCost is for 100 idle connections at each server, HandshakeCost for a
+	// new connection for each request, and CrossZoneCost for each request that crosses zones once. Zero means no cost.
 	ConnectionCost, HandshakeCost, CrossZoneCost float64
 
-	// AffinityBudget is the fraction of reads, up to 1, that may leave the server which owns their key for one of the
-	// own zone, where crossing zones has a cost. locality.DefaultAffinityBudget is the usual value.
+	// AffinityBudget is the fraction of reads, up to 1, that may go to a server of this router's zone instead of the
+	// owner of their key. It applies if crossing zones has a cost. locality.DefaultAffinityBudget is the usual value.
 	AffinityBudget float64
 
-	// MaxEjectedFraction is the fraction of the cache servers that may be out at once before outliers keep their
-	// keys. Servers that drain, are unresponsive or warm up count, and what others give up as outliers. 0 is no
-	// bound.
+	// MaxEjectedFraction is the fraction of the cache servers' capacity that may be out at once. Beyond it, outliers
+	// keep their keys. Servers that drain, are unresponsive or in slow start count, as do the slots that outliers
+	// give up. 0 means no bound.
 	MaxEjectedFraction float64
 
-	MaxAttempts   int           // attempts that a request may have
-	MaxRetryAfter time.Duration // longest Retry-After that clients follow; 0 where none may be given
-	Tick          time.Duration // shortest gap between two calls with different times
+	MaxAttempts   int           // maximum number of attempts of a request
+	MaxRetryAfter time.Duration // longest Retry-After that clients follow; 0 if none may be given
+	Tick          time.Duration // shortest time between two calls of Handle with different times
 
-	SlowStartFloor    float64       // fraction of its capacity that a server has at its start, at least
-	SlowStartDuration time.Duration // it has all of its capacity no later than this after its start
-	OverloadFactor    float64       // this multiple of its capacity of the moment overloads a server that warms up
+	SlowStartFloor    float64       // minimum fraction of its capacity that a server has at its start
+	SlowStartDuration time.Duration // time after its start by which a server has all of its capacity
+	OverloadFactor    float64       // multiple of its current capacity that overloads a server in slow start
 }
 
-// SettingsError names a field of Settings that makes no sense.
+// SettingsError reports an invalid field of Settings.
 type SettingsError struct {
-	Field  string // as in Go, without "Settings."; of an element, the path to its field
-	Reason string // what it has to be
+	Field  string // Go name without "Settings."; for an element of a slice, the path to its field
+	Reason string // what the value has to be
 }
 
-// Error returns the field and the reason.
+// Error returns the name of the field and the reason.
 func (e *SettingsError) Error() string {
 	return fmt.Sprintf("policy: Settings.%s %s", e.Field, e.Reason)
 }
@@ -105,13 +106,13 @@
 	mustNotBeEmpty      = "must not be empty"
 )
 
-// fieldCheck is one field of the settings and whether its value makes sense.
+// fieldCheck is the result of the validation of one field of the settings.
 type fieldCheck struct {
 	isValid       bool
 	field, reason string
 }
 
-// firstInvalid returns an error that names the first field which makes no sense.
+// firstInvalid returns a *SettingsError for the first invalid field, or nil.
 func firstInvalid(checks []fieldCheck) error {
 	for _, check := range checks {
 		if !check.isValid {
@@ -121,10 +122,10 @@
 	return nil
 }
 
-// isFraction reports whether x is from 0 to 1; NaN is not.
+// isFraction reports whether x is from 0 to 1. It returns false for NaN.
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// validate returns a *SettingsError that names the first field which makes no sense.
+// validate returns a *SettingsError for the first invalid field, or nil.
 func (s *Settings) validate() error {
 	checks := []fieldCheck{
 		{s.Nodes >= 1, "Nodes", mustBeAtLeastOne},
--- a/internal/policy/slotorder.go
+++ b/internal/policy/slotorder.go
@@ -5,41 +5,41 @@
 	"math"
 )
 
-// slotOrder yields the cache servers that a request for a slot may go to, in the order of weighted rendezvous hashing:
-// the owner of the slot first. Routers agree on the order without communicating. An order is valid until the router's
-// next event, or until the router returns another one.
+// slotOrder yields the cache servers that a request for a slot may go to, in the order of weighted rendezvous hashing.
+// The owner of the slot comes first. Routers agree on the order without communicating. An order is valid until the
+// router's next event, or until the router returns another one.
 //
-// Servers are looked at all together, the owner first, then as many as are expected to be asked for, twice as many each
-// time: so a key that is spread over many servers costs little more than one that is not.
+// A first pass over all servers finds only the owner. Each further pass ranks a batch of servers, about twice as many
+// as the pass before. So a key that is spread over many servers costs little more than one that is not.
 type slotOrder struct {
 	router    *Router
 	slot      uint64
 	req       *request
-	hasOwner  bool          // the owner was yielded
+	hasOwner  bool          // the owner has been yielded
 	last      float64       // score of the server that was yielded last
-	limit     float64       // up to which scores have been ranked
-	step      float64       // by which limit grows next
-	isRanked  bool          // no server has a score above limit
-	remaining rankedServers // a heap of those with scores from last to limit
+	limit     float64       // all servers with lower scores have been ranked
+	step      float64       // how much limit grows in the next pass
+	isRanked  bool          // all servers have been ranked or yielded
+	remaining rankedServers // heap of the ranked servers that have not been yielded
 }
 
-// firstRankedServers is how many servers are expected among those that are ranked first.
+// firstRankedServers is the expected number of servers in the first ranked batch.
 const firstRankedServers = 8
 
-// keyServer is a server that serves keys, with what tells at a glance that it has no low score for a slot.
+// keyServer is a server that serves keys, with the values that show cheaply that its score for a slot is not low.
 type keyServer struct {
 	hash      uint64
-	maxWeight float64 // of the server's weights at any time
+	maxWeight float64 // upper bound of the server's rendezvous weight at any time
 	server    *server
 }
 
-// orderOf returns the order of the servers for a slot, as far as the request may go there.
+// orderOf returns the order of the servers for a slot. Servers that the request may not go to are left out.
 func (r *Router) orderOf(slot uint64, req *request) slotOrder {
 	step := firstRankedServers / max(r.totalWeight, minTotalWeight)
 	return slotOrder{router: r, slot: slot, req: req, step: step, remaining: r.ranked[:0]}
 }
 
-// next returns the next server of the order; nil at its end.
+// next returns the next server of the order, or nil at the end.
 func (o *slotOrder) next() *server {
 	if !o.hasOwner {
 		o.hasOwner = true
@@ -59,14 +59,14 @@
 	return first.server
 }
 
-// owner returns the server with the lowest score, and the score; nil if there is none.
+// owner returns the server with the lowest score, and that score. The server is nil if there is none.
 func (o *slotOrder) owner() (best *server, lowest float64) {
 	lowest = math.Inf(1)
 	for i := range o.router.keyServers {
 		candidate := &o.router.keyServers[i]
 		draw := o.draw(candidate)
 		if 1-draw >= lowest*candidate.maxWeight || !o.includes(candidate.server) {
-			continue // the first: -log(draw) is no less than 1-draw; this spares most of the logarithms
+			continue // -log(draw) is no less than 1-draw, so the first condition saves most logarithms
 		}
 		if score := o.score(candidate.server, draw); score < lowest {
 			best, lowest = candidate.server, score
@@ -75,7 +75,7 @@
 	return best, lowest
 }
 
-// rank puts the next servers into the heap, which is empty.
+// rank raises limit by a step and puts the servers below it into the heap, which must be empty.
 func (o *slotOrder) rank() {
 	from := o.limit
 	o.limit += o.step
@@ -90,7 +90,7 @@
 		}
 		score := o.score(candidate.server, draw)
 		switch {
-		case math.IsInf(score, 1): // it has no slots yet
+		case math.IsInf(score, 1): // the server's weight is 0: it has no slots yet
 		case score >= o.limit:
 			o.isRanked = false
 		case score >= from && score > o.last && o.includes(candidate.server):
@@ -101,7 +101,7 @@
 	o.router.ranked = o.remaining
 }
 
-// drop takes the first server out of the heap.
+// drop removes the first server from the heap.
 func (o *slotOrder) drop() {
 	last := len(o.remaining) - 1
 	o.remaining[0] = o.remaining[last]
@@ -116,12 +116,12 @@
 	return keepsSlot(srv, o.slot) && !o.router.isExcluded(srv) && !o.req.avoids(srv)
 }
 
-// draw is the server's draw for the slot, the same at every router.
+// draw returns the server's pseudo-random number for the slot, which is the same at every router.
 func (o *slotOrder) draw(candidate *keyServer) float64 {
 	return unitInterval(mix(o.slot ^ candidate.hash))
 }
 
-// score is what the order is by, the lowest first.
+// score returns the value that servers are ordered by, the lowest first.
 func (o *slotOrder) score(srv *server, draw float64) float64 {
 	return -math.Log(draw) / o.router.rendezvousWeight(srv)
 }
@@ -132,8 +132,8 @@
 	server *server
 }
 
-// rankedServers implements heap.Interface, but Push and Pop do nothing: a heap is made whole and shrinks by
-// slotOrder.drop.
+// rankedServers implements heap.Interface, but Push and Pop do nothing: heap.Init builds the whole heap at once, and
+// slotOrder.drop removes its items.
 type rankedServers []rankedServer
 
 // Len implements heap.Interface.
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -3,16 +3,16 @@
 import "shelfproxy/internal/fleet/gossip"
 
 const (
-	slowStartSafety  = 0.7 // part of the load that would overload a server that warms up
-	servedPrior      = 0.1 // answers a server assumed, so that a new router uses servers that warm up
-	hitsProvingCache = 4   // hits without a miss that show a cache which survived
+	slowStartSafety  = 0.7 // fraction of the overloading load that a warming server may get
+	servedPrior      = 0.1 // answers assumed per server, so that a new router uses warming servers
+	hitsProvingCache = 4   // hits without a miss that show that the server's cache survived
 )
 
-// isWarmingUp reports whether the server has less than all of its slots.
+// isWarmingUp reports whether the server is in slow start and has fewer than all of its slots.
 func (r *Router) isWarmingUp(srv *server) bool { return r.slowStartWeight(srv) < 1 }
 
-// slowStartWeight is the share of its slots that a server has: one that restarted takes them back until it is sure to
-// be warm.
+// slowStartWeight returns the fraction of its slots that a server has. After a restart the fraction grows linearly from
+// SlowStartFloor and reaches 1 after SlowStartDuration, when the server's cache is certain to be warm.
 func (r *Router) slowStartWeight(srv *server) float64 {
 	if srv.slowStartFrom == 0 || r.now >= srv.slowStartFrom+r.settings.SlowStartDuration {
 		return 1
@@ -21,10 +21,10 @@
 	return r.settings.SlowStartFloor + (1-r.settings.SlowStartFloor)*progress
 }
 
-// admitsDuringSlowStart keeps a server that warms up from being overloaded by a hot key or a surge, by all routers
-// together. It gets a safe part of what one of its size answers here, and grows at half the pace for a router with
-// few samples. Chance decides, weighted by what all routers know of the key; one not seen before may just now begin
-// to come to all of them.
+// admitsDuringSlowStart reports whether a server in slow start may take the request. All routers together must not
+// overload the server by a hot key or a surge. So each router sends a safe fraction of what a server of this size
+// answers for it; a router with few samples raises the load at half the rate. A random draw decides, weighted by the
+// popularity of the key at all routers. A key not seen before may be starting to reach all routers right now.
 func (r *Router) admitsDuringSlowStart(srv *server, req *request) bool {
 	weight := r.slowStartWeight(srv)
 	meanServed := (r.servedTotal + servedPrior*r.requestWeight) * r.relativeCapacity(srv)
@@ -38,8 +38,9 @@
 	return draw*demand < safe
 }
 
-// suspectRestart has a server that responds again warm up as if it had restarted, until the list tells when it did or
-// it shows a cache that survived. A refused connect proves that its process was gone.
+// suspectRestart starts a slow start for a server that responds again, as if it had restarted. The slow start ends
+// early if hits show that its cache survived, and the endpoint list may correct the time of the restart. A refused
+// connect proves that the server's process was gone.
 func (r *Router) suspectRestart(srv *server) {
 	srv.slowStartBefore, srv.slowStartFrom, srv.hitsToClear = srv.slowStartFrom, r.now, hitsProvingCache
 	if srv.connectRefused {
@@ -47,8 +48,8 @@
 	}
 }
 
-// countHitAfterRestart takes a hit as a sign that the server did not restart. After enough of them, and no miss, it
-// was only unreachable, and its warm-up is taken back.
+// countHitAfterRestart counts a hit as a sign that the server did not restart. After enough hits without a miss, the
+// server was only unreachable, and its slow start is undone.
 func countHitAfterRestart(srv *server) {
 	if srv.hitsToClear == 1 {
 		srv.slowStartFrom = srv.slowStartBefore
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -8,11 +8,11 @@
 
 const (
 	upkeepInterval = 250 * time.Millisecond
-	upkeepToken    = uint64(1) << 62 // timer tokens from here on are not request ids
+	upkeepToken    = uint64(1) << 62 // timer token of upkeep; request ids are lower
 )
 
-// startUpkeep starts the periodic work with the first endpoint update. Routers that start together do not do it in
-// step.
+// startUpkeep starts the periodic work at the first endpoint update. A random delay keeps routers that start together
+// from doing this work at the same moments.
 func (r *Router) startUpkeep() {
 	if r.isTimerRunning {
 		return
@@ -22,7 +22,7 @@
 	r.emit(SetTimer{At: r.now + r.jitter(upkeepInterval), Token: upkeepToken})
 }
 
-// superviseServers hedges slow reads, where that may be done, and looks for servers that no longer respond.
+// superviseServers hedges slow reads if mayHedge is set, and starts health checks of servers that no longer respond.
 func (r *Router) superviseServers(mayHedge bool) {
 	for _, listed := range r.keyServers {
 		if mayHedge {
@@ -32,7 +32,8 @@
 	}
 }
 
-// upkeep is the periodic work: it looks for servers that no longer respond, hedges slow reads, and polls discovery.
+// upkeep does the periodic work. It assesses all servers, checks those that no longer respond, hedges slow reads,
+// adjusts the weight of other zones, sends gossip and polls discovery.
 func (r *Router) upkeep() {
 	r.emit(SetTimer{At: r.now + upkeepInterval, Token: upkeepToken})
 	r.pruneKeyCounts()
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -7,35 +7,36 @@
 	"shelfproxy/internal/policy/decay"
 )
 
-// How long latency samples count, and how many a judgement takes.
+// How fast latency samples fade, and how many samples an estimate needs.
 const (
 	latencyWindow       = 1500 * time.Millisecond // a sample weighs 1/e after this long
-	minLatencySamples   = 4.0                     // utilisation is judged from at least as many
-	sparseLatencyWindow = 8 * time.Second         // like latencyWindow, where there are fewer samples than that
+	minLatencySamples   = 4.0                     // minimum number of samples from which utilisation is estimated
+	sparseLatencyWindow = 8 * time.Second         // like latencyWindow, while there are fewer than minLatencySamples
 )
 
-// How the target is learned.
+// How the target latency is learned.
 const (
-	quietSampleCount  = 64  // quiet samples kept
-	minQuietSamples   = 2   // the target is learned from this many on
-	relearnInterval   = 8   // once there are quietSampleCount, it is learned anew every so many samples
-	targetPerMedian   = 3   // target over the median of the quiet samples
-	maxPerTarget      = 2   // maximum over the target
-	riseDivisor       = 50  // a learned latency rises by at most 1/riseDivisor at a time
-	calmUtilisation   = 0.2 // utilisation up to which samples count as quiet
-	minTargetFraction = 0.5 // target of the cache servers over the shortest latency objective, at least
+	quietSampleCount  = 64  // number of quiet samples kept
+	minQuietSamples   = 2   // number of quiet samples from which on the target is learned
+	relearnInterval   = 8   // once quietSampleCount is reached, learn again after every so many samples
+	targetPerMedian   = 3   // target latency as a multiple of the median quiet sample
+	maxPerTarget      = 2   // maximum latency as a multiple of the target
+	riseDivisor       = 50  // a learned latency rises by at most this fraction (1/50) at a time
+	calmUtilisation   = 0.2 // samples count as quiet while utilisation is below this
+	minTargetFraction = 0.5 // minimum target of cache servers, as a fraction of the shortest objective
 )
 
-// objectives are the target and maximum latency, learned from quiet samples. Servers may share them.
+// objectives holds the target and the maximum latency, learned from quiet samples: those taken while few answers were
+// slow. Several servers may share them.
 type objectives struct {
-	quietSamples         [quietSampleCount]time.Duration // the last of them, as a ring
-	learned              int                             // samples so far
-	minTarget, maxTarget time.Duration                   // bounds of the target
+	quietSamples         [quietSampleCount]time.Duration // ring buffer of the most recent quiet samples
+	learned              int                             // number of quiet samples so far
+	minTarget, maxTarget time.Duration                   // bounds on target
 	target, max          time.Duration
 }
 
-// learn takes a quiet sample into target and maximum, which fall at once and rise slowly: load that builds up must
-// not pass for the normal latency. Before the first samples the shortest latency objective is the target.
+// learn adds a quiet sample and updates target and max. These fall at once but rise slowly, so that growing load is not
+// mistaken for normal latency. Before the first samples, the target is the shortest latency objective.
 func (o *objectives) learn(latency time.Duration) {
 	o.quietSamples[o.learned%quietSampleCount] = latency
 	o.learned++
@@ -52,27 +53,27 @@
 	o.target, o.max = target, target*maxPerTarget
 }
 
-// gauge measures the latency utilisation of one server, or of several together: the share of recent answers slower
-// than the learned target.
+// gauge measures the utilisation of one server, or of several together. Utilisation is the share of recent answers that
+// were slower than the learned target.
 type gauge struct {
 	*objectives
-	inFlight  []*attempt // oldest first
-	aggregate *gauge     // of all cache servers, or of a zone; nil for that of all cache servers and of the origin
-	hasQueue  bool       // what is measured waited in a queue before: its samples say nothing of quiet times
+	inFlight  []*attempt // attempts that still wait for a response, oldest first
+	aggregate *gauge     // gauge of a zone or of all cache servers; nil for the latter and for the origin
+	hasQueue  bool       // requests queue for the server, so its samples are not quiet ones
 
-	samples, overTarget, overMax float64 // recent samples: all, over the target, over the maximum
-	fadedAt                      Time    // when they were last reduced
+	samples, overTarget, overMax float64 // recent samples: all, those over target, those over max
+	fadedAt                      Time    // when the samples were last faded
 }
 
-// observe takes the latency of an answer, or a failure, which counts as over the maximum.
+// observe records the latency of an answer, or a failure, which counts as slower than the maximum.
 func (g *gauge) observe(now Time, latency time.Duration, hasFailed bool) {
 	if !hasFailed && !g.hasQueue && g.slowFraction(now) < calmUtilisation {
-		g.learn(latency) // never from times under load
+		g.learn(latency) // samples taken under load would raise the target
 	}
 	g.record(now, latency, hasFailed)
 }
 
-// record counts a sample, also in the aggregates that the gauge is a part of.
+// record counts a sample in the gauge and in all of its aggregates.
 func (g *gauge) record(now Time, latency time.Duration, hasFailed bool) {
 	if g.aggregate != nil {
 		g.aggregate.record(now, latency, hasFailed)
@@ -93,8 +94,8 @@
 	g.samples, g.overTarget = g.samples+samples, g.overTarget+overTarget
 }
 
-// utilisation is the share of recent samples over the target and over the maximum. Attempts in flight for longer than
-// that count already: a stalled origin answers nothing that could be measured.
+// utilisation returns the shares of recent samples over the target and over the maximum. Attempts that have been in
+// flight for longer than these count too, because a stalled origin returns no answers that could be measured.
 func (g *gauge) utilisation(now Time) (overTarget, overMax float64) {
 	g.fade(now)
 	samples, slow, verySlow := g.samples, g.overTarget, g.overMax
@@ -109,7 +110,7 @@
 		}
 	}
 	if missing := minLatencySamples - samples; missing > 0 {
-		// Few samples: the aggregate stands in for those that are missing; nothing else is assumed to be bad.
+		// The aggregate's shares replace missing samples. Without an aggregate the missing samples count as fast.
 		samples = minLatencySamples
 		if g.aggregate != nil {
 			overTarget, overMax = g.aggregate.utilisation(now)
@@ -119,17 +120,17 @@
 	return slow / samples, verySlow / samples
 }
 
-// slowFraction is the share of recent samples over the target.
+// slowFraction returns the share of recent samples over the target.
 func (g *gauge) slowFraction(now Time) float64 {
 	slow, _ := g.utilisation(now)
 	return slow
 }
 
-// isUnused reports whether nothing is measured: the gauge says what its aggregate says.
+// isUnused reports whether the gauge has no samples and no attempts in flight, so that it equals its aggregate.
 func (g *gauge) isUnused() bool { return g.samples == 0 && len(g.inFlight) == 0 }
 
-// fade reduces the weight of earlier samples: fast while there are plenty, slowly once fewer than minLatencySamples
-// are left. A router among hundreds fetches every few seconds, and judges by the last few fetches.
+// fade reduces the weight of earlier samples: fast while there are many, slowly once fewer than minLatencySamples are
+// left. One router among hundreds fetches only every few seconds and has to judge by its last few fetches.
 func (g *gauge) fade(now Time) {
 	if g.samples > 0 && now > g.fadedAt {
 		left := decay.Fade(g.samples, now-g.fadedAt, latencyWindow, minLatencySamples, sparseLatencyWindow)
@@ -138,12 +139,12 @@
 	g.fadedAt = now
 }
 
-// remove forgets an attempt that is no longer waited for.
+// remove drops an attempt that no longer waits for a response.
 func (g *gauge) remove(ended *attempt) {
 	g.inFlight = slices.DeleteFunc(g.inFlight, func(other *attempt) bool { return other == ended })
 }
 
-// oldestSentAt is when the oldest attempt in flight was sent, or now.
+// oldestSentAt returns when the oldest attempt in flight was sent, or now if there is none.
 func (g *gauge) oldestSentAt(now Time) Time {
 	if len(g.inFlight) == 0 {
 		return now
