--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -7,52 +7,53 @@
 	"pgregory.net/rapid"
 )
 
-// TestBreakerOpensAfterThreeFailuresInARow: and not on a server that responded a moment ago; then it lets one attempt
-// through after each of growing waits, and an answer closes it.
+// TestBreakerOpensAfterThreeFailuresInARow guards against a breaker that opens too early: after fewer than three
+// failures, or for a server that responded a moment ago. An open breaker lets one attempt through after each of growing
+// waits, and an answer closes it.
 func TestBreakerOpensAfterThreeFailuresInARow(t *testing.T) {
 	var breaker Breaker
 	breaker.Succeeded(10 * time.Second)
 	now := 10*time.Second + 400*time.Millisecond
 	for range 10 {
 		if breaker.Failed(now) {
-			t.Fatal("it opened on a server that responded a moment ago")
+			t.Fatal("the breaker opened though the server responded a moment ago")
 		}
 	}
 	breaker.Succeeded(now)
 	now += time.Second
 	for failures := 1; failures <= 2; failures++ {
 		if breaker.Failed(now) {
-			t.Fatalf("it opened on failure %d, want 3", failures)
+			t.Fatalf("the breaker opened on failure %d, want 3", failures)
 		}
 	}
 	if breaker.IsOpen(now) {
-		t.Fatal("it is open after two failures")
+		t.Fatal("the breaker is open after two failures")
 	}
 	if !breaker.Failed(now) || !breaker.IsOpen(now) {
-		t.Fatal("it did not open on the third failure in a row")
+		t.Fatal("the breaker did not open on the third failure in a row")
 	}
 	for _, seconds := range []time.Duration{1, 2, 4, 8, 8} {
 		backoff := seconds * time.Second
 		if !breaker.IsOpen(now+backoff-1) || breaker.IsOpen(now+backoff) {
-			t.Fatalf("it does not let an attempt through after %v", backoff)
+			t.Fatalf("the breaker does not let an attempt through after exactly %v", backoff)
 		}
 		now += backoff
 		breaker.AttemptStarted(now)
 		if !breaker.IsOpen(now) {
-			t.Fatal("it lets a second attempt through")
+			t.Fatal("the breaker lets a second attempt through during a trial")
 		}
 		now += 100 * time.Millisecond
 		breaker.Failed(now)
-		breaker.Failed(now) // of an earlier attempt
+		breaker.Failed(now) // failure of an attempt from before the breaker opened
 	}
 	breaker.Succeeded(now)
 	if breaker.IsOpen(now) {
-		t.Fatal("it is open though the server answered")
+		t.Fatal("the breaker is open though the server answered")
 	}
 }
 
-// TestBreakerLetsFewAttemptsThrough: whatever comes in whatever order, so few go through while nothing answers that a
-// server which is down costs little, and one that is back is tried again in time.
+// TestBreakerLetsFewAttemptsThrough checks random orders of attempts and failures without an answer. A server that is
+// down must cost few attempts, and one that is back must be tried again within maxBackoff.
 func TestBreakerLetsFewAttemptsThrough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var breaker Breaker
@@ -67,11 +68,11 @@
 				breaker.Failed(now)
 			}
 		}
-		if most := 40 + int(now/firstBackoff); attempts > most { // until the third failure all go through
+		if most := 40 + int(now/firstBackoff); attempts > most { // all attempts go through until the third failure
 			t.Fatalf("got %d attempts in %v, want at most %d", attempts, now, most)
 		}
 		if breaker.IsOpen(now + maxBackoff + 1) {
-			t.Fatalf("it is open for longer than %v", maxBackoff)
+			t.Fatalf("the breaker stays open for longer than %v", maxBackoff)
 		}
 	})
 }
--- a/internal/policy/decay/counts_test.go
+++ b/internal/policy/decay/counts_test.go
@@ -8,8 +8,9 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestPopularityFollowsRequests: 700 requests a second in front of 200 servers; a key that draws a tenth of them is the
-// load of 20 servers, seen within two seconds, and over again within a few.
+// TestPopularityFollowsRequests sends 700 requests a second to 200 servers. A key that gets a tenth of them is as much
+// load as 20 servers have. Its popularity must be seen within two seconds of the first requests, and be gone
+// 15 s after the last.
 func TestPopularityFollowsRequests(t *testing.T) {
 	const (
 		servers = 200
@@ -42,7 +43,8 @@
 	}
 }
 
-// TestUnusedKeysAreDropped: the number of keys does not grow with a day's length.
+// TestUnusedKeysAreDropped guards against memory that grows with the node's running time: keys that are no longer
+// requested must not be kept.
 func TestUnusedKeysAreDropped(t *testing.T) {
 	var counts KeyCounts
 	most := 0
@@ -57,7 +59,8 @@
 	}
 }
 
-// TestFadeIsSlowBelowEnough: what is above enough falls to 1/e in a window, the rest in a longer one.
+// TestFadeIsSlowBelowEnough checks that the part of a count above enough falls to 1/e in a window, and the rest in a
+// longer one.
 func TestFadeIsSlowBelowEnough(t *testing.T) {
 	const enough, window, sparseWindow = 10, time.Second, 10 * time.Second
 	for _, test := range []struct {
--- a/internal/policy/locality/weight_test.go
+++ b/internal/policy/locality/weight_test.go
@@ -6,20 +6,20 @@
 	"pgregory.net/rapid"
 )
 
-// redirectedFraction returns the fraction of requests that leave their owner for a server of the own zone, which has a
-// fraction of all servers, at a weight of the other zones' servers.
+// redirectedFraction returns the fraction of requests that go to a server of the own zone instead of their owner. The own
+// zone has the fraction home of all servers, and the servers of other zones have the given weight.
 func redirectedFraction(home, weight float64) float64 { return home/(home+(1-home)*weight) - home }
 
-// TestWeightFollowsTheLoad: it falls while all is quiet and rises where the own zone, all zones or the origin have more
-// than they can carry.
+// TestWeightFollowsTheLoad checks that the weight falls while nothing is overloaded, and rises if the own zone, all zones
+// or the origin have more load than they can carry.
 func TestWeightFollowsTheLoad(t *testing.T) {
 	quiet := Load{OriginUtilisation: 0.1, ZoneUtilisation: 0.1, CacheUtilisation: 0.1}
 	for name, test := range map[string]struct {
 		load      Load
 		wantFalls bool
 	}{
-		"all is quiet":                                 {quiet, true},
-		"nothing is known":                             {Load{}, true},
+		"no overload":                                  {quiet, true},
+		"no samples":                                   {Load{}, true},
 		"the origin is overloaded":                     {Load{OriginUtilisation: 0.3}, false},
 		"requests wait for the origin":                 {Load{OriginWaiting: 1}, false},
 		"all servers are slow":                         {Load{ZoneUtilisation: 0.3, CacheUtilisation: 0.3}, false},
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestWeightStaysWithinBounds: whatever the load, and an overload brings all servers back within seconds of steps.
+// TestWeightStaysWithinBounds checks the bounds of the weight and the affinity budget under random loads. An overload must
+// bring the weight back to 1 within 4 s.
 func TestWeightStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1)
@@ -62,7 +63,7 @@
 					weight, home, got, crossZone.AffinityBudget)
 			}
 		}
-		for range 16 { // 4 s
+		for range 16 { // 16 steps take 4 s
 			crossZone.Step(Load{HomeFraction: home, OriginUtilisation: 1})
 		}
 		if got := crossZone.Weight(); got < 0.999 {
@@ -71,7 +72,8 @@
 	})
 }
 
-// TestAffinityBudgetIsUsed: where all is quiet the budget is used, whatever the share of the own zone.
+// TestAffinityBudgetIsUsed checks that at least 0.9 of the budget is used while nothing is overloaded, whatever fraction
+// of the servers is in the own zone.
 func TestAffinityBudgetIsUsed(t *testing.T) {
 	for _, home := range []float64{0.1, 0.25, 0.5, 0.9} {
 		crossZone := CrossZoneWeight{AffinityBudget: DefaultAffinityBudget}
--- a/internal/policy/outlier/budget.go
+++ b/internal/policy/outlier/budget.go
@@ -1,6 +1,7 @@
-// Package outlier bounds how much of a fleet of servers its nodes eject by their own judgment. A server that does
-// worse than the others gives up a part of its keys; but where much is unavailable already, because it drains, warms
-// up or does not respond, one more slow server is better than none. The package has no clock and no I/O.
+// Package outlier bounds how much of a fleet's server capacity the nodes eject because servers are outliers. An
+// outlier, which is slower or fails more often than the others, gives up a part of its keys. But if much capacity is
+// unavailable already, because servers drain, warm up or do not respond, a slow server is better than none. The
+// package has no clock and no I/O.
 package outlier
 
 import (
@@ -8,31 +9,32 @@
 	"slices"
 )
 
-// Server is one server as a node sees it.
+// Server is a node's view of one server.
 type Server struct {
-	Capacity float64 // relative to the others, above 0
-	// UnavailableFraction is the part of it that is out whatever a node decides: 1 where it drains or is
-	// unresponsive, what it lacks while it warms up.
+	Capacity float64 // capacity relative to the other servers, above 0
+	// UnavailableFraction is the fraction of Capacity that is out regardless of ejection. It is 1 if the server drains
+	// or is unresponsive; during slow start it is the fraction that the server does not have yet.
 	UnavailableFraction float64
-	EjectionFraction    float64 // part of its keys that a node would have it give up, by how badly it does
-	TieBreaker          uint64  // orders servers that do equally badly, the same at every node
+	EjectionFraction    float64 // fraction of its keys that the server should give up as an outlier
+	TieBreaker          uint64  // orders servers of equal EjectionFraction, the same at every node
 }
 
-// available is the capacity that is not out whatever a node decides.
+// available returns the capacity that is not unavailable, before any ejection.
 func (s Server) available() float64 { return s.Capacity * (1 - s.UnavailableFraction) }
 
-// Budget is the fraction of all capacity that may be out at once.
+// Budget bounds how much of all capacity may be out at once.
 type Budget struct {
-	MaxFraction float64 // no bound unless it is between 0 and 1
+	MaxFraction float64 // fraction of all capacity; no bound unless it is between 0 and 1
 }
 
-// IsBounded reports whether there is a bound.
+// IsBounded reports whether the budget has a bound.
 func (b Budget) IsBounded() bool { return b.MaxFraction > 0 && b.MaxFraction < 1 }
 
-// Grant fills granted, as long as servers, with the part of its keys that each gives up: its EjectionFraction while
-// the budget lasts, the worst first. What is unavailable anyhow is counted before, and is not given back where it
-// exceeds the budget. Nodes that saw the same grant the same, so that what is ejected at all of them together stays
-// near the budget. It reports whether a server gives up less than its EjectionFraction.
+// Grant sets granted[i] to the fraction of its keys that servers[i] gives up; both slices must have the same length.
+// Each server gives up its EjectionFraction while the budget lasts, the worst first. Unavailable capacity is charged
+// to the budget first, and is not restored if it exceeds the budget. Nodes with the same view grant the same, so the
+// capacity ejected by all nodes together stays near the budget. Grant reports whether a server gives up less than its
+// EjectionFraction.
 func (b Budget) Grant(servers []Server, granted []float64) (isLimited bool) {
 	left := b.left(servers)
 	clear(granted)
@@ -51,7 +53,7 @@
 	return isLimited
 }
 
-// left is the capacity that may still be ejected; negative where more is unavailable than the budget allows.
+// left returns the capacity that may still be ejected. It is negative if more is unavailable than the budget allows.
 func (b Budget) left(servers []Server) float64 {
 	var total, left float64
 	for _, server := range servers {
@@ -61,7 +63,7 @@
 	return left + total*b.MaxFraction
 }
 
-// ejectionOrder returns the indexes of the servers that have something to give up, the worst first.
+// ejectionOrder returns the indexes of the servers that have keys to give up, the worst first.
 func ejectionOrder(servers []Server) []int {
 	order := make([]int, 0, len(servers))
 	for i, server := range servers {
@@ -76,8 +78,8 @@
 	return order
 }
 
-// IsSpent reports whether so much is out, or would be by the servers' EjectionFraction, that no further server may be
-// taken out on gossip alone.
+// IsSpent reports whether no further server may be taken out on gossip alone. This is so if the unavailable capacity
+// and the capacity that outliers should give up together reach the budget.
 func (b Budget) IsSpent(servers []Server) bool {
 	if !b.IsBounded() {
 		return false
--- a/internal/policy/outlier/budget_test.go
+++ b/internal/policy/outlier/budget_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// tolerance is how far sums of floating point numbers may be off.
+// tolerance is the allowed rounding error of sums of floating-point numbers.
 const tolerance = 1e-9
 
-// newFleet returns servers of capacity 1, each changed by the function.
+// newFleet returns servers of capacity 1 after calling change for each.
 func newFleet(count int, change func(i int, server *Server)) []Server {
 	servers := make([]Server, count)
 	for i := range servers {
@@ -21,7 +21,7 @@
 	return servers
 }
 
-// outliers changes the servers with the indexes into outliers.
+// outliers returns a change that sets EjectionFraction of the servers with indexes in [from, until).
 func outliers(from, until int, ejectionFraction float64) func(int, *Server) {
 	return func(i int, server *Server) {
 		if i >= from && i < until {
@@ -30,7 +30,7 @@
 	}
 }
 
-// unavailable changes the servers with lower indexes into ones that are out in part or whole.
+// unavailable returns a change that sets UnavailableFraction of the servers with indexes below until.
 func unavailable(until int, fraction float64) func(int, *Server) {
 	return func(i int, server *Server) {
 		if i < until {
@@ -39,7 +39,7 @@
 	}
 }
 
-// both makes two changes.
+// both returns a change that applies two changes to each server.
 func both(first, other func(int, *Server)) func(int, *Server) {
 	return func(i int, server *Server) {
 		first(i, server)
@@ -47,7 +47,7 @@
 	}
 }
 
-// ejected returns the capacity that the servers give up.
+// ejected returns the capacity that the servers give up by the granted fractions.
 func ejected(servers []Server, granted []float64) (capacity float64) {
 	for i, server := range servers {
 		capacity += server.Capacity * (1 - server.UnavailableFraction) * granted[i]
@@ -55,8 +55,8 @@
 	return capacity
 }
 
-// TestGrantEjectsTheWorstWithinTheBudget: outliers give up what they would while the budget lasts, and what is
-// unavailable counts against it.
+// TestGrantEjectsTheWorstWithinTheBudget checks that outliers give up their EjectionFraction while the budget lasts, and
+// that unavailable capacity is charged to the budget.
 func TestGrantEjectsTheWorstWithinTheBudget(t *testing.T) {
 	everyEighth := func(i int, server *Server) {
 		if i%8 == 0 {
@@ -66,15 +66,15 @@
 	for name, test := range map[string]struct {
 		maxFraction float64
 		servers     []Server
-		wantEjected float64 // capacity
+		wantEjected float64 // ejected capacity
 		wantLimited bool
 	}{
 		"no bound":                       {0, newFleet(10, outliers(0, 8, 0.95)), 7.6, false},
 		"within the budget":              {0.34, newFleet(12, outliers(0, 3, 0.95)), 2.85, false},
 		"more than the budget":           {0.34, newFleet(12, outliers(0, 9, 0.95)), 4.08, true},
-		"some drain":                     {0.34, newFleet(12, both(unavailable(3, 1), outliers(3, 9, 1))), 1.08, true},
+		"some servers drain":             {0.34, newFleet(12, both(unavailable(3, 1), outliers(3, 9, 1))), 1.08, true},
 		"more drain than the budget has": {0.25, newFleet(12, both(unavailable(6, 1), outliers(6, 9, 1))), 0, true},
-		"some warm up and lack a part":   {0.5, newFleet(10, both(unavailable(4, 0.75), outliers(4, 10, 1))), 2, true},
+		"some servers are in slow start": {0.5, newFleet(10, both(unavailable(4, 0.75), outliers(4, 10, 1))), 2, true},
 		"300 servers, one in eight bad":  {0.34, newFleet(300, everyEighth), 36.1, false},
 		"one server":                     {0.34, newFleet(1, outliers(0, 1, 1)), 0.34, true},
 	} {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestGrantStaysWithinTheBudget: whatever the servers are, no more is ejected than the budget has left, the worst go
-// first, and the order in which servers are named changes nothing.
+// TestGrantStaysWithinTheBudget checks random fleets. No more capacity may be ejected than the budget has left, the worst
+// servers come first, and the order of the slice must not change the result.
 func TestGrantStaysWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1)
@@ -126,7 +126,8 @@
 	})
 }
 
-// checkWorstGoFirst checks that nobody gives up more than its fraction, and nothing that a worse server could.
+// checkWorstGoFirst checks that no server gives up more than its EjectionFraction, and that a better server gives up
+// nothing while a worse one is limited.
 func checkWorstGoFirst(t *rapid.T, servers []Server, granted []float64) {
 	t.Helper()
 	for i, worse := range servers {
--- a/internal/policy/quota/tracker.go
+++ b/internal/policy/quota/tracker.go
@@ -1,5 +1,5 @@
-// Package quota judges whether a request is within its tenant's quota, at one node of a fleet that sees a part of the
-// traffic. It has no clock and no I/O.
+// Package quota decides whether a request is within its tenant's quota. It does so at one node of a fleet, which gets
+// only a part of the traffic. It has no clock and no I/O.
 package quota
 
 import "time"
@@ -8,40 +8,40 @@
 type Time = time.Duration
 
 const (
-	burst         = 4.0  // requests that a tenant may send at once above a second's quota
-	minTotalQuota = 1e-9 // bounds a divisor away from zero
+	burst         = 4.0  // requests that a tenant may send at once beyond the quota of one second
+	minTotalQuota = 1e-9 // keeps a divisor above zero
 )
 
-// Tracker follows the tenants' use of their quotas at one node of several. A tenant has two token buckets: one fills
-// with time, at the node's even part of the tenant's quota; the other with the node's requests, of whichever tenant,
-// at the tenant's part of all quotas. A load balancer may give one node more than its even part of the traffic: there
-// a tenant is over its quota only where it sends more than that in proportion to the others. A request is within the
-// quota while one of the buckets has a token for it, and the tenant sends no more than all of its quota to this node
-// alone. A Tracker is not safe for concurrent use.
+// Tracker tracks the tenants' use of their quotas at one node of several. Each tenant has two token buckets. The first
+// fills with time, at the node's even share of the tenant's quota. The second fills with the node's requests, of any
+// tenant, at the tenant's share of the sum of all quotas. It is for a load balancer that gives a node more than its
+// even share of the traffic: there a tenant is over its quota only if it sends more than its share compared with the
+// others. A request is within the quota if one of the two buckets has a token for it. A third bucket bounds what a
+// tenant sends to this node to the whole quota. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	tenants    map[string]*tenant
 	totalQuota float64
 	nodes      float64
-	requests   float64 // of tenants, so far
+	requests   float64 // number of requests of known tenants so far
 }
 
-// tenant is a tenant's quota and its token buckets.
+// tenant holds the quota and the token buckets of one tenant.
 type tenant struct {
 	quota             float64 // requests a second, at all nodes together
 	byTime            float64 // tokens of the bucket that fills with time
 	byTraffic         float64 // tokens of the bucket that fills with the node's requests
 	atOneNode         float64 // tokens of the bucket that bounds what one node lets through
 	refilledAt        Time
-	refilledAtRequest float64 // Tracker.requests then
+	refilledAtRequest float64 // Tracker.requests at the last refill
 }
 
-// New returns a tracker for one of several nodes, without tenants. All buckets of a tenant are full at its first
-// request.
+// New returns a tracker without tenants, for one node of the given number of nodes. All buckets of a tenant are full at
+// its first request.
 func New(nodes int) *Tracker {
 	return &Tracker{tenants: map[string]*tenant{}, nodes: float64(nodes)}
 }
 
-// Add adds a tenant with its quota, in requests a second over all nodes together.
+// Add adds a tenant with its quota, in requests per second over all nodes together.
 func (t *Tracker) Add(name string, quota float64) {
 	added := &tenant{quota: quota, atOneNode: quota + burst}
 	added.byTime = quota/t.nodes + burst
@@ -50,11 +50,12 @@
 	t.totalQuota += quota
 }
 
-// Resize sets how many nodes share the traffic from now on. Buckets keep what they hold, up to their new size.
+// Resize sets how many nodes share the traffic from now on. Buckets keep their tokens, up to the new size of the
+// bucket.
 func (t *Tracker) Resize(nodes int) { t.nodes = float64(max(1, nodes)) }
 
-// IsWithin counts a request of the tenant with the name and reports whether it is within the tenant's quota. A
-// request of an unknown tenant is.
+// IsWithin counts a request of the named tenant and reports whether the request is within the tenant's quota. Requests
+// of unknown tenants are always within.
 func (t *Tracker) IsWithin(now Time, name string) bool {
 	sender := t.tenants[name]
 	if sender == nil {
@@ -71,7 +72,7 @@
 	return isWithin
 }
 
-// refill adds the tokens that the time and the requests since the last refill are worth.
+// refill adds the tokens that the time and the requests since the tenant's last refill have earned.
 func (t *Tracker) refill(now Time, sender *tenant) {
 	rate, elapsed := sender.quota/t.nodes, (now - sender.refilledAt).Seconds()
 	sender.byTime = min(rate+burst, sender.byTime+rate*elapsed)
--- a/internal/policy/quota/tracker_test.go
+++ b/internal/policy/quota/tracker_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// TestTenantIsLimitedToItsQuotaAtOneNode plays ten seconds of three tenants at one node of two and counts what is over their
-// quotas.
+// TestTenantIsLimitedToItsQuotaAtOneNode simulates ten seconds of three tenants at one node of two. It checks which fraction
+// of each tenant's requests is over the quota.
 func TestTenantIsLimitedToItsQuotaAtOneNode(t *testing.T) {
-	quotas := map[string]float64{"a": 40, "b": 40, "c": 20} // at both nodes together
+	quotas := map[string]float64{"a": 40, "b": 40, "c": 20} // requests per second at both nodes together
 	for name, test := range map[string]struct {
-		rates    map[string]float64 // at this node
-		wantOver map[string]float64 // fraction of a tenant's requests, within 0.06
+		rates    map[string]float64 // requests per second at this node
+		wantOver map[string]float64 // fraction of a tenant's requests that is over its quota, within 0.06
 	}{
-		"each its even part":                       {map[string]float64{"a": 20, "b": 20, "c": 10}, nil},
-		"the load balancer sends three quarters":   {map[string]float64{"a": 30, "b": 30, "c": 15}, nil},
-		"and one tenant sends twice its quota":     {map[string]float64{"a": 60, "b": 30, "c": 15}, map[string]float64{"a": 0.3}},
-		"one sends more than its quota":            {map[string]float64{"a": 80, "b": 1, "c": 1}, map[string]float64{"a": 0.59}},
-		"all send twice their quotas":              {map[string]float64{"a": 40, "b": 40, "c": 20}, nil},
-		"one alone":                                {map[string]float64{"c": 20}, map[string]float64{"c": 0.48}},
-		"a node with less than its part":           {map[string]float64{"a": 8, "b": 8, "c": 4}, nil},
-		"requests of an unknown tenant are within": {map[string]float64{"x": 500}, nil},
+		"each tenant sends its even share":               {map[string]float64{"a": 20, "b": 20, "c": 10}, nil},
+		"the load balancer sends three quarters":         {map[string]float64{"a": 30, "b": 30, "c": 15}, nil},
+		"the same, and one tenant sends twice its quota": {map[string]float64{"a": 60, "b": 30, "c": 15}, map[string]float64{"a": 0.3}},
+		"one tenant sends more than its quota":           {map[string]float64{"a": 80, "b": 1, "c": 1}, map[string]float64{"a": 0.59}},
+		"all tenants send twice their even share":        {map[string]float64{"a": 40, "b": 40, "c": 20}, nil},
+		"one tenant alone":                               {map[string]float64{"c": 20}, map[string]float64{"c": 0.48}},
+		"a node with less than its even share":           {map[string]float64{"a": 8, "b": 8, "c": 4}, nil},
+		"requests of an unknown tenant are within":       {map[string]float64{"x": 500}, nil},
 	} {
 		tracker := New(2)
 		for tenant, quota := range quotas {
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestResizeChangesThePartOfANode: of a quota over four nodes one gets a quarter, and half where two are left.
+// TestResizeChangesThePartOfANode checks that a node allows a quarter of a quota while there are four nodes, and half
+// after Resize to two.
 func TestResizeChangesThePartOfANode(t *testing.T) {
 	for nodes, want := range map[int]int{4: 20, 2: 40} {
 		tracker, within := New(4), 0
@@ -59,12 +60,13 @@
 			}
 		}
 		if within < want-5 || within > want+10 {
-			t.Errorf("%d nodes: got %d of 100 requests in 10 s within the quota of one, want about %d", nodes, within, want)
+			t.Errorf("%d nodes: got %d of 100 requests in 10 s within the share of one node, want about %d", nodes, within, want)
 		}
 	}
 }
 
-// TestLoneTenantIsJudgedByTimeAlone: there are no others whose traffic shows what part this node gets.
+// TestLoneTenantIsJudgedByTimeAlone checks that a single tenant is limited by time alone: there are no other tenants whose
+// traffic would show which part of the traffic this node gets.
 func TestLoneTenantIsJudgedByTimeAlone(t *testing.T) {
 	tracker, over := New(4), 0
 	tracker.Add("t", 8)
