--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -8,7 +8,7 @@
 
 // Spacing and time bounds of the polls of discovery, a single service that all routers share.
 const (
-	pollPace          = 50 * time.Millisecond // time between the polls of two routers, if possible
+	pollSpacing       = 50 * time.Millisecond // time between the polls of two routers, if possible
 	updateKnownWithin = 6 * time.Second       // a router counts as notified this long after a change, even if it is not
 	pollCallTimeout   = 2 * time.Second       // a poll that takes longer fails
 )
@@ -70,7 +70,7 @@
 // pollSpread returns the time over which routers spread their first polls. It allows for a watch that breaks unnoticed
 // just as the list changes: the router notices this only after polling.WatchTimeout.
 func (r *Router) pollSpread() time.Duration {
-	return min(pollPace*time.Duration(r.settings.Nodes), r.pollSlack(polling.WatchTimeout))
+	return min(pollSpacing*time.Duration(r.settings.Nodes), r.pollSlack(polling.WatchTimeout))
 }
 
 // maxPollBackoff returns the longest wait after a failed poll. Discovery may recover just after the poll was made, and
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -6,8 +6,8 @@
 	connectRefusedWithin    = 50 * time.Millisecond // a connect that fails sooner counts as refused: no process listens
 	maxCheckResets          = 2                     // resets in a row of health checks that do not count as failures
 	minRecheckInterval      = time.Second           // shortest wait before a router checks an unresponsive server again
-	recheckPaceAlone        = 10 * time.Millisecond // time between two routers' checks of one unresponsive server
-	recheckPaceShared       = 50 * time.Millisecond // the same time with gossip, which tells all routers of a recovery
+	recheckSpacingAlone     = 10 * time.Millisecond // time between two routers' checks of one unresponsive server
+	recheckSpacingShared    = 50 * time.Millisecond // the same time with gossip, which tells all routers of a recovery
 	delegatedRecheckFactor  = 16                    // factor on the interval while another router is the HealthChecker
 	assignedRecheckInterval = upkeepInterval / 2    // interval of the HealthChecker: a check is due at each upkeep
 )
@@ -81,7 +81,7 @@
 // tells all others. So even a server that only the HealthChecker can't reach is found to respond, within
 // delegatedRecheckFactor times the interval between the checks of the whole fleet.
 func (r *Router) recheckInterval() time.Duration {
-	shared := max(minRecheckInterval, r.recheckPace*time.Duration(r.settings.Nodes))
+	shared := max(minRecheckInterval, r.recheckSpacing*time.Duration(r.settings.Nodes))
 	switch r.responsibilities[HealthChecker] {
 	case AssignedHere:
 		return assignedRecheckInterval
@@ -91,17 +91,17 @@
 	return shared
 }
 
-// checkIfQuiet starts a health check of a server that has owed a response for longer than the maximum latency of the
-// cache servers, or of an unresponsive server whose next check is due.
-func (r *Router) checkIfQuiet(srv *server) {
-	patience := max(r.cacheGauge.max, upkeepInterval)
+// checkIfUnresponsive starts a health check of a server that has owed a response for longer than the maximum latency
+// of the cache servers, or of an unresponsive server whose next check is due.
+func (r *Router) checkIfUnresponsive(srv *server) {
+	maxWait := max(r.cacheGauge.max, upkeepInterval)
 	sinceCheck := r.now - srv.checkedAt
 	needsCheck := false
 	if srv.isUnresponsive {
 		needsCheck = sinceCheck > r.recheckInterval()
 	} else {
-		quiet := r.now - max(srv.gauge.oldestSentAt(r.now), srv.lastSeen)
-		needsCheck = quiet > patience && sinceCheck > patience
+		unansweredFor := r.now - max(srv.gauge.oldestSentAt(r.now), srv.lastSeen)
+		needsCheck = unansweredFor > maxWait && sinceCheck > maxWait
 	}
 	if needsCheck {
 		r.checkHealth(srv)
--- a/internal/policy/hedging.go
+++ b/internal/policy/hedging.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxHedgesPerServer    = 4 // reads of one cache server that are hedged at a time
-	crowdedPatienceFactor = 2 // factor on the hedging threshold of a server with many slow answers
+	maxHedgesPerServer = 4 // reads of one cache server that are hedged at a time
+	slowServerFactor   = 2 // factor on the hedging threshold of a server with many slow answers
 )
 
 // isCancellable reports whether an attempt may be cancelled and replaced by an attempt at another server.
@@ -29,13 +29,13 @@
 	if len(srv.gauge.inFlight) == 0 {
 		return
 	}
-	patience := srv.gauge.max
+	threshold := srv.gauge.max
 	if srv.gauge.overTarget > calmUtilisation*srv.gauge.samples {
-		patience *= crowdedPatienceFactor
+		threshold *= slowServerFactor
 	}
 	for _, attempt := range srv.gauge.inFlight[:min(len(srv.gauge.inFlight), maxHedgesPerServer)] {
 		req := attempt.request
-		if r.isCancellable(attempt) && !req.Write && r.now-attempt.sentAt > patience &&
+		if r.isCancellable(attempt) && !req.Write && r.now-attempt.sentAt > threshold &&
 			r.retryBudgets[req.class].AllowRetry(r.now) {
 			req.hasMissed = true
 			r.cancelAttempt(attempt)
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -90,7 +90,7 @@
 	switch {
 	case srv == nil && r.settings.OriginKind != "":
 		r.fetchFromOrigin(req)
-	case srv != nil && r.isCrowdedFor(req, srv):
+	case srv != nil && r.isOverloadedFor(req, srv):
 		if r.originHasCapacity(calmUtilisation) {
 			r.fetchFromOrigin(req)
 		} else {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -71,7 +71,7 @@
 
 	// Cooperation with the other routers.
 	gossipSender     gossip.Sender
-	recheckPace      time.Duration    // time between two routers' health checks of one unresponsive server
+	recheckSpacing   time.Duration    // time between two routers' health checks of one unresponsive server
 	polls            polling.Schedule // when to poll discovery
 	responsibilities [roleCount]Responsibility
 	configuredNodes  int  // Settings.Nodes as passed to New
@@ -101,10 +101,10 @@
 		originLimiter:       admission.ConcurrencyLimiter{Max: maxOriginInFlight},
 		ejectionBudget:      outlier.Budget{MaxFraction: settings.MaxEjectedFraction},
 		gossipSender:        gossip.Sender{Disabled: !settings.MayGossip, FleetSize: settings.Nodes},
-		recheckPace:         recheckPaceAlone,
+		recheckSpacing:      recheckSpacingAlone,
 	}
 	if settings.MayGossip {
-		router.recheckPace = recheckPaceShared
+		router.recheckSpacing = recheckSpacingShared
 	}
 	router.ownZone = router.zoneNamed(settings.Zone)
 	router.addClasses()
--- a/internal/policy/shedding.go
+++ b/internal/policy/shedding.go
@@ -17,7 +17,7 @@
 	criticalMaxUtilisation = 0.2   // share of answers over the maximum latency past which critical reads are shed too
 	criticalTargetMultiple = 1.5   // no critical read is shed below this multiple of the threshold of degraded
 	hitThresholdFactor     = 0.125 // factor on the thresholds at cache servers: only a queue makes hits slow
-	minInFlightCrowded     = 2     // a cache server with fewer attempts in flight is not overloaded
+	minInFlightOverloaded  = 2     // a cache server with fewer attempts in flight is not overloaded
 )
 
 // shedThresholds are the utilisations past which misses of each bucket are shed; at twice the threshold all of them
@@ -74,9 +74,10 @@
 	return r.isSelectedForShedding(req.bucket, r.loadLevel*float64(req.bucket))
 }
 
-// isCrowdedFor reports whether the first attempt of a read is shed at its cache server because that server is the
-// bottleneck. A server with fewer than minInFlightCrowded attempts in flight has only old samples and does not count.
-func (r *Router) isCrowdedFor(req *request, srv *server) bool {
-	return len(req.attempts) == 0 && !req.Write && len(srv.gauge.inFlight) >= minInFlightCrowded &&
+// isOverloadedFor reports whether the first attempt of a read is shed at its cache server because that server is the
+// bottleneck. A server with fewer than minInFlightOverloaded attempts in flight has only old samples and does not
+// count.
+func (r *Router) isOverloadedFor(req *request, srv *server) bool {
+	return len(req.attempts) == 0 && !req.Write && len(srv.gauge.inFlight) >= minInFlightOverloaded &&
 		r.shouldShed(req.bucket, &srv.gauge)
 }
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -28,7 +28,7 @@
 		if mayHedge {
 			r.hedgeSlowReads(listed.server)
 		}
-		r.checkIfQuiet(listed.server)
+		r.checkIfUnresponsive(listed.server)
 	}
 }
 
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -30,7 +30,7 @@
 // slow. Several servers may share them.
 type objectives struct {
 	quietSamples         [quietSampleCount]time.Duration // ring buffer of the most recent quiet samples
-	learned              int                             // number of quiet samples so far
+	sampleCount          int                             // number of quiet samples so far
 	minTarget, maxTarget time.Duration                   // bounds on target
 	target, max          time.Duration
 }
@@ -38,15 +38,15 @@
 // learn adds a quiet sample and updates target and max. These fall at once but rise slowly, so that growing load is not
 // mistaken for normal latency. Before the first samples, the target is the shortest latency objective.
 func (o *objectives) learn(latency time.Duration) {
-	o.quietSamples[o.learned%quietSampleCount] = latency
-	o.learned++
-	needsUpdate := o.learned < quietSampleCount || o.learned%relearnInterval == 0
-	if o.learned < minQuietSamples || !needsUpdate {
+	o.quietSamples[o.sampleCount%quietSampleCount] = latency
+	o.sampleCount++
+	needsUpdate := o.sampleCount < quietSampleCount || o.sampleCount%relearnInterval == 0
+	if o.sampleCount < minQuietSamples || !needsUpdate {
 		return
 	}
-	sorted := slices.Sorted(slices.Values(o.quietSamples[:min(o.learned, quietSampleCount)]))
+	sorted := slices.Sorted(slices.Values(o.quietSamples[:min(o.sampleCount, quietSampleCount)]))
 	target := min(o.maxTarget, sorted[len(sorted)/2]*targetPerMedian)
-	if o.learned > quietSampleCount {
+	if o.sampleCount > quietSampleCount {
 		target = min(target, o.target+o.target/riseDivisor)
 	}
 	target = max(target, o.minTarget)
