--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -61,13 +61,13 @@
 	if r.now-srv.unresponsiveSince > minRecheckInterval {
 		r.suspectRestart(srv)
 	}
-	r.logf("server %s answers again", srv.ID)
+	r.logf("server %s responds again", srv.ID)
 }
 
 // markUnresponsive removes a server from routing and cancels its attempts that may be repeated elsewhere.
 func (r *Router) markUnresponsive(srv *server) {
 	srv.isUnresponsive, srv.unresponsiveSince, srv.connectRefused, srv.hitsToClear = true, r.now, false, 0
-	r.logf("server %s is silent: out of the map", srv.ID)
+	r.logf("server %s is unresponsive: removed from routing", srv.ID)
 	for _, attempt := range srv.gauge.inFlight {
 		if r.isCancellable(attempt) {
 			r.cancelAttempt(attempt)
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -89,8 +89,8 @@
 	}
 	r.isEjectionLimited = isLimited
 	if isLimited {
-		r.logf("too many cache servers are out: outliers keep their keys")
+		r.logf("the ejection budget is exhausted: further outliers keep their keys")
 	} else {
-		r.logf("the cache servers that are out are within the ejection budget again")
+		r.logf("the ejection budget suffices for all outliers again")
 	}
 }
--- a/tests/gossip_test.go
+++ b/tests/gossip_test.go
@@ -129,7 +129,7 @@
 	up.IgnoreHealthChecks()   // one that is answered would take the server back in
 	sendDatagram(t, other, firstPeer, report)
 	sendDatagram(t, other, secondPeer, report)
-	other.WaitForLog("is silent: out of the map")
+	other.WaitForLog("is unresponsive: removed from routing")
 	before := len(up.Commands())
 	readKeys(client, 100)
 	if got := len(up.Commands()) - before; got != 0 {
