--- a/internal/policy/cause.go
+++ b/internal/policy/cause.go
@@ -12,8 +12,8 @@
 	CauseOriginSlow                   // shed because the origin is overloaded
 	CauseNoServer                     // no server is available for the request
 	CauseMaxAttempts                  // the request has used up Settings.MaxAttempts
-	CauseWait                         // a longer wait for the origin, a fetch or a retry is not worthwhile
-	CauseRetryNotAllowed              // an attempt was possibly executed and the class forbids another one there
+	CauseWait                         // the request waited as long as is worthwhile for the origin, a fetch or a retry
+	CauseRetryNotAllowed              // an attempt was possibly executed and the class forbids another at the server
 	CauseRetryBudget                  // the retry budget of the request's class is spent
 	CauseServerBusy                   // a cache server failed or rejected a read of the lowest bucket
 	CauseTimedOut                     // the request's last attempt timed out
--- a/internal/policy/decay/counts.go
+++ b/internal/policy/decay/counts.go
@@ -17,8 +17,8 @@
 	// minRequestsPerServer is the minimum number of requests per server from which popularity is estimated. It
 	// corresponds to one second of the gossip of 300 nodes.
 	minRequestsPerServer = 4.0
-	window               = 1500 * time.Millisecond // a request weighs 1/e after this long while there are more
-	sparseWindow         = 30 * time.Second        // a request weighs 1/e after this long while there are fewer
+	window               = 1500 * time.Millisecond // time until a request weighs 1/e, above minRequestsPerServer
+	sparseWindow         = 30 * time.Second        // time until a request weighs 1/e, below minRequestsPerServer
 
 	seenThreshold = 1.5  // a key with a greater count was requested before the current request
 	keepDivisor   = 10   // a key that counts for less than 1/keepDivisor of a request is dropped
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// pollSlack returns how long a poll may be delayed after a change of the endpoint list. Attempts may ignore the change
-// for a limited time. From that time pollSlack subtracts foundOutAfter, the time until the router notices that it needs
-// to poll, the longest duration of the poll, and the wait for upkeep to make the poll.
+// pollSlack returns how long a poll may be delayed after a change of the endpoint list. It starts from the
+// time for which attempts may ignore the change, and subtracts three durations: foundOutAfter (until the router notices
+// that it has to poll), the longest poll, and the wait for upkeep to make the poll.
 func (r *Router) pollSlack(foundOutAfter time.Duration) time.Duration {
 	knownWithin := updateKnownWithin
 	if r.settings.MaxPollInterval > 0 {
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// applyObservation applies what the node with number from observed about a server.
+// applyObservation applies an observation of a server that another node made; from is the number of that node.
 func (r *Router) applyObservation(from int, srv *server, seen gossip.Observation) {
 	if srv.gauge.samples < 2*minLatencySamples { // with more samples this router's own measurements suffice
 		srv.gauge.addReported(r.now, float64(seen.Attempts), float64(seen.Failures))
@@ -39,8 +39,9 @@
 	return seen.Attempts > seen.Failures
 }
 
-// believesUnresponsive reports whether this router accepts the report of node number from that a server does not
-// respond. It does if its own health check failed, or if a second node reports the same and the ejection budget allows.
+// believesUnresponsive reports whether this router accepts another node's report that a server does not respond. The
+// parameter from is the number of that node. The router accepts the report if its own health check failed, or if a
+// second node reports the same and the ejection budget allows it.
 func (r *Router) believesUnresponsive(from int, srv *server) bool {
 	if srv.isUnresponsive || r.now-srv.lastSeen <= minRecheckInterval/2 {
 		return false
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -7,7 +7,7 @@
 	maxCheckResets          = 2                     // resets in a row of health checks that do not count as failures
 	minRecheckInterval      = time.Second           // shortest wait before a router checks an unresponsive server again
 	recheckSpacingAlone     = 10 * time.Millisecond // time between two routers' checks of one unresponsive server
-	recheckSpacingShared    = 50 * time.Millisecond // the same time with gossip, which tells all routers of a recovery
+	recheckSpacingShared    = 50 * time.Millisecond // the same if gossip spreads the news of a recovery
 	delegatedRecheckFactor  = 16                    // factor on the interval while another router is the HealthChecker
 	assignedRecheckInterval = upkeepInterval / 2    // interval of the HealthChecker: a check is due at each upkeep
 )
--- a/internal/policy/locality/weight.go
+++ b/internal/policy/locality/weight.go
@@ -24,9 +24,9 @@
 // Factors by which a step changes the weight, and bounds on it. Four steps are taken each second.
 const (
 	minZoneWeight      = 0.02 // above 0, so that other zones' servers keep their order if the own zone fails
-	quietFactor        = 0.95 // falls to 1/e in 5 s: each second a fifth of other zones' slots moves to the own zone
-	zoneOverloadFactor = 1.1  // if the own zone is more loaded than the others: rises within about 2 s
-	allOverloadFactor  = 1.3  // if all zones or the origin are overloaded: rises within about 1 s
+	quietFactor        = 0.95 // without overload: 1/e in 5 s, so other zones lose a fifth of their slots each second
+	zoneOverloadFactor = 1.1  // raises the weight within about 2 s if the own zone is more loaded than the others
+	allOverloadFactor  = 1.3  // raises the weight within about 1 s if all zones or the origin are overloaded
 	calmUtilisation    = 0.2  // up to this share of slow answers, cache servers and origin are not overloaded
 	zoneExcess         = 0.1  // the own zone is overloaded if its share of slow answers exceeds all zones' by more
 )
--- a/internal/policy/quota/tracker.go
+++ b/internal/policy/quota/tracker.go
@@ -14,10 +14,11 @@
 
 // Tracker tracks the tenants' use of their quotas at one node of several. Each tenant has two token buckets. The first
 // fills with time, at the node's even share of the tenant's quota. The second fills with the node's requests, of any
-// tenant, at the tenant's share of the sum of all quotas. It is for a load balancer that gives a node more than its
-// even share of the traffic: there a tenant is over its quota only if it sends more than its share compared with the
-// others. A request is within the quota if one of the two buckets has a token for it. A third bucket bounds what a
-// tenant sends to this node to the whole quota. A Tracker is not safe for concurrent use.
+// tenant, at the tenant's share of the sum of all quotas. The second bucket is for load balancers that give a node more
+// than its even share of the traffic. There a tenant is over its quota only if it sends more than its share compared
+// with the others. A request is within the quota if one of the two buckets has a token for it, and if a third bucket
+// has one too. The third bucket keeps a tenant within its whole quota at this node alone. A Tracker is not safe for
+// concurrent use.
 type Tracker struct {
 	tenants    map[string]*tenant
 	totalQuota float64
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -17,12 +17,12 @@
 	attempts         []*attempt
 	inFlight         int      // number of attempts in flight
 	possiblyExecuted *attempt // first attempt that may have been executed; nil if there is none
-	hasMissed        bool     // a cache server had no object; the next step is a fetch from the origin
+	hasMissed        bool     // a cache server did not hold the object; the origin is next
 	avoidedServer    *server  // this server failed the request
 	avoidsSuspects   bool     // a suspect server rejected the request, which now avoids all suspect servers
 
-	isWaiting bool // waits for a flight, the origin or a retry
-	wakeAt    Time // end of the wait
+	isWaiting bool // the request waits for a flight, the origin or a retry
+	wakeAt    Time // time at which the wait ends
 	isEnded   bool
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -24,7 +24,7 @@
 	maxImmediateAttempts = 3                     // a read goes elsewhere at once only after fewer attempts than this
 	spillUtilisation     = 0.05                  // origin utilisation below which rejected reads go elsewhere at once
 	firstBackoff         = 25 * time.Millisecond // mean wait before the first retry at a full server
-	maxBackoffDoublings  = 4                     // how often the mean wait may double
+	maxBackoffDoublings  = 4                     // number of times that the mean wait may double
 	dedupMarginTicks     = 2                     // a retry is due this many ticks before its deduplication window ends
 )
 
@@ -111,7 +111,7 @@
 	req, srv := ended.request, ended.server
 	isCache := srv != r.origin
 	switch {
-	case isCache && reason == CorruptResponse: // retry the server that holds the object: any may fail so once
+	case isCache && reason == CorruptResponse: // any server may send one now and then: retry where the object is
 		if len(req.attempts) > 1 {
 			req.avoidedServer = srv
 		}
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -31,14 +31,14 @@
 	maxPriorityWeight float64 // greatest priority weight of all classes
 	retryBudgets      map[*Class]*admission.RetryBudget
 	loadLevel         float64           // fraction of sheddable requests to shed, see LoadLevel
-	shedDebt          [bulk + 1]float64 // fraction of a rejection that is due, by bucket
+	shedDebt          [bulk + 1]float64 // rejections that are due, by bucket; each less than 1
 	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first
 
 	// State of servers and zones.
 	servers             []*server // sorted by id
 	serverByID          map[string]*server
 	serverByFingerprint map[gossip.Fingerprint]*server
-	keyServers          []keyServer   // the servers that serve keys, in the same order
+	keyServers          []keyServer   // the servers that serve keys, sorted by id
 	ranked              rankedServers // buffer that each slotOrder reuses
 	zones               map[string]*zone
 	ownZone             *zone
@@ -61,7 +61,7 @@
 	requestWeight  float64         // weight of one request now
 	requestTotalAt Time            // when requestTotal was last added to
 	servedTotal    float64         // hits per active cache server, counted like requestTotal
-	rescaleAt      Time            // when these counts are next divided by requestWeight
+	rescaleAt      Time            // when the totals are next divided by requestWeight
 
 	// Ejection of outliers, see outlier.go.
 	ejectionBudget     outlier.Budget
@@ -139,7 +139,7 @@
 	}
 }
 
-// newObjectives returns the latency objectives of servers of which nothing has been measured yet.
+// newObjectives returns the latency objectives that apply before anything has been measured.
 func (r *Router) newObjectives() *objectives {
 	shortest := slices.MinFunc(r.settings.Classes, func(a, b Class) int {
 		return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -53,7 +53,7 @@
 	Tenants           []Tenant
 	OverQuotaFraction float64 // factor on the priority weight of requests beyond their tenant's quota
 	OriginKind        string  // Server.Kind of the origin; empty if servers fetch from the origin themselves
-	WeightByCapacity  bool    // Server.Capacity weighs in the distribution of keys
+	WeightByCapacity  bool    // keys are distributed in proportion to Server.Capacity
 	MustPoll          bool    // the router gets the endpoint list only if it subscribes
 
 	// Bounds on stale endpoint lists. A router without a watch that has not polled for MaxPollInterval counts as
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -24,7 +24,8 @@
 // admitsDuringSlowStart reports whether a server in slow start may take the request. All routers together must not
 // overload the server by a hot key or a surge. So each router sends a safe fraction of what a server of this size
 // answers for it; a router with few samples raises the load at half the rate. A random draw decides, weighted by the
-// popularity of the key at all routers. A key not seen before may be starting to reach all routers right now.
+// popularity of the key at all routers. Requests for a key not seen before may be admitted less often, because that key
+// may just begin to reach all routers.
 func (r *Router) admitsDuringSlowStart(srv *server, req *request) bool {
 	weight := r.slowStartWeight(srv)
 	meanServed := (r.servedTotal + servedPrior*r.requestWeight) * r.relativeCapacity(srv)
