--- a/internal/policy/coalescing_test.go
+++ b/internal/policy/coalescing_test.go
@@ -7,8 +7,8 @@
 	"shelfproxy/internal/admission"
 )
 
-// TestMissesOfOneKeyAreCoalesced: misses of a key that is being fetched wait, and go on to the cache server once it has
-// the object.
+// TestMissesOfOneKeyAreCoalesced checks that while a key is being fetched, other reads of the key wait instead of
+// fetching it too. Once the fetch has stored the object, they are sent to the cache server.
 func TestMissesOfOneKeyAreCoalesced(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	driver.readOtherKeys(20)
@@ -27,7 +27,7 @@
 	if got := actionsOf[Send](driver.endAttempt(leader, Succeeded, 50*ms)); !slices.Equal(got, want) {
 		t.Errorf("after the fetch: got %v, want %v", got, want)
 	}
-	// A fetch that fails hands over to one of those who wait.
+	// When a fetch fails, one of the requests that wait for it takes over.
 	leader, _ = driver.request("high", "k9", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, _ = driver.request("high", "k9", nil)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestFollowerTakesOverFromALeaderThatLeft: the client of a fetch in the origin queue disconnects, and a request that
-// waited for the fetch makes one of its own.
+// TestFollowerTakesOverFromALeaderThatLeft checks that a request that waits for another request's fetch makes its own
+// fetch when the client of the other request disconnects. That fetch is still in the origin queue then.
 func TestFollowerTakesOverFromALeaderThatLeft(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
@@ -46,11 +46,11 @@
 	leader, _ := driver.requestMiss("high", "k", nil)
 	driver.now += 10 * ms
 	follower, _ := driver.request("high", "k", nil)
-	// The follower asks the cache server itself, or the object would not be stored there.
+	// The follower is sent to the cache server first: otherwise the object would not be stored there.
 	driver.handle(ClientDisconnected{ID: leader})
 	driver.endAttempt(follower, Miss, ms)
 	sends := actionsOf[Send](driver.endAttempt(first, Succeeded, 50*ms))
 	if len(sends) != 1 || sends[0].ID != follower {
-		t.Errorf("as the origin has a slot again: got %v, want the follower %d", sends, follower)
+		t.Errorf("when the origin has a free slot again: got %v, want a send of the follower %d", sends, follower)
 	}
 }
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -9,11 +9,11 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// countPolls returns how many polls there are among the actions.
+// countPolls returns the number of polls (Subscribe actions) among the actions.
 func countPolls(actions []Action) int { return len(actionsOf[Subscribe](actions)) }
 
-// TestPollsBackOff: the waits between polls that fail grow, and the last list stays in force; with a watch there is no
-// poll.
+// TestPollsBackOff checks that the waits between failed polls grow, that the last endpoint list stays in use
+// meanwhile, and that a router whose watch works makes no polls.
 func TestPollsBackOff(t *testing.T) {
 	settings := testSettings()
 	settings.MustPoll, settings.DrainGrace = true, 2500*ms
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestServersThatLeftTheListAreForgotten: what the router knows does not grow with the servers that came and went.
+// TestServersThatLeftTheListAreForgotten checks that a router forgets servers that left the endpoint list. Otherwise
+// its memory would grow with every server that comes and goes.
 func TestServersThatLeftTheListAreForgotten(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s0")
 	for i := range 200 {
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestPollsOfAFleetAreSpread: routers that start together, or lose their watches together, do not poll together, each
-// has one poll in flight at a time, and their list serves meanwhile.
+// TestPollsOfAFleetAreSpread checks that routers that start together, or lose their watches together, spread their
+// polls over time. Each router has one poll in flight at a time, and uses its last endpoint list meanwhile.
 func TestPollsOfAFleetAreSpread(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MustPoll, settings.DrainGrace = 80, true, 2500*ms
@@ -97,12 +98,16 @@
 	}
 }
 
-// TestPollsKeepTheBoundsOfTheProtocol: however many routers there are, a router counts as notified of a change 6 s after
-// it could know, and the grace for drains runs from there. Within both, a watch that falls silent as a change is made is
-// found out and the poll after it answered; a poll is made and answered after one that failed, had discovery come back
-// the moment that one began; and, after a start, a second poll after a first that failed. Polls are no closer than one
-// service can take: 5 ms each where a list names 200 servers, as was measured on the fleet's days, or a little less where
-// the grace leaves no more.
+// TestPollsKeepTheBoundsOfTheProtocol checks the bounds on polls for fleets of several sizes. A router counts as
+// notified of a change 6 s after the change could be known to it, and the drain grace starts then. The following has
+// to fit into the 6 s and the drain grace together:
+//   - A watch falls silent as a change is made: the router notices that, polls, and gets the answer.
+//   - Discovery recovers at the moment when a poll that fails begins: the router polls again and gets the answer.
+//   - The first poll after a start fails: the router makes a second poll.
+//
+// Polls of different routers are at least 5 ms apart. That is how long one discovery service was measured to take for
+// a list of 200 servers, in runs with a whole fleet. They are a little closer where the drain grace leaves no more
+// time.
 func TestPollsKeepTheBoundsOfTheProtocol(t *testing.T) {
 	for grace, pace := range map[time.Duration]time.Duration{2500 * ms: 5 * ms, 500 * ms: 4 * ms} {
 		for _, routers := range []int{1, 4, 80, 300, 1000} {
@@ -116,7 +121,8 @@
 	}
 }
 
-// checkPollBounds checks the longest time that a router takes for its polls, and that they are spread over the pace.
+// checkPollBounds checks the longest times that a router takes for its polls, and that the first polls of all routers
+// are spread so widely that they are pace apart on average.
 func checkPollBounds(t *testing.T, driver *routerDriver, pace time.Duration) {
 	t.Helper()
 	routers := driver.router.settings.Nodes
@@ -125,10 +131,10 @@
 	if worst := polling.WatchTimeout + upkeepInterval + spread + pollCallTimeout; worst > limit {
 		t.Errorf("poll after a silent watch: answered up to %v after a change, want %v", worst, limit)
 	}
-	for range 10 { // the waits grow
+	for range 10 { // each failure makes the next wait longer
 		driver.router.polls.Failed(driver.now)
 	}
-	driver.router.polls.Jitter = func(wait time.Duration) time.Duration { return wait } // the longest there is
+	driver.router.polls.Jitter = func(wait time.Duration) time.Duration { return wait } // always the longest wait
 	failedAt := driver.now
 	driver.handle(EndpointUpdate{Scope: PollFailed})
 	for countPolls(driver.runUpkeep()) == 0 {
@@ -148,10 +154,10 @@
 	}
 }
 
-// TestAllRoutersHaveTheListInTime: 300 routers and one service that takes 5 ms for each list. What it has is known to all
-// in the time after which a router counts as notified and the grace that follows, from when it could be had: where all
-// watches fall silent at once, where the service was down for 8 s, and where all are sent to another one in the same
-// moment.
+// TestAllRoutersHaveTheListInTime checks how long 300 routers take to get the endpoint list from one discovery service
+// that needs 5 ms for each answer. All must have it within the time after which a router counts as notified plus the
+// drain grace, counted from when the list is available. The cases are: all watches fall silent at once, the service
+// was down for 8 s, and all routers move to another service in the same moment.
 func TestAllRoutersHaveTheListInTime(t *testing.T) {
 	for name, test := range map[string]listRecovery{
 		"watches fall silent":        {isWatchUnresponsive: true},
@@ -160,28 +166,28 @@
 	} {
 		fleet := newFleet(t, 300, false, 0, "s1")
 		last := test.timeToRecover(t, fleet)
-		t.Logf("%s: all have the list %v after it could be had", name, last)
+		t.Logf("%s: all routers have the list %v after it is available", name, last)
 		if limit := updateKnownWithin + fleet.drivers[0].router.settings.DrainGrace; last > limit {
-			t.Errorf("%s: the last has the list after %v, want %v", name, last, limit)
+			t.Errorf("%s: the last router has the list after %v, want at most %v", name, last, limit)
 		}
 	}
 }
 
-// listRecovery is how all routers lose the endpoint list.
+// listRecovery says how all routers lose the endpoint list before they get it again.
 type listRecovery struct {
 	isWatchUnresponsive bool
 	downFor             time.Duration
 	isMoved             bool
 }
 
-// timeToRecover returns how long after the list could be had again the last router has it.
+// timeToRecover returns the time from when the list is available again until the last router has it.
 func (test listRecovery) timeToRecover(t *testing.T, fleet *simulatedFleet) (last time.Duration) {
 	t.Helper()
 	began := fleet.drivers[0].now
 	service := &discoveryService{perPoll: 5 * ms, downUntil: began + test.downFor, responses: map[int]pollResponse{}}
 	for i, driver := range fleet.drivers {
 		driver.router.settings.MustPoll = true
-		driver.update() // it has what there is
+		driver.update() // an empty change: the router has a list and a working watch
 		switch {
 		case test.isMoved:
 			service.poll(driver.now, i)
@@ -205,7 +211,7 @@
 	return last
 }
 
-// stepOne is one step of one router; it reports whether the router got the list.
+// stepOne advances one router by one step and reports whether the router got the list in this step.
 func (test listRecovery) stepOne(fleet *simulatedFleet, service *discoveryService, step, index int, began Time) bool {
 	driver, hasList := fleet.drivers[index], false
 	driver.now += stepTime
--- a/internal/policy/explain_test.go
+++ b/internal/policy/explain_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestExplainNamesTheServersOfAKey: the first server named for a key is the one that requests for it go to, those that
-// get none are named with their reasons, and looking changes nothing.
+// TestExplainNamesTheServersOfAKey checks that Explain lists the server first that requests for the key are sent to.
+// Servers that get no requests come last, with their reasons. An explanation must not change the state of the router.
 func TestExplainNamesTheServersOfAKey(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(5)...)
 	state := func() string {
@@ -17,10 +17,10 @@
 	before := state()
 	explanation := driver.router.Explain(driver.now, "k")
 	if len(explanation.Servers) != 5 || explanation.Servers[0].Server != ownerID {
-		t.Fatalf("second look: got %+v, want 5 servers, %s first", explanation, ownerID)
+		t.Fatalf("second explanation: got %+v, want 5 servers, %s first", explanation, ownerID)
 	}
 	if got := state(); got != before {
-		t.Fatalf("state after a look: got %s, want %s", got, before)
+		t.Fatalf("state after an explanation: got %s, want %s", got, before)
 	}
 	if _, actions := driver.request("high", "k", nil); driver.sentTo(actions) != ownerID {
 		t.Errorf("request: got %v, want a send to %s as explained", actions, ownerID)
@@ -29,6 +29,6 @@
 	explanation = driver.router.Explain(driver.now, "k")
 	last := explanation.Servers[len(explanation.Servers)-1]
 	if explanation.Servers[0].Server == ownerID || last.Server != ownerID || fmt.Sprint(last.ExclusionReasons) != "[silent]" {
-		t.Errorf("unresponsive owner: got %+v, want %s last, as it is silent", explanation, ownerID)
+		t.Errorf("unresponsive owner: got %+v, want %s last, with the reason silent", explanation, ownerID)
 	}
 }
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -10,18 +10,19 @@
 // stepTime is the time between two steps of a simulated fleet.
 const stepTime = 10 * ms
 
-// simulatedFleet is many routers that see the same servers, each a small part of the requests. Datagrams arrive at the
-// next step, or are lost.
+// simulatedFleet is a group of routers that all see the same servers; each router gets a small part of the requests. A
+// gossip datagram arrives in the step after it was sent, or is lost.
 type simulatedFleet struct {
 	drivers      []*routerDriver
 	undelivered  []GossipReceived
 	lossRate     float64
 	rng          *rand.Rand
-	gossipBytes  int // received, by all routers together
+	gossipBytes  int // bytes of gossip sent, counted once for each receiver
 	healthChecks int
 }
 
-// newFleet returns routers that each have the same list. Without gossip they know only what they see themselves.
+// newFleet returns a fleet of routers that all have the same endpoint list. Without gossip each router knows only what
+// it observes itself.
 func newFleet(t *testing.T, routers int, mayGossip bool, lossRate float64, servers ...string) *simulatedFleet {
 	t.Helper()
 	fleet := &simulatedFleet{lossRate: lossRate, rng: rand.New(rand.NewPCG(1, 1))}
@@ -35,8 +36,8 @@
 	return fleet
 }
 
-// carryOut keeps the datagrams that a router sends and answers its health checks, of which those of a server that is down
-// fail.
+// carryOut carries out the actions of a router: it keeps gossip datagrams for delivery and answers health checks. A
+// health check of a server that is down fails.
 func (fleet *simulatedFleet) carryOut(from int, actions []Action, isDown func(server string) bool) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -55,7 +56,8 @@
 	}
 }
 
-// tick is one step of one router: datagrams arrive, and four times a second it does its periodic work.
+// tick advances one router by one step. The router receives the datagrams that are not lost, and four times a second
+// it does its periodic work.
 func (fleet *simulatedFleet) tick(step, index int, received []GossipReceived, isDown func(server string) bool) {
 	driver := fleet.drivers[index]
 	driver.now += stepTime
@@ -69,20 +71,21 @@
 	}
 }
 
-// isUpkeepStep reports whether a router does its periodic work in this step. The routers take turns.
+// isUpkeepStep reports whether a router does its periodic work in this step. The routers do it in different steps.
 func isUpkeepStep(step, index int) bool { return (step+index)%int(upkeepInterval/stepTime) == 0 }
 
-// deliverable returns the datagrams sent since the last step.
-func (fleet *simulatedFleet) deliverable() []GossipReceived {
+// takeUndelivered removes and returns the datagrams that were sent since the last step.
+func (fleet *simulatedFleet) takeUndelivered() []GossipReceived {
 	received := fleet.undelivered
 	fleet.undelivered = nil
 	return received
 }
 
-// neverDown is the fleet's servers when all are well.
+// neverDown is the isDown function of a fleet whose servers are all up.
 func neverDown(string) bool { return false }
 
-// drawKey returns one of many keys or, if there is a hot key, that one with a chance of one in ten.
+// drawKey returns a random one of 5000 keys. If there is a hot key, it returns that one with a probability of one in
+// ten.
 func (fleet *simulatedFleet) drawKey(hasHotKey bool) string {
 	if hasHotKey && fleet.rng.IntN(10) == 0 {
 		return "hot"
@@ -90,12 +93,13 @@
 	return fmt.Sprint("key", fleet.rng.IntN(5000))
 }
 
-// serveStep is one step of all routers, each of which serves one request in each of its periods of upkeep. The function
-// says how an attempt at a server ends, where TimedOut stands for a slow answer. It returns the attempts by server.
+// serveStep advances all routers by one step and returns the number of attempts at each server. Each router serves one
+// request in each of its periods of upkeep. The function answer says how an attempt at a server ends; TimedOut stands
+// for a slow answer.
 func (fleet *simulatedFleet) serveStep(step int, answer func(server string) Reason) (attempts map[string]int) {
 	attempts = map[string]int{}
 	isDown := func(server string) bool { return answer(server) == NoConnection }
-	received := fleet.deliverable()
+	received := fleet.takeUndelivered()
 	for i, driver := range fleet.drivers {
 		fleet.tick(step, i, received, isDown)
 		if !isUpkeepStep(step, i) {
@@ -120,7 +124,7 @@
 	return attempts
 }
 
-// countUnresponsive returns how many routers believe that the server does not respond.
+// countUnresponsive returns how many routers regard the server as unresponsive.
 func (fleet *simulatedFleet) countUnresponsive(server string) (count int) {
 	for _, driver := range fleet.drivers {
 		if driver.router.serverByID[server].isUnresponsive {
@@ -130,7 +134,7 @@
 	return count
 }
 
-// serverIDs returns the ids s10, s11 and so on.
+// serverIDs returns count server ids: s10, s11 and so on.
 func serverIDs(count int) (ids []string) {
 	for i := range count {
 		ids = append(ids, fmt.Sprint("s", 10+i))
@@ -138,21 +142,22 @@
 	return ids
 }
 
-// pollResponse is how a poll of a discoveryService ends.
+// pollResponse says when and how a poll of a discoveryService ends.
 type pollResponse struct {
 	at          Time
 	isSucceeded bool
 }
 
-// discoveryService answers polls one after the other: each takes a while, and one that waits for too long fails.
+// discoveryService simulates a discovery service that answers polls one after the other. Each poll takes a while, and
+// one that would wait for too long fails.
 type discoveryService struct {
 	perPoll   time.Duration
-	idleAt    Time // when it has answered all polls so far
-	downUntil Time // polls before fail at once
+	idleAt    Time // when all polls so far are answered
+	downUntil Time // polls before this time fail at once
 	responses map[int]pollResponse
 }
 
-// poll takes a poll of a router; its response stands in responses.
+// poll takes a poll of a router and puts its response into responses, which is indexed by the number of the router.
 func (service *discoveryService) poll(now Time, router int) {
 	if now < service.downUntil {
 		service.responses[router] = pollResponse{at: now + ms}
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// TestFleetFindsAnOutlierWithGossip: each of 60 routers has 4 requests a second for 40 servers, so it meets one every ten
-// seconds. Together they find the outlier within a few, and give it its keys back when it is well.
+// TestFleetFindsAnOutlierWithGossip checks that gossip lets a fleet of 60 routers find an outlier. Each router has 4
+// requests a second for 40 servers, so it sends to any one server only every ten seconds. Together the routers must
+// find the outlier within a few seconds, and give its keys back when it is well again.
 func TestFleetFindsAnOutlierWithGossip(t *testing.T) {
 	const (
 		outlierID       = "s20"
 		badFrom         = 800
-		foundBy         = 1400 // some seconds after it went bad: one router has to meet it twice
+		foundBy         = 1400 // some seconds after badFrom: one router has to send to the outlier twice
 		goodFrom        = 1800
 		recoveredBy     = 2600
 		steps           = 3400
@@ -20,7 +21,7 @@
 		maxDatagramSize = 256
 	)
 	for name, bad := range map[string]Reason{"errors": Errored, "slow": TimedOut} {
-		attemptShare := map[bool]float64{} // while it is bad, by whether there is gossip
+		attemptShare := map[bool]float64{} // of the bad outlier's usual attempts, with (true) and without gossip
 		for _, mayGossip := range []bool{false, true} {
 			fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(40)...)
 			before, during, after := 0, 0, 0
@@ -33,7 +34,7 @@
 					return Succeeded
 				})
 				switch {
-				case step < badFrom: // eight seconds, as a server has six requests in one
+				case step < badFrom: // counted for eight seconds, as a server gets only six requests a second
 					before += attempts[outlierID]
 				case step >= foundBy && isBad:
 					during += attempts[outlierID]
@@ -43,29 +44,30 @@
 			}
 			attemptShare[mayGossip] = float64(during) * 2 / float64(before)
 			if mayGossip && float64(after) < 0.4*float64(before) {
-				t.Errorf("%s: got %d attempts in 8 s before, %d in 4 s while bad, %d in 8 s after, want 0.4 of those before",
-					name, before, during, after)
+				t.Errorf("%s: got %d attempts in 8 s before, %d in 4 s while bad, %d in 8 s after, "+
+					"want at least 0.4 of those before", name, before, during, after)
 			}
 			if perRequest := float64(fleet.gossipBytes) / maxDatagramSize / requests; perRequest > 0.5 {
-				t.Errorf("%s: got %.2f full datagrams a request, want at most 0.5", name, perRequest)
+				t.Errorf("%s: got gossip of %.2f full datagrams for each request, want at most 0.5", name, perRequest)
 			}
 		}
 		if attemptShare[true] > 0.35 || attemptShare[true] > attemptShare[false]*0.7 {
-			t.Errorf("%s: the outlier got %.2f of its requests with gossip, %.2f without, want at most 0.35 and 0.7 of that",
-				name, attemptShare[true], attemptShare[false])
+			t.Errorf("%s: the outlier got %.2f of its requests with gossip, %.2f without, "+
+				"want at most 0.35 and 0.7 of the latter", name, attemptShare[true], attemptShare[false])
 		}
 	}
 }
 
-// TestFleetAgreesThatAServerIsUnresponsive: the routers that find out tell the others, which need not check it one by
-// one, and nobody's outdated observation keeps it in.
+// TestFleetAgreesThatAServerIsUnresponsive checks that the routers that find a server unresponsive tell the others by
+// gossip, so that not every router has to check the server. An outdated observation of a router must not keep the
+// server in use.
 func TestFleetAgreesThatAServerIsUnresponsive(t *testing.T) {
 	const (
 		downID    = "s15"
 		downFrom  = 300
 		downUntil = 1100
 	)
-	healthChecks := map[bool]int{} // by whether there is gossip
+	healthChecks := map[bool]int{} // of the whole fleet, with (true) and without gossip
 	for _, mayGossip := range []bool{false, true} {
 		fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(20)...)
 		for step := range 1500 {
@@ -77,22 +79,23 @@
 			})
 			if mayGossip && (step == 600 || step == 1050) {
 				if got := fleet.countUnresponsive(downID); got < 55 {
-					t.Errorf("step %d: %d of 60 routers know that it is down, want at least 55", step, got)
+					t.Errorf("step %d: %d of 60 routers know that the server is down, want at least 55", step, got)
 				}
 			}
 		}
 		if got := fleet.countUnresponsive(downID); mayGossip && got > 5 {
-			t.Errorf("4 s after it came back %d of 60 routers leave it out, want at most 5", got)
+			t.Errorf("4 s after the server is back: %d of 60 routers still leave it out, want at most 5", got)
 		}
 		healthChecks[mayGossip] = fleet.healthChecks
 	}
 	if healthChecks[true] > healthChecks[false]*3/4 {
-		t.Errorf("got %d health checks with gossip, %d without, want at most three quarters",
+		t.Errorf("got %d health checks with gossip, %d without, want at most three quarters of the latter",
 			healthChecks[true], healthChecks[false])
 	}
 }
 
-// TestReceivedGossipIsNotPassedOn: or it would go round for ever. What is malformed counts for nothing.
+// TestReceivedGossipIsNotPassedOn checks that a router does not pass on what it received as gossip: otherwise an
+// observation would circulate for ever. A malformed datagram must have no effect.
 func TestReceivedGossipIsNotPassedOn(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MayGossip = 3, true
@@ -112,14 +115,14 @@
 		receiver.handle(GossipReceived{From: 2, Data: datagram}))
 	srv := receiver.router.serverByID["s1"]
 	if !receiver.router.serverByID["s2"].isUnresponsive || srv.assessment.KeptFraction == 1 {
-		t.Fatal("what two nodes observed had no effect")
+		t.Fatal("the observations of two other nodes had no effect")
 	}
 	for range 8 {
 		receiver.now += time.Second
 		actions = append(actions, receiver.runUpkeep()...)
 	}
 	if sent := actionsOf[Gossip](actions); len(sent) != 0 {
-		t.Errorf("got %v sent, want nothing that was only received", sent)
+		t.Errorf("got gossip %v sent, want none of what was only received", sent)
 	}
 
 	before := srv.gauge.samples
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -8,10 +8,10 @@
 
 const ms = time.Millisecond
 
-// originID is the origin of the routers under test; their cache servers have other names.
+// originID is the id of the origin in these tests; no cache server has this id.
 const originID = "o"
 
-// testSettings are those of a router that may do everything but gossip.
+// testSettings returns the settings of a router that may do everything except gossip.
 func testSettings() Settings {
 	return Settings{
 		Nodes: 2, OriginKind: "origin", OverQuotaFraction: 0.1, MayHealthCheck: true, MayCancel: true,
@@ -36,16 +36,16 @@
 	}
 }
 
-// routerDriver drives one router by hand. It is no simulator: every event is written by the test.
+// routerDriver feeds events to one router. It is not a simulation: the test writes out every event.
 type routerDriver struct {
 	t         *testing.T
 	router    *Router
 	now       Time
 	nextID    uint64
-	sendCount map[uint64]int // by request
+	sendCount map[uint64]int // number of Send actions for each request, by its id
 }
 
-// newDriver returns the driver of a router that has a list of the origin and of the cache servers.
+// newDriver returns the driver of a router whose endpoint list names the origin and the given cache servers.
 func newDriver(t *testing.T, settings Settings, servers ...string) *routerDriver {
 	t.Helper()
 	router, err := New(settings, 1)
@@ -61,8 +61,8 @@
 	return driver
 }
 
-// newTrainedDriver returns the driver of a router that knows its origin to answer in 50 ms when it is quiet. It has the
-// cache servers s1 to s3 and those named.
+// newTrainedDriver returns the driver of a router that has learned that its quiet origin answers in 50 ms. The cache
+// servers are s1 to s3 and those in more.
 func newTrainedDriver(t *testing.T, more ...string) *routerDriver {
 	t.Helper()
 	driver := newDriver(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
@@ -70,7 +70,7 @@
 	return driver
 }
 
-// handle gives the router an event at the driver's time.
+// handle passes an event to the router at the driver's current time and returns the router's actions.
 func (driver *routerDriver) handle(event Event) []Action {
 	actions := driver.router.Handle(driver.now, event)
 	for _, send := range actionsOf[Send](actions) {
@@ -79,7 +79,8 @@
 	return actions
 }
 
-// request sends the router a read with two seconds to its deadline, changed by the function if there is one.
+// request sends the router a read whose deadline is in two seconds, and returns its id and the actions. A change that
+// is not nil modifies the request first.
 func (driver *routerDriver) request(class, key string, change func(*Request)) (uint64, []Action) {
 	event := Request{ID: driver.nextID, Class: class, Key: key, Deadline: driver.now + 2*time.Second}
 	if change != nil {
@@ -92,10 +93,10 @@
 // asWrite changes a request into a write.
 func asWrite(request *Request) { request.Write = true }
 
-// ofTenant changes a request into one of the tenant with a quota.
+// ofTenant changes a request into one of the tenant t, which has a quota.
 func ofTenant(request *Request) { request.Tenant = "t" }
 
-// requestMiss sends the router a read that its cache server misses.
+// requestMiss sends the router a read and ends its attempt at the cache server with a miss.
 func (driver *routerDriver) requestMiss(class, key string, change func(*Request)) (uint64, []Action) {
 	id, actions := driver.request(class, key, change)
 	if len(actionsOf[Send](actions)) == 1 {
@@ -104,29 +105,30 @@
 	return id, actions
 }
 
-// endAttempt ends the last attempt of a request; one that succeeded ends the request.
+// endAttempt ends the last attempt of a request for the reason. A success also ends the request.
 func (driver *routerDriver) endAttempt(id uint64, reason Reason, took time.Duration) []Action {
 	return driver.handle(Outcome{
 		ID: id, Attempt: driver.sendCount[id] - 1, Reason: reason, Took: took, Ended: reason == Succeeded,
 	})
 }
 
-// runUpkeep has the router do its periodic work.
+// runUpkeep fires the timer of the router's periodic work and returns the actions.
 func (driver *routerDriver) runUpkeep() []Action {
 	return driver.handle(TimerFired{Token: upkeepToken})
 }
 
-// restart tells the router that a cache server, which the list now has in the zone, has just restarted.
+// restart tells the router, by a change of the endpoint list, that a cache server has just restarted and is now in the
+// zone.
 func (driver *routerDriver) restart(id, zone string) {
 	driver.update(Server{ID: id, Kind: "cache", Zone: zone, Capacity: 1, StartedAt: driver.now})
 }
 
-// update tells the router that entries of the endpoint list changed.
+// update passes changed entries of the endpoint list to the router.
 func (driver *routerDriver) update(changed ...Server) {
 	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: changed})
 }
 
-// feedOrigin has the router time writes at the origin that each took as long.
+// feedOrigin has the router send writes to the origin, and ends each of them with the same latency and reason.
 func (driver *routerDriver) feedOrigin(count int, took time.Duration, reason Reason) {
 	for range count {
 		id, _ := driver.request("high", fmt.Sprint("feed", driver.nextID), asWrite)
@@ -135,7 +137,7 @@
 	}
 }
 
-// readOtherKeys has other keys read, so that one that a test repeats is not the most of all requests.
+// readOtherKeys sends reads of other keys, so that a key which a test repeats does not make up most of all requests.
 func (driver *routerDriver) readOtherKeys(count int) {
 	for range count {
 		id, _ := driver.request("high", fmt.Sprint("other", driver.nextID), nil)
@@ -149,7 +151,7 @@
 	return order.next().ID
 }
 
-// keyOwnedBy returns a key that starts with the prefix and that the server owns.
+// keyOwnedBy returns a key that starts with the prefix and is owned by the server.
 func (driver *routerDriver) keyOwnedBy(id, prefix string) string {
 	driver.t.Helper()
 	for i := range 1000 {
@@ -161,7 +163,7 @@
 	return ""
 }
 
-// sentTo returns the server of the only send among the actions.
+// sentTo returns the server of the only Send among the actions. It fails the test unless there is exactly one.
 func (driver *routerDriver) sentTo(actions []Action) string {
 	driver.t.Helper()
 	sends := actionsOf[Send](actions)
@@ -171,7 +173,7 @@
 	return sends[0].Server
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](actions []Action) (found []A) {
 	for _, action := range actions {
 		if typed, ok := action.(A); ok {
--- a/internal/policy/healthcheck_test.go
+++ b/internal/policy/healthcheck_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestCorruptResponsesAndResetsAreNoSignOfDeath: after a corrupt response or a broken connection the server keeps its
-// keys, and the read with the corrupt response is retried where its object is. Nor is a health check whose connection
-// breaks a sign; two without an answer take the server out.
-func TestCorruptResponsesAndResetsAreNoSignOfDeath(t *testing.T) {
+// TestCorruptResponsesAndResetsDoNotTakeAServerOut checks that a server keeps its keys after a corrupt response, a
+// broken connection, or a health check whose connection breaks. A read with a corrupt response is retried at the same
+// server, where its object is. Two health checks without an answer do take the server out.
+func TestCorruptResponsesAndResetsDoNotTakeAServerOut(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	ownerID := driver.ownerOf("k")
 	id, _ := driver.request("low", "k", nil)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestServerIsOutAfterTwoFailedHealthChecks: what is in flight at it is cancelled and tried elsewhere, and once it
-// responds again it warms up.
+// TestServerIsOutAfterTwoFailedHealthChecks checks that a server is regarded as unresponsive after two failed health
+// checks. Its attempts in flight are cancelled and tried elsewhere, and it warms up once it responds again.
 func TestServerIsOutAfterTwoFailedHealthChecks(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -88,7 +88,7 @@
 	}
 }
 
-// awaitHealthCheck runs upkeep until a health check starts.
+// awaitHealthCheck runs rounds of upkeep until the router starts a health check.
 func (driver *routerDriver) awaitHealthCheck() {
 	driver.t.Helper()
 	for range 1000 {
@@ -101,9 +101,9 @@
 	driver.t.Fatal("no health check in 1000 rounds of upkeep")
 }
 
-// TestOneFailedConnectIsNoSignOfDeath: the cause may be a full connection table. The request goes elsewhere and the
-// server is checked.
-func TestOneFailedConnectIsNoSignOfDeath(t *testing.T) {
+// TestOneFailedConnectDoesNotTakeAServerOut checks that one failed connect does not take a server out, as a full
+// connection table may be the cause. The request goes to another server, and the first server gets a health check.
+func TestOneFailedConnectDoesNotTakeAServerOut(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	id, actions := driver.request("high", "k", nil)
 	failedAt := driver.sentTo(actions)
@@ -112,11 +112,12 @@
 		t.Errorf("got %v, want a send to the next server and a health check", actions)
 	}
 	if driver.router.serverByID[failedAt].isUnresponsive {
-		t.Error("one failed connect took the server out")
+		t.Error("one failed connect made the router regard the server as unresponsive")
 	}
 }
 
-// TestRechecksArePacedByTheFleetSize: the more routers there are, the less often each checks an unresponsive server.
+// TestRechecksArePacedByTheFleetSize checks that each router checks an unresponsive server less often the more routers
+// there are.
 func TestRechecksArePacedByTheFleetSize(t *testing.T) {
 	for routers, want := range map[int]struct{ least, most int }{2: {15, 20}, 400: {4, 5}} {
 		settings := testSettings()
@@ -124,7 +125,7 @@
 		driver := newDriver(t, settings, "s1", "s2")
 		driver.router.markUnresponsive(driver.router.serverByID["s1"])
 		got := 0
-		for range 80 { // twenty seconds
+		for range 80 { // rounds of upkeep in 20 s
 			driver.now += upkeepInterval
 			for _, check := range actionsOf[HealthCheck](driver.runUpkeep()) {
 				if check.Server == "s1" {
@@ -139,9 +140,9 @@
 	}
 }
 
-// TestUnresponsiveServerIsFoundWithoutHealthChecks: where health checks are not allowed, a server that nobody can connect
-// to is left out after a few attempts, gets one attempt at a time, and takes its keys again when it answers. Its zone is
-// not given up.
+// TestUnresponsiveServerIsFoundWithoutHealthChecks checks how a router treats a server that does not accept
+// connections where health checks are not allowed. After a few failed attempts the server is left out and gets one
+// attempt at a time. When it answers again, it gets its keys back. Its zone must not count as unreachable.
 func TestUnresponsiveServerIsFoundWithoutHealthChecks(t *testing.T) {
 	settings := testSettings()
 	settings.MayHealthCheck, settings.Zone = false, "a"
@@ -174,9 +175,9 @@
 		t.Errorf("first 4 s at a server that is down: got %d attempts, want 3 to 20", got)
 	}
 	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
-		t.Errorf("20 s at a server that was given up: got %d attempts, want 1 to 6", got)
+		t.Errorf("20 s at a server that is left out: got %d attempts, want 1 to 6", got)
 	}
-	if got := attemptsAtFar(30*time.Second, false); got < 300 { // it warms up at first
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // fewer than its share, as the server warms up at first
 		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
 	}
 }
--- a/internal/policy/hedging_test.go
+++ b/internal/policy/hedging_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// TestHangingReadIsHedgedWhileTheOriginIsQuiet: a read that hangs at a cache server is fetched from the origin while that
-// is quiet; a write is never hedged. Nor is a read at a busy origin, or where all cache servers are slow: it would be
-// sent away from one overload, whose work on it is lost, and the read that a fleet sends on meets another.
+// TestHangingReadIsHedgedWhileTheOriginIsQuiet checks that a read that hangs at a cache server is hedged at the origin
+// while the origin is quiet. A write is never hedged. A read is not hedged either while the origin is busy or all
+// cache servers are slow. Then the work of the overloaded server on the read would be lost, and the reads that a whole
+// fleet moves would overload the next server.
 func TestHangingReadIsHedgedWhileTheOriginIsQuiet(t *testing.T) {
 	for _, test := range []struct{ isOriginBusy, isCacheOverloaded bool }{{false, false}, {true, false}, {false, true}} {
 		driver := newTrainedDriver(t)
 		driver.readOtherKeys(40)
 		readID, _ := driver.request("low", "k", nil)
 		writeID, _ := driver.request("unsafe", "w", asWrite)
-		driver.now += 450 * ms // the target is half the objective of 500 ms, the maximum twice that
+		driver.now += 450 * ms // the target is half the objective of 500 ms, and the maximum is twice the target
 		if got := actionsOf[Cancel](driver.runUpkeep()); len(got) > 0 {
 			t.Errorf("%+v: after 450 ms got %v cancelled, want nothing", test, got)
 		}
@@ -24,7 +25,8 @@
 		wantHedge := !test.isOriginBusy && !test.isCacheOverloaded
 		isHedged := len(got) == 1 && got[0].ID == readID
 		if isHedged != wantHedge || len(got) > 0 && !isHedged {
-			t.Fatalf("%+v: got %v cancelled, want the read %d: %v; the write is %d", test, got, readID, wantHedge, writeID)
+			t.Fatalf("%+v: got %v cancelled, want read %d cancelled: %v; %d is a write",
+				test, got, readID, wantHedge, writeID)
 		}
 		if isHedged {
 			if to := driver.sentTo(driver.endAttempt(readID, Cancelled, 550*ms)); to != originID {
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// TestHotKeyIsSpreadOverServers: a key that half of all requests are for is not left to its owner.
+// TestHotKeyIsSpreadOverServers checks that a key which gets half of all requests is served by several servers, not by
+// its owner alone.
 func TestHotKeyIsSpreadOverServers(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4")
-	sends := map[string]int{} // of the hot key, by server
+	sends := map[string]int{} // attempts for the hot key, by server
 	for i := range 400 {
 		key := "hot"
 		if i%2 == 0 {
@@ -20,20 +21,21 @@
 		}
 	}
 	if len(sends) < 3 {
-		t.Errorf("half of all requests went to %v, want at least 3 servers", sends)
+		t.Errorf("attempts for the hot key, by server: got %v, want at least 3 servers", sends)
 	}
 }
 
-// TestFleetSpreadsHotKeySoonerWithGossip: each of 100 routers has 10 requests a second for 50 servers, and from one
-// moment on a tenth of them are for one key. A router alone sees it once a second; together they spread it within one.
+// TestFleetSpreadsHotKeySoonerWithGossip checks that a fleet spreads a hot key sooner with gossip. Each of 100 routers
+// has 10 requests a second for 50 servers, and from one moment on a tenth of them are for one key. A single router
+// sees the key once a second; together the routers must spread it within one second.
 func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
 	const hotFrom, countFrom, steps = 1000, 1050, 1150
-	ownerShare := map[bool]float64{} // by whether there is gossip
+	ownerShare := map[bool]float64{} // of the requests for the hot key, with (true) and without gossip
 	for _, mayGossip := range []bool{false, true} {
 		fleet := newFleet(t, 100, mayGossip, 0.1, serverIDs(50)...)
 		ownerID, atOwner, total := fleet.drivers[0].ownerOf("hot"), 0, 0
 		for step := range steps {
-			received := fleet.deliverable()
+			received := fleet.takeUndelivered()
 			for i, driver := range fleet.drivers {
 				fleet.tick(step, i, received, neverDown)
 				if (step+i)%10 != 0 {
@@ -55,12 +57,13 @@
 		t.Logf("gossip %v: the owner gets %.2f of the requests for the hot key", mayGossip, ownerShare[mayGossip])
 	}
 	if ownerShare[true] > 0.6*ownerShare[false] {
-		t.Errorf("the owner of a hot key keeps %.2f of its requests, %.2f without gossip, want at most 0.6 of that",
+		t.Errorf("the owner gets %.2f of the hot key's requests, %.2f without gossip, want at most 0.6 of the latter",
 			ownerShare[true], ownerShare[false])
 	}
 }
 
-// TestHotKeysOfSmallServersAreSpreadSooner: a server's fair share goes by its capacity.
+// TestHotKeysOfSmallServersAreSpreadSooner checks that a server's fair share depends on its capacity, so that a hot
+// key of a small server is spread at a lower popularity.
 func TestHotKeysOfSmallServersAreSpreadSooner(t *testing.T) {
 	const small, large = 1.0, 9.0
 	settings := testSettings()
@@ -72,13 +75,13 @@
 	}
 	driver.handle(list)
 	driver.readOtherKeys(400)
-	isSpread := map[float64]map[string]bool{small: {}, large: {}} // keys, by the capacity of the owner
+	isSpread := map[float64]map[string]bool{small: {}, large: {}} // whether keys are spread, by capacity of the owner
 	for i := range 40 {
 		key := fmt.Sprint("warm", i)
 		order := driver.router.orderOf(slotOf(key), &request{})
 		owner := order.next()
 		spread := isSpread[owner.Capacity]
-		for range 6 { // 0.15 to 0.25 of a mean server's share at the end; a small one's is 0.2, a large one's 1.8
+		for range 6 { // in the end 0.15 to 0.25 of a mean server's share; a small server's is 0.2, a large one's 1.8
 			id, actions := driver.request("high", key, nil)
 			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
 			driver.endAttempt(id, Succeeded, ms)
@@ -94,6 +97,7 @@
 	}
 	ofSmall, ofLarge := spreadFraction(isSpread[small]), spreadFraction(isSpread[large])
 	if ofSmall < 0.5 || ofLarge > 0.1 {
-		t.Errorf("%.2f of the keys of small servers are spread and %.2f of large ones', want most and none", ofSmall, ofLarge)
+		t.Errorf("got %.2f of the small servers' keys spread, %.2f of the large ones', want at least 0.5, at most 0.1",
+			ofSmall, ofLarge)
 	}
 }
--- a/internal/policy/limits_test.go
+++ b/internal/policy/limits_test.go
@@ -9,14 +9,14 @@
 	"unicode/utf8"
 )
 
-// Bounds on the files of this package and of those below it.
+// Limits for the source files of this package and of its sub-packages.
 const (
 	maxFileLines  = 400
 	maxColumns    = 120
 	tabCharacters = 4
 )
 
-// TestSourceFilesStayShort keeps each file that is not a test within what new staff can read.
+// TestSourceFilesStayShort checks that no file other than a test is too long for a newcomer to read.
 func TestSourceFilesStayShort(t *testing.T) {
 	checked := 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
@@ -30,12 +30,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if checked < 6 { // this package and the five below it have one each, at least
+	if checked < 6 { // this package and its five sub-packages have at least one file each
 		t.Errorf("%d files checked, want at least 6", checked)
 	}
 }
 
-// checkFileLimits fails the test for each bound that the file breaks.
+// checkFileLimits fails the test for each limit that the file exceeds.
 func checkFileLimits(t *testing.T, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/policy/originqueue_test.go
+++ b/internal/policy/originqueue_test.go
@@ -8,22 +8,22 @@
 	"shelfproxy/internal/admission"
 )
 
-// TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin: writes beyond a quota go to an origin that is well; at one that is
-// overloaded they wait behind those within it.
+// TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin checks that writes beyond a tenant's quota are sent at once to an
+// origin that is not overloaded. At an overloaded origin they wait behind the writes within their quota.
 func TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin(t *testing.T) {
 	driver := newTrainedDriver(t)
 	writeOfTenant := func(request *Request) {
 		asWrite(request)
 		ofTenant(request)
 	}
-	for range 10 { // uses up the quota
+	for range 10 { // uses up the quota of the tenant
 		driver.request("high", "k", writeOfTenant)
 	}
 	if _, actions := driver.request("high", "k", writeOfTenant); driver.sentTo(actions) != originID {
 		t.Errorf("quiet origin: got %v, want the write beyond the quota sent", actions)
 	}
 	driver.feedOrigin(60, time.Second, TimedOut)
-	driver.request("high", "k", writeOfTenant) // it takes the last slot
+	driver.request("high", "k", writeOfTenant) // this write takes the last slot of the origin
 	driver.request("high", "k", writeOfTenant)
 	if _, actions := driver.request("high", "k", writeOfTenant); len(actionsOf[Send](actions)) > 0 {
 		t.Errorf("overloaded origin: got %v, want the write beyond the quota to wait", actions)
@@ -40,11 +40,12 @@
 			return
 		}
 	}
-	t.Error("no write in the queue was sent as the origin had a slot again")
+	t.Error("no queued write was sent when the origin had a free slot again")
 }
 
-// TestOriginQueueServesWritesThenPopularFetches: with the origin full, writes go first, then the fetch that most wait
-// for; what can't be in time any more is rejected, and those who waited for its fetch go on.
+// TestOriginQueueServesWritesThenPopularFetches checks the order of the queue of an origin that has no free slot:
+// writes first, then the fetch that most requests wait for. A request that can no longer be answered in time is
+// rejected, and those that wait for its fetch go on.
 func TestOriginQueueServesWritesThenPopularFetches(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
@@ -66,7 +67,7 @@
 		}
 		inFlight = want
 	}
-	driver.now += 400 * ms // the rest can't be answered within 500 ms
+	driver.now += 400 * ms // the fetch that is left can no longer be answered within 500 ms
 	if got := actionsOf[Reject](driver.handle(TimerFired{Token: lone})); len(got) != 1 || got[0].ID != lone {
 		t.Errorf("too late: got %v rejected, want the lone fetch %d", got, lone)
 	}
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestSlowOriginGetsFewerAttempts: the more of the origin's answers are late the fewer attempts are in flight there,
-// however many requests come.
+// TestSlowOriginGetsFewerAttempts checks that the more of the origin's answers are late, the fewer attempts are in
+// flight there, however many requests arrive.
 func TestSlowOriginGetsFewerAttempts(t *testing.T) {
 	driver := newTrainedDriver(t)
 	most := 0
@@ -87,7 +88,7 @@
 		if len(actionsOf[Send](actions)) == 1 {
 			inFlight = append(inFlight, id)
 		}
-		if i%20 == 0 && len(inFlight) > 0 { // ten answers a second, of 200 writes a second, in their order
+		if i%20 == 0 && len(inFlight) > 0 { // ten writes a second are answered, of 200 a second, the oldest first
 			oldest := inFlight[0]
 			took := driver.now - driver.router.requests[oldest].attempts[0].sentAt
 			sends := actionsOf[Send](driver.endAttempt(oldest, Succeeded, took))
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -8,9 +8,9 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestOutliersKeepTheirKeysPastTheEjectionBudget: with a quarter of the servers drained and more outliers than the budget
-// has left, outliers keep keys; and one that other nodes say is unresponsive stays until a health check of this router
-// fails.
+// TestOutliersKeepTheirKeysPastTheEjectionBudget checks that outliers keep keys when there are more of them than the
+// ejection budget allows; a quarter of the servers drain and count too. With the budget spent, a server that other
+// nodes report as unresponsive stays in use until a health check of this router fails.
 func TestOutliersKeepTheirKeysPastTheEjectionBudget(t *testing.T) {
 	retainedFraction := func(budget float64) (fraction float64) {
 		settings := testSettings()
@@ -34,27 +34,28 @@
 		for _, id := range ids[3:7] {
 			fraction += serverByID[id].assessment.KeptFraction / 4
 		}
-		accused := serverByID["s20"]
+		reported := serverByID["s20"]
 		buffer := gossip.Buffer{}
-		buffer.Unresponsive(accused.assessment.Fingerprint)
+		buffer.Unresponsive(reported.assessment.Fingerprint)
 		datagram := buffer.Encode()
 		driver.now += time.Second
 		driver.handle(GossipReceived{From: 1, Data: datagram})
 		driver.handle(GossipReceived{From: 2, Data: datagram})
-		if wantOut := budget == 0; accused.isUnresponsive != wantOut {
-			t.Errorf("budget %v: a server is out on gossip alone: %v, want %v", budget, accused.isUnresponsive, wantOut)
+		if wantOut := budget == 0; reported.isUnresponsive != wantOut {
+			t.Errorf("budget %v: server is out on gossip alone: %v, want %v", budget, reported.isUnresponsive, wantOut)
 		}
 		return fraction
 	}
 	unlimited, some, full := retainedFraction(0), retainedFraction(0.4), retainedFraction(0.25)
 	if unlimited > 0.3 || some <= unlimited || some > 0.8 || full < 0.99 {
 		t.Errorf("four outliers keep %v of their keys without a budget, %v with 0.4, %v with 0.25, "+
-			"want at most 0.3, from there to 0.8, and all", unlimited, some, full)
+			"want at most 0.3, more than that and at most 0.8, and at least 0.99", unlimited, some, full)
 	}
 }
 
-// TestOutliersGiveUpSlots: a server that is slow or fails far more often than the others keeps few of its slots, the same
-// ones at every router, and has them back once it is well again. Where all are slow none is an outlier.
+// TestOutliersGiveUpSlots checks that a server that is slow or fails far more often than the others keeps few of its
+// slots, the same ones at every router. It gets them back once it is well again. Where all servers are slow, none is
+// an outlier.
 func TestOutliersGiveUpSlots(t *testing.T) {
 	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6"}
 	for _, test := range []struct {
@@ -62,7 +63,7 @@
 		reason      Reason // how attempts at bad servers end
 		took        time.Duration
 		bad         []string
-		maxRetained float64 // of the slots of a bad server
+		maxRetained float64 // largest fraction of its slots that a bad server may keep
 	}{
 		{"errors", Errored, ms, ids[:1], 0.3},
 		{"slow", Succeeded, 2 * time.Second, ids[:1], 0.3},
@@ -97,20 +98,20 @@
 				t.Errorf("s1 kept %.2f of its slots, want some, at most %.2f", retained, test.maxRetained)
 			}
 			if after["s2"] < before["s2"] {
-				t.Errorf("s2 has %d slots, want the %d that it had at least", after["s2"], before["s2"])
+				t.Errorf("s2 has %d slots, want at least the %d that it had", after["s2"], before["s2"])
 			}
-			for range 12 { // nothing bad is seen any more
+			for range 12 { // 12 s without any attempt
 				driver.now += time.Second
 				driver.runUpkeep()
 			}
 			if got := driver.countOwned(600)["s1"]; got < before["s1"]*9/10 {
-				t.Errorf("long after s1 has %d slots, want nearly all of %d", got, before["s1"])
+				t.Errorf("12 s later s1 has %d slots, want at least nine tenths of %d", got, before["s1"])
 			}
 		})
 	}
 }
 
-// countOwned returns how many of the keys key0, key1 and so on each server owns.
+// countOwned returns how many of the keys key0, key1 and so on each server owns. The argument is the number of keys.
 func (driver *routerDriver) countOwned(keys int) map[string]int {
 	count := map[string]int{}
 	for i := range keys {
--- a/internal/policy/request_test.go
+++ b/internal/policy/request_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestMissIsFetchedFromOrigin: a read goes to its key's cache server, and to the origin only after a miss; a write goes
-// to the origin.
+// TestMissIsFetchedFromOrigin checks that a read goes to the cache server of its key, and to the origin only after a
+// miss. A write goes to the origin.
 func TestMissIsFetchedFromOrigin(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	driver.readOtherKeys(20)
@@ -28,7 +28,8 @@
 	}
 }
 
-// TestWaitingRequestIsAnsweredInTime: a request that waits for a fetch gets its one final answer by its deadline.
+// TestWaitingRequestIsAnsweredInTime checks that a request that waits for a fetch gets exactly one final answer, by
+// its deadline.
 func TestWaitingRequestIsAnsweredInTime(t *testing.T) {
 	for _, class := range []string{"high", "late"} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestIdleConnectionsOfManyRoutersAreClosed: where the idle connections of all routers cost more than new ones, those to
-// a cache server are closed with the last attempt.
+// TestIdleConnectionsOfManyRoutersAreClosed checks that a router closes its idle connections to a cache server when
+// the last attempt there ends, if the idle connections of all routers cost more than new ones.
 func TestIdleConnectionsOfManyRoutersAreClosed(t *testing.T) {
 	for routers, want := range map[int]int{3: 0, 300: 1} {
 		settings := testSettings()
@@ -72,11 +73,12 @@
 	}
 }
 
-// TestWaitingRequestResumesAtItsTimeAndNotBefore: a request that was resumed a part of a microsecond early waited again
-// for the same moment, and again, for as long as the clock stood there. Found by the simulation, seed 53.
+// TestWaitingRequestResumesAtItsTimeAndNotBefore guards against a loop that the simulation found with seed 53. A
+// request that was resumed a fraction of a microsecond early waited again until the same moment, over and over while
+// the clock did not move.
 func TestWaitingRequestResumesAtItsTimeAndNotBefore(t *testing.T) {
 	driver := newTrainedDriver(t)
-	driver.now += 101 // deadlines are no whole microseconds
+	driver.now += 101 // 101 ns, so that deadlines are not whole microseconds
 	leader, _ := driver.request("high", "k", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, actions := driver.request("high", "k", nil)
@@ -94,15 +96,16 @@
 			}
 		}
 		if req := driver.router.requests[follower]; req != nil && req.isWaiting {
-			t.Fatalf("at %v it still waits, until %v", driver.now, req.wakeAt)
+			t.Fatalf("at %v the request still waits, until %v", driver.now, req.wakeAt)
 		}
 		return
 	}
 	t.Fatalf("got %v, want a timer for the request that waits", actions)
 }
 
-// TestReadsWithoutTimeLeftAreRejectedAtOnce: a read with less time left than the fastest recent answers took is rejected;
-// one with a little more is not, and a pause of the servers does not lift the bar for long.
+// TestReadsWithoutTimeLeftAreRejectedAtOnce checks that a read with less time left than the fastest recent answers
+// took is rejected at once. A read with a little more time left is not rejected. A pause of the servers, which makes a
+// few answers slow, must not raise the required time for long.
 func TestReadsWithoutTimeLeftAreRejectedAtOnce(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	isRejectedWith := func(timeLeft time.Duration) bool {
@@ -117,7 +120,7 @@
 		return isRejected
 	}
 	if isRejectedWith(2 * ms) {
-		t.Error("rejected before anything is known")
+		t.Error("a read is rejected before any latency is known")
 	}
 	for range 30 {
 		id, _ := driver.request("high", fmt.Sprint("o", driver.nextID), nil)
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestRetriesRespectTheEffectOfTheClass: after an attempt that was possibly executed a write is retried only as far as
-// its class allows, and rejected only where trying again is harmless.
+// TestRetriesRespectTheEffectOfTheClass checks that a write whose attempt was possibly executed is retried only as far
+// as its class allows. It is rejected only where a retry by the client is harmless.
 func TestRetriesRespectTheEffectOfTheClass(t *testing.T) {
 	for _, test := range []struct {
 		class       string
 		reason      Reason
 		after       time.Duration
-		wantSends   int // further ones
+		wantSends   int // after the first send
 		wantRejects int
 		wantFails   int
 	}{
@@ -48,12 +48,13 @@
 	}
 }
 
-// TestReadsRejectedByAFullServerGoElsewhere: while the origin is quiet, and otherwise only where other servers do better:
-// then past all that do as badly, and at no cost to the retry budget.
+// TestReadsRejectedByAFullServerGoElsewhere checks when a read that a full server rejected goes to another cache
+// server: while the origin is quiet, and otherwise only if other servers do better. In the latter case it skips all
+// servers that do as badly, and the retry budget is not charged.
 func TestReadsRejectedByAFullServerGoElsewhere(t *testing.T) {
 	for name, test := range map[string]struct {
 		isOriginQuiet bool
-		full          int // servers that reject requests, of four
+		full          int // how many of the four cache servers reject requests
 		wantRetry     bool
 	}{
 		"origin quiet":         {true, 4, true},
@@ -92,7 +93,7 @@
 	}
 }
 
-// spendRetryBudgets leaves nothing saved up.
+// spendRetryBudgets uses up the saved retries of all classes.
 func (driver *routerDriver) spendRetryBudgets() {
 	for _, budget := range driver.router.retryBudgets {
 		for budget.AllowRetry(driver.now) {
@@ -101,9 +102,9 @@
 	}
 }
 
-// TestDeduplicatedRetryHasAWriteDeadline: a retry of a deduplicated request that was possibly executed says until when it
-// may be written, counted from the first attempt; a first attempt, one after others that were never executed, and one of
-// an idempotent class have no such bound.
+// TestDeduplicatedRetryHasAWriteDeadline checks that a retry of a deduplicated request that was possibly executed has
+// a time by which it must be written, counted from the first attempt. There is no such bound for a first attempt, for
+// a retry after attempts that were never executed, and for a retry of an idempotent class.
 func TestDeduplicatedRetryHasAWriteDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		class     string
@@ -137,13 +138,13 @@
 	}
 }
 
-// TestReadRejectedByADrainingServerIsRedirected: a read that was rejected by a server which the list no longer names for
-// work goes on to the one that owns its key now, though nothing is known of the origin and the class is shed first. A
-// read that another server rejected is not sent on.
+// TestReadRejectedByADrainingServerIsRedirected checks that a read is redirected to the new owner of its key if the
+// server that rejected it is no longer listed as live. This also holds while nothing is known of the origin, and for
+// the class that is shed first. A read that another server rejected is not redirected.
 func TestReadRejectedByADrainingServerIsRedirected(t *testing.T) {
 	for _, isDraining := range []bool{true, false} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
-		for range 50 { // the server does well
+		for range 50 { // good outcomes only, so the server is no outlier
 			id, _ := driver.request("high", "k", nil)
 			driver.endAttempt(id, Succeeded, ms)
 		}
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestRetriesHaveABudget: when much fails at once, attempts do not multiply: past the budget a request ends instead of
-// being retried.
+// TestRetriesHaveABudget checks that attempts do not multiply when many requests fail at once: once the retry budget
+// is spent, a request ends instead of being retried.
 func TestRetriesHaveABudget(t *testing.T) {
 	const requests = 400
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
@@ -180,8 +181,9 @@
 	}
 }
 
-// TestReadIsRetriedElsewhereAfterAnError: one router of many meets a server that answers with errors seldom, so each of
-// its errors must not cost a read. There is no fourth attempt at once.
+// TestReadIsRetriedElsewhereAfterAnError checks that a read is retried at another cache server after an error. One
+// router among many seldom sends to a server that answers with errors, so each error must not cost a read. There is no
+// immediate fourth attempt.
 func TestReadIsRetriedElsewhereAfterAnError(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	driver.readOtherKeys(20)
--- a/internal/policy/roles_test.go
+++ b/internal/policy/roles_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// holder is the router of a simulated fleet that has the role.
-const holder = 7
+// roleHolder is the index of the router of a simulated fleet that has the role.
+const roleHolder = 7
 
-// assign gives one router the role.
+// assign assigns the role to one router of the fleet and tells all routers.
 func (fleet *simulatedFleet) assign(role Role) {
 	for i, driver := range fleet.drivers {
 		responsibility := AssignedElsewhere
-		if i == holder {
+		if i == roleHolder {
 			responsibility = AssignedHere
 		}
 		driver.handle(RoleAssigned{Role: role, Responsibility: responsibility})
 	}
 }
 
-// TestFleetSizeSetsThePaceOfChecksAndPolls: the routers that are there check an unresponsive server at the pace of the
-// whole fleet, and spread polls over the time that the whole fleet would; 0 means as many as configured.
+// TestFleetSizeSetsThePaceOfChecksAndPolls checks that a router follows a change of the fleet size. The remaining
+// routers together check an unresponsive server at the pace of the whole fleet, so each does so more often. They
+// spread their polls over less time. A size of 0 means the size in the settings.
 func TestFleetSizeSetsThePaceOfChecksAndPolls(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MayGossip, settings.DrainGrace = 60, true, 2500*ms
@@ -43,20 +44,20 @@
 	}
 }
 
-// checkResult is what an outage of a server for 20 s costs a fleet.
-type checkResult struct {
-	healthChecks int           // in the last 17 s of the outage
-	recovery     time.Duration // until nine in ten routers have the server back
+// serverOutageCost is what a server outage of 20 s costs a fleet.
+type serverOutageCost struct {
+	healthChecks int           // health checks in the last 17 s of the outage
+	recovery     time.Duration // from the end of the outage until nine in ten routers use the server again
 }
 
-// playOutage returns what an outage costs a fleet of 60 routers, with or without a HealthChecker.
-func playOutage(t *testing.T, hasRole bool, lossRate float64) (result checkResult) {
+// simulateServerOutage returns what a server outage costs a fleet of 60 routers, with or without a HealthChecker.
+func simulateServerOutage(t *testing.T, hasRole bool, lossRate float64) (result serverOutageCost) {
 	t.Helper()
 	const (
 		routers   = 60
 		downID    = "s20"
 		downFrom  = 200
-		knownFrom = downFrom + 300 // all know by then
+		knownFrom = downFrom + 300 // all routers know of the outage by this step
 		downUntil = 2200
 	)
 	fleet := newFleet(t, routers, true, lossRate, serverIDs(40)...)
@@ -86,11 +87,12 @@
 	return result
 }
 
-// TestAssignedHealthCheckerChecksForAll: with the role assigned, a server that is unresponsive for 20 s costs a fleet a
-// fraction of the health checks, and all have it back no later than without.
+// TestAssignedHealthCheckerChecksForAll checks the effect of the HealthChecker role when a server is unresponsive for
+// 20 s. The fleet needs only a fraction of the health checks, and has the server back at most 500 ms later than
+// without the role.
 func TestAssignedHealthCheckerChecksForAll(t *testing.T) {
 	for _, lossRate := range []float64{0, 0.1} {
-		unassigned, assigned := playOutage(t, false, lossRate), playOutage(t, true, lossRate)
+		unassigned, assigned := simulateServerOutage(t, false, lossRate), simulateServerOutage(t, true, lossRate)
 		t.Logf("%.0f%% of the datagrams lost: %+v with the role, %+v without", lossRate*100, assigned, unassigned)
 		if assigned.healthChecks*3 > unassigned.healthChecks || assigned.recovery > unassigned.recovery+500*ms {
 			t.Errorf("%.0f%% of the datagrams lost: got %+v with the role, %+v without, "+
@@ -99,22 +101,22 @@
 	}
 }
 
-// pollResult is what an outage of discovery costs a fleet.
-type pollResult struct {
+// discoveryOutageCost is what an outage of discovery costs a fleet.
+type discoveryOutageCost struct {
 	failedPolls int
-	recovery    time.Duration // until all routers have the list again
+	recovery    time.Duration // from the end of the outage until all routers have the endpoint list again
 }
 
-// discoveryOutage is a discovery that does not answer for a while.
+// discoveryOutage simulates a discovery service that does not answer for a while, and records what that costs.
 type discoveryOutage struct {
 	length    time.Duration
-	hasList   []bool // by router
-	missing   int    // routers without the list
-	announced bool   // in this step
-	result    pollResult
+	hasList   []bool // by the index of the router
+	missing   int    // number of routers without the endpoint list
+	announced bool   // in this step a router announced that discovery answers again
+	result    discoveryOutageCost
 }
 
-// carryOut answers the polls of a router and keeps its announcements.
+// carryOut answers the polls of a router and records its announcements.
 func (outage *discoveryOutage) carryOut(at time.Duration, index int, driver *routerDriver, actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -136,16 +138,16 @@
 	}
 }
 
-// playDiscoveryOutage returns what an outage of eight seconds costs a fleet of 80 routers, with or without a
-// DiscoveryPoller.
-func playDiscoveryOutage(t *testing.T, hasRole bool, lossRate float64) pollResult {
+// simulateDiscoveryOutage returns what a discovery outage of eight seconds costs a fleet of 80 routers, with or
+// without a DiscoveryPoller.
+func simulateDiscoveryOutage(t *testing.T, hasRole bool, lossRate float64) discoveryOutageCost {
 	t.Helper()
 	const routers = 80
 	fleet := newFleet(t, routers, true, 0, "s1")
 	outage := discoveryOutage{length: 8 * time.Second, hasList: make([]bool, routers), missing: routers}
 	for _, driver := range fleet.drivers {
 		driver.router.settings.MustPoll = true
-		driver.handle(EndpointUpdate{Scope: PollFailed}) // the watch of each breaks
+		driver.handle(EndpointUpdate{Scope: PollFailed}) // the watch of each router breaks
 	}
 	if hasRole {
 		fleet.assign(DiscoveryPoller)
@@ -175,19 +177,20 @@
 	}
 }
 
-// TestAssignedPollerPollsForAll: while discovery does not answer, one router polls for all and announces when it answers
-// again. All have the list as soon as without, and poll two thirds as often at most; with every announcement lost each
-// still polls as soon as the bound on when a router counts as notified wants.
+// TestAssignedPollerPollsForAll checks the effect of the DiscoveryPoller role. While discovery does not answer, one
+// router polls for all and announces when discovery answers again. All routers have the list as soon as without the
+// role, with at most two thirds of the failed polls. If every announcement is lost, each router still polls in time
+// for the bound on when a router counts as notified.
 func TestAssignedPollerPollsForAll(t *testing.T) {
-	unassigned, assigned := playDiscoveryOutage(t, false, 0), playDiscoveryOutage(t, true, 0)
-	unheard := playDiscoveryOutage(t, true, 1)
-	t.Logf("%+v without the role, %+v with it, %+v with every announcement lost", unassigned, assigned, unheard)
+	unassigned, assigned := simulateDiscoveryOutage(t, false, 0), simulateDiscoveryOutage(t, true, 0)
+	allLost := simulateDiscoveryOutage(t, true, 1)
+	t.Logf("%+v without the role, %+v with it, %+v with every announcement lost", unassigned, assigned, allLost)
 	if assigned.failedPolls*3 > unassigned.failedPolls*2 {
 		t.Errorf("got %d failed polls with the role, want at most two thirds of %d",
 			assigned.failedPolls, unassigned.failedPolls)
 	}
-	if assigned.recovery > 6*time.Second || unheard.recovery > 4500*ms {
+	if assigned.recovery > 6*time.Second || allLost.recovery > 4500*ms {
 		t.Errorf("got the list after %v, with every announcement lost after %v, want at most 6 s and 4.5 s",
-			assigned.recovery, unheard.recovery)
+			assigned.recovery, allLost.recovery)
 	}
 }
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestEventsOfUnknownIDsAreIgnored: events of requests, attempts and servers that the router does not know change nothing.
+// TestEventsOfUnknownIDsAreIgnored checks that events of requests, attempts and servers that the router does not know
+// cause no actions.
 func TestEventsOfUnknownIDsAreIgnored(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1")
 	for _, event := range []Event{
@@ -20,11 +21,12 @@
 	}
 	id, _ := driver.request("high", "k", nil)
 	if got := driver.handle(Outcome{ID: id, Attempt: 7, Reason: Succeeded}); len(got) != 0 {
-		t.Errorf("outcome of an attempt never made: got %v, want nothing", got)
+		t.Errorf("outcome of an attempt that was never made: got %v, want nothing", got)
 	}
 }
 
-// TestSameEventsGiveTheSameActions: two routers with the same seed that see the same events do the same.
+// TestSameEventsGiveTheSameActions checks that two routers with the same seed return the same actions for the same
+// events.
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	original, twin := newTrainedDriver(t), newTrainedDriver(t)
 	for i := range 200 {
@@ -42,41 +44,42 @@
 	}
 }
 
-// TestRandomEventsKeepTheInvariants drives legal random events and checks what one router can see of the invariants: one
-// final answer each and in time, no retry of an at-most-once request that was possibly executed, one attempt in flight,
-// and nothing to a server that is known to drain. The same events must give the same actions.
+// TestRandomEventsKeepTheInvariants feeds legal random events to a router and checks the invariants that a single
+// router can keep. Each request gets one final answer, in time. An at-most-once request that was possibly executed is
+// not retried. A request has one attempt in flight at most. Nothing is sent to a server that is known to drain. Two
+// routers that get the same events must return the same actions.
 func TestRandomEventsKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(20) {
 		settings := testSettings()
 		if seed%2 == 1 { // one router among many, with costs that make it close idle connections
 			settings.Nodes, settings.ConnectionCost, settings.HandshakeCost = 400, 0.03, 0.03
 		}
-		play := newRandomPlay(t, seed, settings)
+		run := newRandomRun(t, seed, settings)
 		for step := range 3000 {
-			play.driver.now += time.Duration(play.rng.IntN(10)) * ms
-			play.fireTimers()
+			run.driver.now += time.Duration(run.rng.IntN(10)) * ms
+			run.fireTimers()
 			if step%2 == 0 && step < 2000 {
-				play.sendRequest(uint64(step + 1))
+				run.sendRequest(uint64(step + 1))
 			}
-			play.endAttempts()
+			run.endAttempts()
 			if step%500 == 499 {
-				play.drainOne()
+				run.drainOne()
 			}
 		}
-		play.checkAllAnswered()
+		run.checkAllAnswered()
 	}
 }
 
-// playedRequest is a request as a client and the servers see it.
-type playedRequest struct {
+// trackedRequest is a request with its progress, as its client and the servers see it.
+type trackedRequest struct {
 	Request
 	inFlight, sends  int
 	possiblyExecuted bool
 	isEnded          bool
 }
 
-// randomPlay gives two routers the same random events and checks what they do.
-type randomPlay struct {
+// randomRun gives two routers the same random events and checks their actions.
+type randomRun struct {
 	t            *testing.T
 	seed         uint64
 	rng          *rand.Rand
@@ -84,115 +87,115 @@
 	servers      []string
 	draining     string
 	timers       []SetTimer
-	requests     map[uint64]*playedRequest
-	order        []uint64 // of the requests
+	requests     map[uint64]*trackedRequest
+	order        []uint64 // ids of the requests as they were sent
 }
 
-// newRandomPlay returns a play with four cache servers.
-func newRandomPlay(t *testing.T, seed uint64, settings Settings) *randomPlay {
+// newRandomRun returns a run with two routers that have the same four cache servers.
+func newRandomRun(t *testing.T, seed uint64, settings Settings) *randomRun {
 	t.Helper()
 	servers := []string{"s1", "s2", "s3", "s4"}
-	return &randomPlay{
+	return &randomRun{
 		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), servers: servers,
 		driver: newDriver(t, settings, servers...), twin: newDriver(t, settings, servers...),
-		requests: map[uint64]*playedRequest{},
+		requests: map[uint64]*trackedRequest{},
 	}
 }
 
-// handle gives both routers an event and checks their actions.
-func (play *randomPlay) handle(event Event) {
-	play.t.Helper()
-	actions := play.driver.handle(event)
-	play.twin.now = play.driver.now
-	if want := play.twin.handle(event); !reflect.DeepEqual(actions, want) {
-		play.t.Fatalf("seed %d: after %v got %v, want %v as at the twin", play.seed, event, actions, want)
+// handle gives both routers an event, and checks that their actions are the same and allowed.
+func (run *randomRun) handle(event Event) {
+	run.t.Helper()
+	actions := run.driver.handle(event)
+	run.twin.now = run.driver.now
+	if want := run.twin.handle(event); !reflect.DeepEqual(actions, want) {
+		run.t.Fatalf("seed %d: after %v got %v, want %v as at the twin", run.seed, event, actions, want)
 	}
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Send:
-			play.checkSend(action, event)
+			run.checkSend(action, event)
 		case Reject:
-			play.checkReject(action)
+			run.checkReject(action)
 		case Fail:
-			play.checkFail(action)
+			run.checkFail(action)
 		case SetTimer:
-			play.timers = append(play.timers, action)
+			run.timers = append(run.timers, action)
 		}
 	}
 }
 
-// checkSend checks that an attempt is allowed.
-func (play *randomPlay) checkSend(send Send, event Event) {
-	play.t.Helper()
-	request := play.requests[send.ID]
+// checkSend checks that the router may start this attempt, and records it.
+func (run *randomRun) checkSend(send Send, event Event) {
+	run.t.Helper()
+	request := run.requests[send.ID]
 	isUnsafeRetry := request.possiblyExecuted && request.Class == "unsafe"
-	if request.isEnded || request.inFlight > 0 || send.Server == play.draining || isUnsafeRetry {
-		play.t.Fatalf("seed %d: after %v got %v for %+v, want no attempt", play.seed, event, send, request)
+	if request.isEnded || request.inFlight > 0 || send.Server == run.draining || isUnsafeRetry {
+		run.t.Fatalf("seed %d: after %v got %v for %+v, want no attempt", run.seed, event, send, request)
 	}
 	request.inFlight, request.sends = request.inFlight+1, request.sends+1
 }
 
-// checkReject checks that a request may be answered, and that trying again is harmless.
-func (play *randomPlay) checkReject(reject Reject) {
-	play.t.Helper()
-	request := play.requests[reject.ID]
+// checkReject checks that the request has no final answer yet and that a retry by the client is harmless.
+func (run *randomRun) checkReject(reject Reject) {
+	run.t.Helper()
+	request := run.requests[reject.ID]
 	mayHaveEffect := request.possiblyExecuted && (request.Class == "unsafe" || request.Class == "keyed-zone")
 	if request.isEnded || mayHaveEffect {
-		play.t.Fatalf("seed %d: got %v for %+v, want no rejection", play.seed, reject, request)
+		run.t.Fatalf("seed %d: got %v for %+v, want no rejection", run.seed, reject, request)
 	}
 	request.isEnded = true
 }
 
-// checkFail checks that a request may be answered.
-func (play *randomPlay) checkFail(fail Fail) {
-	play.t.Helper()
-	request := play.requests[fail.ID]
+// checkFail checks that the request has no final answer yet.
+func (run *randomRun) checkFail(fail Fail) {
+	run.t.Helper()
+	request := run.requests[fail.ID]
 	if request.isEnded {
-		play.t.Fatalf("seed %d: got a second answer %v for %+v", play.seed, fail, request)
+		run.t.Fatalf("seed %d: got a second answer %v for %+v", run.seed, fail, request)
 	}
 	request.isEnded = true
 }
 
-// fireTimers fires those that have come due.
-func (play *randomPlay) fireTimers() {
-	play.t.Helper()
-	timers := play.timers
-	play.timers = nil
+// fireTimers fires the timers that are due.
+func (run *randomRun) fireTimers() {
+	run.t.Helper()
+	timers := run.timers
+	run.timers = nil
 	for _, timer := range timers {
-		if timer.At <= play.driver.now {
-			play.handle(TimerFired{timer.Token})
+		if timer.At <= run.driver.now {
+			run.handle(TimerFired{timer.Token})
 		} else {
-			play.timers = append(play.timers, timer)
+			run.timers = append(run.timers, timer)
 		}
 	}
 }
 
-// sendRequest sends a random request with a deadline of a second.
-func (play *randomPlay) sendRequest(id uint64) {
-	play.t.Helper()
-	classes := play.driver.router.settings.Classes
+// sendRequest sends a random request whose deadline is in one second.
+func (run *randomRun) sendRequest(id uint64) {
+	run.t.Helper()
+	classes := run.driver.router.settings.Classes
 	request := Request{
 		ID:       id,
-		Key:      fmt.Sprint("k", play.rng.IntN(30)),
-		Deadline: play.driver.now + time.Second,
-		Class:    classes[play.rng.IntN(len(classes))].Name,
-		Write:    play.rng.IntN(5) == 0,
+		Key:      fmt.Sprint("k", run.rng.IntN(30)),
+		Deadline: run.driver.now + time.Second,
+		Class:    classes[run.rng.IntN(len(classes))].Name,
+		Write:    run.rng.IntN(5) == 0,
 	}
-	play.requests[id] = &playedRequest{Request: request}
-	play.order = append(play.order, id)
-	play.handle(request)
+	run.requests[id] = &trackedRequest{Request: request}
+	run.order = append(run.order, id)
+	run.handle(request)
 }
 
-// endAttempts ends some of the attempts in flight, and all whose deadline has passed.
-func (play *randomPlay) endAttempts() {
-	play.t.Helper()
-	for _, id := range play.order {
-		request := play.requests[id]
-		isLate := play.driver.now >= request.Deadline
-		if request.inFlight == 0 || !isLate && play.rng.IntN(20) > 0 {
+// endAttempts ends some of the attempts in flight at random, and all attempts of requests whose deadline has passed.
+func (run *randomRun) endAttempts() {
+	run.t.Helper()
+	for _, id := range run.order {
+		request := run.requests[id]
+		isLate := run.driver.now >= request.Deadline
+		if request.inFlight == 0 || !isLate && run.rng.IntN(20) > 0 {
 			continue
 		}
-		reason := Reason(play.rng.IntN(int(CorruptResponse) + 1))
+		reason := Reason(run.rng.IntN(int(CorruptResponse) + 1))
 		if isLate {
 			reason = TimedOut
 		}
@@ -202,33 +205,33 @@
 		case Errored, TimedOut, Reset, Cancelled, CorruptResponse:
 			request.possiblyExecuted = true
 		}
-		play.handle(Outcome{
+		run.handle(Outcome{
 			ID: id, Attempt: request.sends - 1, Reason: reason, Took: 20 * ms, Ended: request.isEnded,
 		})
 	}
 }
 
-// drainOne has another cache server drain.
-func (play *randomPlay) drainOne() {
-	play.t.Helper()
-	play.draining = play.servers[play.rng.IntN(len(play.servers))]
+// drainOne sends both routers an endpoint list on which one random cache server drains and the others are live.
+func (run *randomRun) drainOne() {
+	run.t.Helper()
+	run.draining = run.servers[run.rng.IntN(len(run.servers))]
 	list := EndpointUpdate{Scope: FullUpdate, Servers: []Server{{ID: originID, Kind: "origin"}}}
-	for _, id := range play.servers {
+	for _, id := range run.servers {
 		entry := Server{ID: id, Kind: "cache"}
-		if id == play.draining {
+		if id == run.draining {
 			entry.State = Draining
 		}
 		list.Servers = append(list.Servers, entry)
 	}
-	play.handle(list)
+	run.handle(list)
 }
 
 // checkAllAnswered checks that each request got its final answer.
-func (play *randomPlay) checkAllAnswered() {
-	play.t.Helper()
-	for _, id := range play.order {
-		if request := play.requests[id]; !request.isEnded {
-			play.t.Fatalf("seed %d: got no final answer for %+v", play.seed, request)
+func (run *randomRun) checkAllAnswered() {
+	run.t.Helper()
+	for _, id := range run.order {
+		if request := run.requests[id]; !request.isEnded {
+			run.t.Fatalf("seed %d: got no final answer for %+v", run.seed, request)
 		}
 	}
 }
--- a/internal/policy/routing_test.go
+++ b/internal/policy/routing_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// addFarServers lists cache servers far0, far1 and so on in another zone.
+// addFarServers adds cache servers far0, far1 and so on, which are in another zone, to the endpoint list.
 func (driver *routerDriver) addFarServers(count int) {
 	var far []Server
 	for i := range count {
@@ -16,10 +16,11 @@
 	driver.update(far...)
 }
 
-// isFar reports whether a server is one of addFarServers.
+// isFar reports whether a server is one of those that addFarServers adds.
 func isFar(id string) bool { return strings.HasPrefix(id, "far") }
 
-// TestOnlyKeysOfTheMissingServerChangeOwner: with one server less, all keys of the others stay where they are.
+// TestOnlyKeysOfTheMissingServerChangeOwner checks that without one of the servers all keys of the other servers keep
+// their owner.
 func TestOnlyKeysOfTheMissingServerChangeOwner(t *testing.T) {
 	ownersOf := func(servers ...string) map[string]string {
 		driver := newDriver(t, testSettings(), servers...)
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestDrainingAndRemovedServersGetNoRequests: their keys go to the other cache server, without one to the origin, and
-// without any server requests are rejected.
+// TestDrainingAndRemovedServersGetNoRequests checks where requests for the keys of a draining or removed server go: to
+// the other cache server, and to the origin if there is no cache server. Without any server they are rejected.
 func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
 	for _, list := range []EndpointUpdate{
 		{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", State: Draining}}},
@@ -70,8 +71,8 @@
 	}
 }
 
-// TestUnreachableZoneGetsNoRequests: after a few failed connects no server of the zone is tried any more, until one of
-// them shows a sign of life.
+// TestUnreachableZoneGetsNoRequests checks that after a few failed connects no server of the zone gets any request,
+// until one of its servers responds.
 func TestUnreachableZoneGetsNoRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "a"
@@ -101,8 +102,9 @@
 	}
 }
 
-// TestReadsStayInTheirZoneWhereCrossingHasACost: while all is quiet nearly all reads go to servers of the own zone; an
-// overloaded origin brings the others back, and none of it happens where crossing zones costs nothing.
+// TestReadsStayInTheirZoneWhereCrossingHasACost checks that nearly all reads go to servers of the router's own zone
+// while the load is low, if crossing zones has a cost. An overloaded origin makes reads cross zones again. If crossing
+// costs nothing, the zone has no influence.
 func TestReadsStayInTheirZoneWhereCrossingHasACost(t *testing.T) {
 	for _, cost := range []float64{0, 0.13} {
 		settings := testSettings()
@@ -116,16 +118,17 @@
 		overloaded := driver.crossingFraction(5*time.Second, time.Second)
 		switch {
 		case cost == 0 && (quiet < 0.35 || quiet > 0.65):
-			t.Errorf("without a cost %.2f of the reads crossed, want about half", quiet)
+			t.Errorf("without a cost %.2f of the reads crossed zones, want about half", quiet)
 		case cost > 0 && (start < 0.25 || quiet > 0.08 || overloaded < 0.35):
-			t.Errorf("%.2f of the reads crossed at the start, %.2f when all was quiet, %.2f with an overloaded origin, "+
-				"want at least 0.25, at most 0.08, at least 0.35", start, quiet, overloaded)
+			t.Errorf("%.2f of the reads crossed zones at the start, %.2f when all was quiet, "+
+				"%.2f with an overloaded origin, want at least 0.25, at most 0.08, at least 0.35",
+				start, quiet, overloaded)
 		}
 	}
 }
 
-// crossingFraction sends reads, and writes that the origin takes a while for, and returns the fraction of the reads that
-// went to far servers.
+// crossingFraction sends reads, and writes that the origin answers after originLatency. It returns the fraction of the
+// reads that went to far servers.
 func (driver *routerDriver) crossingFraction(span, originLatency time.Duration) float64 {
 	reads, crossed := 0, 0
 	for end := driver.now + span; driver.now < end; driver.now += 25 * ms {
--- a/internal/policy/settings_test.go
+++ b/internal/policy/settings_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestNewNamesTheInvalidField: New refuses settings that make no sense with an error that names the field.
+// TestNewNamesTheInvalidField checks that New rejects invalid settings with an error that names the field.
 func TestNewNamesTheInvalidField(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, makeInvalid := range map[string]func(*Settings){
 		"Nodes":                            func(s *Settings) { s.Nodes = 0 },
 		"MaxAttempts":                      func(s *Settings) { s.MaxAttempts = 0 },
 		"SlowStartFloor":                   func(s *Settings) { s.SlowStartFloor = 2 },
@@ -32,11 +32,11 @@
 		`Tenants["t"].Quota`:               func(s *Settings) { s.Tenants[0].Quota = -1 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		makeInvalid(&settings)
 		_, err := New(settings, 1)
 		var invalid *SettingsError
 		if !errors.As(err, &invalid) || invalid.Field != field || !strings.Contains(err.Error(), "Settings."+field+" ") {
-			t.Errorf("New with a bad %s: got error %v, want a SettingsError that names it", field, err)
+			t.Errorf("New with an invalid %s: got error %v, want a SettingsError that names it", field, err)
 		}
 	}
 }
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// TestLowestPriorityWeightIsShedFirst: the more fetches are slow, the more classes of reads are shed, never writes.
+// TestLowestPriorityWeightIsShedFirst checks that more classes of reads are shed the more fetches are slow, starting
+// with the lowest priority weight. Writes are never shed.
 func TestLowestPriorityWeightIsShedFirst(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		fetches int
-		slow    int // of them
+		slow    int // how many of the fetches are slow
 		took    time.Duration
-		shed    map[string]bool // by class
+		shed    map[string]bool // classes of which some reads are rejected
 	}{
 		{"quiet", 20, 0, 0, nil},
 		{"no recent fetches", 0, 0, 0, nil},
@@ -38,8 +39,8 @@
 	}
 }
 
-// countRejectedMisses sends reads that their cache servers miss and returns how many are rejected. The clients of the
-// others disconnect.
+// countRejectedMisses sends reads that their cache servers miss, and returns how many of them are rejected. The
+// clients of the reads that are not rejected disconnect.
 func (driver *routerDriver) countRejectedMisses(class string, reads int) (rejected int) {
 	for i := range reads {
 		id, actions := driver.request(class, fmt.Sprint(class, "-", driver.nextID, i), nil)
@@ -55,20 +56,21 @@
 	return rejected
 }
 
-// TestReadsPassACrowdedCacheServer: a slow server, or the one with the popular key, is not crowded as long as it answers
-// well within the objective, or has next to nothing in flight. Reads of a crowded one go to the origin while that is
-// quiet, and are rejected when it is not.
-func TestReadsPassACrowdedCacheServer(t *testing.T) {
+// TestReadsBypassACrowdedCacheServer checks when reads bypass a cache server because it is crowded. A slow server, or
+// the one with a popular key, is not crowded as long as it answers well within the latency objective or has next to
+// nothing in flight. Reads of a crowded server go to the origin while the origin is quiet, and are rejected when it is
+// not.
+func TestReadsBypassACrowdedCacheServer(t *testing.T) {
 	for _, test := range []struct {
 		took         time.Duration
 		inFlight     int
 		isOriginBusy bool
-		wantPassing  bool
+		wantBypass   bool
 		wantRejects  bool
 	}{
 		{took: 150 * ms, inFlight: 5},
 		{took: 400 * ms, inFlight: 0},
-		{took: 400 * ms, inFlight: 5, wantPassing: true},
+		{took: 400 * ms, inFlight: 5, wantBypass: true},
 		{took: 400 * ms, inFlight: 5, isOriginBusy: true, wantRejects: true},
 	} {
 		driver := newTrainedDriver(t)
@@ -76,36 +78,37 @@
 		for i := range 200 {
 			driver.router.origin.gauge.observe(driver.now, 10*ms, test.isOriginBusy && i%3 == 0)
 		}
-		var keys []string // of one server, among others
+		var keys []string // keys that s1 owns
 		for i := 0; len(keys) < 40; i++ {
 			if key := fmt.Sprint("k", i); driver.ownerOf(key) == "s1" {
 				keys = append(keys, key)
 			}
 		}
-		passing, rejected := 0, 0
+		bypassing, rejected := 0, 0
 		for i, key := range keys {
 			id, actions := driver.request("low", key, nil)
 			rejected += len(actionsOf[Reject](actions))
 			if sends := actionsOf[Send](actions); len(sends) > 0 && sends[0].Server == originID {
-				passing++
+				bypassing++
 			} else if len(sends) > 0 && i >= test.inFlight {
 				driver.endAttempt(id, Succeeded, test.took)
 			}
 		}
-		if passing > 0 != test.wantPassing || rejected > 0 != test.wantRejects {
-			t.Errorf("%+v: got %d reads past the server and %d rejected", test, passing, rejected)
+		if bypassing > 0 != test.wantBypass || rejected > 0 != test.wantRejects {
+			t.Errorf("%+v: got %d reads that bypassed the server and %d rejected", test, bypassing, rejected)
 		}
 	}
 }
 
-// TestOverQuotaRequestsAreShedFirst: under the same load, requests beyond a tenant's quota are shed and others are not.
+// TestOverQuotaRequestsAreShedFirst checks that under the same load requests beyond a tenant's quota are shed while
+// others are not.
 func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 10 { // uses up the tenant's quota at this router
 		driver.request("high", "k", ofTenant)
 	}
 	for _, srv := range driver.router.servers {
-		for i := range 200 { // past the lowest threshold only; the origin is not quiet
+		for i := range 200 { // a load above the lowest threshold only; the origin is not quiet either
 			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
 		}
 	}
@@ -121,11 +124,11 @@
 	}
 }
 
-// TestSmallQuotaIsNotTakenForExcess: a tenant with less than one request a second at this router is not over its quota
-// with each of them.
-func TestSmallQuotaIsNotTakenForExcess(t *testing.T) {
+// TestRequestsWithinASmallQuotaAreNotOverIt checks that a tenant whose quota at this router is less than one request a
+// second does not exceed the quota with every single request.
+func TestRequestsWithinASmallQuotaAreNotOverIt(t *testing.T) {
 	settings := testSettings()
-	settings.Nodes = 40 // so that the quota is half a request a second here
+	settings.Nodes = 40 // each router has a part of the quota: half a request a second
 	driver := newDriver(t, settings, "s1")
 	countOverQuota := func(gap time.Duration) (count int) {
 		for range 30 {
@@ -146,15 +149,16 @@
 	}
 }
 
-// TestRoutersDoNotShedInStep: routers under the same load do not all reject the same of their misses.
+// TestRoutersDoNotShedInStep checks that routers under the same load do not all reject the same misses, counted from
+// the first miss of each router.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	firstRejected := map[int]int{} // routers by the miss that each rejects first
+	firstRejected := map[int]int{} // number of routers, by which of its misses a router rejects first
 	for seed := range uint64(60) {
 		router, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		loaded := gauge{ // a fifth of the way from the threshold to where all is shed
+		loaded := gauge{ // utilisation a fifth of the way from the threshold to where all misses are shed
 			objectives: router.newObjectives(),
 			samples:    100,
 			overTarget: 120 * shedThresholds[degraded],
@@ -168,12 +172,13 @@
 		}
 	}
 	if len(firstRejected) < 4 {
-		t.Errorf("60 routers reject their first miss at these places: %v, want at least 4", firstRejected)
+		t.Errorf("60 routers, by the first miss that each rejects: got %v, want at least 4 groups", firstRejected)
 	}
 }
 
-// TestLoadLevelShedsTheLowestPriorityWeight: while the node is behind with its own work a share of what may be shed is,
-// the lowest weight first; writes and critical reads never are.
+// TestLoadLevelShedsTheLowestPriorityWeight checks that while the node is behind with its own work, a part of the
+// requests that may be shed is rejected, the lowest priority weight first. Writes and critical reads are never
+// rejected for that.
 func TestLoadLevelShedsTheLowestPriorityWeight(t *testing.T) {
 	driver := newTrainedDriver(t)
 	countRejected := func(class string, change func(*Request)) (count int) {
@@ -197,12 +202,12 @@
 	}
 	driver.handle(LoadLevel{})
 	if got := countRejected("low", nil); got != 0 {
-		t.Errorf("no longer behind: got %d rejected, want none", got)
+		t.Errorf("node no longer behind: got %d rejected, want none", got)
 	}
 }
 
-// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold: a share of slow hits far under the threshold of fetches sends
-// reads past a crowded server while the origin is quiet.
+// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold checks that reads bypass a crowded server while the origin is
+// quiet, even if the share of slow hits is far below the threshold for fetches.
 func TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold(t *testing.T) {
 	driver := newTrainedDriver(t)
 	crowded := driver.router.serverByID[driver.ownerOf("k")]
@@ -214,18 +219,18 @@
 		driver.now += 10 * ms
 		crowded.gauge.observe(driver.now, latency, false)
 	}
-	passing := 0
+	bypassing := 0
 	for i := range 40 {
 		driver.request("low", "k", nil)
 		key := fmt.Sprint("k", i, "x")
 		_, actions := driver.request("low", key, nil)
 		sends := actionsOf[Send](actions)
 		if driver.ownerOf(key) == crowded.ID && len(sends) == 1 && sends[0].Server == originID {
-			passing++
+			bypassing++
 		}
 		driver.feedOrigin(1, 50*ms, Succeeded)
 	}
-	if passing == 0 {
-		t.Error("no read went past a server with a fifth of its answers slow")
+	if bypassing == 0 {
+		t.Error("no read bypassed a server of which a fifth of the answers are slow")
 	}
 }
--- a/internal/policy/slotorder_test.go
+++ b/internal/policy/slotorder_test.go
@@ -11,8 +11,9 @@
 	"shelfproxy/internal/policy/outlier"
 )
 
-// newWideDriver returns the driver of a router with many cache servers in two zones, of different sizes.
-func newWideDriver(t *testing.T, servers int) *routerDriver {
+// newManyServersDriver returns the driver of a router with many cache servers, which are in two zones and have
+// different capacities.
+func newManyServersDriver(t *testing.T, servers int) *routerDriver {
 	t.Helper()
 	settings := testSettings()
 	settings.WeightByCapacity, settings.Zone = true, "a"
@@ -27,9 +28,10 @@
 	return driver
 }
 
-// TestSlotOrderIsThatOfTheScores: servers come in the order of their scores, each once, without those that get nothing.
-func TestSlotOrderIsThatOfTheScores(t *testing.T) {
-	driver := newWideDriver(t, 40)
+// TestSlotOrderFollowsTheScores checks that a slot order yields each server once, by ascending score, and leaves out
+// the servers that get no requests for the slot.
+func TestSlotOrderFollowsTheScores(t *testing.T) {
+	driver := newManyServersDriver(t, 40)
 	router := driver.router
 	router.keyServers[3].server.isUnresponsive = true
 	router.keyServers[7].server.assessment.KeptFraction = 0.5
@@ -58,8 +60,8 @@
 	}
 }
 
-// shortest returns the shortest time that a function takes in some runs, which a busy machine does not change much.
-func shortest(run func()) time.Duration {
+// minDuration returns the shortest time that a function takes in nine runs. A busy machine does not change it much.
+func minDuration(run func()) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for range 9 {
 		start := time.Now()
@@ -69,27 +71,28 @@
 	return least
 }
 
-// popularKey is the key that most requests of checkGrowth are for.
+// popularKey is the key that most requests of the fleet are for in checkGrowth.
 const popularKey = "popular"
 
-// checkGrowth fails the test if what a function does costs more in front of sixteen times the servers than in proportion to them,
-// with a factor for caches of the processor and logarithms.
+// checkGrowth fails the test if the cost of run grows faster than the number of servers. In front of sixteen times the
+// servers it may cost 4 times as much as in proportion to them, to allow for processor caches and logarithms.
 func checkGrowth(t *testing.T, what string, run func(driver *routerDriver)) {
 	t.Helper()
 	const few, times, slack = 200, 16, 4
 	cost := func(servers int) time.Duration {
-		driver := newWideDriver(t, servers)
-		for range servers { // the nodes of the fleet have been asked for little else
+		driver := newManyServersDriver(t, servers)
+		for range servers { // nearly all requests of the fleet have been for the popular key
 			driver.router.keyCounts.Add(driver.now, gossip.FingerprintOf(hash(popularKey)), float64(servers))
 		}
-		return shortest(func() { run(driver) })
+		return minDuration(func() { run(driver) })
 	}
 	if usual, most := cost(few), cost(times*few); most > slack*times*usual {
 		t.Errorf("%s: %v in front of %d servers, %v in front of %d, want at most %d times as much", what, usual, few, most, times*few, slack*times)
 	}
 }
 
-// Report 7e0653: requests for a popular key cost the square of the number of servers, also those that wait for one fetch.
+// TestCostOfAPopularKeyFollowsTheNumberOfServers guards against requests for a popular key that cost the square of the
+// number of servers (report 7e0653). Requests that waited for the same fetch cost as much.
 func TestCostOfAPopularKeyFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "requests for a popular key", func(driver *routerDriver) {
 		for range 4 {
@@ -99,7 +102,9 @@
 	})
 }
 
-// The same of what operators ask for: each of these held up the event loop for as long.
+// TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers guards against the same quadratic cost in explanations that
+// operators ask for, in upkeep, and in outcomes with an ejection budget. Each of these blocked the event loop for as
+// long.
 func TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "an explanation", func(driver *routerDriver) { driver.router.Explain(driver.now, popularKey) })
 	checkGrowth(t, "upkeep with an ejection budget", func(driver *routerDriver) {
@@ -112,9 +117,10 @@
 	})
 }
 
-// TestServersWithoutSlotsEndTheOrder: servers that have just started where they begin with nothing.
+// TestServersWithoutSlotsEndTheOrder checks that a slot order ends when only servers without slots are left. These are
+// servers that have just started, where slow start begins with a weight of 0.
 func TestServersWithoutSlotsEndTheOrder(t *testing.T) {
-	driver := newWideDriver(t, 12)
+	driver := newManyServersDriver(t, 12)
 	driver.router.settings.SlowStartFloor = 0
 	for _, listed := range slices.Clone(driver.router.keyServers[:6]) {
 		driver.restart(listed.server.ID, "a")
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -9,14 +9,15 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// isAdmitted reports whether a server that warms up takes a request for the key, where it was a candidate for as many.
+// isAdmitted reports whether a server that warms up takes a request for the key, if it has been a candidate for as
+// many requests as offered says.
 func (driver *routerDriver) isAdmitted(srv *server, key string, offered float64) bool {
 	srv.offered = offered
 	return driver.router.admitsDuringSlowStart(srv, &request{Request: Request{Key: key}})
 }
 
-// TestRestartedServerStaysWithinItsBudget: a server that restarted gets a part of its keys, and all of them when it is
-// warm. A hot key must not overload it either.
+// TestRestartedServerStaysWithinItsBudget checks that a server that restarted gets only a part of its keys, and all of
+// them once it is warm. A hot key must not overload the server while it warms up.
 func TestRestartedServerStaysWithinItsBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	countSent := func(requests int) (count int) {
@@ -41,7 +42,7 @@
 	if got := countSent(600); got < warm*8/10 {
 		t.Errorf("warm again: got %d requests, want about %d", got, warm)
 	}
-	// All reads of a key that it owns come at once.
+	// 200 reads of one key that the restarted server owns arrive at once.
 	driver.restart("s3", "")
 	key := driver.keyOwnedBy("s3", "o")
 	got := 0
@@ -50,21 +51,21 @@
 			got++
 		}
 	}
-	// An average server gets about 100 requests in the window of popularity.
+	// An average server gets about 100 requests in the window over which the popularity of keys is counted.
 	if limit := 3 * 0.2 * 110; float64(got) > limit {
-		t.Errorf("hot key while it warms up: got %d requests, want at most %.0f", got, limit)
+		t.Errorf("hot key while the server warms up: got %d requests, want at most %.0f", got, limit)
 	}
 }
 
-// TestManyRoutersTogetherSpareARestartedServer: each of 400 routers sees few requests, a third of them for a key of the
-// server that restarted.
-func TestManyRoutersTogetherSpareARestartedServer(t *testing.T) {
+// TestManyRoutersDoNotOverloadARestartedServer checks that 400 routers together do not overload a server that
+// restarted. Each router sees few requests, a third of them for a key of that server.
+func TestManyRoutersDoNotOverloadARestartedServer(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 400
 	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
 	driver := newDriver(t, settings, ids...)
 	driver.restart("s1", "")
-	hot := driver.keyOwnedBy("s1", "h") // also while it warms up
+	hot := driver.keyOwnedBy("s1", "h") // s1 owns this key also while it warms up
 	sent, offered := 0, 0
 	for seed := range uint64(settings.Nodes) {
 		driver := newDriver(t, settings, ids...)
@@ -88,19 +89,19 @@
 			}
 		}
 	}
-	// An average server gets a tenth; one that warms up can do at least a fifth of what it could when warm, and the
-	// overload factor allows three times that.
+	// An average server gets a tenth of the requests. A server that warms up can serve at least a fifth of that, and
+	// the overload factor allows three times as much.
 	if limit := offered / 10 * 2 * 3 / 10; sent == 0 || sent > limit {
 		t.Errorf("got %d of %d requests at a restarted server with a hot key, want some and at most %d", sent, offered, limit)
 	}
 }
 
-// TestPartsOfHotKeysCountAgainstTheSlowStartBudget: hot keys of other servers are spread over one that warms up, within
-// its budget.
+// TestPartsOfHotKeysCountAgainstTheSlowStartBudget checks that hot keys of other servers, when they are spread over a
+// server that warms up, stay within its slow start budget.
 func TestPartsOfHotKeysCountAgainstTheSlowStartBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 	driver.restart("s1", "")
-	var hot []string // keys that s1 does not own but is next for while it warms up
+	var hot []string // keys for which s1 comes second in the slot order while it warms up
 	for i := 0; len(hot) < 3; i++ {
 		key := fmt.Sprint("h", i)
 		order := driver.router.orderOf(slotOf(key), &request{})
@@ -118,13 +119,15 @@
 		}
 		driver.endAttempt(id, Succeeded, 5*ms)
 	}
-	// Spread evenly s1 would get an eighth, 75; it can do at least a fifth of that, and the overload factor is 3.
+	// If the keys were spread evenly, s1 would get an eighth of the requests: 75. While it warms up it can serve at
+	// least a fifth of that, and the overload factor is 3.
 	if got > 45 {
 		t.Errorf("three hot keys: got %d of 600 requests at a server that warms up, want at most 45", got)
 	}
 }
 
-// TestSlowStartBudgetFollowsAnswersNotDemand: in a storm clients ask again and again, and one request in ten is answered.
+// TestSlowStartBudgetFollowsAnswersNotDemand checks that the slow start budget is based on answers, not on demand. In
+// a retry storm, clients repeat their requests again and again, and only one request in ten is answered.
 func TestSlowStartBudgetFollowsAnswersNotDemand(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	for i := range 600 {
@@ -141,16 +144,18 @@
 			admitted++
 		}
 	}
-	// Each server answered 20. Three times a fifth of that is 12, and the first few pass before the key is known as hot.
+	// Each server answered 20 requests. Three times a fifth of that is 12, and the first few requests are admitted
+	// before the key is known as hot.
 	if admitted == 0 || admitted > 45 {
 		t.Errorf("got %d of 100 requests admitted while an average server answers 20, want 1 to 45", admitted)
 	}
 }
 
-// TestFleetSparesTheRestartedOwnerOfAHotKey: a tenth of all requests are for one key when the server that owns it
-// restarts. Each of 300 routers would send its first one there, as it knows of no other; a third of them have only just
-// started themselves. Any 1.5 s bring the server less than would overload it, were it to grow no warmer meanwhile.
-func TestFleetSparesTheRestartedOwnerOfAHotKey(t *testing.T) {
+// TestFleetDoesNotOverloadTheRestartedOwnerOfAHotKey checks a fleet of 300 routers when the owner of a hot key, which
+// gets a tenth of all requests, restarts. Each router would send its first request for the key to the owner, as it
+// knows of no other request for it. A third of the routers have only just started themselves. In any 1.5 s the owner
+// must get fewer requests than would overload it if it did not warm up in that time.
+func TestFleetDoesNotOverloadTheRestartedOwnerOfAHotKey(t *testing.T) {
 	const (
 		steps, restartAt = 1400, 800
 		servers          = 50
@@ -158,15 +163,15 @@
 	)
 	fleet := newFleet(t, 300, true, 0.1, serverIDs(servers)...)
 	ownerID := fleet.drivers[0].ownerOf("hot")
-	sent, requests := make([]int, steps), 0 // sent to the owner, by step
+	sent, requests := make([]int, steps), 0 // sent: requests sent to the owner, by step
 	for step := range steps {
 		if step == restartAt {
-			fleet.restartOwnerAndThird(ownerID, serverIDs(servers))
+			fleet.restartOwnerAndThirdOfRouters(ownerID, serverIDs(servers))
 		}
-		received := fleet.deliverable()
+		received := fleet.takeUndelivered()
 		for i, driver := range fleet.drivers {
 			fleet.tick(step, i, received, neverDown)
-			if (step+i)%20 != 0 { // 5 requests a second: two thirds of a second until a router meets the key twice
+			if (step+i)%20 != 0 { // 5 requests a second: a router gets the key twice only after two thirds of a second
 				continue
 			}
 			id, actions := driver.request("high", fleet.drawKey(true), nil)
@@ -179,15 +184,15 @@
 		}
 	}
 	settings := fleet.drivers[0].router.settings
-	fair := float64(requests) / steps * window / servers // of one server
+	fair := float64(requests) / steps * window / servers // requests that a warm server gets in a window
 	most, total := 0, sum(sent[restartAt:])
 	for step := restartAt; step+window <= steps; step++ {
 		most = max(most, sum(sent[step:step+window]))
 	}
-	t.Logf("at most %d in 1.5 s, %d in 6 s; a warm server gets %.0f in 1.5 s", most, total, fair)
+	t.Logf("the owner got at most %d requests in 1.5 s, %d in 6 s; a warm server gets %.0f in 1.5 s", most, total, fair)
 	if limit := settings.OverloadFactor * settings.SlowStartFloor * fair; float64(most) > limit || total == 0 {
-		t.Errorf("got %d requests at the restarted server in 1.5 s, %d in all, want at most %.0f, which overload it, and some",
-			most, total, limit)
+		t.Errorf("got %d requests at the restarted server in 1.5 s, %d in all, "+
+			"want at most %.0f in 1.5 s, beyond which it is overloaded, and some in all", most, total, limit)
 	}
 }
 
@@ -199,8 +204,9 @@
 	return total
 }
 
-// restartOwnerAndThird restarts every third router, which forgets all, and tells all routers that the owner restarted.
-func (fleet *simulatedFleet) restartOwnerAndThird(ownerID string, servers []string) {
+// restartOwnerAndThirdOfRouters restarts every third router, which loses all its state, and tells all routers that the
+// owner restarted.
+func (fleet *simulatedFleet) restartOwnerAndThirdOfRouters(ownerID string, servers []string) {
 	for i, driver := range fleet.drivers {
 		if i%3 == 0 {
 			now := driver.now
@@ -212,15 +218,16 @@
 	}
 }
 
-// TestSlowStartAdmitsByPopularityAtAllRouters: a router that had no request for a server that warms up lets it have an
-// ordinary key, and one in many of the requests for a key that is popular at the other routers.
+// TestSlowStartAdmitsByPopularityAtAllRouters checks a router that had no request yet for a server that warms up. It
+// sends the server requests for an ordinary key. It sends only one in many of the requests for a key that is popular
+// at the other routers.
 func TestSlowStartAdmitsByPopularityAtAllRouters(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 300
 	driver := newDriver(t, settings, serverIDs(50)...)
 	driver.readOtherKeys(400)
 	driver.restart("s20", "a")
-	for i := range 400 { // half of what the others report
+	for i := range 400 { // half of what the other routers report are requests for the hot key
 		for _, key := range []string{"hot", fmt.Sprint("ordinary", i%200)} {
 			driver.router.keyCounts.Add(driver.now, gossip.FingerprintOf(hash(key)), 50)
 		}
@@ -239,8 +246,9 @@
 	}
 }
 
-// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved: what one server answers is judged by how many there were as it
-// did. Half of them go: one that warms up takes no more than it did a moment before.
+// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that a server that warms up takes no more requests after
+// half of the servers are removed than a moment before. The answers of a mean server are computed with the number of
+// servers at the time of each answer.
 func TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(8)...)
 	for i := range 400 {
@@ -269,12 +277,13 @@
 	}
 }
 
-// TestUnreachableServerIsDistinguishedFromRestartedOne: a server that was unresponsive and answers again warms up, as it
-// may have restarted. That it was only unreachable shows by hits; that it restarted by a connect that was refused
-// meanwhile, by a miss, or by the list.
+// TestUnreachableServerIsDistinguishedFromRestartedOne checks how a router distinguishes a restarted server from one
+// that was only unreachable. A server that was unresponsive and answers again warms up, as it may have restarted. Hits
+// show that it was only unreachable. A connect that was refused meanwhile, a miss, or the endpoint list shows that it
+// restarted.
 func TestUnreachableServerIsDistinguishedFromRestartedOne(t *testing.T) {
 	for name, test := range map[string]struct {
-		meanwhile     Reason // how an attempt ended while it was unresponsive
+		meanwhile     Reason // how an attempt ended while the server was unresponsive
 		took          time.Duration
 		answers       []Reason
 		wantWarmingUp bool
@@ -309,7 +318,7 @@
 			}
 			for i, reason := range test.answers {
 				id, actions := driver.request("high", fmt.Sprint("k", i), nil)
-				for driver.sentTo(actions) != "s1" { // what it does not admit goes to the origin
+				for driver.sentTo(actions) != "s1" { // a request that s1 does not admit goes to the origin
 					driver.endAttempt(id, Succeeded, 5*ms)
 					id, actions = driver.request("high", fmt.Sprint("k", i, driver.nextID), nil)
 				}
--- a/internal/policy/utilisation_test.go
+++ b/internal/policy/utilisation_test.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-// originUtilisation returns the share of the origin's recent answers over the target and over the maximum.
+// originUtilisation returns the fractions of the origin's recent answers that took longer than the target and than the
+// maximum latency.
 func (driver *routerDriver) originUtilisation() (overTarget, overMax float64) {
 	return driver.router.origin.gauge.utilisation(driver.now)
 }
 
-// TestTargetIsLearnedOnlyInQuietTimes: an overloaded origin must not pass for the normal one.
+// TestTargetIsLearnedOnlyInQuietTimes checks that slow answers of an overloaded origin do not raise the learned target
+// latency: overload must not be taken for the normal state.
 func TestTargetIsLearnedOnlyInQuietTimes(t *testing.T) {
 	driver := newTrainedDriver(t)
 	before := driver.router.origin.gauge.target
@@ -21,7 +23,8 @@
 	}
 }
 
-// TestFetchesInFlightCountAsSlow: a stalled origin answers nothing that could be measured.
+// TestFetchesInFlightCountAsSlow checks that attempts in flight for too long count as slow, as a stalled origin sends
+// no answers that could be measured.
 func TestFetchesInFlightCountAsSlow(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 20 {
@@ -33,7 +36,8 @@
 	}
 }
 
-// TestFewFetchesAreJudgedByTheLatest: a router with a fetch every two seconds sees an overload, and that it is over.
+// TestFewFetchesAreJudgedByTheLatest checks that a router with only one fetch every two seconds notices an overload,
+// and the end of it.
 func TestFewFetchesAreJudgedByTheLatest(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.now += time.Minute
@@ -51,8 +55,8 @@
 	}
 }
 
-// TestOverloadFromTheStartIsSeen: what is three times the shortest objective from the first fetch on is not learned as
-// normal.
+// TestOverloadFromTheStartIsSeen checks that a latency of three times the shortest latency objective, from the first
+// fetch on, counts as overload and is not learned as the normal latency.
 func TestOverloadFromTheStartIsSeen(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	driver.feedOrigin(12, 1500*ms, Succeeded)
