--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Request is one request of a client. Its byte slices point into the buffer that the command was read into, which is not written
-// to again.
+// Request is one request of a client. Its byte slices point into the buffer that the command was read into. Nothing is written to
+// that buffer again.
 type Request struct {
 	Key, ID       []byte
 	Class         string
 	Tenant        string // empty if the client names no tenant of the deployment
 	Parameters    []byte // the comma-separated name=value pairs as they arrived
 	IsWrite       bool
-	Value         []byte        // of a write
-	ReceivedAt    time.Time     // when it came, at the earliest: before it was read, if the process did not run for a while
-	ClientTimeout time.Duration // how long the client waits from when it sent the request
-	ConnectionID  uint64        // the listener's number of the client's connection, for fairness between connections
-	// Reply takes the one final response. The node calls it from its event loop: it must not wait.
+	Value         []byte        // the value that a write stores
+	ReceivedAt    time.Time     // earliest possible time of arrival, which is before the read if the process was paused
+	ClientTimeout time.Duration // how long the client waits for the response, from the time that it sent the request
+	ConnectionID  uint64        // the listener's number for the client's connection, used for fairness between connections
+	// Reply delivers the one final response. The node calls it from its event loop, so it must not block.
 	Reply func(Response)
 
 	cancelled atomic.Bool
 }
 
-// Cancel says that the client has disconnected: nothing more may be started for the request. It is safe for concurrent use, and
-// called by whoever notices first, before Handler.ClientDisconnected.
+// Cancel records that the client has disconnected: nothing more may be started for the request. Cancel is safe for concurrent
+// use. The goroutine that first notices the disconnect calls it, before Handler.ClientDisconnected.
 func (r *Request) Cancel() { r.cancelled.Store(true) }
 
 // IsCancelled reports whether the client has disconnected. It is safe for concurrent use.
@@ -38,11 +38,11 @@
 	timeoutPrefix = []byte("d=")
 )
 
-// maxTimeoutGrowth is how many bytes the new timeout is usually longer than the old one, at most.
+// maxTimeoutGrowth bounds by how many bytes the new timeout is usually longer than the old one.
 const maxTimeoutGrowth = 8
 
-// ParametersWithTimeout returns the parameters with the remaining time, in whole milliseconds and at least one, in place of the d
-// that the client gave.
+// ParametersWithTimeout returns the parameters with a new value of d, the timeout that the client gave: the remaining time in whole
+// milliseconds, at least one.
 func (r *Request) ParametersWithTimeout(remaining time.Duration) []byte {
 	parameters := make([]byte, 0, len(r.Parameters)+maxTimeoutGrowth)
 	for rest := r.Parameters; ; {
@@ -60,37 +60,37 @@
 	}
 }
 
-// ResponseKind says what a final response is.
+// ResponseKind is the kind of a final response.
 type ResponseKind int
 
 // The kinds of final responses.
 const (
 	Served   ResponseKind = iota
 	Rejected              // the request had no effect: a retry is harmless
-	Failed                // says nothing about effects
-	Invalid               // the node can't make sense of the request; Text says why
+	Failed                // it is not known whether the request had an effect
+	Invalid               // the node can't interpret the request; Text says why
 )
 
 var responseKindNames = [...]string{"served", "refused", "failed", "invalid"}
 
-// ResponseKinds returns the names of the kinds in the counters, in their order.
+// ResponseKinds returns the names of all response kinds in the counters, in the order of the constants.
 func ResponseKinds() []string { return responseKindNames[:] }
 
-// String returns the name of the kind in counters and in the log.
+// String returns the name of the kind that counters and the log use.
 func (k ResponseKind) String() string { return responseKindNames[k] }
 
 // Response is the final response to a request.
 type Response struct {
 	Kind       ResponseKind
-	Value      []byte        // of Served
-	RetryAfter time.Duration // of Rejected: how long the client should wait before a retry; 0 if it is not told
-	Text       string        // of Invalid
+	Value      []byte        // only with Served
+	RetryAfter time.Duration // only with Rejected: how long the client should wait before a retry; 0 gives no advice
+	Text       string        // only with Invalid: why the request is invalid
 }
 
-// Handler takes the requests that a listener reads. Its methods may wait, and must not be called from the node's event loop.
+// Handler takes the requests that a listener reads. Its methods may block, so they must not be called from the node's event loop.
 type Handler interface {
-	// Handle takes a request.
+	// Handle takes a request, which is answered through Request.Reply.
 	Handle(*Request)
-	// ClientDisconnected says that the client of a request disconnected before its response.
+	// ClientDisconnected tells the handler that the client of a request disconnected before it got the response.
 	ClientDisconnected(*Request)
 }
--- a/internal/request/request_test.go
+++ b/internal/request/request_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestParametersCarryRemainingTime: the parameter d becomes the remaining time in milliseconds, at least one; the others stay as they are.
+// TestParametersCarryRemainingTime checks that the parameter d is replaced by the remaining time in milliseconds, at least one,
+// and that the other parameters stay as they are.
 func TestParametersCarryRemainingTime(t *testing.T) {
 	for _, test := range []struct {
 		name       string
