--- a/internal/socketstate/socketstate.go
+++ b/internal/socketstate/socketstate.go
@@ -1,4 +1,4 @@
-// Package socketstate asks the kernel about a TCP connection, without reading from it or waiting.
+// Package socketstate asks the kernel for the state of a TCP connection, without reading from the connection or blocking.
 package socketstate
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsReadable reports whether a read would return at once: with bytes that came, with the end of the connection, or with an error.
+// IsReadable reports whether a read would return at once: with data, with the end of the connection, or with an error.
 func IsReadable(raw syscall.RawConn) bool {
 	var peekErr error
 	err := raw.Control(func(fd uintptr) {
@@ -24,11 +24,11 @@
 	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// clockTick is the longest step of the clock that the kernel stamps connections with.
+// clockTick is the longest tick of the clock with which the kernel records when data arrives on a connection.
 const clockTick = 10 * time.Millisecond
 
-// SinceData returns how long ago the last bytes came on a connection, read or not; 0 if that is within a step of the kernel's clock,
-// or not known. Bytes that are read may have come earlier than the last ones.
+// SinceData returns how long ago the last bytes arrived on a connection, whether they have been read or not. It returns 0 if that
+// time is not known or not longer than clockTick. Bytes that have been read may have arrived earlier than the last ones.
 func SinceData(fd uintptr) time.Duration {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
--- a/internal/socketstate/socketstate_test.go
+++ b/internal/socketstate/socketstate_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestSinceData: the time since the last bytes came runs whether or not they are read.
+// TestSinceData checks that the time since the last bytes arrived counts from their arrival, whether they have been read or not.
 func TestSinceData(t *testing.T) {
-	const rest = 300 * time.Millisecond
+	const idleFor = 300 * time.Millisecond
 	client, server := connectionPair(t)
 	raw, err := server.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -24,7 +24,7 @@
 		if isReadAtOnce {
 			readByte(t, server)
 		}
-		time.Sleep(rest)
+		time.Sleep(idleFor)
 		if !isReadAtOnce {
 			readByte(t, server)
 		}
@@ -39,7 +39,7 @@
 	}
 }
 
-// connectionPair returns both ends of a connection, which end with the test.
+// connectionPair returns both ends of a TCP connection, which are closed when the test ends.
 func connectionPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	var listenConfig net.ListenConfig
