--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -129,22 +129,22 @@
 	spread, firstBackoff := driver.router.pollSpread(), driver.router.polls.FirstBackoff()
 	limit := updateKnownWithin + driver.router.settings.DrainGrace
 	if worst := polling.WatchTimeout + upkeepInterval + spread + pollCallTimeout; worst > limit {
-		t.Errorf("poll after a silent watch: answered up to %v after a change, want %v", worst, limit)
+		t.Errorf("poll after a silent watch: answered up to %v after a change, want at most %v", worst, limit)
 	}
-	for range 10 { // each failure makes the next wait longer
+	for range 10 { // each failed poll makes the next wait longer
 		driver.router.polls.Failed(driver.now)
 	}
-	driver.router.polls.Jitter = func(wait time.Duration) time.Duration { return wait } // always the longest wait
+	driver.router.polls.Jitter = func(wait time.Duration) time.Duration { return wait } // no jitter: the longest wait
 	failedAt := driver.now
 	driver.handle(EndpointUpdate{Scope: PollFailed})
 	for countPolls(driver.runUpkeep()) == 0 {
 		driver.now += upkeepInterval
 	}
 	if worst := polling.CallTimeout + driver.now - failedAt + pollCallTimeout; worst > limit {
-		t.Errorf("poll after one that failed: answered up to %v after discovery is back, want %v", worst, limit)
+		t.Errorf("poll after one that failed: answered up to %v after discovery is back, want at most %v", worst, limit)
 	}
 	if worst := spread + pollCallTimeout + firstBackoff + upkeepInterval; worst > limit+upkeepInterval {
-		t.Errorf("second poll: made up to %v after a start, want %v", worst, limit+upkeepInterval)
+		t.Errorf("second poll: made up to %v after a start, want at most %v", worst, limit+upkeepInterval)
 	}
 	if least := pace * time.Duration(routers); routers <= 300 && spread < least {
 		t.Errorf("first polls: made within %v, want at least %v", spread, least)
@@ -187,7 +187,7 @@
 	service := &discoveryService{perPoll: 5 * ms, downUntil: began + test.downFor, responses: map[int]pollResponse{}}
 	for i, driver := range fleet.drivers {
 		driver.router.settings.MustPoll = true
-		driver.update() // an empty change: the router has a list and a working watch
+		driver.update() // an empty update, which tells the router that its watch works
 		switch {
 		case test.isMoved:
 			service.poll(driver.now, i)
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -152,7 +152,7 @@
 // one that would wait for too long fails.
 type discoveryService struct {
 	perPoll   time.Duration
-	idleAt    Time // when all polls so far are answered
+	idleAt    Time // when the service has answered all polls so far
 	downUntil Time // polls before this time fail at once
 	responses map[int]pollResponse
 }
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -13,7 +13,7 @@
 	const (
 		outlierID       = "s20"
 		badFrom         = 800
-		foundBy         = 1400 // some seconds after badFrom: one router has to send to the outlier twice
+		foundBy         = 1400 // some seconds after badFrom, as one router has to send to the outlier twice
 		goodFrom        = 1800
 		recoveredBy     = 2600
 		steps           = 3400
@@ -21,7 +21,7 @@
 		maxDatagramSize = 256
 	)
 	for name, bad := range map[string]Reason{"errors": Errored, "slow": TimedOut} {
-		attemptShare := map[bool]float64{} // of the bad outlier's usual attempts, with (true) and without gossip
+		attemptShare := map[bool]float64{} // the outlier's share of its usual attempts, with gossip (true) or without
 		for _, mayGossip := range []bool{false, true} {
 			fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(40)...)
 			before, during, after := 0, 0, 0
@@ -34,7 +34,7 @@
 					return Succeeded
 				})
 				switch {
-				case step < badFrom: // counted for eight seconds, as a server gets only six requests a second
+				case step < badFrom: // attempts are counted for eight seconds, as a server gets only six a second
 					before += attempts[outlierID]
 				case step >= foundBy && isBad:
 					during += attempts[outlierID]
@@ -44,16 +44,18 @@
 			}
 			attemptShare[mayGossip] = float64(during) * 2 / float64(before)
 			if mayGossip && float64(after) < 0.4*float64(before) {
-				t.Errorf("%s: got %d attempts in 8 s before, %d in 4 s while bad, %d in 8 s after, "+
-					"want at least 0.4 of those before", name, before, during, after)
+				t.Errorf(
+					"%s: got %d attempts in 8 s before, %d in 4 s while bad, %d in 8 s after, want 0.4 of the first at least",
+					name, before, during, after)
 			}
 			if perRequest := float64(fleet.gossipBytes) / maxDatagramSize / requests; perRequest > 0.5 {
 				t.Errorf("%s: got gossip of %.2f full datagrams for each request, want at most 0.5", name, perRequest)
 			}
 		}
 		if attemptShare[true] > 0.35 || attemptShare[true] > attemptShare[false]*0.7 {
-			t.Errorf("%s: the outlier got %.2f of its requests with gossip, %.2f without, "+
-				"want at most 0.35 and 0.7 of the latter", name, attemptShare[true], attemptShare[false])
+			t.Errorf(
+				"%s: outlier got %.2f of its requests with gossip, %.2f without, want at most 0.35 and 0.7 of the latter",
+				name, attemptShare[true], attemptShare[false])
 		}
 	}
 }
@@ -67,7 +69,7 @@
 		downFrom  = 300
 		downUntil = 1100
 	)
-	healthChecks := map[bool]int{} // of the whole fleet, with (true) and without gossip
+	healthChecks := map[bool]int{} // number of health checks of the whole fleet, with gossip (true) or without
 	for _, mayGossip := range []bool{false, true} {
 		fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(20)...)
 		for step := range 1500 {
--- a/internal/policy/healthcheck_test.go
+++ b/internal/policy/healthcheck_test.go
@@ -125,7 +125,7 @@
 		driver := newDriver(t, settings, "s1", "s2")
 		driver.router.markUnresponsive(driver.router.serverByID["s1"])
 		got := 0
-		for range 80 { // rounds of upkeep in 20 s
+		for range 80 { // 80 rounds of upkeep take 20 s
 			driver.now += upkeepInterval
 			for _, check := range actionsOf[HealthCheck](driver.runUpkeep()) {
 				if check.Server == "s1" {
@@ -177,7 +177,7 @@
 	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
 		t.Errorf("20 s at a server that is left out: got %d attempts, want 1 to 6", got)
 	}
-	if got := attemptsAtFar(30*time.Second, false); got < 300 { // fewer than its share, as the server warms up at first
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // the server warms up at first
 		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
 	}
 }
--- a/internal/policy/hedging_test.go
+++ b/internal/policy/hedging_test.go
@@ -12,7 +12,7 @@
 		driver.readOtherKeys(40)
 		readID, _ := driver.request("low", "k", nil)
 		writeID, _ := driver.request("unsafe", "w", asWrite)
-		driver.now += 450 * ms // the target is half the objective of 500 ms, and the maximum is twice the target
+		driver.now += 450 * ms // the target latency is half the objective of 500 ms, the maximum is twice the target
 		if got := actionsOf[Cancel](driver.runUpkeep()); len(got) > 0 {
 			t.Errorf("%+v: after 450 ms got %v cancelled, want nothing", test, got)
 		}
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -9,7 +9,7 @@
 // its owner alone.
 func TestHotKeyIsSpreadOverServers(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4")
-	sends := map[string]int{} // attempts for the hot key, by server
+	sends := map[string]int{} // number of attempts for the hot key, by server
 	for i := range 400 {
 		key := "hot"
 		if i%2 == 0 {
@@ -30,7 +30,7 @@
 // sees the key once a second; together the routers must spread it within one second.
 func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
 	const hotFrom, countFrom, steps = 1000, 1050, 1150
-	ownerShare := map[bool]float64{} // of the requests for the hot key, with (true) and without gossip
+	ownerShare := map[bool]float64{} // the owner's share of the hot key's requests, with gossip (true) or without
 	for _, mayGossip := range []bool{false, true} {
 		fleet := newFleet(t, 100, mayGossip, 0.1, serverIDs(50)...)
 		ownerID, atOwner, total := fleet.drivers[0].ownerOf("hot"), 0, 0
@@ -75,13 +75,13 @@
 	}
 	driver.handle(list)
 	driver.readOtherKeys(400)
-	isSpread := map[float64]map[string]bool{small: {}, large: {}} // whether keys are spread, by capacity of the owner
+	isSpread := map[float64]map[string]bool{small: {}, large: {}} // whether each key is spread, by its owner's capacity
 	for i := range 40 {
 		key := fmt.Sprint("warm", i)
 		order := driver.router.orderOf(slotOf(key), &request{})
 		owner := order.next()
 		spread := isSpread[owner.Capacity]
-		for range 6 { // in the end 0.15 to 0.25 of a mean server's share; a small server's is 0.2, a large one's 1.8
+		for range 6 { // the key ends at 0.15 to 0.25 of a mean server's share; small servers have 0.2, large ones 1.8
 			id, actions := driver.request("high", key, nil)
 			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
 			driver.endAttempt(id, Succeeded, ms)
--- a/internal/policy/originqueue_test.go
+++ b/internal/policy/originqueue_test.go
@@ -16,7 +16,7 @@
 		asWrite(request)
 		ofTenant(request)
 	}
-	for range 10 { // uses up the quota of the tenant
+	for range 10 { // these writes use up the tenant's quota
 		driver.request("high", "k", writeOfTenant)
 	}
 	if _, actions := driver.request("high", "k", writeOfTenant); driver.sentTo(actions) != originID {
@@ -88,7 +88,7 @@
 		if len(actionsOf[Send](actions)) == 1 {
 			inFlight = append(inFlight, id)
 		}
-		if i%20 == 0 && len(inFlight) > 0 { // ten writes a second are answered, of 200 a second, the oldest first
+		if i%20 == 0 && len(inFlight) > 0 { // of 200 writes a second the origin answers ten, the oldest first
 			oldest := inFlight[0]
 			took := driver.now - driver.router.requests[oldest].attempts[0].sentAt
 			sends := actionsOf[Send](driver.endAttempt(oldest, Succeeded, took))
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -100,7 +100,7 @@
 			if after["s2"] < before["s2"] {
 				t.Errorf("s2 has %d slots, want at least the %d that it had", after["s2"], before["s2"])
 			}
-			for range 12 { // 12 s without any attempt
+			for range 12 { // 12 s pass without any attempt
 				driver.now += time.Second
 				driver.runUpkeep()
 			}
--- a/internal/policy/request_test.go
+++ b/internal/policy/request_test.go
@@ -78,7 +78,7 @@
 // the clock did not move.
 func TestWaitingRequestResumesAtItsTimeAndNotBefore(t *testing.T) {
 	driver := newTrainedDriver(t)
-	driver.now += 101 // 101 ns, so that deadlines are not whole microseconds
+	driver.now += 101 // 101 ns are added so that deadlines are not whole microseconds
 	leader, _ := driver.request("high", "k", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, actions := driver.request("high", "k", nil)
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -13,7 +13,7 @@
 		class       string
 		reason      Reason
 		after       time.Duration
-		wantSends   int // after the first send
+		wantSends   int // sends that are wanted after the first one
 		wantRejects int
 		wantFails   int
 	}{
@@ -144,7 +144,7 @@
 func TestReadRejectedByADrainingServerIsRedirected(t *testing.T) {
 	for _, isDraining := range []bool{true, false} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
-		for range 50 { // good outcomes only, so the server is no outlier
+		for range 50 { // only good outcomes, so that the server is no outlier
 			id, _ := driver.request("high", "k", nil)
 			driver.endAttempt(id, Succeeded, ms)
 		}
--- a/internal/policy/roles_test.go
+++ b/internal/policy/roles_test.go
@@ -47,7 +47,7 @@
 // serverOutageCost is what a server outage of 20 s costs a fleet.
 type serverOutageCost struct {
 	healthChecks int           // health checks in the last 17 s of the outage
-	recovery     time.Duration // from the end of the outage until nine in ten routers use the server again
+	recovery     time.Duration // time from the end of the outage until nine in ten routers use the server again
 }
 
 // simulateServerOutage returns what a server outage costs a fleet of 60 routers, with or without a HealthChecker.
@@ -57,7 +57,7 @@
 		routers   = 60
 		downID    = "s20"
 		downFrom  = 200
-		knownFrom = downFrom + 300 // all routers know of the outage by this step
+		knownFrom = downFrom + 300 // by this step all routers know of the outage
 		downUntil = 2200
 	)
 	fleet := newFleet(t, routers, true, lossRate, serverIDs(40)...)
@@ -104,13 +104,13 @@
 // discoveryOutageCost is what an outage of discovery costs a fleet.
 type discoveryOutageCost struct {
 	failedPolls int
-	recovery    time.Duration // from the end of the outage until all routers have the endpoint list again
+	recovery    time.Duration // time from the end of the outage until all routers have the endpoint list again
 }
 
 // discoveryOutage simulates a discovery service that does not answer for a while, and records what that costs.
 type discoveryOutage struct {
 	length    time.Duration
-	hasList   []bool // by the index of the router
+	hasList   []bool // whether each router has the endpoint list, by its index
 	missing   int    // number of routers without the endpoint list
 	announced bool   // in this step a router announced that discovery answers again
 	result    discoveryOutageCost
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -33,13 +33,13 @@
 		key := fmt.Sprint("k", i%17)
 		id, got := original.request("high", key, nil)
 		if _, want := twin.request("high", key, nil); !reflect.DeepEqual(got, want) {
-			t.Fatalf("request %d: got %v, want %v as at the twin", id, got, want)
+			t.Fatalf("request %d: got %v, want %v as from the twin", id, got, want)
 		}
 		reason := Reason(i % 9)
 		original.now, twin.now = original.now+7*ms, twin.now+7*ms
 		got, want := original.endAttempt(id, reason, 7*ms), twin.endAttempt(id, reason, 7*ms)
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("outcome of request %d: got %v, want %v as at the twin", id, got, want)
+			t.Fatalf("outcome of request %d: got %v, want %v as from the twin", id, got, want)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	draining     string
 	timers       []SetTimer
 	requests     map[uint64]*trackedRequest
-	order        []uint64 // ids of the requests as they were sent
+	order        []uint64 // ids of the requests, in the order in which they were sent
 }
 
 // newRandomRun returns a run with two routers that have the same four cache servers.
@@ -108,7 +108,7 @@
 	actions := run.driver.handle(event)
 	run.twin.now = run.driver.now
 	if want := run.twin.handle(event); !reflect.DeepEqual(actions, want) {
-		run.t.Fatalf("seed %d: after %v got %v, want %v as at the twin", run.seed, event, actions, want)
+		run.t.Fatalf("seed %d: after %v got %v, want %v as from the twin", run.seed, event, actions, want)
 	}
 	for _, action := range actions {
 		switch action := action.(type) {
--- a/internal/policy/routing_test.go
+++ b/internal/policy/routing_test.go
@@ -120,9 +120,8 @@
 		case cost == 0 && (quiet < 0.35 || quiet > 0.65):
 			t.Errorf("without a cost %.2f of the reads crossed zones, want about half", quiet)
 		case cost > 0 && (start < 0.25 || quiet > 0.08 || overloaded < 0.35):
-			t.Errorf("%.2f of the reads crossed zones at the start, %.2f when all was quiet, "+
-				"%.2f with an overloaded origin, want at least 0.25, at most 0.08, at least 0.35",
-				start, quiet, overloaded)
+			t.Errorf("%.2f of reads crossed zones at first, %.2f when all was quiet, %.2f with an overloaded origin, "+
+				"want at least 0.25, at most 0.08, at least 0.35", start, quiet, overloaded)
 		}
 	}
 }
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -14,7 +14,7 @@
 		fetches int
 		slow    int // how many of the fetches are slow
 		took    time.Duration
-		shed    map[string]bool // classes of which some reads are rejected
+		shed    map[string]bool // classes of which some reads must be rejected
 	}{
 		{"quiet", 20, 0, 0, nil},
 		{"no recent fetches", 0, 0, 0, nil},
@@ -104,11 +104,11 @@
 // others are not.
 func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	driver := newTrainedDriver(t)
-	for range 10 { // uses up the tenant's quota at this router
+	for range 10 { // these reads use up the tenant's quota at this router
 		driver.request("high", "k", ofTenant)
 	}
 	for _, srv := range driver.router.servers {
-		for i := range 200 { // a load above the lowest threshold only; the origin is not quiet either
+		for i := range 200 { // the load is above the lowest threshold only, and the origin is not quiet
 			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
 		}
 	}
@@ -128,7 +128,7 @@
 // second does not exceed the quota with every single request.
 func TestRequestsWithinASmallQuotaAreNotOverIt(t *testing.T) {
 	settings := testSettings()
-	settings.Nodes = 40 // each router has a part of the quota: half a request a second
+	settings.Nodes = 40 // each router's part of the quota is half a request a second
 	driver := newDriver(t, settings, "s1")
 	countOverQuota := func(gap time.Duration) (count int) {
 		for range 30 {
@@ -152,13 +152,13 @@
 // TestRoutersDoNotShedInStep checks that routers under the same load do not all reject the same misses, counted from
 // the first miss of each router.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	firstRejected := map[int]int{} // number of routers, by which of its misses a router rejects first
+	firstRejected := map[int]int{} // number of routers, by the miss that each of them rejects first
 	for seed := range uint64(60) {
 		router, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		loaded := gauge{ // utilisation a fifth of the way from the threshold to where all misses are shed
+		loaded := gauge{ // its utilisation is a fifth of the way from the threshold to where all misses are shed
 			objectives: router.newObjectives(),
 			samples:    100,
 			overTarget: 120 * shedThresholds[degraded],
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -191,8 +191,9 @@
 	}
 	t.Logf("the owner got at most %d requests in 1.5 s, %d in 6 s; a warm server gets %.0f in 1.5 s", most, total, fair)
 	if limit := settings.OverloadFactor * settings.SlowStartFloor * fair; float64(most) > limit || total == 0 {
-		t.Errorf("got %d requests at the restarted server in 1.5 s, %d in all, "+
-			"want at most %.0f in 1.5 s, beyond which it is overloaded, and some in all", most, total, limit)
+		t.Errorf(
+			"got %d requests at the owner in 1.5 s, %d in all, want at most %.0f, or it is overloaded, and some in all",
+			most, total, limit)
 	}
 }
 
@@ -227,7 +228,7 @@
 	driver := newDriver(t, settings, serverIDs(50)...)
 	driver.readOtherKeys(400)
 	driver.restart("s20", "a")
-	for i := range 400 { // half of what the other routers report are requests for the hot key
+	for i := range 400 { // half of the requests that the other routers report are for the hot key
 		for _, key := range []string{"hot", fmt.Sprint("ordinary", i%200)} {
 			driver.router.keyCounts.Add(driver.now, gossip.FingerprintOf(hash(key)), 50)
 		}
