--- a/internal/fleet/lease/agent/agent.go
+++ b/internal/fleet/lease/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs the lease agreement inside a node: one goroutine owns the core, and a bounded queue of events leads to
-// it. It decides nothing itself.
+// Package agent runs the lease agreement inside a node. One goroutine owns the core and takes its events from a bounded queue.
+// The agent makes no decisions itself.
 package agent
 
 import (
@@ -13,21 +13,21 @@
 	"shelfproxy/internal/logs"
 )
 
-// ticksPerLease is how often the core looks at the clock within a LeaseDuration.
+// ticksPerLease is the number of ticks that the core gets in a LeaseDuration.
 const ticksPerLease = 16
 
-// Options are the settings of an agent and what it calls. The functions are called from the agent's goroutine and must not
-// wait.
+// Options holds the settings of an agent and the functions that it calls. The agent calls the functions from its own goroutine,
+// so they must not block.
 type Options struct {
 	Config        lease.Config
-	Send          func(to int, data []byte) error // sends a datagram to a node, by its index
-	HolderChanged func(resource string, node int) // who holds a lease from now on: lease.ThisNode, lease.NoNode or another node
-	Announced     func(resource string)           // the holder of a lease, another node, sent an announcement
+	Send          func(to int, data []byte) error // sends a datagram to the node with the index to
+	HolderChanged func(resource string, node int) // reports the holder of a lease: lease.ThisNode, lease.NoNode or another node
+	Announced     func(resource string)           // reports an announcement from another node that holds a lease
 	CountEvent    func(kind lease.LogEventKind)   // counts a log event
 	Log           *slog.Logger
 }
 
-// Agent is one node's part in the lease agreement. Its methods are safe for concurrent use, but for Serve.
+// Agent is one node's part in the lease agreement. Its methods are safe for concurrent use, except for Serve.
 type Agent struct {
 	*eventloop.Loop[lease.Event, lease.Effect]
 	options Options
@@ -35,7 +35,7 @@
 	peers   shell.Peers
 }
 
-// New returns an agent; Serve runs it. The error is that of lease.Config.Validate.
+// New returns an agent, which Serve runs. The error is that of lease.Config.Validate.
 func New(options Options) (*Agent, error) {
 	core, err := lease.New(options.Config)
 	if err != nil {
@@ -50,19 +50,19 @@
 	return a, nil
 }
 
-// Receive hands over a datagram from another node. It never waits: while the queue is full the datagram is dropped.
+// Receive passes a datagram from another node to the core. It never blocks: while the queue is full, the datagram is dropped.
 func (a *Agent) Receive(from int, data []byte) { a.Post(lease.MessageReceived{From: from, Data: data}) }
 
 // Announce sends an announcement under a lease to all other nodes, if this node still holds the lease at that moment.
 func (a *Agent) Announce(resource string) { a.Post(lease.Announce{Resource: resource}) }
 
-// Resign gives back all leases.
+// Resign gives back all leases and requests no more.
 func (a *Agent) Resign() { a.Post(lease.Resign{}) }
 
-// UpdatePeers replaces the list of peers. What is sent afterwards goes to the new ones.
+// UpdatePeers replaces the list of peers. Datagrams that are sent afterwards go to the new peers.
 func (a *Agent) UpdatePeers(changed lease.PeersChanged) {
 	a.Submit(func() {
-		a.Step(changed) // leases are given back to the peers of the old list
+		a.Step(changed) // the releases of this node's leases still go to the peers of the old list
 		a.peers.Self, a.peers.Nodes = changed.Self, changed.Nodes
 	})
 }
@@ -106,7 +106,7 @@
 	return slog.LevelDebug
 }
 
-// RegisterCalls adds the operators' query duties to the control server: all leases as this node sees them.
+// RegisterCalls adds the operators' query duties to the control server. The query returns all leases as this node sees them.
 func (a *Agent) RegisterCalls(s *control.Server) {
 	shell.HandleQuery(s, "duties", a.Loop, a.core.Status)
 }
--- a/internal/fleet/lease/agent/agent_test.go
+++ b/internal/fleet/lease/agent/agent_test.go
@@ -10,13 +10,14 @@
 
 const testTimeout = 10 * time.Second
 
-// holderChange is a call of Options.HolderChanged.
+// holderChange holds the arguments of a call of Options.HolderChanged.
 type holderChange struct {
 	resource string
 	node     int
 }
 
-// startAgent runs the agent of a fleet of one node until the end of the test and returns the changes of holders.
+// startAgent runs the agent of a fleet of one node until the test ends. It returns the agent and a channel of the holder
+// changes.
 func startAgent(t *testing.T) (*Agent, <-chan holderChange) {
 	t.Helper()
 	changes := make(chan holderChange, 10)
--- a/internal/fleet/lease/config.go
+++ b/internal/fleet/lease/config.go
@@ -7,25 +7,26 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// Config configures one node's part. All nodes of a fleet should have the same values but for Self, Epoch and Seed.
+// Config configures one node's part in the lease agreement. All nodes of a fleet should have the same values, except for Self,
+// Epoch and Seed.
 type Config struct {
 	Self, Nodes   int
-	PeerListID    uint32        // of the list of nodes: messages of nodes that have another list are ignored
-	Resources     []string      // names of what leases are granted for, 1 to MaxResources, each once
-	LeaseDuration time.Duration // by the clocks of the nodes that grant a lease
-	MaxClockDrift float64       // greatest difference in the rates of two clocks, as a fraction
-	Epoch         uint64        // Unix milliseconds at Time 0: fencing tokens grow with it if a majority forgot the last one
+	PeerListID    uint32        // ID of the list of nodes; messages from nodes that have another list are ignored
+	Resources     []string      // names of the resources that leases are granted on, 1 to MaxResources, without duplicates
+	LeaseDuration time.Duration // how long a granted lease lasts, by the clocks of the nodes that grant it
+	MaxClockDrift float64       // greatest difference between the rates of two clocks, as a fraction
+	Epoch         uint64        // Unix time in milliseconds at Time 0; lets fencing tokens grow even if a majority forgot the last one
 	Seed          uint64
 }
 
 const (
-	// MaxResources bounds the resources of a fleet.
+	// MaxResources is the greatest number of resources that a fleet can have.
 	MaxResources = 16
 
 	minLeaseDuration = 100 * time.Millisecond
 )
 
-// Validate returns an agreement.FieldError for the first field whose value the agreement cannot work with.
+// Validate returns an agreement.FieldError for the first field that has an invalid value.
 func (c Config) Validate() error {
 	if err := agreement.ValidateNodes(c.Self, c.Nodes, math.MaxInt); err != nil {
 		return err
@@ -53,5 +54,5 @@
 	return nil
 }
 
-// HashName returns the number by which a resource or a list of peers is sent.
+// HashName returns the hash that identifies a resource or a list of peers in messages.
 func HashName(name string) uint32 { return agreement.HashName(name) }
--- a/internal/fleet/lease/core.go
+++ b/internal/fleet/lease/core.go
@@ -1,11 +1,12 @@
 // Package lease grants leases on the resources of a fleet, each to one node at a time. The core is a state machine without
 // clock or I/O: it takes events with the time and returns effects.
 //
-// A node requests a lease from all nodes under a fencing token that is greater than any it knows of. Each node grants a
-// resource to one node and token at a time, for a LeaseDuration by its own clock. A majority of the configured nodes makes
-// the holder, whose lease ends earlier by the drift that two clocks may have, counted from its request. So no other node
-// can acquire a lease before its holder has stopped, whether that was killed, stalled or cut off. What is sent under a
-// lease carries its token: whoever knows of a greater one ignores it. See docs/duties.md.
+// A node requests a lease from all nodes under a fencing token that is greater than any token it knows of. Each node grants a
+// resource to one node and token at a time, for a LeaseDuration by its own clock. A node becomes the holder when a majority of
+// the configured nodes has granted it the lease. The holder counts the lease from its request, and shortens it by the drift
+// that two clocks may have. So no other node can acquire a lease before its holder has stopped relying on it, even if the
+// holder was killed, stalled or cut off. Messages that are sent under a lease carry its token. A node that knows of a greater
+// token ignores them. See docs/duties.md.
 package lease
 
 import (
@@ -15,25 +16,25 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// Time is a point on this node's clock, counted from its start. The clocks of two nodes need not agree, and their rates may
-// differ by Config.MaxClockDrift.
+// Time is a point in time on this node's clock, counted from the start of the node. The clocks of two nodes need not agree, and
+// their rates may differ by Config.MaxClockDrift.
 type Time = time.Duration
 
-// maxClockSkew is how far a token may be ahead of this node's date: no node's date is further off than that.
+// maxClockSkew is how far a token may be ahead of this node's date. The date of no node is off by more than that.
 const maxClockSkew = time.Hour
 
-// Core is one node's part in the agreement. It is not safe for concurrent use.
+// Core is one node's part in the lease agreement. It is not safe for concurrent use.
 type Core struct {
 	cfg         Config
 	rng         *rand.Rand
 	resources   []*resource
 	isStarted   bool
-	peersSince  Time // since when this process has its list of peers
+	peersSince  Time // when this process got its list of peers
 	hasResigned bool
-	effects     []Effect // of the event that is being handled
+	effects     []Effect // effects of the event that is being handled
 }
 
-// New returns a core that takes part from its first event on. The error is that of Config.Validate.
+// New returns a core that takes part in the agreement from its first event on. The error is that of Config.Validate.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -45,19 +46,20 @@
 	return c, nil
 }
 
-// Step handles one event and returns its effects, which belong to the caller. Now must not decrease between calls.
+// Step handles one event and returns its effects in a slice that the caller may keep. The time now must not decrease between
+// calls.
 func (c *Core) Step(now Time, event Event) []Effect {
 	c.effects = nil
 	if !c.isStarted {
 		c.isStarted, c.peersSince = true, now
 	}
-	// Leases expire first: an answer that arrives after the end of a lease must not find it still held.
+	// Expire leases first: an answer that arrives after the end of a lease must not find the lease still held.
 	for _, r := range c.resources {
 		c.expire(now, r)
 	}
 	c.handle(now, event)
 	for _, r := range c.resources {
-		c.pursue(now, r)
+		c.advance(now, r)
 	}
 	return c.effects
 }
@@ -84,8 +86,8 @@
 	}
 }
 
-// Holds reports whether this node holds a lease at this moment, and under which fencing token. A node that may have stalled
-// has to check this whenever it acts on the lease.
+// Holds reports whether this node holds a lease at this moment, and under which fencing token. A node has to check Holds
+// whenever it acts on the lease, as it may have stalled since the last check.
 func (c *Core) Holds(now Time, name string) (token uint64, ok bool) {
 	if r := c.find(name); r != nil && r.own.isAcquired && now < r.own.expiresAt {
 		return r.own.token, true
@@ -93,7 +95,7 @@
 	return 0, false
 }
 
-// find returns the resource of a name, or nil.
+// find returns the resource with the given name, or nil.
 func (c *Core) find(name string) *resource {
 	for _, r := range c.resources {
 		if r.name == name {
@@ -103,16 +105,17 @@
 	return nil
 }
 
-// majority returns how many nodes have to grant a lease.
+// majority returns how many nodes have to grant a lease to a node.
 func (c *Core) majority() int { return agreement.Majority(c.cfg.Nodes) }
 
-// holderTimeout returns for how long a holder relies on grants, by its own clock.
+// holderTimeout returns how long the holder of a lease relies on its grants, by its own clock.
 func (c *Core) holderTimeout() time.Duration {
 	return agreement.HolderTimeout(c.cfg.LeaseDuration, c.cfg.MaxClockDrift)
 }
 
-// isAbstaining reports whether this node may not grant leases yet. What it granted before it started is unknown to it, and
-// what it granted under an earlier list of peers was counted otherwise: both are over after a LeaseDuration.
+// isAbstaining reports whether this node may not grant leases yet. The node does not know what it granted before it started.
+// Grants under an earlier list of peers counted towards another majority. Both kinds of grants have expired after a
+// LeaseDuration.
 func (c *Core) isAbstaining(now Time) bool {
 	return c.cfg.Nodes > 1 && !agreement.HasExpired(now-c.peersSince, c.cfg.LeaseDuration, c.cfg.MaxClockDrift)
 }
@@ -120,11 +123,11 @@
 // date returns the Unix time in milliseconds by this node's clock.
 func (c *Core) date(now Time) uint64 { return c.cfg.Epoch + uint64(now/time.Millisecond) }
 
-// maxToken returns the greatest token that another node may have.
+// maxToken returns the greatest token that another node may have, given the clock skew.
 func (c *Core) maxToken(now Time) uint64 { return c.date(now) + uint64(maxClockSkew/time.Millisecond) }
 
-// changePeers replaces the list of peers: leases that are held under the old one are given back, and nothing is granted
-// before all that was granted under it is over.
+// changePeers replaces the list of peers. Leases that are held under the old list are given back. This node grants nothing
+// until all grants under the old list have expired.
 func (c *Core) changePeers(now Time, event PeersChanged) {
 	changed := c.cfg
 	changed.Self, changed.Nodes, changed.PeerListID = event.Self, event.Nodes, event.PeerListID
@@ -137,7 +140,7 @@
 			c.setHolder(now, r, NoNode, r.holder.token)
 		}
 		r.grant.node, r.own.nextRequest = NoNode, 0
-		clear(r.released) // the nodes have other indices now
+		clear(r.released) // the indices of nodes differ in the new list of peers
 	}
 	c.cfg, c.peersSince = changed, now
 }
--- a/internal/fleet/lease/core_test.go
+++ b/internal/fleet/lease/core_test.go
@@ -9,8 +9,8 @@
 
 var seeds = flag.Int("lease.seeds", 1500, "runs that TestNoLeaseHasTwoHolders simulates")
 
-// TestNoLeaseHasTwoHolders simulates thousands of short runs of small fleets in which any fault may strike any node. It
-// fails as soon as two nodes would act on one lease, or one under a token that is not greater than the last.
+// TestNoLeaseHasTwoHolders simulates thousands of short runs of small fleets in which any fault may hit any node. It fails as
+// soon as two nodes would act on the same lease, or a new holder's token is not greater than that of the holder before it.
 func TestNoLeaseHasTwoHolders(t *testing.T) {
 	changes := 0
 	for seed := range uint64(*seeds) {
@@ -25,11 +25,11 @@
 		changes += fleet.holderChanges
 	}
 	if changes < *seeds/2 {
-		t.Errorf("%d changes of the holder in %d runs, want one in two runs for the test to tell anything", changes, *seeds)
+		t.Errorf("%d changes of the holder in %d runs, want at least one in two runs, otherwise the test checks too little", changes, *seeds)
 	}
 }
 
-// injectFault strikes a random node, or all, with a fault.
+// injectFault applies one random fault to a random node, or to all nodes.
 func injectFault(fleet *testFleet) {
 	i, other := fleet.rng.IntN(len(fleet.nodes)), fleet.rng.IntN(len(fleet.nodes))
 	node := &fleet.nodes[i]
@@ -54,19 +54,19 @@
 			fleet.step(holder, Resign{})
 			fleet.kill(holder)
 		}
-	case 7: // every process ends at once
+	case 7: // all processes end at once and are restarted
 		if fleet.rng.IntN(4) == 0 {
 			fleet.each(func(i int) { fleet.kill(i); fleet.start(i) })
 		}
 	}
 }
 
-// faultScenarios are faults that strike while a node holds the lease.
+// faultScenarios are faults that occur while a node holds the lease.
 var faultScenarios = []struct {
 	name         string
 	nodes        int
 	play         func(fleet *testFleet, holder int)
-	wantHolder   bool // some time in the second to fourth lease after the fault
+	wantHolder   bool // whether any node holds the lease at some time in the second to fourth LeaseDuration after the fault
 	wantNewToken bool
 }{
 	{"the holder is killed", 5, func(fleet *testFleet, holder int) { fleet.kill(holder) }, true, true},
@@ -74,9 +74,9 @@
 	{"the holder resigns", 5, func(fleet *testFleet, holder int) { fleet.step(holder, Resign{}); fleet.kill(holder) }, true, true},
 	{"the holder is cut off from all", 5, func(fleet *testFleet, holder int) { fleet.isolate(holder, 5) }, true, true},
 	{"the holder is cut off from a few", 5, func(fleet *testFleet, holder int) { fleet.isolate(holder, 2) }, true, false},
-	{"the holder receives nothing but is received", 5, func(fleet *testFleet, holder int) { fleet.deafen(holder) }, true, true},
-	{"the fleet is partitioned in halves", 4, func(fleet *testFleet, _ int) { fleet.partition(2) }, false, false},
-	{"the other one of two nodes is killed", 2, func(fleet *testFleet, holder int) { fleet.kill(1 - holder) }, false, false},
+	{"the holder receives no messages but sends them", 5, func(fleet *testFleet, holder int) { fleet.dropIncoming(holder) }, true, true},
+	{"the fleet is partitioned into halves", 4, func(fleet *testFleet, _ int) { fleet.partition(2) }, false, false},
+	{"the other of two nodes is killed", 2, func(fleet *testFleet, holder int) { fleet.kill(1 - holder) }, false, false},
 	{"the holder of two nodes restarts", 2, func(fleet *testFleet, holder int) { fleet.kill(holder); fleet.start(holder) }, true, true},
 	{"a majority is killed", 5, func(fleet *testFleet, holder int) {
 		for distance := 1; distance <= 3; distance++ {
@@ -106,11 +106,11 @@
 				holder, _ := fleet.runUntilAcquired(NoNode)
 				token := fleet.highestToken[testResource]
 				test.play(fleet, holder)
-				fleet.run(testLease) // the lease is over by then in any case
+				fleet.run(testLease) // the lease has expired by then in any case
 				fleet.unheldFor = 0
 				fleet.run(3 * testLease)
 				if got := fleet.unheldFor < 3*testLease; got != test.wantHolder {
-					t.Fatalf("seed %d: held %v within three leases, want %v; nobody held it for %v", seed, got, test.wantHolder, fleet.unheldFor)
+					t.Fatalf("seed %d: held %v within three lease durations, want %v; no node held it for %v", seed, got, test.wantHolder, fleet.unheldFor)
 				}
 				if got := fleet.highestToken[testResource]; test.wantNewToken && got <= token {
 					t.Fatalf("seed %d: token %d after the fault, want one above %d", seed, got, token)
@@ -120,8 +120,9 @@
 	}
 }
 
-// TestStalledHolderIsReplaced: in fleets of up to 80 nodes that lose a tenth of their messages a stalled holder has a
-// successor within a few leases, and what it sent under its lease is ignored when it arrives later.
+// TestStalledHolderIsReplaced checks that a stalled holder has a successor within a few lease durations, in fleets of up to 80
+// nodes that lose a tenth of their messages. Most nodes must ignore an announcement that the stalled holder sent under its
+// lease and that arrives after the successor acquired the lease.
 func TestStalledHolderIsReplaced(t *testing.T) {
 	for _, test := range []struct {
 		nodes      int
@@ -134,17 +135,17 @@
 			}
 			t.Logf("at most %v", longest)
 			if longest > test.wantWithin {
-				t.Errorf("a successor took %v, want %v at most", longest, test.wantWithin)
+				t.Errorf("a successor took %v, want at most %v", longest, test.wantWithin)
 			}
 		})
 	}
 }
 
-// replaceStalledHolder returns how long it took until a stalled holder had a successor.
+// replaceStalledHolder stalls the holder and returns how long it took until another node held the lease.
 func replaceStalledHolder(t *testing.T, seed uint64, nodes int) time.Duration {
 	t.Helper()
 	fleet := newTestFleet(t, seed, nodes, testResource)
-	fleet.maxDelay = 27 * time.Millisecond // as on the platform
+	fleet.maxDelay = 27 * time.Millisecond // greatest message delay on the target platform
 	fleet.runUntilAcquired(NoNode)
 	fleet.run(testLease)
 	stalled, _ := fleet.runUntilAcquired(NoNode)
@@ -159,7 +160,7 @@
 		}
 	})
 	if fleet.staleTokens < nodes*2/3 || len(fleet.announcements) > nodes/3 {
-		t.Errorf("of %d nodes that received a late announcement %d ignored it, want %d at least, and %d accepted it, want %d at most",
+		t.Errorf("of %d nodes that received a late announcement %d ignored it, want at least %d, and %d accepted it, want at most %d",
 			nodes-1, fleet.staleTokens, nodes*2/3, len(fleet.announcements), nodes/3)
 	}
 	fleet.nodes[stalled].isStalled = false
@@ -170,7 +171,8 @@
 	return took
 }
 
-// TestOnlyHolderCanAnnounce: an announcement of the holder reaches all others, and no other node can send one.
+// TestOnlyHolderCanAnnounce checks that an announcement from the holder reaches all other nodes, and that no other node can
+// send one.
 func TestOnlyHolderCanAnnounce(t *testing.T) {
 	fleet := newTestFleet(t, 1, 5, testResource)
 	fleet.lossRate = 0
@@ -179,21 +181,21 @@
 	fleet.step((holder+1)%5, Announce{testResource})
 	fleet.run(testLease / 4)
 	if len(fleet.announcements) != 0 {
-		t.Fatalf("an announcement of a node that is not the holder reached %v, want no node", fleet.announcements)
+		t.Fatalf("an announcement from a node that is not the holder reached %v, want no node", fleet.announcements)
 	}
 	fleet.step(holder, Announce{testResource})
 	fleet.run(testLease / 4)
 	if len(fleet.announcements) != 4 || fleet.announcements[holder] != 0 {
-		t.Fatalf("the announcement of node %d reached %v, want all others", holder, fleet.announcements)
+		t.Fatalf("the announcement from node %d reached %v, want all other nodes", holder, fleet.announcements)
 	}
 }
 
-// TestFleetGrowsByOneNode: a list of peers with one node more takes effect node by node, and at no moment do two nodes hold
-// the lease.
+// TestFleetGrowsByOneNode gives the nodes, one after another, a list of peers that has one node more. At no moment may two
+// nodes hold the lease.
 func TestFleetGrowsByOneNode(t *testing.T) {
 	for seed := range uint64(200) {
 		fleet := newTestFleet(t, seed, 4, testResource)
-		for i := range 3 { // the fourth is not on the first list
+		for i := range 3 { // node 3 is not on the first list of peers
 			fleet.nodes[i].core.Step(fleet.clock(i), PeersChanged{Self: i, Nodes: 3, PeerListID: 9})
 		}
 		fleet.kill(3)
@@ -206,7 +208,7 @@
 			}
 		}
 		if holder, took := fleet.runUntilAcquired(NoNode); took > 4*testLease {
-			t.Fatalf("seed %d: node %d acquired the lease after %v, want %v at most", seed, holder, took, 4*testLease)
+			t.Fatalf("seed %d: node %d acquired the lease after %v, want at most %v", seed, holder, took, 4*testLease)
 		}
 	}
 }
--- a/internal/fleet/lease/event.go
+++ b/internal/fleet/lease/event.go
@@ -2,23 +2,25 @@
 
 import "shelfproxy/internal/fleet/agreement"
 
-// Event is an input of the core: one of the types below it.
+// Event is an input of the core. It is one of the event types below.
 type Event interface{ event() }
 
 type (
-	// Tick lets time pass. The core needs one about 16 times in a LeaseDuration.
+	// Tick makes the core do what has become due by the clock. The core needs about 16 ticks in a LeaseDuration.
 	Tick struct{}
 	// MessageReceived is a datagram from another node.
 	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// Announce sends an announcement under a lease to all other nodes, if this node holds the lease.
+	// Announce makes the core send an announcement under the lease on Resource to all other nodes, if this node holds that
+	// lease.
 	Announce struct{ Resource string }
-	// Resign gives back all leases and requests no more: the node is about to end.
+	// Resign makes the core give back all leases and request no more, because the node is about to exit.
 	Resign struct{}
-	// PeersChanged replaces the list of peers. Two lists in a row may differ by one node only, or two majorities need not
-	// share one. A list that Config.Validate rejects, or that has the same PeerListID, is ignored.
+	// PeersChanged replaces the list of peers. Two successive lists may differ by one node only: otherwise a majority of the
+	// one need not share a node with a majority of the other. A list is ignored if Config.Validate rejects it, or if its
+	// PeerListID is that of the current list.
 	PeersChanged struct {
 		Self, Nodes int
 		PeerListID  uint32
@@ -31,42 +33,43 @@
 func (Resign) event()          {}
 func (PeersChanged) event()    {}
 
-// Effect is an output of the core: one of the types below it.
+// Effect is an output of the core. It is one of the effect types below.
 type Effect interface{ effect() }
 
 type (
-	// Send sends a datagram to a node, or to all others if To is AllNodes.
+	// Send asks the shell to send a datagram to the node To, or to all other nodes if To is AllNodes.
 	Send struct {
 		To   int
 		Data []byte
 	}
-	// Acquired says that this node holds a lease from now on. It has to check Core.Holds whenever it acts on the lease.
+	// Acquired reports that this node holds a lease from now on. The node has to check Core.Holds whenever it acts on the
+	// lease.
 	Acquired struct {
 		Resource string
 		Token    uint64 // fencing token
 	}
-	// Lost says that this node no longer holds a lease.
+	// Lost reports that this node no longer holds a lease.
 	Lost struct {
 		Resource string
 		Token    uint64
 	}
-	// HolderChanged says which node holds a lease as far as this one knows: another, itself, or NoNode.
+	// HolderChanged reports which node holds a lease, as far as this node knows. Node may also be this node, or NoNode.
 	HolderChanged struct {
 		Resource string
 		Node     int
 		Token    uint64
 	}
-	// Announced is an announcement of another node that holds a lease.
+	// Announced reports an announcement from another node that holds a lease.
 	Announced struct {
 		Resource string
 		Node     int
 		Token    uint64
 	}
-	// LogEvent is for the log and the counters.
+	// LogEvent is an event for the log and the counters.
 	LogEvent struct {
 		Kind     LogEventKind
 		Resource string
-		Node     int // that it is about
+		Node     int // index of the node that the event is about
 		Token    uint64
 		Reason   Reason
 	}
@@ -79,27 +82,27 @@
 func (Announced) effect()     {}
 func (LogEvent) effect()      {}
 
-// Values in place of a node's index.
+// Special values in place of the index of a node.
 const (
-	AllNodes = agreement.AllNodes // as a destination: all nodes but this one
-	NoNode   = agreement.NoNode   // as a holder: nobody
-	ThisNode = -2                 // as a holder, in what agents report: this node
+	AllNodes = agreement.AllNodes // destination: all nodes except this one
+	NoNode   = agreement.NoNode   // holder: no node
+	ThisNode = -2                 // holder, as agents report it: this node
 )
 
-// LogEventKind says what happened.
+// LogEventKind is the kind of a LogEvent.
 type LogEventKind int
 
-// The kinds of log events.
+// Kinds of log events.
 const (
-	LogLeaseRequested   LogEventKind = iota // by this node
-	LogLeaseAcquired                        // by this node
-	LogLeaseLost                            // by this node
-	LogRequestAbandoned                     // by this node
-	LogLeaseDenied                          // by this node, to the named one
-	LogHolderChanged                        // to the named node, not this one
-	LogTokenStale                           // an announcement came under a token that is superseded
+	LogLeaseRequested   LogEventKind = iota // this node requested a lease
+	LogLeaseAcquired                        // this node acquired a lease
+	LogLeaseLost                            // this node no longer holds a lease
+	LogRequestAbandoned                     // this node abandoned a request for a lease
+	LogLeaseDenied                          // this node denied a lease to the node that the event names
+	LogHolderChanged                        // the node that the event names, not this one, holds a lease now
+	LogTokenStale                           // an announcement arrived under a superseded token
 	LogMessageCorrupt
-	NumLogEventKinds // their number
+	NumLogEventKinds // number of kinds
 )
 
 // String returns the kind as it is written in the log and in the names of the counters.
@@ -110,15 +113,15 @@
 // Reason says why a request was denied or a lease was lost. It is sent in messages.
 type Reason byte
 
-// The reasons.
+// Reasons why a request is denied or a lease is lost.
 const (
-	ReasonGranted         Reason = iota // none: the request is granted
+	ReasonGranted         Reason = iota // no denial: the request is granted
 	ReasonTaken                         // another node holds the lease
-	ReasonContested                     // another node has requested it and has not acquired it yet
-	ReasonTokenSuperseded               // the token is not greater than the last one
-	ReasonAbstaining                    // the node has just started: what it granted before is unknown to it
-	ReasonExpired                       // too few answers came before the lease ended
-	ReasonResigned                      // given back
+	ReasonContested                     // another node has requested the lease and has not acquired it yet
+	ReasonTokenSuperseded               // the token of the request is not greater than the last one
+	ReasonAbstaining                    // the answering node has just started and does not know what it granted before
+	ReasonExpired                       // too few nodes renewed the lease before it ended
+	ReasonResigned                      // the node gave the lease back, as it is about to exit
 	ReasonPeersChanged                  // the list of peers changed
 	numReasons
 )
--- a/internal/fleet/lease/fleet_test.go
+++ b/internal/fleet/lease/fleet_test.go
@@ -10,7 +10,7 @@
 	testLease      = time.Second
 	testClockDrift = 0.05
 	testTick       = 10 * time.Millisecond
-	testResource   = "a" // the first of a fleet
+	testResource   = "a" // first resource of every test fleet
 )
 
 func newTestCore(t *testing.T, cfg Config) *Core {
@@ -24,17 +24,17 @@
 
 // testNode is one node of a testFleet.
 type testNode struct {
-	core      *Core // nil while it has no process
+	core      *Core // nil while the node has no running process
 	cfg       Config
 	startedAt time.Duration
 	clockRate float64
 	dateSkew  time.Duration
 	isStalled bool
-	isCutFrom []bool // by receiver
+	isCutFrom []bool // by receiver: whether messages to it are dropped
 }
 
-// testFleet simulates a fleet: clocks that differ, drift and have other dates, messages that are lost, delayed, duplicated
-// and reordered, nodes that are killed, stalled, restarted and cut off.
+// testFleet simulates a fleet. Its clocks differ, drift and have different dates. Its messages are lost, delayed, duplicated
+// and reordered. Its nodes are killed, stalled, restarted and cut off from each other.
 type testFleet struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -44,12 +44,12 @@
 	lossRate float64
 	maxDelay time.Duration
 
-	highestToken  map[string]uint64 // under which a node held the lease, by resource
-	lastHolder    map[string]int    // by resource
+	highestToken  map[string]uint64 // greatest token under which a node held the lease, by resource
+	lastHolder    map[string]int    // last node that held the lease, by resource
 	holderChanges int
-	announcements map[int]int   // received, by node
-	staleTokens   int           // announcements that were ignored
-	unheldFor     time.Duration // while nobody held the first lease
+	announcements map[int]int   // number of announcements received, by node
+	staleTokens   int           // number of announcements that were ignored
+	unheldFor     time.Duration // how long no node has held the lease on the first resource
 }
 
 type packet struct {
@@ -74,7 +74,7 @@
 		fleet.nodes[i] = testNode{
 			cfg: Config{Self: i, Nodes: nodes, PeerListID: 1, Resources: resources, LeaseDuration: testLease,
 				MaxClockDrift: testClockDrift, Seed: seed*100 + uint64(i)},
-			clockRate: 1 + (fleet.rng.Float64()-0.5)*testClockDrift, // two differ by the drift at most
+			clockRate: 1 + (fleet.rng.Float64()-0.5)*testClockDrift, // the rates of two clocks differ by at most testClockDrift
 			dateSkew:  time.Duration(fleet.rng.Int64N(int64(testLease / 2))),
 			isCutFrom: make([]bool, nodes),
 		}
@@ -121,14 +121,14 @@
 }
 
 func (f *testFleet) send(from, to int, data []byte) {
-	for range 1 + f.rng.IntN(10)/9 { // one in ten twice
+	for range 1 + f.rng.IntN(10)/9 { // one message in ten is sent twice
 		if f.rng.Float64() >= f.lossRate && !f.nodes[from].isCutFrom[to] {
 			f.inFlight = append(f.inFlight, packet{f.now + time.Duration(f.rng.Int64N(int64(f.maxDelay))), from, to, data})
 		}
 	}
 }
 
-// run lets time pass, and checks the holders after every tick.
+// run advances the time by span, and checks the holders after every tick.
 func (f *testFleet) run(span time.Duration) {
 	f.t.Helper()
 	for end := f.now + span; f.now < end; f.now += testTick {
@@ -142,7 +142,7 @@
 	}
 }
 
-// deliver hands over the messages whose delay is over; those to stalled nodes wait.
+// deliver passes on the messages whose delay is over. Messages to stalled nodes wait.
 func (f *testFleet) deliver() {
 	waiting := f.inFlight[:0]
 	var arriving []packet
@@ -159,7 +159,7 @@
 	}
 }
 
-// checkHolders checks that one node at most would act on each lease, under no lower token than before.
+// checkHolders checks that at most one node would act on each lease, and not under a lower token than before.
 func (f *testFleet) checkHolders() {
 	f.t.Helper()
 	for i, name := range f.nodes[0].cfg.Resources {
@@ -193,7 +193,7 @@
 	return holder
 }
 
-// holds reports whether a node runs and would act on a lease, and under which token.
+// holds reports whether a node is running, is not stalled and would act on a lease, and under which token.
 func (f *testFleet) holds(i int, name string) (token uint64, ok bool) {
 	node := &f.nodes[i]
 	if node.core == nil || node.isStalled {
@@ -202,7 +202,7 @@
 	return node.core.Holds(f.clock(i), name)
 }
 
-// holder returns which node holds a lease, or NoNode.
+// holder returns the node that holds a lease, or NoNode.
 func (f *testFleet) holder(name string) int {
 	for i := range f.nodes {
 		if _, ok := f.holds(i, name); ok {
@@ -212,8 +212,8 @@
 	return NoNode
 }
 
-// runUntilAcquired lets time pass until a node other than one holds the lease of testResource, and returns it and the time that
-// it took.
+// runUntilAcquired advances the time until a node other than except holds the lease on testResource. It returns that node and
+// how long this took.
 func (f *testFleet) runUntilAcquired(except int) (holder int, took time.Duration) {
 	f.t.Helper()
 	for start := f.now; f.now < start+time.Minute; f.run(testTick) {
@@ -225,7 +225,7 @@
 	return NoNode, 0
 }
 
-// partition cuts the nodes below boundary off from the others; a boundary of 0 heals the fleet.
+// partition cuts the nodes with indices below boundary off from the others. A boundary of 0 ends the partition.
 func (f *testFleet) partition(boundary int) {
 	for from := range f.nodes {
 		for to := range f.nodes {
@@ -234,7 +234,7 @@
 	}
 }
 
-// isolate cuts a node off from the first count of the others.
+// isolate cuts a node off from count other nodes, in both directions, starting with the lowest indices.
 func (f *testFleet) isolate(node, count int) {
 	for i := range f.nodes {
 		if i != node && count > 0 {
@@ -244,8 +244,8 @@
 	}
 }
 
-// deafen cuts off what is sent to a node, but not what it sends.
-func (f *testFleet) deafen(node int) {
+// dropIncoming drops all messages that are sent to a node, but not those that the node sends.
+func (f *testFleet) dropIncoming(node int) {
 	for i := range f.nodes {
 		f.nodes[i].isCutFrom[node] = true
 	}
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -8,7 +8,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenDatagrams: the datagrams of earlier releases are decoded, and the same bytes are encoded.
+// TestGoldenDatagrams checks that the datagrams of earlier releases are decoded, and that their messages are encoded to the
+// same bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	common := header{PeerListID: 1, ResourceID: 2, Token: 3}
 	messages := []struct {
@@ -37,7 +38,7 @@
 	}
 }
 
-// TestGoldenStatus: operators' scripts read the status as JSON.
+// TestGoldenStatus guards the JSON form of the status, which operators' scripts read.
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
 	lines.Text("held", mustJSON(t, Status{Resource: "prober", Holder: 2, Token: 77, IsHeldHere: true, HeldFor: time.Second, State: "held"}))
--- a/internal/fleet/lease/grant_test.go
+++ b/internal/fleet/lease/grant_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// noAnswer in place of a reason stands for a message that is not answered.
+// noAnswer takes the place of a reason where a message gets no answer.
 const noAnswer = numReasons
 
-// settled is a time at which a core that began at 0 grants leases.
+// settled is a time at which a core that was started at time 0 grants leases.
 const settled = 2 * testLease
 
-// newSettledCore returns node 0 of three, which grants leases from settled on.
+// newSettledCore returns the core of node 0 in a fleet of three. The core grants leases from settled on.
 func newSettledCore(t *testing.T) *Core {
 	t.Helper()
 	core := newTestCore(t, Config{Nodes: 3, PeerListID: 1, Resources: []string{testResource}, LeaseDuration: testLease,
@@ -21,7 +21,7 @@
 	return core
 }
 
-// exchange has a core receive a message, and returns its answer's reason or noAnswer.
+// exchange passes a message to a core and returns the reason in the core's answer, or noAnswer.
 func exchange(t *testing.T, core *Core, now Time, from int, received message) Reason {
 	t.Helper()
 	for _, effect := range core.Step(now, MessageReceived{from, received.encode()}) {
@@ -46,12 +46,12 @@
 
 func releaseOf(token uint64) leaseRelease { return leaseRelease{requestOf(token, false).header} }
 
-// TestGrantsAfterLateMessages: what a node grants after messages that arrive late, and after requests that failed.
+// TestGrantsAfterLateMessages checks what a node grants after messages that arrive late and after requests that failed.
 func TestGrantsAfterLateMessages(t *testing.T) {
 	type step struct {
 		from     int
 		received message
-		after    time.Duration // the step before
+		after    time.Duration // time since the step before
 		want     Reason
 	}
 	const base = 1_000_000
@@ -59,14 +59,14 @@
 		name  string
 		steps []step
 	}{
-		// testbed simulate --fleet, seed 1385: two nodes held the lease.
+		// Found by testbed simulate --fleet, seed 1385: two nodes held the lease.
 		{"a renewal under an earlier token and its release leave the current grant", []step{
 			{0, requestOf(base+2000, false), 0, ReasonGranted},
 			{0, requestOf(base+1000, true), 0, ReasonTokenSuperseded},
 			{0, releaseOf(base + 1000), 0, noAnswer},
 			{2, requestOf(base+2500, false), 0, ReasonContested},
 		}},
-		// testbed simulate --fleet, seed 1759: the holder did not get this node's vote again.
+		// Found by testbed simulate --fleet, seed 1759: the holder did not get this node's vote again.
 		{"a request under a greater token that failed leaves the holder its vote", []step{
 			{0, requestOf(base+1000, false), 0, ReasonGranted},
 			{0, requestOf(base+1000, true), 0, ReasonGranted},
@@ -95,10 +95,11 @@
 	}
 }
 
-// TestHolderReliesOnGrantsFromItsRequestOn: a lease counts from when it was requested, not from when the answers arrived.
+// TestHolderReliesOnGrantsFromItsRequestOn checks that a lease counts from when it was requested, not from when the answers
+// arrived.
 func TestHolderReliesOnGrantsFromItsRequestOn(t *testing.T) {
 	for _, test := range []struct {
-		answered, checked time.Duration // after the request
+		answered, checked time.Duration // times since the request
 		want              bool
 	}{
 		{10 * time.Millisecond, 900 * time.Millisecond, true},
--- a/internal/fleet/lease/handle.go
+++ b/internal/fleet/lease/handle.go
@@ -6,8 +6,8 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// handleMessage handles a datagram. One that is not from another node of the fleet, goes by another list of peers or is
-// about an unknown resource is ignored.
+// handleMessage handles a datagram. It ignores a datagram that is not from another node of the fleet, that is sent under
+// another list of peers, or that is about an unknown resource.
 func (c *Core) handleMessage(now Time, event MessageReceived) {
 	if !agreement.IsPeer(event.From, c.cfg.Self, c.cfg.Nodes) {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// findID returns the resource of a hash of its name, or nil.
+// findID returns the resource whose name has the given hash, or nil.
 func (c *Core) findID(id uint32) *resource {
 	for _, r := range c.resources {
 		if r.id == id {
@@ -48,7 +48,7 @@
 		c.confirmHolder(now, r, from, request.Token)
 	}
 	if r.own.token != 0 && !r.own.isAcquired && request.Token > r.own.token {
-		c.giveBack(now, r, ReasonContested) // of two nodes that request at once the one with the greater token goes on
+		c.giveBack(now, r, ReasonContested) // if two nodes request at once, the one with the greater token continues
 	}
 	reason := c.decide(now, r, from, request.Token, request.IsHolder)
 	if reason != ReasonGranted {
--- a/internal/fleet/lease/message.go
+++ b/internal/fleet/lease/message.go
@@ -18,18 +18,18 @@
 	kindRelease      = 3
 	kindAnnouncement = 4
 
-	flagHolder = 1 // of a request: the node holds the lease already
+	flagHolder = 1 // flag of a request: the sender already holds the lease
 )
 
 var protocol = agreement.Protocol{Magic: Magic, Version: version}
 
-// message is a leaseRequest, a leaseAnswer, a leaseRelease or an announcement. None is longer than 48 bytes.
+// message is a leaseRequest, a leaseAnswer, a leaseRelease or an announcement. No message is longer than 48 bytes.
 type message interface {
 	encode() []byte
 	common() header
 }
 
-// header is what all messages begin with.
+// header holds the first fields of every message.
 type header struct {
 	PeerListID uint32
 	ResourceID uint32
@@ -40,22 +40,22 @@
 type leaseRequest struct {
 	header
 	Round    uint32
-	IsHolder bool // the node holds the lease already
+	IsHolder bool // the sender already holds the lease
 }
 
-// leaseAnswer grants or denies a leaseRequest of the same token and round.
+// leaseAnswer grants or denies the leaseRequest that has the same token and round.
 type leaseAnswer struct {
 	header
 	Round        uint32
-	Reason       Reason // ReasonGranted, or why it is denied
-	HighestToken uint64 // that the answering node knows
-	TakenForMS   uint32 // milliseconds, if the reason is ReasonTaken: until the grant to another node expires
+	Reason       Reason // ReasonGranted, or why the request is denied
+	HighestToken uint64 // greatest token that the answering node knows of
+	TakenForMS   uint32 // if Reason is ReasonTaken: milliseconds until the grant to another node expires
 }
 
 // leaseRelease gives a lease back, or abandons a request for it.
 type leaseRelease struct{ header }
 
-// announcement is what the holder of a lease announces to all.
+// announcement is a message from the holder of a lease to all other nodes.
 type announcement struct{ header }
 
 func (h header) common() header { return h }
@@ -64,7 +64,7 @@
 	return header{PeerListID: c.cfg.PeerListID, ResourceID: r.id, Token: token}
 }
 
-// begin starts a message of a kind with the header.
+// begin starts a message of the given kind with the header.
 func (h header) begin(kind byte) []byte {
 	data := protocol.Begin(kind)
 	data = binary.BigEndian.AppendUint32(data, h.PeerListID)
@@ -94,7 +94,7 @@
 
 func (m announcement) encode() []byte { return datagram.Seal(m.begin(kindAnnouncement)) }
 
-// decode reads a datagram. What a later version adds behind the known fields is skipped. The error is
+// decode decodes a datagram. It skips bytes that a later release adds after the known fields. The error is
 // agreement.ErrCorruptMessage.
 func decode(data []byte) (message, error) {
 	kind, fields, err := protocol.Open(data)
--- a/internal/fleet/lease/order_test.go
+++ b/internal/fleet/lease/order_test.go
@@ -10,36 +10,36 @@
 	orderNodes     = 3
 	maxOrderLength = 9
 	maxOrders      = 60_000
-	minOrders      = 10_000 // below which the search tells little
+	minOrders      = 10_000 // with fewer orders the search would show little
 )
 
-// TestNoMessageOrderMakesTwoHolders searches the orders in which the first messages of three nodes can arrive, be lost, or
-// be overtaken by time and by a stalled node: two never hold the lease. It fails if one of the cases of judge or of
-// countVote is taken out.
+// TestNoMessageOrderMakesTwoHolders searches the orders in which the first messages of three nodes can arrive or be lost. Time
+// may pass between two messages, and only one of the nodes may notice that. Two nodes must never hold the lease at once. The
+// test fails if one of the cases of evaluateRequest or of countVote is removed.
 func TestNoMessageOrderMakesTwoHolders(t *testing.T) {
 	search := &orderSearch{t: t, seen: map[string]bool{}}
 	search.explore(nil)
 	if search.holders == 0 || search.orders < minOrders {
-		t.Errorf("%d orders were played and the lease was held %d times, want %d orders and a holder at least", search.orders, search.holders, minOrders)
+		t.Errorf("%d orders were played and the lease was held %d times, want at least %d orders and one holder", search.orders, search.holders, minOrders)
 	}
 }
 
-// orderSearch explores orders of choices, each once per state of the fleet that it leads to.
+// orderSearch explores sequences of choices. It goes on from each state of the fleet only once.
 type orderSearch struct {
 	t       *testing.T
 	seen    map[string]bool
 	orders  int
-	holders int // times that a node held the lease
+	holders int // how often a node held the lease
 }
 
-// explore plays an order from its start, as cores cannot be copied, and then those that go one choice further.
+// explore plays a sequence of choices from the start, as cores cannot be copied, and then all sequences with one more choice.
 func (s *orderSearch) explore(choices []int) {
 	fleet := newOrderedFleet(s.t)
 	for _, choice := range choices {
 		fleet.play(choice)
 		holders := fleet.countHolders()
 		if s.holders += holders; holders > 1 {
-			s.t.Fatalf("%d nodes hold the lease after %v, want one at most", holders, choices)
+			s.t.Fatalf("%d nodes hold the lease after %v, want at most one", holders, choices)
 		}
 	}
 	s.orders++
@@ -53,7 +53,7 @@
 	}
 }
 
-// orderedFleet is a fleet whose messages arrive in a given order.
+// orderedFleet is a fleet whose messages arrive in a chosen order.
 type orderedFleet struct {
 	now      time.Duration
 	cores    [orderNodes]*Core
@@ -65,7 +65,7 @@
 	data     string
 }
 
-// newOrderedFleet returns a fleet in which two nodes have just requested the lease at once.
+// newOrderedFleet returns a fleet in which two of the three nodes have just requested the lease at once.
 func newOrderedFleet(t *testing.T) *orderedFleet {
 	t.Helper()
 	fleet := &orderedFleet{}
@@ -97,8 +97,8 @@
 	}
 }
 
-// play makes a choice: 0 lets half a lease pass for all nodes, up to the number of messages in flight one of these arrives,
-// and a greater one lets half a lease pass for all while one node alone notices.
+// play makes a choice. Choice 0 lets half a lease pass for all nodes. A choice from 1 to the number of messages in flight
+// delivers one of these. A greater choice lets half a lease pass too, but only one node gets a tick.
 func (f *orderedFleet) play(choice int) {
 	switch {
 	case choice == 0:
@@ -126,7 +126,7 @@
 	return holders
 }
 
-// state returns a text that is the same for fleets in which the same can happen.
+// state returns a text that is the same for two fleets if the same can happen in both from then on.
 func (f *orderedFleet) state() string {
 	state := fmt.Sprint(f.now, f.inFlight)
 	for _, core := range f.cores {
--- a/internal/fleet/lease/request.go
+++ b/internal/fleet/lease/request.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	roundsPerLease   = 3 // renewals in a LeaseDuration: two may be lost
-	requestsPerLease = 8 // sendings of a request in a LeaseDuration while too few nodes answer
-	trackedRounds    = 4 // rounds whose answers still count
+	roundsPerLease   = 3 // renewals per LeaseDuration; two of them may be lost
+	requestsPerLease = 8 // how often a request is sent per LeaseDuration while too few nodes have granted it
+	trackedRounds    = 4 // number of latest rounds whose answers still count
 
-	minNodesForWait = 10 // waits are drawn as for at least so many nodes: of three a third would not wait at all
-	waitsPerLease   = 4  // the first wait is at most this part of a LeaseDuration
-	maxWaitDoubling = 4  // and doubles with each failure, at most so often
+	minNodesForWait = 10 // waits are drawn as for at least this many nodes; drawn for 3 nodes, a third of them would not wait at all
+	waitsPerLease   = 4  // the first wait is at most a LeaseDuration divided by this
+	maxWaitDoubling = 4  // the wait doubles with each failure, at most this many times
 )
 
-// pursue does what is due: it renews the lease, repeats or abandons a request, or makes one.
-func (c *Core) pursue(now Time, r *resource) {
+// advance does what is due for a resource: it renews this node's lease, or it makes, repeats or abandons a request for one.
+func (c *Core) advance(now Time, r *resource) {
 	own := &r.own
 	switch {
 	case c.hasResigned:
@@ -33,7 +33,7 @@
 	}
 }
 
-// keepLease renews the lease in time.
+// keepLease renews the lease when that is due. Until then it repeats the last request if that has too few grants.
 func (c *Core) keepLease(now Time, r *resource) {
 	if now-r.own.round(r.own.lastRound).sentAt >= c.cfg.LeaseDuration/roundsPerLease {
 		c.startRound(now, r)
@@ -42,7 +42,7 @@
 	c.repeatRequest(now, r)
 }
 
-// continueRequest abandons a request that can no longer succeed, or repeats it.
+// continueRequest abandons a request that can no longer succeed, or else repeats it if needed.
 func (c *Core) continueRequest(now Time, r *resource) {
 	round := r.own.round(r.own.lastRound)
 	hasTimedOut := now-round.sentAt >= c.holderTimeout()/2
@@ -58,7 +58,7 @@
 	r.own.nextRequest = max(now, r.own.freeAt) + c.drawWait(r)
 }
 
-// repeatRequest sends the request of the last round again if too few nodes have granted it: datagrams may be lost.
+// repeatRequest sends the request of the last round again if too few nodes have granted it, as datagrams may be lost.
 func (c *Core) repeatRequest(now Time, r *resource) {
 	isUnanswered := len(r.own.round(r.own.lastRound).granted) < c.majority()
 	if isUnanswered && now-r.own.sentAt >= c.cfg.LeaseDuration/requestsPerLease {
@@ -73,18 +73,18 @@
 	c.startRound(now, r)
 }
 
-// drawWait returns how long to wait before a request. The waits are exponentially distributed timers, as Nonnenmacher and
-// Biersack use them to have one of a large group answer (Scalable feedback for large groups, 1999): few of many nodes are
-// early and those are apart, however many there are. Two nodes that request at once may split the votes; after that all
-// wait longer.
+// drawWait returns how long to wait before a request. The waits are exponentially distributed timers. Nonnenmacher and Biersack
+// use such timers to have one member of a large group answer (Scalable feedback for large groups, 1999): few nodes have short
+// waits and these waits differ, whatever the number of nodes. Two nodes that request at once may split the votes; after that,
+// all nodes wait longer.
 func (c *Core) drawWait(r *resource) time.Duration {
 	longest := float64(c.cfg.LeaseDuration / waitsPerLease << min(r.own.failures, maxWaitDoubling))
 	lead := math.Log(1-c.rng.Float64()) / math.Log(float64(max(minNodesForWait, c.cfg.Nodes)))
 	return 1 + time.Duration(longest*max(0, 1+lead))
 }
 
-// startRound sends the request in a new round. Each round counts from its own moment, so that a late answer to an earlier
-// one cannot prolong the lease.
+// startRound sends the request in a new round. A grant counts from the start of its own round, so that a late answer to an
+// earlier round cannot prolong the lease.
 func (c *Core) startRound(now Time, r *resource) {
 	own := &r.own
 	own.lastRound++
@@ -99,7 +99,8 @@
 	c.emit(Send{AllNodes, request.encode()})
 }
 
-// countVote counts one node's answer to one of the rounds; takenFor is for how long a node that denied it would go on.
+// countVote counts one node's answer to a round. If the node denied the request, takenFor is how much longer it would deny a
+// new one.
 func (c *Core) countVote(now Time, r *resource, from int, number uint32, reason Reason, takenFor time.Duration) {
 	own := &r.own
 	round := own.round(number)
@@ -130,10 +131,11 @@
 	c.emit(Acquired{r.name, own.token})
 	c.log(LogLeaseAcquired, r, c.cfg.Self, own.token, ReasonGranted)
 	c.setHolder(now, r, c.cfg.Self, own.token)
-	c.startRound(now, r) // tells all others at once who holds the lease
+	c.startRound(now, r) // tells all other nodes at once that this node holds the lease
 }
 
-// giveBack gives back the lease, or abandons a request for it. The nodes that granted it need not wait until it expires.
+// giveBack gives back the lease or abandons the request for it, so that the nodes that granted it need not wait until the grant
+// expires.
 func (c *Core) giveBack(now Time, r *resource, reason Reason) {
 	token, wasAcquired := r.own.token, r.own.isAcquired
 	if token == 0 {
--- a/internal/fleet/lease/resource.go
+++ b/internal/fleet/lease/resource.go
@@ -1,14 +1,15 @@
 package lease
 
-// resource is what this node knows of one resource and its lease.
+// resource is what this node knows about one resource and the lease on it.
 type resource struct {
 	name string
 	id   uint32 // hash of the name
 
-	highestAcquired uint64 // greatest token under which a node is known to have held the lease: lower ones are superseded
-	highestGranted  uint64 // greatest token that was granted: a new request needs a greater one
-	// The last token that each node gave back: what still arrives from it under that one was sent before. A token under
-	// which a node requested the lease in vain says nothing of a lower one under which another holds it.
+	highestAcquired uint64 // greatest token under which a node is known to have held the lease; lower tokens are superseded
+	highestGranted  uint64 // greatest token that is known to have been granted; a new request needs a greater one
+	// released holds the last token that each node gave back. Messages that arrive from the node under this token or a lower
+	// one were sent before it gave the token back. The tokens are kept per node: the token of one node's failed request does
+	// not supersede a lower token under which another node holds the lease.
 	released map[int]uint64
 
 	grant  grant
@@ -16,36 +17,36 @@
 	own    ownLease
 }
 
-// grant is the last one that this node gave.
+// grant is the last grant of a resource that this node gave.
 type grant struct {
-	node      int // NoNode after it was given back
+	node      int // NoNode after the grant was given back
 	token     uint64
 	expiresAt Time
-	isHolder  bool // by its own word the node held the lease already
+	isHolder  bool // the request said that its sender already held the lease
 }
 
-// holder is the node that holds the lease as far as this node knows.
+// holder is the node that holds the lease, as far as this node knows.
 type holder struct {
-	node      int // or NoNode
+	node      int // index of the holder, or NoNode
 	token     uint64
 	expiresAt Time
 }
 
-// ownLease is this node's own lease, or its request for one.
+// ownLease is the lease that this node holds or requests.
 type ownLease struct {
-	token       uint64 // of the lease or the request; 0 without either
+	token       uint64 // token of the lease or the request; 0 if there is neither
 	isAcquired  bool
-	expiresAt   Time // if isAcquired
-	acquiredAt  Time // if isAcquired
+	expiresAt   Time // end of the lease; only valid if isAcquired
+	acquiredAt  Time // start of the lease; only valid if isAcquired
 	rounds      [trackedRounds]round
 	lastRound   uint32
-	sentAt      Time // when the request was sent for the last time
-	nextRequest Time // when to request the lease; 0 if that is not planned
-	failures    int  // requests in a row after which nobody is known to hold the lease
-	freeAt      Time // when the nodes that denied the last request would grant one
+	sentAt      Time // when the request was last sent
+	nextRequest Time // when to request the lease; 0 if no request is planned
+	failures    int  // consecutive requests after which no node is known to hold the lease
+	freeAt      Time // when the nodes that denied the last request can grant a new one
 }
 
-// round is one sending of a request to all nodes, and its answers.
+// round is one round of a request: the request to all nodes, and their answers.
 type round struct {
 	number  uint32
 	sentAt  Time
@@ -64,21 +65,21 @@
 	}
 }
 
-// round returns the place of a round, where an earlier one may still be.
+// round returns the entry for a round. The entry may still hold an earlier round.
 func (o *ownLease) round(number uint32) *round { return &o.rounds[number%trackedRounds] }
 
-// isTaken reports whether a node holds the lease, or this node granted it and the grant has not expired.
+// isTaken reports whether a node is known to hold the lease, or this node gave a grant that has not expired.
 func (r *resource) isTaken(now Time) bool {
 	return r.holder.node != NoNode && now < r.holder.expiresAt || r.grant.node != NoNode && now < r.grant.expiresAt
 }
 
-// isSuperseded reports whether what a node sends under a token was sent before it gave the lease back, or before another
-// node acquired it.
+// isSuperseded reports whether a message from a node under a token is outdated: it was sent before that node gave the lease
+// back, or before another node acquired the lease.
 func (r *resource) isSuperseded(from int, token uint64) bool {
 	return token < r.highestAcquired || token <= r.released[from]
 }
 
-// expire ends what is over by the clock.
+// expire gives back this node's own lease, and forgets another holder of the lease, once their time is over.
 func (c *Core) expire(now Time, r *resource) {
 	if r.own.isAcquired && now >= r.own.expiresAt {
 		c.giveBack(now, r, ReasonExpired)
@@ -89,7 +90,7 @@
 	}
 }
 
-// setHolder records which node holds the lease.
+// setHolder records which node holds the lease, and reports a change.
 func (c *Core) setHolder(now Time, r *resource, node int, token uint64) {
 	isSame := r.holder.node == node && r.holder.token == token
 	r.holder = holder{node: node, token: token, expiresAt: now + c.cfg.LeaseDuration}
@@ -102,7 +103,7 @@
 	c.emit(HolderChanged{r.name, node, token})
 }
 
-// confirmHolder records another node as the holder by its own word: a majority granted it the lease.
+// confirmHolder records another node as the holder, because that node says that a majority granted it the lease.
 func (c *Core) confirmHolder(now Time, r *resource, node int, token uint64) {
 	if r.isSuperseded(node, token) || r.own.isAcquired && token <= r.own.token {
 		return
@@ -111,20 +112,21 @@
 	c.setHolder(now, r, node, token)
 }
 
-// decide answers a request and records what it grants.
+// decide answers a request, and records the grant if it grants the request.
 func (c *Core) decide(now Time, r *resource, from int, token uint64, isHolder bool) Reason {
-	reason := c.judge(now, r, from, token, isHolder)
+	reason := c.evaluateRequest(now, r, from, token, isHolder)
 	if reason == ReasonGranted {
-		// A holder is granted its token again although another node was granted a greater one meanwhile and did not
-		// acquire the lease: it must not lose the vote for good. The greater token stays granted once.
+		// A holder is granted its token again even if another node has since been granted a greater token and did not acquire
+		// the lease. Otherwise the holder would lose this vote for good. highestGranted keeps the greater token, which is not
+		// granted a second time.
 		r.highestGranted = max(r.highestGranted, token)
 		r.grant = grant{node: from, token: token, expiresAt: now + c.cfg.LeaseDuration, isHolder: isHolder}
 	}
 	return reason
 }
 
-// judge returns ReasonGranted, or why this node denies a request.
-func (c *Core) judge(now Time, r *resource, from int, token uint64, isHolder bool) Reason {
+// evaluateRequest returns ReasonGranted, or the reason why this node denies a request.
+func (c *Core) evaluateRequest(now Time, r *resource, from int, token uint64, isHolder bool) Reason {
 	if c.isAbstaining(now) {
 		return ReasonAbstaining
 	}
@@ -144,16 +146,18 @@
 	return ReasonGranted
 }
 
-// conflict returns why a grant that has not expired forbids one under another token, or ReasonGranted.
+// conflict returns the reason why a grant that has not expired forbids a grant under another token, or ReasonGranted if it does
+// not.
 func (g *grant) conflict(from int, token uint64) Reason {
 	switch {
 	case g.node == NoNode || g.node == from && token >= g.token:
-		return ReasonGranted
+		return ReasonGranted // a node that requests under a greater token has given its earlier token back
 	case g.node == from:
-		// An earlier renewal that arrives late: the release of that token must not release the current grant.
+		// A renewal under an earlier token arrived late. It must not replace the current grant, because the release of the
+		// earlier token would then release that grant.
 		return ReasonTokenSuperseded
 	case g.isHolder:
 		return ReasonTaken
 	}
-	return ReasonContested // a node that requests under another token has given the earlier one back
+	return ReasonContested // another node's request is not decided yet
 }
--- a/internal/fleet/lease/status.go
+++ b/internal/fleet/lease/status.go
@@ -5,14 +5,14 @@
 // Status is the lease on one resource as this node sees it. The control socket writes it as JSON.
 type Status struct {
 	Resource   string        `json:"duty"`
-	Holder     int           `json:"holder"` // -1: no node as far as this one knows
+	Holder     int           `json:"holder"` // index of the holder; -1 if this node knows of none
 	Token      uint64        `json:"token"`
 	IsHeldHere bool          `json:"mine"`
-	HeldFor    time.Duration `json:"held_for_ns,omitempty"` // 0 unless this node holds it
-	State      string        `json:"state"`                 // held, asking, waiting, abstains or idle
+	HeldFor    time.Duration `json:"held_for_ns,omitempty"` // how long this node has held the lease; 0 if it does not hold it
+	State      string        `json:"state"`                 // one of held, asking, waiting, abstains and idle
 }
 
-// Status returns the leases on all resources, in the order of Config.Resources.
+// Status returns the status of the leases on all resources, in the order of Config.Resources.
 func (c *Core) Status(now Time) []Status {
 	var all []Status
 	for _, r := range c.resources {
