--- a/internal/fleet/rollout/agent/agent.go
+++ b/internal/fleet/rollout/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs the rollout agreement inside a node: one goroutine owns the core, and a bounded queue of events leads
-// to it. It decides nothing itself.
+// Package agent runs the rollout agreement inside a node. One goroutine owns the core and takes its events from a bounded
+// queue. The agent makes no decisions itself.
 package agent
 
 import (
@@ -15,33 +15,33 @@
 	"shelfproxy/internal/logs"
 )
 
-// ticksPerHeartbeat is how often the core looks at the clock within a HeartbeatInterval.
+// ticksPerHeartbeat is the number of ticks that the core gets in a HeartbeatInterval.
 const ticksPerHeartbeat = 4
 
-// errNoRelease is returned to an operator who orders a release without its name.
+// errNoRelease is returned to an operator who orders a release without naming it.
 var errNoRelease = errors.New("to: which release?")
 
-// Options are the settings of an agent and what it calls. The functions are called from the agent's goroutine.
+// Options holds the settings of an agent and the functions that it calls. The agent calls the functions from its own goroutine.
 type Options struct {
 	Config         rollout.Config
-	Send           func(to int, data []byte) error // sends a datagram to a node, by its index; must not wait
-	DrainGranted   func()                          // has the node drain and end; called once at most, when the fleet allows it
-	ResponseCounts func() rollout.ResponseCounts   // of the node since its start; nil if it is not judged
+	Send           func(to int, data []byte) error // sends a datagram to the node with the index to; must not block
+	DrainGranted   func()                          // makes the node drain and exit; called at most once, when the fleet allows it
+	ResponseCounts func() rollout.ResponseCounts   // returns the node's responses since its start; nil if the node is not judged
 	CountEvent     func(kind rollout.LogEventKind) // counts a log event
 	Log            *slog.Logger
 }
 
-// Agent is one node's part in the rollout agreement. Its methods are safe for concurrent use, but for Serve.
+// Agent is one node's part in the rollout agreement. Its methods are safe for concurrent use, except for Serve.
 type Agent struct {
 	*eventloop.Loop[rollout.Event, rollout.Effect]
 	options        Options
 	core           *rollout.Core
 	peers          shell.Peers
 	isDraining     bool
-	reportedCounts rollout.ResponseCounts // to the core so far
+	reportedCounts rollout.ResponseCounts // counts that were reported to the core so far
 }
 
-// New returns an agent; Serve runs it. The error is that of rollout.Config.Validate.
+// New returns an agent, which Serve runs. The error is that of rollout.Config.Validate.
 func New(options Options) (*Agent, error) {
 	core, err := rollout.New(options.Config)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return a, nil
 }
 
-// Receive hands over a datagram from another node. It never waits: while the queue is full the datagram is dropped.
+// Receive passes a datagram from another node to the core. It never blocks: while the queue is full, the datagram is dropped.
 func (a *Agent) Receive(from int, data []byte) {
 	a.Post(rollout.MessageReceived{From: from, Data: data})
 }
@@ -71,7 +71,7 @@
 	a.Step(rollout.Tick{})
 }
 
-// reportResponses tells the core the responses since the last report.
+// reportResponses reports to the core the responses since the last report.
 func (a *Agent) reportResponses() {
 	if a.options.ResponseCounts == nil {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// drain begins to drain the node if it still may: this process may have been stopped since the core decided.
+// drain begins to drain the node if the node still has its slot: this process may have been stopped since the core granted it.
 func (a *Agent) drain() {
 	if a.isDraining || !a.core.MayDrain(a.Now()) {
 		return
@@ -122,11 +122,11 @@
 	return slog.LevelInfo
 }
 
-// Status returns the agreement as this node sees it, or control.ErrBusy. It waits for the agent's goroutine.
+// Status returns the state of the agreement as this node sees it, or control.ErrBusy. It waits for the agent's goroutine.
 func (a *Agent) Status() (rollout.Status, error) { return shell.Read(a.Loop, a.core.Status) }
 
 // RegisterCalls adds the operators' calls to the control server: the query status, and the commands drain, halt, resume and
-// roll with to=RELEASE, which answer with the status after them.
+// roll. The command roll takes the release as to=RELEASE. Each command answers with the status after it.
 func (a *Agent) RegisterCalls(s *control.Server) {
 	shell.HandleQuery(s, "status", a.Loop, a.core.Status)
 	a.handleCommand(s, "drain", rollout.DrainRequested{})
@@ -145,7 +145,7 @@
 	s.HandleCommand(name, func(url.Values) (any, error) { return a.command(event) })
 }
 
-// command has the core handle an operator's event and returns the status after it.
+// command passes an operator's event to the core and returns the status after it.
 func (a *Agent) command(event rollout.Event) (any, error) {
 	if !a.Post(event) {
 		return nil, control.ErrBusy
--- a/internal/fleet/rollout/agent/agent_test.go
+++ b/internal/fleet/rollout/agent/agent_test.go
@@ -45,7 +45,7 @@
 		t.Fatal("the node was not drained")
 	}
 	a.Post(rollout.DrainRequested{})
-	status, err := a.Status() // after the event before it
+	status, err := a.Status() // the agent handles the event before this call
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 }
 
 func TestResponsesAreReportedOnce(t *testing.T) {
-	// 9 responses are too few to judge a node; reported twice they would be enough.
+	// A node is judged from 10 responses on: 9 are too few, but would be enough if they were reported twice.
 	polled := make(chan struct{})
 	a := startAgent(t, Options{ResponseCounts: func() rollout.ResponseCounts {
 		select {
--- a/internal/fleet/rollout/config.go
+++ b/internal/fleet/rollout/config.go
@@ -6,31 +6,32 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// Config configures one node's part. All nodes of a fleet should have the same values but for Self, Zone, Release,
-// Incarnation and Seed; while a new budget is being rolled out, the smaller one holds wherever a majority has it.
+// Config configures one node's part in the rollout agreement. All nodes of a fleet should have the same values, except for
+// Self, Zone, Release, Incarnation and Seed. While a new budget is being rolled out, the smaller of the old and the new budget
+// applies wherever a majority has it.
 type Config struct {
 	Self, Nodes int
 	Zone        string
-	Budget      int // nodes that may be out of service at once, 1 to MaxBudget
-	ZoneBudget  int // the same for the nodes of one zone; 0 sets no bound of its own
+	Budget      int // number of nodes that may be out of service at once, 1 to MaxBudget
+	ZoneBudget  int // number of nodes of one zone that may be out of service at once; 0 means no limit per zone
 
-	HeartbeatInterval time.Duration // between two heartbeats of a node
-	UnresponsiveAfter time.Duration // without a heartbeat for so long, a node counts as out of service
-	RequestTimeout    time.Duration // for which a slot request is valid; a node that starts grants nothing for as long
-	ReturnTimeout     time.Duration // after which the release halts if a node that drained is not back
-	WriteOffAfter     time.Duration // after which the slot of such a node is released
-	ObservationPeriod time.Duration // for which a node that starts has to do well before it is ready
-	MaxClockDrift     float64       // greatest difference in the rates of two clocks, as a fraction
+	HeartbeatInterval time.Duration // time between two heartbeats of a node
+	UnresponsiveAfter time.Duration // a node counts as out of service after this time without a heartbeat
+	RequestTimeout    time.Duration // how long a slot request is valid; a node grants no slot for the same time after its start
+	ReturnTimeout     time.Duration // the release halts if a drained node is not back after this time
+	WriteOffAfter     time.Duration // the slot of a drained node that is not back after this time is released
+	ObservationPeriod time.Duration // how long a node that starts has to do well before it is ready
+	MaxClockDrift     float64       // greatest difference between the rates of two clocks, as a fraction
 
-	Release        string  // that this node runs
-	MaxFailureRate float64 // fraction of responses that may fail during the observation, above that of the other nodes
-	MaxSlowRate    float64 // the same for responses that miss their class's latency objective
-	MinSamples     int     // responses from which on a node is judged
-	Incarnation    uint64  // greater for each start of this node: milliseconds of its own clock will do
+	Release        string  // name of the release that this node runs
+	MaxFailureRate float64 // how far the fraction of failed responses may exceed that of the other nodes during the observation
+	MaxSlowRate    float64 // how far the fraction of responses above their class's latency objective may exceed the other nodes'
+	MinSamples     int     // number of responses that are needed to judge a node
+	Incarnation    uint64  // greater for each start of this node, such as the milliseconds of its own clock
 	Seed           uint64
 }
 
-// MaxBudget is the greatest budget: the slots that a node granted must fit a heartbeat.
+// MaxBudget is the greatest budget: the grants that a node knows must fit into one heartbeat.
 const MaxBudget = maxGrants
 
 const (
@@ -38,7 +39,7 @@
 	minHeartbeatsPerRequest        = 2
 )
 
-// Validate returns an agreement.FieldError for the first field whose value the agreement cannot work with.
+// Validate returns an agreement.FieldError for the first field that has an invalid value.
 func (c Config) Validate() error {
 	if err := agreement.ValidateNodes(c.Self, c.Nodes, agreement.MaxNodes); err != nil {
 		return err
@@ -87,5 +88,5 @@
 	return nil
 }
 
-// isFraction reports whether value is from 0 to 1; NaN is not.
+// isFraction reports whether value is from 0 to 1. It returns false for NaN.
 func isFraction(value float64) bool { return value >= 0 && value <= 1 }
--- a/internal/fleet/rollout/core.go
+++ b/internal/fleet/rollout/core.go
@@ -1,12 +1,12 @@
-// Package rollout lets the nodes of a fleet agree on which of them may go out of service, so that no more than a budget of
-// them is out at once, and halts a release whose nodes do badly. The core is a state machine without clock or I/O: it takes
+// Package rollout lets the nodes of a fleet agree on which of them may go out of service, so that no more than a budget of them
+// is out at once. It also halts a release whose nodes do badly. The core is a state machine without clock or I/O: it takes
 // events with the time and returns effects.
 //
-// A node that wants to drain requests one of the budget's slots from all others. Each grants a slot to one node only, and a
-// node has the slot that a majority of the fleet granted it: two halves of a partitioned fleet cannot both hand one out. A
-// slot is released by its holder, when that is back in service and ready, and by no clock: a holder that was killed,
-// stalled or cut off is out of service and counts. Only a node that stays away for WriteOffAfter is written off. See
-// docs/rollout.md.
+// A node that wants to drain requests one of the budget's slots from all other nodes. Each node grants a slot to one node only,
+// and a slot belongs to the node that a majority of the fleet granted it. So two halves of a partitioned fleet cannot both
+// grant one. The holder releases its slot when it is back in service and ready. A slot does not expire: a holder that was
+// killed, stalled or cut off is out of service and counts against the budget. Only a node that stays away for WriteOffAfter is
+// written off. See docs/rollout.md.
 package rollout
 
 import (
@@ -16,30 +16,30 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// Time is a point on this node's clock; it is not negative. The clocks of two nodes need not agree, and their rates may
+// Time is a point in time on this node's clock. It is not negative. The clocks of two nodes need not agree, and their rates may
 // differ by Config.MaxClockDrift.
 type Time = time.Duration
 
-// Core is the agreement as one node takes part in it. It is not safe for concurrent use.
+// Core is one node's part in the rollout agreement. It is not safe for concurrent use.
 type Core struct {
 	cfg       Config
 	rng       *rand.Rand
 	isStarted bool
 	startedAt Time
-	effects   []Effect // of the event that is being handled
+	effects   []Effect // effects of the event that is being handled
 
-	// This node.
+	// State of this node.
 	state        State
 	readySince   Time
 	isServing    bool
 	servingSince Time
-	release      uint32 // hash of the release that it runs
+	release      uint32 // hash of the release that this node runs
 	responses    responseStats
 
-	// The other nodes, and the slots as this node knows them.
+	// State of the other nodes, and the granted slots that this node knows of.
 	peers       []peer
 	grants      []grantRecord
-	knowsGrants bool // an operator said that no node is out that this one does not know of
+	knowsGrants bool // an operator confirmed that this node knows of every node that is out
 
 	halt  haltState
 	order releaseOrder
@@ -47,11 +47,11 @@
 	heartbeatsSent uint32
 	nextHeartbeat  Time
 
-	isDrainRequested bool // by an operator
+	isDrainRequested bool // an operator requested that this node drain
 	request          ownRequest
 }
 
-// New returns a core that takes part from its first event on. The error is that of Config.Validate.
+// New returns a core that takes part in the agreement from its first event on. The error is that of Config.Validate.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	}, nil
 }
 
-// HashName returns the number by which a release or a zone is sent: 0 for no name, and never 0 for any other.
+// HashName returns the hash that identifies a release or a zone in messages. It returns 0 only for the empty name.
 func HashName(name string) uint32 {
 	if name == "" {
 		return 0
@@ -72,10 +72,11 @@
 	return max(1, agreement.HashName(name))
 }
 
-// majority returns how many nodes have to grant a slot.
+// majority returns how many nodes have to grant a slot to a node.
 func (c *Core) majority() int { return agreement.Majority(c.cfg.Nodes) }
 
-// Step handles one event and returns its effects, which belong to the caller. Now must not decrease between calls.
+// Step handles one event and returns its effects in a slice that the caller may keep. The time now must not decrease between
+// calls.
 func (c *Core) Step(now Time, event Event) []Effect {
 	c.effects = nil
 	if !c.isStarted {
@@ -88,7 +89,7 @@
 
 func (c *Core) begin(now Time) {
 	c.isStarted, c.startedAt, c.nextHeartbeat = true, now, now
-	for i := range c.peers { // none is unresponsive before it had the time to send a heartbeat
+	for i := range c.peers { // no peer is unresponsive before it had time to send a heartbeat
 		c.peers[i].lastSeen = now
 	}
 }
@@ -102,7 +103,7 @@
 			c.isServing, c.servingSince = true, now
 		}
 	case ResponseCounts:
-		c.judgeResponses(now, event)
+		c.checkResponses(now, event)
 	case DrainRequested:
 		c.isDrainRequested = true
 	case ShutdownStarted:
@@ -119,7 +120,7 @@
 	}
 }
 
-// handleMessage handles a datagram. One that is not from another node of the fleet is ignored.
+// handleMessage handles a datagram. It ignores a datagram that is not from another node of the fleet.
 func (c *Core) handleMessage(now Time, event MessageReceived) {
 	if !agreement.IsPeer(event.From, c.cfg.Self, c.cfg.Nodes) {
 		return
@@ -140,13 +141,13 @@
 	}
 }
 
-// advance does what is due by the clock.
+// advance does what has become due by the clock.
 func (c *Core) advance(now Time) {
 	if c.state == Starting && c.isServing && now-c.servingSince >= c.cfg.ObservationPeriod {
 		c.becomeReady(now)
 	}
 	c.checkHolders(now)
-	c.pursueSlot(now)
+	c.advanceRequest(now)
 	if now >= c.nextHeartbeat {
 		c.sendHeartbeat(now)
 	}
@@ -154,15 +155,15 @@
 
 func (c *Core) becomeReady(now Time) {
 	c.state, c.readySince = Ready, now
-	c.hurryHeartbeat()
+	c.triggerHeartbeat()
 	c.log(LogNodeReady, c.cfg.Self, 0, ReasonGranted)
-	c.releaseSlots(c.cfg.Self, c.cfg.Incarnation, c.request.lastDone) // those of this node's earlier processes
+	c.releaseSlots(c.cfg.Self, c.cfg.Incarnation, c.request.lastDone) // the slots of earlier processes of this node
 }
 
 func (c *Core) startDraining() {
 	if c.state != Draining {
 		c.state = Draining
-		c.hurryHeartbeat()
+		c.triggerHeartbeat()
 	}
 }
 
@@ -174,8 +175,8 @@
 	}
 }
 
-// MayDrain reports whether this node still has its slot. A node that stalled after DrainGranted has to check this at the
-// moment at which it begins to drain.
+// MayDrain reports whether this node still has its slot. A node has to check MayDrain at the moment at which it begins to
+// drain, as it may have stalled after DrainGranted.
 func (c *Core) MayDrain(now Time) bool {
 	return c.request.isGranted && now < c.request.expiresAt && !c.halt.IsHalted
 }
--- a/internal/fleet/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -8,8 +8,8 @@
 	"shelfproxy/internal/fleet/datagram"
 )
 
-// TestNoMoreNodesDrainThanBudgetAllows simulates thousands of short runs of small fleets in which every node is asked to
-// drain and any fault may strike any node. It fails as soon as one node more than the budget is out with a slot.
+// TestNoMoreNodesDrainThanBudgetAllows simulates thousands of short runs of small fleets in which every node is asked to drain
+// and any fault may hit any node. It fails as soon as more nodes than the budget allows are out with a slot.
 func TestNoMoreNodesDrainThanBudgetAllows(t *testing.T) {
 	seeds := uint64(3000)
 	if testing.Short() {
@@ -28,11 +28,11 @@
 		granted += fleet.events[LogSlotGranted]
 	}
 	if drains < int(seeds) {
-		t.Errorf("%d drains with %d grants in %d runs, want one drain a run for the test to tell anything", drains, granted, seeds)
+		t.Errorf("%d drains with %d grants in %d runs, want at least one drain per run, otherwise the test checks too little", drains, granted, seeds)
 	}
 }
 
-// injectFault asks a random node to drain or strikes it with a fault.
+// injectFault asks a random node to drain, or applies a random fault to it.
 func injectFault(fleet *testFleet) {
 	i, other := fleet.rng.IntN(len(fleet.nodes)), fleet.rng.IntN(len(fleet.nodes))
 	node := &fleet.nodes[i]
@@ -41,14 +41,14 @@
 		fleet.step(i, DrainRequested{})
 	case 4:
 		node.isStalled = node.core != nil && !node.isStalled
-	case 5: // killed, and restarted at once or later
+	case 5: // the node is killed, and is restarted within 4 s
 		if node.core != nil {
 			fleet.kill(i)
 			node.restartAt = fleet.now + time.Duration(fleet.rng.Int64N(int64(4*time.Second)))
 		}
 	case 6:
 		node.isCutFrom[other] = !node.isCutFrom[other]
-	case 7: // the fleet is partitioned, or heals
+	case 7: // the fleet is partitioned, or a partition ends
 		fleet.partition(fleet.rng.IntN(len(fleet.nodes) + 1))
 	case 8:
 		corrupt := []byte{Magic, version, byte(fleet.rng.IntN(4)), byte(fleet.rng.IntN(256)), 1, 2, 3, 4, 5}
@@ -56,14 +56,14 @@
 	}
 }
 
-// TestReleaseReachesEveryNodeDespiteLoss: with a tenth of the messages lost every node of a fleet drains once for an ordered
-// release, within the budget and in bounded time, and all are ready in the end.
+// TestReleaseReachesEveryNodeDespiteLoss checks fleets that lose a tenth of their messages. Every node must drain once for an
+// ordered release, within the budget and in bounded time, and all nodes must be ready in the end.
 func TestReleaseReachesEveryNodeDespiteLoss(t *testing.T) {
 	for _, size := range []struct{ nodes, budget int }{{1, 1}, {2, 1}, {3, 1}, {5, 2}, {40, 4}} {
 		t.Run(fmt.Sprintf("%d nodes with a budget of %d", size.nodes, size.budget), func(t *testing.T) {
 			fleet := newTestFleet(t, 1, size.nodes, size.budget, nil)
 			fleet.run(5 * time.Second)
-			fleet.each(func(i int) { fleet.nodes[i].cfg.Release = "v2" }) // of processes that start from now on
+			fleet.each(func(i int) { fleet.nodes[i].cfg.Release = "v2" }) // for processes that start from now on
 			fleet.step(0, ReleaseOrdered{"v2"})
 			for range 200 {
 				fleet.run(2 * time.Second)
@@ -81,7 +81,7 @@
 	}
 }
 
-// drainScenarios are faults and orders, with what each does to the drains of the fleet.
+// drainScenarios are faults and operators' requests, with their effect on the drains of the fleet.
 var drainScenarios = []struct {
 	name          string
 	nodes, budget int
@@ -115,9 +115,9 @@
 			fleet.t.Fatal("the node was never granted a slot")
 		}
 		fleet.nodes[0].isStalled = false
-		fleet.drain(0) // its grant expired long ago
+		fleet.drain(0) // the grant of node 0 expired long ago
 	}, 0, false},
-	{"a half of the fleet alone lets nobody drain", 4, 2, func(fleet *testFleet) {
+	{"one half of a partitioned fleet lets no node drain", 4, 2, func(fleet *testFleet) {
 		fleet.run(5 * time.Second)
 		fleet.partition(2)
 		fleet.each(func(i int) { fleet.step(i, DrainRequested{}) })
@@ -151,7 +151,7 @@
 		fleet.step(4, ResumeRequested{})
 		fleet.run(20 * time.Second)
 	}, 1, false},
-	{"a smaller budget holds at once", 5, 2, func(fleet *testFleet) {
+	{"a smaller budget applies at once", 5, 2, func(fleet *testFleet) {
 		fleet.run(5 * time.Second)
 		fleet.step(0, DrainRequested{})
 		fleet.runUntilNode0StaysAway()
@@ -159,16 +159,16 @@
 		fleet.step(1, DrainRequested{})
 		fleet.run(15 * time.Second)
 	}, 1, false},
-	{"an order for the release of a node leaves an operator's drain request", 3, 1, func(fleet *testFleet) {
+	{"an order for the release that a node runs does not cancel its drain request", 3, 1, func(fleet *testFleet) {
 		fleet.run(5 * time.Second)
 		fleet.step(0, HaltRequested{})
 		fleet.step(0, DrainRequested{})
-		fleet.step(0, ReleaseOrdered{"v1"}) // which also ends the halt
+		fleet.step(0, ReleaseOrdered{"v1"}) // the order also ends the halt
 		fleet.run(10 * time.Second)
 	}, 1, false},
 	{"an order back to the previous release frees the requested slot", 3, 1, func(fleet *testFleet) {
 		fleet.run(5 * time.Second)
-		fleet.each(func(i int) { // node 0 has requested a slot, and receives no answer
+		fleet.each(func(i int) { // what node 0 sends is lost, so it gets no answer to its request
 			fleet.nodes[i].isCutFrom[1], fleet.nodes[i].isCutFrom[2] = i == 0, i == 0
 		})
 		fleet.step(0, ReleaseOrdered{"v2"})
@@ -215,11 +215,12 @@
 	fleet.runUntilNode0StaysAway()
 	fleet.run(15 * time.Second)
 	if got, want := fleet.events[LogSlotExpired], 3; got < want {
-		t.Errorf("the slot expired at %d nodes, want %d at least", got, want)
+		t.Errorf("the slot expired at %d nodes, want at least %d", got, want)
 	}
 }
 
-// TestZoneBudgetBoundsDrainsOfOneZone: no more than one node of a zone is out, though three of the fleet may be.
+// TestZoneBudgetBoundsDrainsOfOneZone checks that no more than one node of a zone is out at once, although three nodes of the
+// fleet may be.
 func TestZoneBudgetBoundsDrainsOfOneZone(t *testing.T) {
 	const zones, zoneBudget = 2, 1
 	fleet := newTestFleet(t, 9, 6, 3, func(cfg *Config) { cfg.ZoneBudget, cfg.Zone = zoneBudget, fmt.Sprint("z", cfg.Self%zones) })
@@ -234,21 +235,21 @@
 		})
 		for zone, count := range out {
 			if count > zoneBudget {
-				t.Fatalf("%d nodes of zone %d are out, want %d at most", count, zone, zoneBudget)
+				t.Fatalf("%d nodes of zone %d are out, want at most %d", count, zone, zoneBudget)
 			}
 		}
 	}
 	if fleet.drains < 3 {
-		t.Errorf("%d nodes drained in 30 s, want 3 at least", fleet.drains)
+		t.Errorf("%d nodes drained in 30 s, want at least 3", fleet.drains)
 	}
 }
 
-// TestDecisionsInFleetsOfAnySize checks what makes a majority, which requests are denied, and that all grants fit a
+// TestDecisionsInFleetsOfAnySize checks the size of the majority, which requests are denied, and that all grants fit into one
 // heartbeat.
 func TestDecisionsInFleetsOfAnySize(t *testing.T) {
 	for _, test := range []struct {
 		nodes, budget     int
-		out, unresponsive int // with a slot; without one
+		out, unresponsive int // nodes that are out with a slot; nodes that are unresponsive without one
 		wantMajority      int
 		want              Reason
 	}{
@@ -273,7 +274,7 @@
 				t.Errorf("majority %d, want %d", got, test.wantMajority)
 			}
 			freeSlot := uint8(min(test.out, test.budget-1))
-			got := core.judge(now, test.nodes-1-test.unresponsive, slotRequest{Incarnation: 1, Number: 1, Slot: freeSlot})
+			got := core.evaluateRequest(now, test.nodes-1-test.unresponsive, slotRequest{Incarnation: 1, Number: 1, Slot: freeSlot})
 			isSameDenial := got == ReasonSlotTaken && test.want == ReasonOverBudget
 			if test.nodes > 1 && got != test.want && !isSameDenial {
 				t.Errorf("the request is answered %v, want %v", got, test.want)
@@ -283,14 +284,14 @@
 				beat.Grants = append(beat.Grants, record.grant)
 			}
 			if size := len(beat.encode()); size > datagram.MaxSize {
-				t.Errorf("the heartbeat has %d bytes, want %d at most", size, datagram.MaxSize)
+				t.Errorf("the heartbeat has %d bytes, want at most %d", size, datagram.MaxSize)
 			}
 		})
 	}
 }
 
-// newObservedCore returns the core of node 0 after it received heartbeats of the others: the first out of them are draining
-// with slots, the rest is ready, and the last ones have been unresponsive for a while.
+// newObservedCore returns the core of node 0 after it received heartbeats from the other nodes. Of these, as many as out are
+// draining with slots, and the rest is ready. The last nodes, as many as unresponsive, have sent no heartbeat for a while.
 func newObservedCore(t *testing.T, nodes, budget, out, unresponsive int) (*Core, Time) {
 	t.Helper()
 	core := newTestCore(t, testConfig(0, nodes, budget))
@@ -307,7 +308,7 @@
 			core.Step(now, MessageReceived{i, heartbeat{Incarnation: 1, Sequence: sequence, State: state}.encode()})
 		}
 	}
-	for _, responsive := range []int{nodes, nodes - unresponsive} { // until the core grants, then until some are unresponsive
+	for _, responsive := range []int{nodes, nodes - unresponsive} { // until the core grants slots, then until some are unresponsive
 		for end := now + core.cfg.RequestTimeout + core.cfg.UnresponsiveAfter; now < end; now += core.cfg.HeartbeatInterval {
 			sendHeartbeats(responsive)
 			core.Step(now, Tick{})
--- a/internal/fleet/rollout/event.go
+++ b/internal/fleet/rollout/event.go
@@ -2,31 +2,33 @@
 
 import "shelfproxy/internal/fleet/agreement"
 
-// Event is an input of the core: one of the types below it.
+// Event is an input of the core. It is one of the event types below.
 type Event interface{ event() }
 
 type (
-	// Tick lets time pass. The core needs one at least every half HeartbeatInterval.
+	// Tick makes the core do what has become due by the clock. The core needs a tick at least every half HeartbeatInterval.
 	Tick struct{}
 	// MessageReceived is a datagram from another node.
 	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// ServingStarted begins the observation of this node: it serves from now on.
+	// ServingStarted reports that this node serves from now on. The observation of the node begins.
 	ServingStarted struct{}
-	// ResponseCounts are this node's responses since the last such event; Failed and Slow are parts of Responses.
+	// ResponseCounts holds the numbers of this node's responses since the last such event. Failed and Slow are parts of
+	// Responses.
 	ResponseCounts struct{ Responses, Failed, Slow int }
 	// DrainRequested is an operator's request that this node drain as soon as it has a slot.
 	DrainRequested struct{}
-	// ShutdownStarted says that this node goes out of service now, with a slot or without one.
+	// ShutdownStarted reports that this node goes out of service now, with a slot or without one.
 	ShutdownStarted struct{}
-	// ReleaseOrdered is an operator's order to the whole fleet: each node that runs another release drains in its turn.
-	// It also ends a halt.
+	// ReleaseOrdered is an operator's order to the whole fleet: each node that runs another release drains when it has a slot.
+	// The order also ends a halt.
 	ReleaseOrdered struct{ Release string }
 	// HaltRequested is an operator's request that no further node be granted a slot.
 	HaltRequested struct{}
-	// ResumeRequested ends a halt. It also lets a node that could not learn from enough others who is out grant slots.
+	// ResumeRequested is an operator's request to end a halt. It also lets this node grant slots if it could not learn from
+	// enough other nodes which nodes are out.
 	ResumeRequested struct{}
 	// BudgetChanged replaces Budget and ZoneBudget. Values that Config.Validate rejects are ignored.
 	BudgetChanged struct{ Budget, ZoneBudget int }
@@ -43,21 +45,21 @@
 func (ResumeRequested) event() {}
 func (BudgetChanged) event()   {}
 
-// Effect is an output of the core: one of the types below it.
+// Effect is an output of the core. It is one of the effect types below.
 type Effect interface{ effect() }
 
 type (
-	// Send sends a datagram to a node, or to all others if To is AllNodes.
+	// Send asks the shell to send a datagram to the node To, or to all other nodes if To is AllNodes.
 	Send struct {
 		To   int
 		Data []byte
 	}
 	// DrainGranted allows this node to drain if it begins before Until.
 	DrainGranted struct{ Until Time }
-	// LogEvent is for the log and the counters.
+	// LogEvent is an event for the log and the counters.
 	LogEvent struct {
 		Kind   LogEventKind
-		Node   int // that it is about
+		Node   int // index of the node that the event is about
 		Slot   int
 		Reason Reason
 	}
@@ -67,28 +69,28 @@
 func (DrainGranted) effect() {}
 func (LogEvent) effect()     {}
 
-// AllNodes as a destination stands for all nodes but this one.
+// AllNodes is the destination that stands for all nodes except this one.
 const AllNodes = agreement.AllNodes
 
-// LogEventKind says what happened.
+// LogEventKind is the kind of a LogEvent.
 type LogEventKind int
 
-// The kinds of log events.
+// Kinds of log events.
 const (
-	LogSlotRequested    LogEventKind = iota // by this node
-	LogSlotGranted                          // by this node, to the named one
-	LogSlotDenied                           // by this node, to the named one
-	LogSlotAcquired                         // by this node
-	LogRequestAbandoned                     // by this node
-	LogSlotReleased                         // by its holder
-	LogSlotExpired                          // its holder was written off
+	LogSlotRequested    LogEventKind = iota // this node requested a slot
+	LogSlotGranted                          // this node granted a slot to the node that the event names
+	LogSlotDenied                           // this node denied a slot to the node that the event names
+	LogSlotAcquired                         // this node acquired a slot
+	LogRequestAbandoned                     // this node abandoned a request for a slot
+	LogSlotReleased                         // the holder of a slot released it
+	LogSlotExpired                          // the holder of a slot was written off
 	LogHalted
 	LogResumed
 	LogReleaseOrdered
 	LogNodeReady
 	LogNodeUnhealthy
 	LogMessageCorrupt
-	NumLogEventKinds // their number
+	NumLogEventKinds // number of kinds
 )
 
 // String returns the kind as it is written in the log and in the names of the counters.
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -41,19 +41,19 @@
 
 // testNode is one node of a testFleet.
 type testNode struct {
-	core        *Core // nil while it has no process
+	core        *Core // nil while the node has no running process
 	cfg         Config
 	clockOffset time.Duration
 	clockRate   float64
 	isStalled   bool
-	isOut       bool          // it drained with a slot and is not ready again
-	restartAt   time.Duration // 0: it stays away
-	mayDrain    bool          // a DrainGranted has not been acted upon yet
-	isCutFrom   []bool        // by receiver
+	isOut       bool          // the node drained with a slot and is not ready again
+	restartAt   time.Duration // when the node is restarted; 0 if it is not
+	mayDrain    bool          // the node has not acted on a DrainGranted yet
+	isCutFrom   []bool        // by receiver: whether messages to it are dropped
 }
 
-// testFleet simulates a fleet: clocks that differ and drift, messages that are lost, delayed, duplicated and reordered,
-// nodes that are killed, stalled, restarted and cut off.
+// testFleet simulates a fleet. Its clocks differ and drift. Its messages are lost, delayed, duplicated and reordered. Its nodes
+// are killed, stalled, restarted and cut off from each other.
 type testFleet struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -62,11 +62,11 @@
 	inFlight []packet
 	lossRate float64
 	maxDelay time.Duration
-	drains   int // nodes that went out with a slot
-	maxOut   int // nodes that were out at once
+	drains   int // number of drains with a slot
+	maxOut   int // greatest number of nodes that were out at once
 	events   map[LogEventKind]int
 
-	stallOnGrant bool // a node stalls at the moment at which it is granted its slot
+	stallOnGrant bool // every node stalls at the moment at which it is granted a slot
 }
 
 type packet struct {
@@ -94,7 +94,7 @@
 		fleet.nodes = append(fleet.nodes, testNode{
 			cfg:         cfg,
 			clockOffset: time.Duration(fleet.rng.Int64N(int64(time.Hour))),
-			clockRate:   1 + (fleet.rng.Float64()-0.5)*testClockDrift, // two differ by the drift at most
+			clockRate:   1 + (fleet.rng.Float64()-0.5)*testClockDrift, // the rates of two clocks differ by at most testClockDrift
 			isCutFrom:   make([]bool, nodes),
 		})
 		fleet.start(i)
@@ -145,14 +145,14 @@
 }
 
 func (f *testFleet) send(from, to int, data []byte) {
-	for range 1 + f.rng.IntN(10)/9 { // one in ten twice
+	for range 1 + f.rng.IntN(10)/9 { // one message in ten is sent twice
 		if f.rng.Float64() >= f.lossRate && !f.nodes[from].isCutFrom[to] {
 			f.inFlight = append(f.inFlight, packet{f.now + time.Duration(f.rng.Int64N(int64(f.maxDelay))), from, to, data})
 		}
 	}
 }
 
-// run lets time pass, and checks the budget after every tick.
+// run advances the time by span, and checks the budget after every tick.
 func (f *testFleet) run(span time.Duration) {
 	f.t.Helper()
 	for end := f.now + span; f.now < end; f.now += testTick {
@@ -164,7 +164,7 @@
 	}
 }
 
-// deliver hands over the messages whose delay is over; those to stalled nodes wait.
+// deliver passes on the messages whose delay is over. Messages to stalled nodes wait.
 func (f *testFleet) deliver() {
 	waiting := f.inFlight[:0]
 	var arriving []packet
@@ -205,11 +205,11 @@
 	}
 	f.maxOut = max(f.maxOut, out)
 	if budget := f.nodes[0].cfg.Budget; out > budget {
-		f.t.Fatalf("at %v %d nodes are out with a slot, want %d at most", f.now, out, budget)
+		f.t.Fatalf("at %v %d nodes are out with a slot, want at most %d", f.now, out, budget)
 	}
 }
 
-// drain has a node that was granted a slot act on it if it still may: it drains, ends, and is restarted some time later.
+// drain makes a node act on its grant, if the node still may: the node drains, ends, and is restarted 1 to 4 s later.
 func (f *testFleet) drain(i int) {
 	node := &f.nodes[i]
 	node.mayDrain = false
@@ -223,17 +223,18 @@
 	node.restartAt = f.now + time.Second + time.Duration(f.rng.Int64N(int64(3*time.Second)))
 }
 
-// runUntil lets time pass until a condition holds.
+// runUntil advances the time until a condition holds, for a minute at most.
 func (f *testFleet) runUntil(condition func() bool) {
 	f.t.Helper()
 	for deadline := f.now + time.Minute; !condition(); f.run(testTick) {
 		if f.now > deadline {
-			f.t.Fatal("the condition did not come to hold within a minute")
+			f.t.Fatal("the condition did not hold within a minute")
 		}
 	}
 }
 
-// runUntilNode0StaysAway lets time pass until node 0, the first to drain, is out, and has it stay away.
+// runUntilNode0StaysAway advances the time until the first node has drained, which must be node 0, and keeps node 0 from
+// restarting.
 func (f *testFleet) runUntilNode0StaysAway() {
 	f.t.Helper()
 	f.runUntil(func() bool { return f.drains > 0 })
@@ -246,7 +247,7 @@
 	}
 }
 
-// partition cuts the nodes below boundary off from the others; a boundary of 0 or all nodes heals the fleet.
+// partition cuts the nodes with indices below boundary off from the others. A boundary of 0 or of all nodes ends the partition.
 func (f *testFleet) partition(boundary int) {
 	for from := range f.nodes {
 		for to := range f.nodes {
--- a/internal/fleet/rollout/golden_test.go
+++ b/internal/fleet/rollout/golden_test.go
@@ -8,7 +8,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenDatagrams: the datagrams of earlier releases are decoded, and the same bytes are encoded.
+// TestGoldenDatagrams checks that the datagrams of earlier releases are decoded, and that their messages are encoded to the
+// same bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	full := heartbeat{Incarnation: 0x0102030405060708, Sequence: 9, State: numStates - 1, IsAbstaining: true, LastDone: 10, Release: 0x0a0b0c0d,
 		Halt: haltState{Epoch: 3, IsHalted: true, Reason: numReasons - 1, Node: 4}, Order: releaseOrder{Epoch: 5, Release: 0x1a1b1c1d},
@@ -38,7 +39,7 @@
 	}
 }
 
-// TestGoldenStatus: operators' scripts read the status as JSON.
+// TestGoldenStatus guards the JSON form of the status, which operators' scripts read.
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
 	for _, test := range []struct {
--- a/internal/fleet/rollout/health.go
+++ b/internal/fleet/rollout/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// responseStats counts this node's responses. While the node is ready the counts decay, so that what starting nodes are
-// compared with is how it goes now.
+// responseStats counts this node's responses. While the node is ready, the counts decay, so that nodes that start are compared
+// with recent responses.
 type responseStats struct {
 	total, failed, slow float64
 	updatedAt           Time
@@ -33,9 +33,10 @@
 	return health{IsKnown: true, Failed: fraction(s.failed), Slow: fraction(s.slow)}
 }
 
-// judgeResponses judges this node while it is under observation: if it does worse than the others, it says so and halts
-// the release. What goes badly at all nodes is the fault of the origin or the network, and going back would not help.
-func (c *Core) judgeResponses(now Time, counts ResponseCounts) {
+// checkResponses adds counts to this node's statistics. While the node is under observation, it compares them with those of the
+// other nodes. If this node does worse, it becomes unhealthy and halts the release. If all nodes do badly, the origin or the
+// network is the cause, and going back to the previous release would not help.
+func (c *Core) checkResponses(now Time, counts ResponseCounts) {
 	if c.state == Ready {
 		c.responses.decay(now-c.responses.updatedAt, c.cfg.ObservationPeriod)
 	}
@@ -45,22 +46,22 @@
 	if c.state != Starting || !own.IsKnown {
 		return
 	}
-	usual := c.medianHealth()
-	isFailing := own.failureRate() > c.cfg.MaxFailureRate+usual.failureRate()
-	isSlow := own.slowRate() > c.cfg.MaxSlowRate+usual.slowRate()
+	median := c.medianHealth()
+	isFailing := own.failureRate() > c.cfg.MaxFailureRate+median.failureRate()
+	isSlow := own.slowRate() > c.cfg.MaxSlowRate+median.slowRate()
 	if isFailing || isSlow {
 		c.state = Unhealthy
-		c.hurryHeartbeat()
+		c.triggerHeartbeat()
 		c.log(LogNodeUnhealthy, c.cfg.Self, 0, ReasonNodeUnhealthy)
 		c.raiseHalt(ReasonNodeUnhealthy, c.cfg.Self)
 	}
 }
 
-// ownHealth is what this node reports of its responses.
+// ownHealth returns what this node reports of its own responses.
 func (c *Core) ownHealth() health { return c.responses.health(c.cfg.MinSamples) }
 
-// medianHealth returns the lower medians of the rates that the other ready nodes report, or zeros if none does. With a
-// median, a few nodes that report wrongly or do badly themselves do not change the judgement.
+// medianHealth returns the lower medians of the rates that the other ready nodes report, or zeros if none of them reports any.
+// With a median, a few nodes that report wrong rates or do badly themselves do not change how this node is judged.
 func (c *Core) medianHealth() health {
 	var failed, slow []byte
 	for node, peer := range c.peers {
@@ -75,7 +76,7 @@
 	return health{IsKnown: true, Failed: lowerMedian(failed), Slow: lowerMedian(slow)}
 }
 
-// lowerMedian sorts values, of which there is at least one.
+// lowerMedian sorts values and returns the lower median. There must be at least one value.
 func lowerMedian(values []byte) byte {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/internal/fleet/rollout/health_test.go
+++ b/internal/fleet/rollout/health_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestStartingNodeIsJudgedBesideTheOthers: a node under observation is unhealthy by what goes worse at it than at the ready
-// nodes.
+// TestStartingNodeIsJudgedBesideTheOthers checks that a node under observation is judged by how much worse it does than the
+// ready nodes.
 func TestStartingNodeIsJudgedBesideTheOthers(t *testing.T) {
 	for _, test := range []struct {
 		name          string
--- a/internal/fleet/rollout/heartbeat.go
+++ b/internal/fleet/rollout/heartbeat.go
@@ -2,36 +2,37 @@
 
 import "slices"
 
-// peer is what is known of another node by its heartbeats.
+// peer is what this node knows of another node from its heartbeats.
 type peer struct {
-	lastSeen    Time // when its last heartbeat arrived, or this node started
-	hasReported bool // a heartbeat arrived since this node started
-	knowsGrants bool // one that arrived was from a node that granted slots itself, so that its table was complete
+	lastSeen    Time // when the last heartbeat of the node arrived; the start of this node if there was none
+	hasReported bool // a heartbeat of the node has arrived since this node started
+	knowsGrants bool // the node was not abstaining when it sent one of its heartbeats, so its table of grants was complete
 
-	// Of the last heartbeat.
+	// Values from the last heartbeat.
 	incarnation uint64
 	sequence    uint32
 	state       State
 	health      health
 
-	lastDone uint32 // its requests of this incarnation up to this number are over
+	lastDone uint32 // requests of the node in this incarnation are over up to this number
 }
 
-// isOutOfService reports whether the node says of itself that it is out of service.
+// isOutOfService reports whether the last heartbeat of the node says that the node is out of service.
 func (p *peer) isOutOfService() bool { return p.hasReported && p.state != Ready }
 
-// isRequestDone reports whether the node said that a request of it is over.
+// isRequestDone reports whether a request of the node is over, according to the heartbeats of the node.
 func (p *peer) isRequestDone(incarnation uint64, number uint32) bool {
 	return isRequestUpTo(incarnation, number, p.incarnation, p.lastDone)
 }
 
-// isRequestUpTo reports whether a request was made by an earlier incarnation, or by the given one up to its request last.
-func isRequestUpTo(incarnation uint64, number uint32, of uint64, last uint32) bool {
-	return incarnation < of || incarnation == of && number <= last
+// isRequestUpTo reports whether a request was made before lastIncarnation, or in lastIncarnation with a number up to
+// lastNumber.
+func isRequestUpTo(incarnation uint64, number uint32, lastIncarnation uint64, lastNumber uint32) bool {
+	return incarnation < lastIncarnation || incarnation == lastIncarnation && number <= lastNumber
 }
 
-// hurryHeartbeat has the next heartbeat sent at the end of the current step.
-func (c *Core) hurryHeartbeat() { c.nextHeartbeat = 0 }
+// triggerHeartbeat makes the core send its next heartbeat at the end of the current step.
+func (c *Core) triggerHeartbeat() { c.nextHeartbeat = 0 }
 
 func (c *Core) sendHeartbeat(now Time) {
 	c.nextHeartbeat = now + c.cfg.HeartbeatInterval
@@ -62,7 +63,7 @@
 	sender.update(now, beat)
 	if beat.State == Ready {
 		c.checkInstalledRelease(from, beat)
-		c.releaseSlots(from, beat.Incarnation, beat.LastDone) // all of its earlier processes, and what is over of this one
+		c.releaseSlots(from, beat.Incarnation, beat.LastDone) // releases slots of earlier processes, and of requests that are over
 	}
 	c.mergeHalt(beat.Halt)
 	c.mergeOrder(beat.Order)
@@ -71,7 +72,7 @@
 	}
 }
 
-// isStale reports whether a heartbeat was delayed or duplicated.
+// isStale reports whether a heartbeat was delayed or duplicated: one with this number or a later one has arrived before.
 func (p *peer) isStale(beat heartbeat) bool {
 	return beat.Incarnation < p.incarnation ||
 		beat.Incarnation == p.incarnation && beat.Sequence <= p.sequence && p.hasReported
@@ -88,8 +89,8 @@
 	p.knowsGrants = p.knowsGrants || !beat.IsAbstaining
 }
 
-// learnGrants takes over what another node granted, while this node does not know what it granted itself before it
-// started. What its holder has since released is left out.
+// learnGrants adopts the grants that another node knows of, while this node does not know yet what it granted before it
+// started. Slots that their holders have released since then are left out.
 func (c *Core) learnGrants(now Time, grants []grant) {
 	for _, learned := range grants {
 		if int(learned.Holder) >= c.cfg.Nodes || c.hasSlot(int(learned.Holder)) || c.isReleased(learned) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// isReleased reports whether the holder of a slot, another node or this one, has released it.
+// isReleased reports whether the holder of a slot, which may be this node, has released the slot.
 func (c *Core) isReleased(slot grant) bool {
 	holder := int(slot.Holder)
 	if holder == c.cfg.Self {
@@ -110,12 +111,12 @@
 	return peer.hasReported && peer.state == Ready && peer.isRequestDone(slot.Incarnation, slot.Request)
 }
 
-// isUnresponsive reports whether another node has sent no heartbeat for too long.
+// isUnresponsive reports whether another node has sent no heartbeat for UnresponsiveAfter.
 func (c *Core) isUnresponsive(now Time, node int) bool {
 	return node != c.cfg.Self && now-c.peers[node].lastSeen >= c.cfg.UnresponsiveAfter
 }
 
-// hasSlot reports whether a node has a slot as far as this node knows.
+// hasSlot reports whether a node has a slot, as far as this node knows.
 func (c *Core) hasSlot(node int) bool {
 	return slices.ContainsFunc(c.grants, func(record grantRecord) bool { return int(record.Holder) == node })
 }
--- a/internal/fleet/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -17,10 +17,11 @@
 	kindSlotRequest = 2
 	kindSlotAnswer  = 3
 
-	fractionScale = 255 // fractions from 0 to 1 are sent in parts of this
+	fractionScale = 255 // a fraction from 0 to 1 is sent as a multiple of 1/fractionScale
 
-	// Sizes in bytes. The grants of a heartbeat take what its other fields leave of a datagram: the outer form with its
-	// checksum 3+4, incarnation to order 8+4+1+1+4+4 + 2+1+1+2 + 2+4, health 3, and the number of grants 1.
+	// Sizes in bytes. The grants of a heartbeat take the space that its other fields leave in a datagram. The framing with its
+	// checksum takes 3+4 bytes, the fields from incarnation to order take 8+4+1+1+4+4 + 2+1+1+2 + 2+4, health takes 3, and the
+	// number of grants takes 1.
 	heartbeatSize = 45
 	grantSize     = 2 + 8 + 4 + 1 + 1 + 2
 	maxGrants     = (datagram.MaxSize - heartbeatSize) / grantSize
@@ -33,23 +34,23 @@
 	encode() []byte
 }
 
-// heartbeat is what each node regularly sends to all others.
+// heartbeat is the message that each node regularly sends to all other nodes.
 type heartbeat struct {
-	Incarnation  uint64 // greater for each process of the node
-	Sequence     uint32 // of this process's heartbeats: one that a later one overtook is ignored
+	Incarnation  uint64 // greater for each later process of the node
+	Sequence     uint32 // number of the heartbeat in this process; a heartbeat that a later one overtook is ignored
 	State        State
-	IsAbstaining bool   // it grants nothing yet: what it granted before it started is unknown to it
-	LastDone     uint32 // its requests up to this number are over
-	Release      uint32 // hash of the release that it runs
+	IsAbstaining bool   // the node grants no slot yet, as it does not know what it granted before it started
+	LastDone     uint32 // requests of the node up to this number are over
+	Release      uint32 // hash of the release that the node runs
 	Halt         haltState
 	Order        releaseOrder
 	Health       health
-	Grants       []grant // that it knows
+	Grants       []grant // grants that the node knows of
 }
 
-// health is how a node's recent responses went, in parts of fractionScale.
+// health holds the fractions of failed and of slow responses among a node's recent responses, in units of 1/fractionScale.
 type health struct {
-	IsKnown      bool // false while there are too few responses to tell
+	IsKnown      bool // false while the node has too few responses for a rate
 	Failed, Slow byte
 }
 
@@ -57,42 +58,43 @@
 
 func (h health) slowRate() float64 { return float64(h.Slow) / fractionScale }
 
-// haltState says whether grants are halted in the whole fleet. The one with the greatest epoch holds.
+// haltState says whether grants are halted in the whole fleet. The state with the greatest epoch is valid.
 type haltState struct {
 	Epoch    uint16
 	IsHalted bool
 	Reason   Reason
-	Node     uint16 // that it is about
+	Node     uint16 // index of the node that the halt is about
 }
 
-// releaseOrder says which release the fleet is to run. The one with the greatest epoch holds; no order has epoch 0.
+// releaseOrder says which release the fleet is to run. The order with the greatest epoch is valid. Epoch 0 means that there is
+// no order.
 type releaseOrder struct {
 	Epoch   uint16
-	Release uint32 // its hash
+	Release uint32 // hash of the release
 }
 
-// grant is a pair of slots that one node was granted: one of the fleet and one of its zone.
+// grant is a pair of slots that a node was granted: one slot of the fleet and one slot of its zone.
 type grant struct {
 	Holder         uint16
-	Incarnation    uint64 // of the holder, at its request
-	Request        uint32 // its number
+	Incarnation    uint64 // incarnation of the holder when it made its request
+	Request        uint32 // number of the holder's request
 	Slot, ZoneSlot uint8
-	Zone           uint16 // hash
+	Zone           uint16 // hash of the zone, cut to 16 bits
 }
 
-// slotRequest requests a slot of the fleet and one of the zone.
+// slotRequest requests a slot of the fleet and a slot of the zone.
 type slotRequest struct {
 	Incarnation    uint64
-	Number         uint32 // counts the requests of an incarnation
+	Number         uint32 // number of the request within the incarnation
 	Slot, ZoneSlot uint8
-	Zone           uint16 // hash
+	Zone           uint16 // hash of the zone, cut to 16 bits
 }
 
 // slotAnswer grants or denies a slotRequest.
 type slotAnswer struct {
-	Incarnation uint64 // of the request
-	Number      uint32 // of the request
-	Reason      Reason // ReasonGranted, or why it is denied
+	Incarnation uint64 // incarnation in the answered request
+	Number      uint32 // number of the answered request
+	Reason      Reason // ReasonGranted, or why the request is denied
 }
 
 func (m heartbeat) encode() []byte {
@@ -158,7 +160,7 @@
 	return 0
 }
 
-// decode reads a datagram. The error is agreement.ErrCorruptMessage.
+// decode decodes a datagram. The error is agreement.ErrCorruptMessage.
 func decode(data []byte) (message, error) {
 	kind, fields, err := protocol.Open(data)
 	if err != nil {
@@ -175,8 +177,8 @@
 	return nil, agreement.ErrCorruptMessage
 }
 
-// decodeHeartbeat skips what a later version adds behind the grants: the nodes of two releases must understand each other
-// while one replaces the other.
+// decodeHeartbeat decodes the fields of a heartbeat. It skips bytes that a later release adds after the grants: the nodes of
+// two releases must understand each other while one release replaces the other.
 func decodeHeartbeat(fields *datagram.Reader) (message, error) {
 	beat := heartbeat{
 		Incarnation:  fields.U64(),
--- a/internal/fleet/rollout/message_test.go
+++ b/internal/fleet/rollout/message_test.go
@@ -17,14 +17,14 @@
 		want := drawHeartbeat(t)
 		data := want.encode()
 		if len(data) > datagram.MaxSize {
-			t.Fatalf("the heartbeat has %d bytes, want %d at most", len(data), datagram.MaxSize)
+			t.Fatalf("the heartbeat has %d bytes, want at most %d", len(data), datagram.MaxSize)
 		}
 		if got, err := decode(data); err != nil || !reflect.DeepEqual(got, message(want)) {
 			t.Fatalf("decoded as %+v, %v; want %+v", got, err, want)
 		}
 		const checksumSize = 4
 		fields := data[:len(data)-checksumSize]
-		later := datagram.Seal(append(slices.Clone(fields), 1, 2, 3)) // with what a later release may add
+		later := datagram.Seal(append(slices.Clone(fields), 1, 2, 3)) // a later release may add fields
 		if got, err := decode(later); err != nil || !reflect.DeepEqual(got, message(want)) {
 			t.Fatalf("of a later release decoded as %+v, %v; want %+v", got, err, want)
 		}
--- a/internal/fleet/rollout/request.go
+++ b/internal/fleet/rollout/request.go
@@ -8,29 +8,29 @@
 
 // ownRequest is this node's own request for a slot.
 type ownRequest struct {
-	slotRequest      // the last one
-	isPending   bool // not yet granted by a majority
+	slotRequest      // the last request
+	isPending   bool // the request waits for a majority of grants
 	startedAt   Time
-	sentAt      Time // for the last time
+	sentAt      Time // when the request was last sent
 	granted     map[int]bool
 	denied      map[int]bool
 	isGranted   bool
 	expiresAt   Time   // if isGranted: until when this node may begin to drain
 	lastDone    uint32 // requests up to this number are over
-	nextAttempt Time   // when the next request may be made
+	nextAttempt Time   // earliest time for the next request
 }
 
-// pursueSlot requests a slot while this node wants to drain, again and again until it has one.
-func (c *Core) pursueSlot(now Time) {
+// advanceRequest requests a slot while this node wants to drain, and repeats that until the node has one.
+func (c *Core) advanceRequest(now Time) {
 	request := &c.request
 	switch {
 	case c.state == Draining:
 	case !c.wantsDrain(now):
-		if request.isPending || request.isGranted { // the order was taken back: the slot must not stay reserved
+		if request.isPending || request.isGranted { // the order to drain was withdrawn: the slot must not stay reserved
 			c.abandonRequest(now, ReasonRequestExpired)
 		}
 	case request.isGranted:
-		if now >= request.expiresAt { // this process was stalled: others may have the slot by now
+		if now >= request.expiresAt { // this process was stalled: another node may have the slot by now
 			c.abandonRequest(now, ReasonRequestExpired)
 		}
 	case request.isPending:
@@ -40,7 +40,7 @@
 	}
 }
 
-// continueRequest abandons a pending request that can no longer succeed in time, or repeats it as datagrams may be lost.
+// continueRequest abandons a pending request that can no longer succeed in time, or else repeats it, as datagrams may be lost.
 func (c *Core) continueRequest(now Time) {
 	request := &c.request
 	hasTimedOut := now-request.startedAt >= c.holderTimeout()/2
@@ -54,12 +54,13 @@
 	}
 }
 
-// holderTimeout returns for how long this node may rely on what it was granted.
+// holderTimeout returns how long this node may rely on the slot that it was granted, by its own clock.
 func (c *Core) holderTimeout() Time {
 	return agreement.HolderTimeout(c.cfg.RequestTimeout, c.cfg.MaxClockDrift)
 }
 
-// startRequest requests a slot of the fleet, and one of the zone if that has a budget, that are free as far as is known.
+// startRequest requests a slot of the fleet, and a slot of the zone if there is a budget per zone. Both slots are free as far
+// as this node knows.
 func (c *Core) startRequest(now Time) {
 	request := &c.request
 	zone := uint16(HashName(c.cfg.Zone))
@@ -86,7 +87,8 @@
 	c.countVote(now, c.cfg.Self, c.decide(now, c.cfg.Self, request.slotRequest))
 }
 
-// drawFreeSlot draws one of the slots below count that no other node has; slotOf returns a node's slot or noSlot.
+// drawFreeSlot draws one of the slots from 0 to count-1 that no other node has. The function slotOf returns the slot in a
+// record, or noSlot.
 func (c *Core) drawFreeSlot(count int, slotOf func(grantRecord) int) (slot int, ok bool) {
 	free := make([]int, 0, count)
 	for candidate := range count {
@@ -110,8 +112,8 @@
 	}
 }
 
-// countVote counts one node's answer to the pending request. A grant is valid for a RequestTimeout from when the request
-// was first sent, by the slower clock.
+// countVote counts one node's answer to the pending request. A grant is valid for a RequestTimeout from when the request was
+// first sent, shortened by the clock drift, as this node's clock may be the slower one.
 func (c *Core) countVote(now Time, from int, reason Reason) {
 	request := &c.request
 	if reason != ReasonGranted {
@@ -128,13 +130,13 @@
 	}
 }
 
-// abandonRequest ends the request. The next one follows after a wait with full jitter, so that two nodes that split the
-// votes do not do so again.
+// abandonRequest ends the request. The next request follows after a wait with full jitter, so that two nodes that split the
+// votes do not split them again.
 func (c *Core) abandonRequest(now Time, reason Reason) {
 	request := &c.request
 	c.log(LogRequestAbandoned, c.cfg.Self, int(request.Slot), reason)
 	request.isPending, request.isGranted, request.lastDone = false, false, request.Number
 	c.releaseSlots(c.cfg.Self, c.cfg.Incarnation, request.lastDone)
 	request.nextAttempt = now + Time(c.rng.Int64N(int64(c.cfg.RequestTimeout)))
-	c.hurryHeartbeat()
+	c.triggerHeartbeat()
 }
--- a/internal/fleet/rollout/slot.go
+++ b/internal/fleet/rollout/slot.go
@@ -6,17 +6,17 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// grantRecord is a slot that this node granted, or of which it learned that others did.
+// grantRecord is a slot that this node granted, or of which it learned that other nodes granted it.
 type grantRecord struct {
 	grant
-	grantedAt  Time   // for the last time
-	isOverdue  bool   // the release was halted because the holder did not return
-	orderEpoch uint16 // of the order that stood then
+	grantedAt  Time   // when the slot was last granted
+	isOverdue  bool   // the release was halted because the holder of the slot did not return
+	orderEpoch uint16 // epoch of the release order that was in force at the grant
 }
 
-// isAbstaining reports whether this node may not grant slots yet. What it granted before it started is unknown to it: the
-// requests of that time are over after a RequestTimeout, and each slot that a majority granted is known to one of the
-// nodes whose tables this one has received since.
+// isAbstaining reports whether this node may not grant slots yet. The node does not know what it granted before it started.
+// Requests from that time are over after a RequestTimeout. Each slot that a majority granted is known to at least one of the
+// nodes from which this node has received a table of grants since its start.
 func (c *Core) isAbstaining(now Time) bool {
 	if c.cfg.Nodes == 1 {
 		return false
@@ -25,7 +25,7 @@
 	return hasStartedLately || !c.knowsGrants && !c.hasLearnedGrants()
 }
 
-// hasLearnedGrants reports whether enough other nodes have sent what they granted.
+// hasLearnedGrants reports whether enough other nodes have sent the grants that they know of.
 func (c *Core) hasLearnedGrants() bool {
 	reported, knowing := 0, 0
 	for i := range c.peers {
@@ -37,25 +37,25 @@
 		}
 	}
 	others := c.cfg.Nodes - 1
-	// In a fleet that starts all at once no node knows; together they know all there is.
+	// If the whole fleet starts at once, no node knows all grants, but all nodes together do.
 	return knowing >= min(c.majority(), others) || reported == others
 }
 
-// decide answers a slot request of a node, which may be this one, and records what it grants.
+// decide answers a slot request of a node, which may be this one, and records the grant if it grants the request.
 func (c *Core) decide(now Time, from int, request slotRequest) Reason {
-	reason := c.judge(now, from, request)
+	reason := c.evaluateRequest(now, from, request)
 	switch reason {
 	case ReasonGranted:
 		c.recordGrant(now, from, request)
-	case ReasonRequestExpired: // of no interest
+	case ReasonRequestExpired: // expired requests are not logged
 	default:
 		c.log(LogSlotDenied, from, int(request.Slot), reason)
 	}
 	return reason
 }
 
-// judge returns ReasonGranted, or why this node denies a slot request.
-func (c *Core) judge(now Time, from int, request slotRequest) Reason {
+// evaluateRequest returns ReasonGranted, or the reason why this node denies a slot request.
+func (c *Core) evaluateRequest(now Time, from int, request slotRequest) Reason {
 	switch {
 	case from != c.cfg.Self && c.peers[from].isRequestDone(request.Incarnation, request.Number):
 		return ReasonRequestExpired
@@ -66,7 +66,7 @@
 	case !c.isWithinBudget(request):
 		return ReasonOverBudget
 	case c.hasNewerGrant(from, request):
-		return ReasonRequestExpired // it arrived late: the vote for the newer request must not be lost
+		return ReasonRequestExpired // a late request must not replace the grant of a newer request
 	case c.isSlotTaken(from, request):
 		return ReasonSlotTaken
 	case c.isBudgetUsedUp(now, from, request):
@@ -75,7 +75,7 @@
 	return ReasonGranted
 }
 
-// isWithinBudget reports whether the requested slots are among those of the current budgets.
+// isWithinBudget reports whether the requested slots exist under the current budgets.
 func (c *Core) isWithinBudget(request slotRequest) bool {
 	return int(request.Slot) < c.cfg.Budget && (c.cfg.ZoneBudget == 0 || int(request.ZoneSlot) < c.cfg.ZoneBudget)
 }
@@ -87,7 +87,7 @@
 	})
 }
 
-// isSlotTaken reports whether another node has the requested slot of the fleet, or that of the zone.
+// isSlotTaken reports whether another node has the requested slot of the fleet or the requested slot of the zone.
 func (c *Core) isSlotTaken(from int, request slotRequest) bool {
 	return slices.ContainsFunc(c.grants, func(record grantRecord) bool {
 		if int(record.Holder) == from {
@@ -97,12 +97,12 @@
 	})
 }
 
-// isInZone reports whether a slot counts against the zone budget that a request needs.
+// isInZone reports whether a granted slot counts against the zone budget that the request needs.
 func (c *Core) isInZone(record grantRecord, request slotRequest) bool {
 	return c.cfg.ZoneBudget > 0 && record.Zone == request.Zone
 }
 
-// isBudgetUsedUp reports whether, without the requesting node, as many nodes are out of service as may be.
+// isBudgetUsedUp reports whether as many nodes as the budgets allow are out of service, not counting the requesting node.
 func (c *Core) isBudgetUsedUp(now Time, from int, request slotRequest) bool {
 	out, outInZone := 0, 0
 	for _, record := range c.grants {
@@ -118,7 +118,7 @@
 	return out >= c.cfg.Budget || c.cfg.ZoneBudget > 0 && outInZone >= c.cfg.ZoneBudget
 }
 
-// countOutWithoutSlot returns how many nodes, but for one, are out of service though they have no slot.
+// countOutWithoutSlot returns how many nodes are out of service without a slot, not counting the node except.
 func (c *Core) countOutWithoutSlot(now Time, except int) int {
 	hasSlot := make(map[int]bool, len(c.grants))
 	for _, record := range c.grants {
@@ -133,7 +133,7 @@
 	return out
 }
 
-// isOutOfService reports whether a node, which may be this one, is known not to be in service.
+// isOutOfService reports whether a node, which may be this one, is known to be out of service.
 func (c *Core) isOutOfService(now Time, node int) bool {
 	if node == c.cfg.Self {
 		return c.state != Ready
@@ -141,7 +141,7 @@
 	return c.isUnresponsive(now, node) || c.peers[node].isOutOfService()
 }
 
-// recordGrant records a grant in place of the node's earlier one.
+// recordGrant records a grant and replaces an earlier grant to the same node.
 func (c *Core) recordGrant(now Time, holder int, request slotRequest) {
 	record := grantRecord{
 		grant: grant{Holder: uint16(holder), Incarnation: request.Incarnation, Request: request.Number,
@@ -160,7 +160,8 @@
 	c.grants[index] = record
 }
 
-// releaseSlots releases what a node was granted before an incarnation of it, and by its requests up to last of that one.
+// releaseSlots releases the slots that a node was granted before the given incarnation, and those that it was granted in this
+// incarnation by its requests up to last.
 func (c *Core) releaseSlots(node int, incarnation uint64, last uint32) {
 	c.grants = slices.DeleteFunc(c.grants, func(record grantRecord) bool {
 		isOver := int(record.Holder) == node && isRequestUpTo(record.Incarnation, record.Request, incarnation, last)
@@ -171,7 +172,8 @@
 	})
 }
 
-// checkHolders halts the release if a node that drained does not come back, and writes the node off in the end.
+// checkHolders halts the release if a node that drained is not back after ReturnTimeout. It writes the node off after
+// WriteOffAfter.
 func (c *Core) checkHolders(now Time) {
 	c.grants = slices.DeleteFunc(c.grants, func(record grantRecord) bool {
 		holder := int(record.Holder)
--- a/internal/fleet/rollout/state.go
+++ b/internal/fleet/rollout/state.go
@@ -3,12 +3,12 @@
 // State is the state of a node in a rollout. It is sent in heartbeats.
 type State byte
 
-// The states of a node. In all but Ready it counts as out of service.
+// States of a node. A node counts as out of service in every state except Ready.
 const (
 	Starting  State = iota // under observation, or not serving yet
 	Ready                  // in service
-	Draining               // draining, or about to end
-	Unhealthy              // it did badly under observation
+	Draining               // draining, or about to exit
+	Unhealthy              // the node did badly under observation
 	numStates
 )
 
@@ -18,18 +18,18 @@
 // Reason says why a slot request was denied or abandoned, a slot released, or a release halted. It is sent in messages.
 type Reason byte
 
-// The reasons.
+// Reasons for an answer to a slot request, for the release of a slot, or for a halt.
 const (
-	ReasonGranted        Reason = iota // none: the request is granted
+	ReasonGranted        Reason = iota // no denial: the request is granted
 	ReasonSlotTaken                    // another node has the slot
 	ReasonOverBudget                   // too many nodes are out of service already
 	ReasonHalted                       // the release is halted
-	ReasonAbstaining                   // the node has just started and does not know yet what it granted before
-	ReasonOperator                     // an operator halted the release
+	ReasonAbstaining                   // the answering node has just started and does not know what it granted before
+	ReasonOperator                     // an operator halted or resumed the release
 	ReasonNodeUnhealthy                // a node did badly under observation
 	ReasonNotReturned                  // a node that drained did not come back in time
 	ReasonRequestExpired               // the request is over, or a newer one of the same node is known
-	ReasonNotInstalled                 // a node that drained for a release came back with another
+	ReasonNotInstalled                 // a node that drained for a release came back with another release
 	numReasons
 )
 
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -2,29 +2,29 @@
 
 import "shelfproxy/internal/fleet/agreement"
 
-// noSlot in place of a slot's number says that a node has none.
+// noSlot takes the place of a slot's number for a node that has no slot.
 const noSlot = -1
 
-// Status is the agreement as this node sees it. The control socket writes it as JSON.
+// Status is the state of the rollout agreement as this node sees it. The control socket writes it as JSON.
 type Status struct {
 	Node       int          `json:"node"`
 	State      string       `json:"state"`
 	WantsDrain bool         `json:"wants_out"`
-	Halted     string       `json:"halted,omitempty"` // the reason
-	HaltedBy   int          `json:"halted_by"`        // the node that it is about; -1 while nothing is halted
-	Out        []NodeStatus `json:"out"`              // by their numbers
-	Ready      int          `json:"fit"`              // nodes that are ready and have no slot
+	Halted     string       `json:"halted,omitempty"` // reason of the halt; empty while the release is not halted
+	HaltedBy   int          `json:"halted_by"`        // node that the halt is about; -1 while the release is not halted
+	Out        []NodeStatus `json:"out"`              // nodes that are out of service or have a slot, in the order of their indices
+	Ready      int          `json:"fit"`              // number of nodes that are ready and have no slot
 	Budget     int          `json:"budget"`
 }
 
-// NodeStatus is one node that is out of service, or has a slot to go out.
+// NodeStatus is the status of one node that is out of service, or that has a slot to go out of service.
 type NodeStatus struct {
 	Node  int    `json:"node"`
-	State string `json:"state"` // of State, "silent" or "unknown"
-	Slot  int    `json:"slot"`  // -1 without one
+	State string `json:"state"` // text of a State, or "silent" or "unknown"
+	Slot  int    `json:"slot"`  // number of the slot; -1 if the node has none
 }
 
-// Status returns which nodes are out of service, and why no further one may go.
+// Status returns which nodes are out of service, and why no further node may drain.
 func (c *Core) Status(now Time) Status {
 	status := Status{
 		Node:       c.cfg.Self,
@@ -61,7 +61,7 @@
 	return c.peers[node].state.String()
 }
 
-// slotOf returns the slot that a node has as far as this node knows, or noSlot.
+// slotOf returns the slot that a node has, as far as this node knows, or noSlot.
 func (c *Core) slotOf(node int) int {
 	slot := noSlot
 	for _, record := range c.grants {
