--- a/internal/fleet/agreement/config.go
+++ b/internal/fleet/agreement/config.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// FieldError is returned for a field of a configuration whose value a protocol cannot work with.
+// FieldError reports a field of a configuration that has an invalid value.
 type FieldError struct {
-	Field  string // key in the operators' file, within the protocol's table
+	Field  string // key in the operators' configuration file, within the table of the protocol
 	Reason string // what the value has to be
 }
 
-// Error names the field and the reason.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 // InvalidField returns a FieldError whose reason is formatted as by fmt.Sprintf.
--- a/internal/fleet/agreement/message.go
+++ b/internal/fleet/agreement/message.go
@@ -6,11 +6,11 @@
 	"shelfproxy/internal/fleet/datagram"
 )
 
-// ErrCorruptMessage is returned for a datagram that no node sent in the expected version of the protocol: it was damaged
-// on the way, cut short, or belongs to another protocol or version.
+// ErrCorruptMessage is returned for a datagram that is not an intact message of the expected protocol and version: it was
+// damaged or cut short on the way, or it belongs to another protocol or version.
 var ErrCorruptMessage = errors.New("agreement: corrupt message, or one of another protocol or version")
 
-// Protocol tells the messages of one protocol and version from others.
+// Protocol distinguishes the messages of one protocol and version from others.
 type Protocol struct {
 	Magic   byte // first byte of each datagram
 	Version byte
