--- a/internal/upstream/assign.go
+++ b/internal/upstream/assign.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// assign finds a connection for an attempt of which nothing was written, or queues it. If it returns false the attempt has ended
-// with the returned outcome.
+// assign finds a connection for an attempt of which nothing was written, or queues the attempt. If it returns false, the attempt
+// has ended with the returned outcome.
 func (c *Core) assign(now time.Time, attempt *Attempt, effects *Effects) (Outcome, bool) {
 	if attempt.NeedsNewConnection && c.dial(attempt, effects) {
 		return 0, true
@@ -19,22 +19,22 @@
 		c.waiting = append(c.waiting, attempt)
 		return 0, true
 	}
-	if conn := c.leastLoaded(); conn != nil { // no more connections may be opened
+	if conn := c.leastLoaded(); conn != nil { // no further connection may be opened: share an established one
 		c.enqueue(conn, attempt, effects)
 		return 0, true
 	}
 	if len(c.waiting) >= c.limits.MaxQueued {
 		return PoolExhausted, false
 	}
-	// No connection is being opened for this attempt. It waits no longer than it would for one that is, as the policy may know
-	// better than to let it wait until its deadline.
+	// No connection is being opened for this attempt. Its wait is limited to the time that opening a connection may take: the
+	// policy may have a better option than to let the attempt wait until its deadline.
 	attempt.waitDeadline = now.Add(c.limits.ConnectTimeout)
 	c.waiting = append(c.waiting, attempt)
 	return 0, true
 }
 
-// availableConnection returns a connection on which an attempt waits for little or nothing; nil if there is none, or if the load
-// justifies one more connection.
+// availableConnection returns a connection on which an attempt waits briefly or not at all. It returns nil if there is none, or
+// if the load justifies one more connection.
 func (c *Core) availableConnection(now time.Time, attempt *Attempt, effects *Effects) *Conn {
 	if conn := c.takeIdle(now, effects); conn != nil {
 		return conn
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// takeIdle returns the idle connection that was used last; nil if there is none.
+// takeIdle removes the most recently used connection from the idle ones and returns it; nil if there is none.
 func (c *Core) takeIdle(now time.Time, effects *Effects) *Conn {
 	for last := len(c.idle) - 1; last >= 0; last = len(c.idle) - 1 {
 		conn := c.idle[last]
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// pipelineCandidate returns a connection with a single attempt that was sent a moment ago: the response behind that one comes
-// little later than it would on a connection that has to be opened first. A health check must not wait behind requests, nor
-// requests behind a health check.
+// pipelineCandidate returns a connection with a single attempt that was sent less than PipelineWithin ago; nil if there is none.
+// The response behind that attempt's comes little later than on a connection that has to be opened first. A health check must not
+// wait behind requests, nor a request behind a health check.
 func (c *Core) pipelineCandidate(now time.Time, attempt *Attempt) *Conn {
 	if attempt.isHealthCheck() || attempt.NeedsNewConnection || c.limits.MaxStreams < 2 {
 		return nil
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// leastLoaded returns the connection with the fewest attempts that may take one more; nil if there is none. Responses come in
-// order, so an attempt is put behind as few others as possible.
+// leastLoaded returns the connection with the fewest attempts, among those that may take one more; nil if there is none.
+// Responses come in the order of the attempts, so an attempt is put behind as few others as possible.
 func (c *Core) leastLoaded() (best *Conn) {
 	for _, conn := range c.conns {
 		if len(conn.pending) < c.limits.MaxStreams && (best == nil || len(conn.pending) < len(best.pending)) {
@@ -91,7 +91,7 @@
 	return best
 }
 
-// enqueue gives an attempt to a connection.
+// enqueue assigns an attempt to a connection and asks the shell to write it.
 func (c *Core) enqueue(conn *Conn, attempt *Attempt, effects *Effects) {
 	attempt.conn, attempt.waitDeadline = conn, time.Time{}
 	conn.pending = append(conn.pending, attempt)
@@ -99,7 +99,8 @@
 	effects.write(conn)
 }
 
-// serveNext gives a connection without attempts the one that has waited for longest, or makes the connection idle.
+// serveNext decides what a connection without attempts does next. It is closed if the server drains, takes the attempt that has
+// waited for longest, or becomes idle.
 func (c *Core) serveNext(now time.Time, conn *Conn, effects *Effects) {
 	switch {
 	case conn.closed || len(conn.pending) > 0 || conn.writing != nil:
@@ -114,7 +115,7 @@
 	}
 }
 
-// popWaiting takes the attempt that has waited for longest.
+// popWaiting removes the attempt that has waited for longest from the queue and returns it.
 func (c *Core) popWaiting() *Attempt {
 	attempt := c.waiting[0]
 	c.waiting[0] = nil // the array outlives the slice and would keep the request and its value in memory
--- a/internal/upstream/cancel_test.go
+++ b/internal/upstream/cancel_test.go
@@ -9,13 +9,14 @@
 	"shelfproxy/internal/request"
 )
 
-// TestCancelledAttemptIsNotWritten: whatever an attempt waits for when its client disconnects, not a byte of it is written, and the
-// connection that it waited for carries the next one. The node may have withdrawn it, or not have been notified yet.
+// TestCancelledAttemptIsNotWritten checks that no byte of an attempt is written once its client has disconnected, whatever the
+// attempt waits for. The connection that it waited for then carries the next attempt. The node may have withdrawn the attempt, or
+// may not have been notified of the disconnect yet.
 func TestCancelledAttemptIsNotWritten(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		needsNewConnection bool
-		isPipelined        bool // which is in flight on the only connection
+		isPipelined        bool // another attempt is in flight on the only connection
 	}{
 		{name: "waits for a dial"},
 		{name: "waits for a dial of its own", needsNewConnection: true},
@@ -71,7 +72,7 @@
 	}
 }
 
-// TestPossiblyExecutedAttemptIsNotWithdrawn: an attempt of which a byte may have been written is no longer withdrawn.
+// TestPossiblyExecutedAttemptIsNotWithdrawn checks that an attempt is not withdrawn once a byte of it may have been written.
 func TestPossiblyExecutedAttemptIsNotWithdrawn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newTestCore(testLimits(1, 4))
@@ -87,8 +88,9 @@
 	}
 }
 
-// TestRetryIsNotWrittenAfterItsWriteDeadline: a connection is established after the time in which servers deduplicate a retry. The
-// retry is not written, as it would be executed again, and the next attempt is. Up to that time the retry is written.
+// TestRetryIsNotWrittenAfterItsWriteDeadline checks the end of the time in which servers deduplicate a retry. If the connection
+// is established later, the retry is not written, as it would be executed again, and the next attempt is written. Up to that time
+// the retry is written.
 func TestRetryIsNotWrittenAfterItsWriteDeadline(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for delay, isInTime := range map[time.Duration]bool{0: true, time.Nanosecond: false} {
--- a/internal/upstream/close.go
+++ b/internal/upstream/close.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// maxReassignments bounds how often an attempt gets another connection, for a server that breaks each one at its start.
+// maxReassignments bounds how often an attempt gets another connection. It matters if the server closes each connection as soon
+// as it is established.
 const maxReassignments = 3
 
-// close ends a connection and settles the attempts that were pending on it.
+// close closes a connection and settles its pending attempts. Those that are possibly executed end with the given outcome.
 func (c *Core) close(now time.Time, conn *Conn, outcome Outcome, effects *Effects) {
 	if conn.closed {
 		return
@@ -22,9 +23,9 @@
 	pending := conn.pending
 	conn.pending, conn.unwritten = nil, nil
 	if conn.writing != nil && slices.Contains(pending, conn.writing) {
-		conn.pending = []*Attempt{conn.writing} // WriteCompleted will tell whether its last byte was written
+		conn.pending = []*Attempt{conn.writing} // WriteCompleted settles this attempt, once it is known whether its last byte was written
 	}
-	c.dialForWaiting(effects) // attempts may wait for a connection that the end of this one allows
+	c.dialForWaiting(effects) // the end of this connection may allow one for the waiting attempts
 	for _, attempt := range pending {
 		if attempt != conn.writing {
 			c.settle(now, conn, attempt, effects)
@@ -32,7 +33,7 @@
 	}
 }
 
-// settle ends an attempt whose connection has closed, or assigns it another connection if nothing of it was written.
+// settle ends an attempt whose connection has closed, or assigns the attempt to another connection if nothing of it was written.
 func (c *Core) settle(now time.Time, conn *Conn, attempt *Attempt, effects *Effects) {
 	attempt.conn = nil
 	switch {
@@ -45,7 +46,7 @@
 		effects.reportOutcome(attempt, ServerDraining)
 	case attempt.reassignments == maxReassignments:
 		effects.reportOutcome(attempt, ConnectFailed)
-	default: // not one byte of it was written
+	default: // not one byte of the attempt was written
 		attempt.reassignments++
 		if outcome, ok := c.assign(now, attempt, effects); !ok {
 			effects.reportOutcome(attempt, outcome)
--- a/internal/upstream/close_test.go
+++ b/internal/upstream/close_test.go
@@ -9,8 +9,8 @@
 	"shelfproxy/internal/upstream/origin"
 )
 
-// TestResetDoesNotCompleteResponse: a response without a length is complete when the server closes the connection in order, and
-// incomplete when it resets the connection.
+// TestResetDoesNotCompleteResponse checks a response without a length. It is complete if the server closes the connection
+// normally, and incomplete if the connection is reset.
 func TestResetDoesNotCompleteResponse(t *testing.T) {
 	for isOrderly, want := range map[bool]upstream.Outcome{true: upstream.Served, false: upstream.ConnectionLost} {
 		now := time.Unix(1000, 0)
--- a/internal/upstream/codec.go
+++ b/internal/upstream/codec.go
@@ -15,13 +15,13 @@
 type Response struct {
 	Outcome         Outcome
 	Value           []byte // the value or receipt of a Served attempt
-	LoadReport      []byte // what the server says of its load; nil without a report
+	LoadReport      []byte // the server's report of its load, as it was sent; empty without a report
 	ConnectionClose bool   // the server closes the connection after this response
 }
 
-// Codec is the protocol of an endpoint. It is safe for concurrent use.
+// Codec encodes requests and decodes responses in the protocol of an endpoint. It is safe for concurrent use.
 type Codec interface {
-	// AppendRequest appends the bytes of an attempt that is written at now.
+	// AppendRequest appends the bytes of an attempt to b. The attempt is written at the time now.
 	AppendRequest(b []byte, attempt *Attempt, now time.Time) []byte
 	// NewDecoder returns a decoder for the responses of one connection.
 	NewDecoder() Decoder
@@ -32,14 +32,14 @@
 type Decoder interface {
 	// ReadBuffer returns the buffer for the next bytes of the connection. It is never empty.
 	ReadBuffer() []byte
-	// BytesRead says that the first n bytes of the buffer were filled.
+	// BytesRead records that the first n bytes of the read buffer were filled.
 	BytesRead(n int)
 	// NextResponse returns the next complete response; false if more bytes are needed. ended says that no more bytes will come.
-	// The error is ErrMalformedResponse for bytes that are no response, and ErrResponseTooLarge for a response that the
-	// available response memory can't take.
+	// The error is ErrMalformedResponse for bytes that are not a valid response, and ErrResponseTooLarge for a response that
+	// exceeds the available response memory.
 	NextResponse(ended bool) (Response, bool, error)
-	// Buffered returns the number of bytes that arrived and belong to no response yet.
+	// Buffered returns the number of bytes that have arrived and belong to no returned response.
 	Buffered() int
-	// Release gives the reserved response memory back. It is the last call.
+	// Release returns the reserved response memory to its budget. It is called when the connection is closed.
 	Release()
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,52 +9,55 @@
 // Conn is one connection to a server. Core and its shell share it: the shell calls its methods and uses its Decoder under the lock
 // that guards the core.
 type Conn struct {
-	// Socket belongs to the shell.
+	// Socket is for the shell's use. Core does not read it.
 	Socket any
-	// Decoder takes the bytes that the shell reads. The shell may fill the buffer that ReadBuffer returned without the lock.
+	// Decoder decodes the bytes that the shell reads. The shell may fill the buffer that ReadBuffer returned without holding the
+	// lock.
 	Decoder Decoder
 
-	dialedFor    *Attempt   // the attempt that it is being opened for alone, if any
-	pending      []*Attempt // attempts without a response, in the order of their responses
-	unwritten    []*Attempt // those of pending that are not written yet, in order
+	dialedFor    *Attempt   // the attempt that the connection is being opened for; nil if any waiting attempt may use it
+	pending      []*Attempt // attempts without a complete response, in the order in which responses come
+	unwritten    []*Attempt // the pending attempts that are not written yet, in the same order
 	writing      *Attempt   // the attempt whose bytes are being written
 	closed       bool
-	closeOutcome Outcome   // outcome of attempts that may have been executed when it closed
-	idleSince    time.Time // meaningful while it is in Core.idle
+	closeOutcome Outcome   // outcome of the attempts that were possibly executed when the connection closed
+	idleSince    time.Time // meaningful while the connection is in Core.idle
 
-	// The fields below belong to the descriptor budget.
+	// The fields below are used by DescriptorBudget only, under its lock.
 
-	idleElement *list.Element // its place among the idle connections of all pools; nil while it is not idle
-	isEvicted   bool          // its descriptor was taken for another connection: it is closed next
+	idleElement *list.Element // the connection's element in DescriptorBudget.idle; nil while the connection is not idle
+	isEvicted   bool          // the connection's descriptor was taken for another one, and the core closes the connection next
 }
 
-// IsIdle reports whether an attempt that is written now is the only one on the connection, so that bytes which can be read already
-// are no response to it.
+// IsIdle reports whether the next attempt to write is the only one on the connection. Bytes that can already be read then are no
+// response to any attempt.
 func (c *Conn) IsIdle() bool { return len(c.unwritten) > 0 && len(c.pending) == 1 }
 
-// InFlight returns the number of attempts on the connection.
+// InFlight returns the number of attempts that are assigned to the connection.
 func (c *Conn) InFlight() int { return len(c.pending) }
 
 // IsClosed reports whether the connection has ended.
 func (c *Conn) IsClosed() bool { return c.closed }
 
-// isBeingFreed reports whether the response to its last attempt came before the shell's report that the attempt is written: it
-// becomes idle with that report.
+// isBeingFreed reports whether the connection becomes idle with the shell's next report of a write. The response to its last
+// attempt then came before the report that the attempt is written.
 func (c *Conn) isBeingFreed() bool { return len(c.pending) == 0 && c.writing != nil }
 
-// mayReceive reports whether the next response belongs to an attempt: an unwritten one has none.
+// mayReceive reports whether a response may come. The first pending attempt must be possibly executed, as an unwritten attempt
+// has no response.
 func (c *Conn) mayReceive() bool { return len(c.pending) > 0 && c.pending[0].possiblyExecuted }
 
-// awaitsOnlyAbandoned reports whether nobody wants any of the responses that are still to come.
+// awaitsOnlyAbandoned reports whether all pending attempts are abandoned, so that the responses to come are of no use. It is
+// false if no attempt is pending.
 func (c *Conn) awaitsOnlyAbandoned() bool {
 	isWanted := func(attempt *Attempt) bool { return !attempt.abandoned }
 	return len(c.pending) > 0 && !slices.ContainsFunc(c.pending, isWanted)
 }
 
-// nextUnwritten returns the attempt that is written next. There must be one.
+// nextUnwritten returns the attempt that is written next. The connection must have an unwritten attempt.
 func (c *Conn) nextUnwritten() *Attempt { return c.unwritten[0] }
 
-// popUnwritten takes the next unwritten attempt, which stays pending.
+// popUnwritten removes the next attempt from the unwritten ones and returns it. The attempt stays pending.
 func (c *Conn) popUnwritten() *Attempt {
 	attempt := c.unwritten[0]
 	c.unwritten[0] = nil // the array outlives the slice and would keep the request and its value in memory
@@ -62,15 +65,15 @@
 	return attempt
 }
 
-// popPending takes the attempt whose response has come.
+// popPending removes the first pending attempt, whose response has come, and returns it.
 func (c *Conn) popPending() *Attempt {
 	attempt := c.pending[0]
-	c.pending[0] = nil // as in popUnwritten
+	c.pending[0] = nil // as in popUnwritten: the array would keep the request and its value in memory
 	c.pending = c.pending[1:]
 	return attempt
 }
 
-// removeUnwritten takes an attempt off the connection if nothing of it was written, and reports whether it did.
+// removeUnwritten removes an attempt from the connection if nothing of it was written, and reports whether it did so.
 func (c *Conn) removeUnwritten(attempt *Attempt) bool {
 	i := slices.Index(c.unwritten, attempt)
 	if i < 0 {
@@ -81,7 +84,7 @@
 	return true
 }
 
-// removeAllUnwritten takes the attempts of which nothing was written off the connection and returns them.
+// removeAllUnwritten removes the attempts of which nothing was written from the connection and returns them.
 func (c *Conn) removeAllUnwritten() []*Attempt {
 	unwritten := c.unwritten
 	c.pending = slices.DeleteFunc(c.pending, func(attempt *Attempt) bool { return slices.Contains(unwritten, attempt) })
--- a/internal/upstream/core.go
+++ b/internal/upstream/core.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Limits bound a pool.
+// Limits holds the timeouts and the size limits of a connection pool.
 type Limits struct {
-	ConnectTimeout time.Duration // bounds the opening of a connection, and the wait for one that nobody is opening
-	IdleTimeout    time.Duration // an idle connection is closed after this, before the server closes it
-	MaxStreams     int           // attempts on one connection
-	MaxConnections int           // connections of one pool
-	MaxQueued      int           // attempts that wait for a connection
-	PipelineWithin time.Duration // an attempt is pipelined behind one that is younger than this rather than opening a connection
+	ConnectTimeout time.Duration // limit on opening a connection, and on an attempt's wait while no connection is being opened for it
+	IdleTimeout    time.Duration // an idle connection is closed after this time, so that the pool closes it before the server does
+	MaxStreams     int           // maximum number of attempts assigned to one connection
+	MaxConnections int           // maximum number of connections of one pool, established or being opened
+	MaxQueued      int           // number of attempts that may wait while no further connection can be opened
+	PipelineWithin time.Duration // an attempt is pipelined behind one sent less than this long ago, instead of opening a connection
 }
 
-// Core decides for the connections to one server: which connection carries an attempt, which attempts wait, when a connection is
-// opened or closed, and how each attempt ends. It has no clock, sockets or goroutines: its calls take the time and collect the
-// effects to be carried out. It is not safe for concurrent use.
+// Core manages the connections to one server. It decides which connection carries an attempt, which attempts wait, when a
+// connection is opened or closed, and how each attempt ends. It has no clock, sockets or goroutines: its methods take the current
+// time as an argument and append the effects that the shell has to carry out. It is not safe for concurrent use.
 type Core struct {
-	// Owner belongs to the shell.
+	// Owner is for the shell's use, such as a reference to its pool. Core does not read it.
 	Owner any
 
 	codec  Codec
@@ -27,17 +27,17 @@
 	budget *DescriptorBudget
 
 	addr       string
-	conns      []*Conn    // established
-	idle       []*Conn    // the established ones without attempts; the one used last is at the end
-	waiting    []*Attempt // for a connection, in order
-	dialing    int        // connections that are being opened
+	conns      []*Conn    // established connections
+	idle       []*Conn    // established connections without attempts, the most recently used one last
+	waiting    []*Attempt // attempts that wait for a connection, in the order in which they began to wait
+	dialing    int        // number of connections that are being opened
 	growth     growth
-	isDraining bool // the server drains or was removed: nothing new is written to it
+	isDraining bool // the server drains or was removed from the endpoint list: no further attempt is written to it
 
-	isWaitingForDescriptor bool // belongs to the descriptor budget
+	isWaitingForDescriptor bool // whether the core is in DescriptorBudget.waiters; guarded by the budget's lock
 }
 
-// NewCore returns a core for the server at an address.
+// NewCore returns a core for the server at addr.
 func NewCore(addr string, codec Codec, limits Limits, budget *DescriptorBudget) *Core {
 	return &Core{addr: addr, codec: codec, limits: limits, budget: budget}
 }
@@ -48,7 +48,7 @@
 // Queued returns the number of attempts that wait for a connection.
 func (c *Core) Queued() int { return len(c.waiting) }
 
-// InFlight returns the number of attempts that are on connections.
+// InFlight returns the number of attempts that are assigned to connections.
 func (c *Core) InFlight() (attempts int) {
 	for _, conn := range c.conns {
 		attempts += len(conn.pending)
@@ -56,7 +56,7 @@
 	return attempts
 }
 
-// Send starts an attempt. If it returns false the attempt has already ended with the returned outcome.
+// Send starts an attempt. If it returns false, the attempt has already ended with the returned outcome.
 func (c *Core) Send(now time.Time, attempt *Attempt, effects *Effects) (Outcome, bool) {
 	if c.isDraining {
 		return ServerDraining, false
@@ -64,9 +64,9 @@
 	return c.assign(now, attempt, effects)
 }
 
-// NextTimer returns when HandleTimers is to be called; the zero time if there is nothing to wait for.
+// NextTimer returns the time at which HandleTimers has to be called next, or the zero time if no call is needed.
 func (c *Core) NextTimer() (next time.Time) {
-	if len(c.idle) > 0 { // the one that has been idle for longest is first
+	if len(c.idle) > 0 { // c.idle[0] has been idle for longest
 		next = c.idleDeadline(c.idle[0])
 	}
 	for _, attempt := range c.waiting {
@@ -76,12 +76,12 @@
 		if next.IsZero() || attempt.waitDeadline.Before(next) {
 			next = attempt.waitDeadline
 		}
-		break // all wait equally long, in their order
+		break // all bounded waits are equally long, so the first one ends first
 	}
 	return next
 }
 
-// HandleTimers ends waits and closes idle connections whose time is over.
+// HandleTimers closes the connections that have been idle for too long and ends the attempts that have waited for too long.
 func (c *Core) HandleTimers(now time.Time, effects *Effects) {
 	for len(c.idle) > 0 && !now.Before(c.idleDeadline(c.idle[0])) {
 		c.close(now, c.idle[0], ConnectionLost, effects)
@@ -97,8 +97,8 @@
 
 func (c *Core) idleDeadline(conn *Conn) time.Time { return conn.idleSince.Add(c.limits.IdleTimeout) }
 
-// waitTimeoutOutcome returns the outcome of an attempt that has waited for too long: without connections, or for a health check, the
-// server counts as unreachable.
+// waitTimeoutOutcome returns the outcome of an attempt that has waited for a connection for too long. The server counts as
+// unreachable if the pool has no established connection, or if the attempt is a health check.
 func (c *Core) waitTimeoutOutcome(attempt *Attempt) Outcome {
 	if attempt.isHealthCheck() || len(c.conns) == 0 {
 		return ConnectFailed
@@ -113,12 +113,13 @@
 	}
 }
 
-// Evicted closes an idle connection whose descriptor the budget has taken for another one.
+// Evicted closes an idle connection whose descriptor the budget has taken for another connection.
 func (c *Core) Evicted(now time.Time, conn *Conn, effects *Effects) {
 	c.close(now, conn, ConnectionLost, effects)
 }
 
-// DescriptorAvailable says that there may be a descriptor for attempts that wait for a connection.
+// DescriptorAvailable tells the core that the budget may have a descriptor for it. The core opens connections for the attempts
+// that wait, or passes the notification on if none of them needs one.
 func (c *Core) DescriptorAvailable(effects *Effects) {
 	if len(c.waiting) <= c.dialing {
 		c.budget.passOn(effects)
@@ -129,8 +130,8 @@
 	}
 }
 
-// Update sets the server's address and whether it drains. It returns the attempts of which nothing was written to a server that
-// drains: they end as ServerDraining, which is not reported.
+// Update sets the server's address and whether the server drains. If it drains, Update returns the attempts of which nothing was
+// written. They end as ServerDraining, without a ReportOutcome effect.
 func (c *Core) Update(now time.Time, addr string, isDraining bool, effects *Effects) (unwritten []*Attempt) {
 	if addr != c.addr {
 		c.CloseIdle(now, effects)
--- a/internal/upstream/core_property_test.go
+++ b/internal/upstream/core_property_test.go
@@ -9,9 +9,11 @@
 	"shelfproxy/internal/request"
 )
 
+// modelMaxConnections is the maximum number of connections of the core under test.
 const modelMaxConnections = 4
 
-// coreModel plays the shell of a core, with any outcome of each effect, and records what has to hold.
+// coreModel is the shell of the core under test. It lets each effect end in any possible way and records what the invariants are
+// checked against.
 type coreModel struct {
 	core             *Core
 	limits           Limits
@@ -20,12 +22,12 @@
 	now              time.Time
 	isDraining       bool
 
-	attempts      []*Attempt         // all that were sent
-	ends          map[*Attempt]int   // how often each ended
-	fullyWritten  map[*Attempt]bool  // whether its last byte reached the server
-	dialing       []*Conn            // being opened
-	conns         []*Conn            // that were established
-	writesOngoing map[*Conn]*Attempt // from NextToWrite to WriteCompleted
+	attempts      []*Attempt         // all attempts that were sent
+	ends          map[*Attempt]int   // how often each attempt has ended
+	fullyWritten  map[*Attempt]bool  // whether the attempt's last byte reached the server
+	dialing       []*Conn            // connections that are being opened
+	conns         []*Conn            // connections that were established; they may have been closed since
+	writesOngoing map[*Conn]*Attempt // attempts that are being written: NextToWrite returned them, WriteCompleted was not called yet
 }
 
 func newCoreModel(t *rapid.T) *coreModel {
@@ -70,7 +72,7 @@
 	}
 }
 
-// call makes a call of the core and carries out its effects.
+// call calls the core and carries out the effects of the call.
 func (m *coreModel) call(t *rapid.T, callCore func(effects *Effects)) {
 	var effects Effects
 	callCore(&effects)
@@ -123,7 +125,7 @@
 	m.writesOngoing[conn] = attempt
 }
 
-// completeWrite ends one of the writes.
+// completeWrite completes one of the ongoing writes, successfully or not.
 func (m *coreModel) completeWrite(t *rapid.T) {
 	for conn, attempt := range m.writesOngoing {
 		delete(m.writesOngoing, conn)
@@ -230,7 +232,8 @@
 	}
 }
 
-// endEverything ends all dials, writes and connections, and checks that no attempt and no descriptor is forgotten.
+// endEverything ends all dials, writes and connections. It then checks that each attempt has ended and that all descriptors are
+// released.
 func (m *coreModel) endEverything(t *rapid.T) {
 	for len(m.dialing) > 0 || len(m.writesOngoing) > 0 {
 		for len(m.dialing) > 0 {
@@ -266,9 +269,10 @@
 	}
 }
 
-// TestCoreKeepsItsInvariantsInAnyOrderOfCalls calls a core in any order that a shell could: each attempt ends once or is abandoned,
-// none is written to a draining server or after it was abandoned or cancelled, an attempt whose outcome says that it was not
-// executed was not fully written, descriptors are released, and the limits hold.
+// TestCoreKeepsItsInvariantsInAnyOrderOfCalls calls a core in any order in which a shell could call it, and checks the
+// invariants. Each attempt ends once or is abandoned. No attempt is written to a draining server, or after it was abandoned or
+// cancelled. An attempt whose outcome says that it was not executed was not fully written. Descriptors are released, and the
+// limits hold.
 func TestCoreKeepsItsInvariantsInAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newCoreModel(t)
--- a/internal/upstream/core_test.go
+++ b/internal/upstream/core_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestConnectionIsReusedWhenResponsePrecedesWriteCompletion: the response to an attempt may come before the shell's report that the
-// attempt is written. The connection then carries the next attempt; none is opened for it, and nothing is written to it meanwhile.
+// TestConnectionIsReusedWhenResponsePrecedesWriteCompletion checks a response that comes before the shell's report that the
+// attempt is written. The connection carries the next attempt: no other connection is opened for it, and nothing is written to
+// the connection before the report.
 func TestConnectionIsReusedWhenResponsePrecedesWriteCompletion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newTestCore(testLimits(1, 4))
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestStaleConnectionIsNotWritten: a connection that has bytes to read, or has ended, while no response is awaited is closed, and the
-// attempt that was to be written gets another one.
+// TestStaleConnectionIsNotWritten checks a connection that has bytes to read, or has ended, while no response is awaited. The
+// connection is closed, and the attempt that was to be written on it gets another connection.
 func TestStaleConnectionIsNotWritten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newTestCore(testLimits(1, 4))
--- a/internal/upstream/decoder_fuzz_test.go
+++ b/internal/upstream/decoder_fuzz_test.go
@@ -10,8 +10,8 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// FuzzDecoders: whatever a server sends, and wherever it is cut, a decoder neither panics nor loops, the responses are those of the
-// same bytes in one piece, and the reserved response memory is released.
+// FuzzDecoders checks that a decoder neither panics nor loops forever, whatever a server sends and wherever the bytes are cut.
+// The responses must be those of the same bytes in one piece, and the reserved response memory must be released.
 func FuzzDecoders(f *testing.F) {
 	for _, seed := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n+PONG\r\n", "*3\r\n$-1\r\n$4\r\nmiss\r\n$9\r\nqueue=2,x\r\n", "-ERR failed util=0.6\r\n-BUSY\r\n",
 		"*3\r\n$99999\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: queue=1\r\n\r\nabHTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -42,10 +42,10 @@
 	})
 }
 
-// describeResponses gives the input to the decoder in pieces and returns a text for each response and error that comes out.
+// describeResponses passes the input to the decoder in pieces, and returns a text for each response and each error.
 func describeResponses(t *testing.T, decoder upstream.Decoder, input []byte, pieceSize int) (responses []string) {
 	t.Helper()
-	// decodeBuffered reports whether the connection may go on.
+	// decodeBuffered decodes the complete responses and reports whether the connection stays open.
 	decodeBuffered := func(ended bool) bool {
 		for range len(input) + 1 {
 			if decoder.Buffered() == 0 {
--- a/internal/upstream/decoder_test.go
+++ b/internal/upstream/decoder_test.go
@@ -19,11 +19,11 @@
 	testResponseMemory = 2 << 20
 )
 
-// decoderProtocol is one way in which responses come.
+// decoderProtocol is one encoding of responses, with the codec that decodes it.
 type decoderProtocol struct {
 	name     string
 	newCodec func(*upstream.ResponseMemory) upstream.Codec
-	encode   func(value string) string // to the bytes of a response
+	encode   func(value string) string // returns the bytes of a response with the value
 }
 
 var decoderProtocols = []decoderProtocol{
@@ -41,8 +41,8 @@
 		}},
 }
 
-// TestDecodersReturnResponsesCutAnywhere: responses that arrive in pieces of any size come out complete and in order, whatever their
-// length up to the largest allowed, and all reserved response memory is released.
+// TestDecodersReturnResponsesCutAnywhere checks that responses that arrive in pieces of any size are returned complete and in
+// order, with lengths up to the largest allowed, and that all reserved response memory is released.
 func TestDecodersReturnResponsesCutAnywhere(t *testing.T) {
 	for _, protocol := range decoderProtocols {
 		t.Run(protocol.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// decodeInPieces gives the stream to the decoder in pieces of random sizes and returns the values that come out.
+// decodeInPieces passes the stream to the decoder in pieces of random sizes, and returns the values of the responses.
 func decodeInPieces(t *testing.T, decoder upstream.Decoder, stream *bytes.Buffer) (values []string) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -91,8 +91,8 @@
 	return values
 }
 
-// TestDecodersRejectResponsesTheyCanNotTake: a response that is too long is malformed at once; one that exceeds the available response
-// memory is told apart from it.
+// TestDecodersRejectResponsesTheyCanNotTake checks that a response that is longer than allowed is malformed as soon as its length
+// is known, and that one that exceeds the available response memory has an error of its own.
 func TestDecodersRejectResponsesTheyCanNotTake(t *testing.T) {
 	ample := upstream.NewResponseMemory(testResponseMemory, testMaxResponse)
 	scarce := upstream.NewResponseMemory(100_000, testMaxResponse)
--- a/internal/upstream/descriptor_budget.go
+++ b/internal/upstream/descriptor_budget.go
@@ -5,22 +5,24 @@
 	"sync"
 )
 
-// DescriptorBudget bounds the descriptors of the connections that several pools open together, however many pools there are. Where
-// all are in use, the connection of any pool that has been idle for longest is evicted for a new one; where none is idle, the pool
-// waits for one. It is safe for concurrent use: its lock is taken below those of the pools, and it calls none of them.
+// DescriptorBudget bounds the number of descriptors that the connections of several pools use together, however many pools there
+// are. If all are in use, the connection that has been idle for longest, of any pool, is evicted for a new one. If none is idle,
+// the pool waits for a descriptor. A DescriptorBudget is safe for concurrent use. Its lock may be taken while the lock of a pool
+// is held, and it calls no pool.
 type DescriptorBudget struct {
 	mu        sync.Mutex
 	total     int
-	used      int       // by connections that are established or being opened
-	idle      list.List // of *Conn, the one that has been idle for longest first
-	waiters   []*Core   // that could not open a connection, in order
-	exhausted int64     // how often that was
+	used      int       // descriptors of connections that are established or being opened
+	idle      list.List // idle connections as *Conn, the one that has been idle for longest first
+	waiters   []*Core   // cores that wait to open a connection, in the order in which they began to wait
+	exhausted int64     // how often no descriptor was available
 }
 
 // NewDescriptorBudget returns a budget of n descriptors.
 func NewDescriptorBudget(n int) *DescriptorBudget { return &DescriptorBudget{total: n} }
 
-// Resize changes the size of the budget. Idle connections past a smaller one are evicted; busy ones are once they are idle.
+// Resize sets the size of the budget to n descriptors. If more are in use, idle connections are evicted at once, and busy ones as
+// soon as they are idle.
 func (b *DescriptorBudget) Resize(n int, effects *Effects) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,16 +33,16 @@
 	b.notifyWaiter(effects)
 }
 
-// Usage returns how many descriptors connections with attempts in flight use, or connections that are being opened, and how often a
-// connection was not opened as all of them were.
+// Usage returns the number of descriptors that are used by connections with attempts in flight or by connections that are being
+// opened. It also returns how often a connection was not opened because no descriptor was available.
 func (b *DescriptorBudget) Usage() (busy int, exhausted int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used - b.idle.Len(), b.exhausted
 }
 
-// acquire takes a descriptor for a connection of a core, and reports whether there was one. If not, the core is notified when there
-// may be one.
+// acquire takes a descriptor for a connection of a core, and reports whether there was one. If not, the core is notified when one
+// may be available.
 func (b *DescriptorBudget) acquire(core *Core, effects *Effects) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +61,7 @@
 	return false
 }
 
-// release gives a connection's descriptor back, as the connection was closed or could not be opened.
+// release returns the descriptor of a connection that was closed or could not be opened.
 func (b *DescriptorBudget) release(conn *Conn, effects *Effects) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +73,7 @@
 	b.notifyWaiter(effects)
 }
 
-// becameIdle says that a connection has nothing in flight: it may be evicted.
+// becameIdle records that a connection has nothing in flight, so that it may be evicted.
 func (b *DescriptorBudget) becameIdle(conn *Conn, effects *Effects) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,7 +84,8 @@
 	b.notifyWaiter(effects)
 }
 
-// takeIdle says that an idle connection is to be used, and reports whether it may be: it may have been evicted a moment before.
+// takeIdle records that an idle connection is to be used, and reports whether it may be used: it may have been evicted a moment
+// before.
 func (b *DescriptorBudget) takeIdle(conn *Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,16 +93,17 @@
 	return !conn.isEvicted
 }
 
-// passOn notifies the next waiter, as the one that was notified needs no descriptor any more.
+// passOn notifies the next waiting core, as the one that was notified needs no descriptor any more.
 func (b *DescriptorBudget) passOn(effects *Effects) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.notifyWaiter(effects)
 }
 
-// The methods below are called under the lock.
+// The caller of each method below holds mu.
 
-// evictOldest takes the descriptor of the connection that has been idle for longest; false if none is idle.
+// evictOldest evicts the connection that has been idle for longest and frees its descriptor. It returns false if no connection is
+// idle.
 func (b *DescriptorBudget) evictOldest(effects *Effects) bool {
 	oldest := b.idle.Front()
 	if oldest == nil {
@@ -126,7 +130,7 @@
 		return
 	}
 	next := b.waiters[0]
-	b.waiters[0] = nil // the array outlives the slice
+	b.waiters[0] = nil // the array outlives the slice and would keep the core in memory
 	b.waiters = b.waiters[1:]
 	next.isWaitingForDescriptor = false
 	effects.descriptorAvailable(next)
--- a/internal/upstream/descriptor_budget_test.go
+++ b/internal/upstream/descriptor_budget_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// sharedPools plays the shells of many cores that share a descriptor budget. Dials come up and responses come one by one, in any
-// order.
+// sharedPools is the shell of many cores that share a descriptor budget. Dials complete and responses come one at a time, in a
+// random order.
 type sharedPools struct {
 	t       *testing.T
 	now     time.Time
 	rng     *rand.Rand
 	budget  *DescriptorBudget
 	cores   []*Core
-	pending []func() // what the network does next
+	pending []func() // events of the network that may happen next, in any order
 	open    map[*Conn]bool
 	dialing int
 	served  int
-	ended   int // otherwise
+	failed  int // number of attempts that ended with any outcome but Served
 }
 
 func newSharedPools(t *testing.T, pools, descriptors int) *sharedPools {
@@ -30,7 +30,7 @@
 	return p
 }
 
-// call makes a call of a core and carries out its effects.
+// call calls a core and carries out the effects of the call.
 func (p *sharedPools) call(core *Core, callCore func(effects *Effects)) {
 	p.t.Helper()
 	var effects Effects
@@ -70,12 +70,12 @@
 		if effect.Response.Outcome == Served {
 			p.served++
 		} else {
-			p.ended++
+			p.failed++
 		}
 	}
 }
 
-// respond writes the next attempt of a connection and has the server respond.
+// respond writes the next attempt of a connection and makes the server respond to it.
 func (p *sharedPools) respond(core *Core, conn *Conn) {
 	var attempt *Attempt
 	p.call(core, func(effects *Effects) { attempt = core.NextToWrite(p.now, conn, false, effects) })
@@ -92,7 +92,7 @@
 	})
 }
 
-// run lets the network do what is pending, until nothing is.
+// run lets the pending events of the network happen until none is left.
 func (p *sharedPools) run() {
 	for len(p.pending) > 0 {
 		i := p.rng.IntN(len(p.pending))
@@ -106,31 +106,33 @@
 func (p *sharedPools) send(core *Core) {
 	p.call(core, func(effects *Effects) {
 		if _, ok := core.Send(p.now, newAttempt(p.now), effects); !ok {
-			p.ended++
+			p.failed++
 		}
 	})
 	p.checkDescriptors()
 }
 
-// Report 7e0653: each pool had two descriptors of its own, thousands of pools more than the process may have.
+// TestManyPoolsKeepTheDescriptorBudget guards against the fault of report 7e0653: each pool had two descriptors of its own, and
+// thousands of pools had more than the process may open.
 func TestManyPoolsKeepTheDescriptorBudget(t *testing.T) {
 	const pools, descriptors, rounds = 300, 7, 3
 	p := newSharedPools(t, pools, descriptors)
 	for range rounds {
-		for _, core := range p.cores { // all at once: most have to wait for a descriptor
+		for _, core := range p.cores { // all pools send at once: most have to wait for a descriptor
 			p.send(core)
 		}
 		p.run()
 	}
-	if p.served != rounds*pools || p.ended > 0 {
-		t.Errorf("%d attempts were served and %d ended otherwise, want %d and none", p.served, p.ended, rounds*pools)
+	if p.served != rounds*pools || p.failed > 0 {
+		t.Errorf("%d attempts were served and %d ended otherwise, want %d and none", p.served, p.failed, rounds*pools)
 	}
 	if busy, exhausted := p.budget.Usage(); busy != 0 || exhausted == 0 {
 		t.Errorf("%d descriptors are busy in the end and %d connections waited, want none and some", busy, exhausted)
 	}
 }
 
-// A smaller budget closes idle connections at once, and busy ones as they become idle.
+// TestSmallerDescriptorBudgetClosesIdleConnections checks that a smaller budget closes idle connections at once, beginning with
+// those that have been idle for longest.
 func TestSmallerDescriptorBudgetClosesIdleConnections(t *testing.T) {
 	p := newSharedPools(t, 6, 6)
 	for _, core := range p.cores {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// dial opens a connection if the limits allow one more, and reports whether they do. It is for dialedFor alone, unless that is nil.
+// dial starts to open a connection if the limits allow one more, and reports whether they do. The connection is for dialedFor
+// alone, or for any waiting attempt if dialedFor is nil.
 func (c *Core) dial(dialedFor *Attempt, effects *Effects) bool {
 	if c.Connections() >= c.limits.MaxConnections || !c.budget.acquire(c, effects) {
 		return false
@@ -19,7 +20,7 @@
 	}
 }
 
-// DialCompleted says whether a connection was established.
+// DialCompleted tells the core whether a connection that was being opened is established.
 func (c *Core) DialCompleted(now time.Time, conn *Conn, isEstablished bool, effects *Effects) {
 	c.dialing--
 	dialedFor := conn.dialedFor
@@ -46,7 +47,8 @@
 	}
 }
 
-// dialFailed ends the attempt that the connection was opened for, or the one that has waited for longest.
+// dialFailed ends the attempt that the connection was to be opened for. If there is no such attempt, it ends the one that has
+// waited for longest.
 func (c *Core) dialFailed(conn *Conn, dialedFor *Attempt, effects *Effects) {
 	c.budget.release(conn, effects)
 	failed := dialedFor
--- a/internal/upstream/effect.go
+++ b/internal/upstream/effect.go
@@ -1,29 +1,29 @@
 package upstream
 
-// EffectKind says what a Core wants done.
+// EffectKind identifies the action that an Effect asks the shell to carry out.
 type EffectKind int
 
 // The kinds of effects.
 const (
-	Dial                EffectKind = iota // open Conn to Addr, then call DialCompleted
-	Write                                 // Conn has attempts to write: call NextToWrite until it returns none
-	CloseConnection                       // close Conn, with whatever is in flight on it
-	ReportOutcome                         // Attempt ended with Response
-	Evict                                 // call Evicted with Conn, which may be another core's
-	DescriptorAvailable                   // call DescriptorAvailable of Core, which may be another one
+	Dial                EffectKind = iota // open Conn as a connection to Addr, then call Core.DialCompleted
+	Write                                 // Conn has attempts to write: call Core.NextToWrite and write until it returns nil
+	CloseConnection                       // close Conn, even if attempts are in flight on it
+	ReportOutcome                         // report that Attempt ended with Response
+	Evict                                 // call Evicted with Conn on the core that owns Conn, which may be another core
+	DescriptorAvailable                   // call DescriptorAvailable on the core in the field Core, which may be another core
 )
 
-// Effect is one thing that a Core wants done. Effects are carried out in their order.
+// Effect is one action that a Core asks its shell to carry out. Effects are carried out in their order.
 type Effect struct {
 	Kind     EffectKind
 	Conn     *Conn
-	Core     *Core    // of DescriptorAvailable
-	Addr     string   // of Dial
-	Attempt  *Attempt // of ReportOutcome
-	Response Response // of ReportOutcome
+	Core     *Core    // set for DescriptorAvailable only
+	Addr     string   // address to connect to; set for Dial only
+	Attempt  *Attempt // set for ReportOutcome only
+	Response Response // set for ReportOutcome only
 }
 
-// Effects collects what one call of a Core wants done. The core keeps no reference to it.
+// Effects collects the effects of one call of a Core. The core keeps no reference to it after the call.
 type Effects []Effect
 
 func (e *Effects) dial(conn *Conn, addr string) {
--- a/internal/upstream/growth.go
+++ b/internal/upstream/growth.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	growthThreshold = 3                // recent demands that justify the cost of a connection
-	demandDecay     = 10 * time.Second // a demand counts 1/e after this long: a third of the time that idle connections stay open
+	growthThreshold = 3                // number of recent demands that justify the cost of a connection
+	demandDecay     = 10 * time.Second // time after which a demand counts 1/e; a third of the time that idle connections stay open
 )
 
 // growth decides whether a pool whose connections are all busy opens another one, or pipelines an attempt behind the one in
-// flight. A connection costs the server work and the fleet a fee, and at one node of many most are needed once only: so the number of
-// connections follows demand, and one more has to be demanded several times first.
+// flight. A connection costs the server work and is charged to the fleet. At one node of many, most additional connections would
+// be used only once. So the number of connections follows demand, and another one is opened only after several demands for it.
 type growth struct {
-	demand    float64 // decaying count
+	demand    float64 // number of demands, each decaying with time
 	updatedAt time.Time
 }
 
-// shouldGrow records that another connection would have been of use, and reports whether to open it.
+// shouldGrow records a demand for another connection, and reports whether to open one.
 func (g *growth) shouldGrow(now time.Time) bool {
 	g.demand = 1 + g.demand*math.Exp(-float64(now.Sub(g.updatedAt))/float64(demandDecay))
 	g.updatedAt = now
-	if g.demand < growthThreshold-0.5 { // three within a few seconds have decayed to a little less than three
+	if g.demand < growthThreshold-0.5 { // three demands within a few seconds count a little less than 3: the first ones have decayed
 		return false
 	}
 	g.demand = 0
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -6,7 +6,8 @@
 	"shelfproxy/internal/request"
 )
 
-// byteCodec is a protocol of single bytes: a request is 'q', a response 'a' with a value, 'm' for a miss; any other byte is malformed.
+// byteCodec is a protocol of single bytes. A request is 'q'. A response is 'a', with a value, or 'm' for a miss; any other byte
+// is malformed.
 type byteCodec struct{}
 
 func (byteCodec) AppendRequest(b []byte, _ *Attempt, _ time.Time) []byte { return append(b, 'q') }
@@ -46,7 +47,7 @@
 	return NewCore("s", byteCodec{}, limits, NewDescriptorBudget(4))
 }
 
-// newAttempt returns an attempt for a request of its own.
+// newAttempt returns an attempt for a new request.
 func newAttempt(now time.Time) *Attempt {
 	return &Attempt{Request: &request.Request{}, SentAt: now}
 }
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -1,6 +1,6 @@
 // Package upstream carries attempts to the endpoints of a node: cache servers and the origin. Core decides which connection
-// carries an attempt and how the attempt ends; Pool moves the bytes and keeps the time for it; a Codec speaks the endpoint's
-// protocol.
+// carries an attempt and how the attempt ends. Pool does the I/O and the timing for a Core. A Codec encodes requests and decodes
+// responses in the endpoint's protocol.
 package upstream
 
 import "shelfproxy/internal/policy"
@@ -10,17 +10,17 @@
 
 // The outcomes of an attempt.
 const (
-	Served           Outcome = iota // the server returned a value or a receipt
+	Served           Outcome = iota // the server returned the value of a read or the receipt of a write
 	Missed                          // the server has no value for the key
 	Errored                         // the server answered with an error; the request may have been executed
 	ServerBusy                      // the server rejected the request without executing it
-	NotSent                         // never written: the request was cancelled, or its time was over
+	NotSent                         // never written: the request was cancelled, for example, or its deadline had passed
 	PoolExhausted                   // never written: all connections are busy and no more may be opened
 	ServerDraining                  // never written: the server left the endpoint list while the attempt waited for a connection
 	ConnectFailed                   // no connection was established in time
 	WriteInterrupted                // the connection broke before the last byte was written
 	ConnectionLost                  // the connection ended after the last byte may have been written
-	CorruptResponse                 // the server sent bytes that are no response; its connection was closed
+	CorruptResponse                 // the server sent bytes that are not a valid response; the connection was closed
 	ResponseTooLarge                // the response does not fit the response memory that is available
 	TimedOut                        // no response by the request's deadline
 	Cancelled                       // abandoned by the policy
@@ -31,7 +31,7 @@
 func NumOutcomes() int { return int(numOutcomes) }
 
 var outcomes = [numOutcomes]struct {
-	name   string // in counters and the log
+	name   string // name of the outcome in counters and the log
 	reason policy.Reason
 }{
 	Served:           {"served", policy.Succeeded},
@@ -40,17 +40,17 @@
 	ServerBusy:       {"busy", policy.Rejected},
 	NotSent:          {"not_sent", policy.NeverSent},
 	PoolExhausted:    {"no_room", policy.Rejected},
-	ServerDraining:   {"drained", policy.Rejected}, // as the server itself would have answered
+	ServerDraining:   {"drained", policy.Rejected}, // a draining server would have rejected the attempt itself
 	ConnectFailed:    {"no_connect", policy.NoConnection},
 	WriteInterrupted: {"cut_short", policy.NoConnection},
 	ConnectionLost:   {"broken", policy.Reset},
 	CorruptResponse:  {"garbage", policy.CorruptResponse},
-	ResponseTooLarge: {"unheld", policy.Errored}, // it may have been executed, and a retry's response would be as long
+	ResponseTooLarge: {"unheld", policy.Errored}, // the attempt may have been executed, and a retry's response would be as long
 	TimedOut:         {"timed_out", policy.TimedOut},
 	Cancelled:        {"cancelled", policy.Cancelled},
 }
 
-// Reason returns what the policy is told of an attempt with this outcome. No other code maps outcomes to reasons.
+// Reason returns the reason that the policy is given for an attempt with this outcome. No other code maps outcomes to reasons.
 func (o Outcome) Reason() policy.Reason { return outcomes[o].reason }
 
 // String returns the outcome's name in counters and in the log.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// usualEffects is how many effects the start of an attempt has at most, but for rare cases.
+// usualEffects is the initial capacity for the effects of starting an attempt, which rarely has more.
 const usualEffects = 2
 
-// Pool holds the connections to one server. Core decides; the pool moves the bytes, keeps the time, and calls the core under its
-// lock. Its methods never wait for a socket and are safe for concurrent use.
+// Pool holds the connections to one server. It is the shell of a Core: the core decides, and the pool does the I/O and the
+// timing, and calls the core under a lock. The methods of a Pool never wait for a socket and are safe for concurrent use.
 //
-// Each connection that is being opened has one goroutine, which ends with the dial, and each established one has two, a reader and a
-// writer, which end once the core has closed the connection. After Update with isDraining the core closes each connection as soon
-// as nothing is in flight on it.
+// A connection that is being opened has one goroutine, which ends with the dial. An established connection has two, a reader and
+// a writer, which end once the core has closed the connection. After Update with isDraining the core closes each connection as
+// soon as nothing is in flight on it.
 type Pool struct {
 	codec          Codec
 	connectTimeout time.Duration
 	reportOutcome  func(*Attempt, Response)
 	opened         func()
 
-	mu       sync.Mutex // guards core, including all of its connections, and the two fields of the timer
+	mu       sync.Mutex // guards core, including all of its connections, timer and timerSet
 	core     *Core
 	timer    *time.Timer
 	timerSet time.Time // when the timer fires; zero while it is not running
 }
 
-// NewPool returns a pool for the server at an address. reportOutcome is called from goroutines of the pool, once for each attempt
-// that Send accepted and that is neither abandoned nor withdrawn nor returned by Update; opened is called for each established
+// NewPool returns a pool for the server at addr. reportOutcome is called from goroutines of the pool, once for each attempt that
+// Send accepted and that is neither abandoned nor withdrawn nor returned by Update. opened is called for each established
 // connection.
 func NewPool(addr string, codec Codec, limits Limits, budget *DescriptorBudget, reportOutcome func(*Attempt, Response),
 	opened func()) *Pool {
@@ -37,7 +37,7 @@
 	return p
 }
 
-// Send starts an attempt. If it returns false the attempt has already ended with the returned outcome.
+// Send starts an attempt. If it returns false, the attempt has already ended with the returned outcome.
 func (p *Pool) Send(attempt *Attempt) (Outcome, bool) {
 	effects := make(Effects, 0, usualEffects)
 	p.mu.Lock()
@@ -48,14 +48,14 @@
 	return outcome, ok
 }
 
-// Abandon gives an attempt up: its outcome is not reported. It reports whether the attempt may have been executed. The connection is
-// closed, which tells the server, unless other attempts wait for responses on it.
+// Abandon gives an attempt up, so that its outcome is not reported. It returns whether the attempt may have been executed. If
+// only abandoned attempts await responses on its connection, the connection is closed, which tells the server.
 func (p *Pool) Abandon(attempt *Attempt) (possiblyExecuted bool) {
 	p.call(func(now time.Time, effects *Effects) { possiblyExecuted = p.core.Abandon(now, attempt, effects) })
 	return possiblyExecuted
 }
 
-// Withdraw abandons an attempt if nothing of it was written, and reports whether it did.
+// Withdraw abandons an attempt if nothing of it was written, and reports whether it did so.
 func (p *Pool) Withdraw(attempt *Attempt) (withdrawn bool) {
 	p.call(func(now time.Time, effects *Effects) { withdrawn = p.core.Withdraw(now, attempt, effects) })
 	return withdrawn
@@ -66,14 +66,14 @@
 	p.call(func(now time.Time, effects *Effects) { p.core.CloseIdle(now, effects) })
 }
 
-// Update sets the server's address and whether it drains. It returns the attempts of which nothing was written to a server that
-// drains: they end as ServerDraining, which is not reported.
+// Update sets the server's address and whether the server drains. If it drains, Update returns the attempts of which nothing was
+// written. They end as ServerDraining, without a call of reportOutcome.
 func (p *Pool) Update(addr string, isDraining bool) (unwritten []*Attempt) {
 	p.call(func(now time.Time, effects *Effects) { unwritten = p.core.Update(now, addr, isDraining, effects) })
 	return unwritten
 }
 
-// call makes one call of the core for the node's event loop and carries out its effects.
+// call calls the core on behalf of the node's event loop and carries out the effects.
 func (p *Pool) call(callCore func(now time.Time, effects *Effects)) {
 	var effects Effects
 	p.mu.Lock()
@@ -83,8 +83,8 @@
 	p.carryOut(effects, true)
 }
 
-// setTimer makes the timer fire when the core wants to be called, unless it fires earlier anyway: it is then set again. What most
-// calls change is the deadline of an idle connection, to later. The caller holds mu.
+// setTimer sets the timer to the next time at which the core has to be called. A timer that fires earlier is left as it is, and
+// is set again when it fires: most calls only move the deadline of an idle connection to a later time. The caller holds mu.
 func (p *Pool) setTimer() {
 	at := p.core.NextTimer()
 	if at.IsZero() || !p.timerSet.IsZero() && !at.Before(p.timerSet) {
@@ -108,8 +108,8 @@
 	p.carryOut(effects, false)
 }
 
-// carryOut carries effects out, in order and without the lock. onEventLoop says that the caller is the node's event loop, which
-// takes the reports: a report must not be waited for then.
+// carryOut carries out effects in their order. The caller must not hold mu. onEventLoop says that the caller is the node's event
+// loop, which also receives the reports: it must not wait for a report to be taken.
 func (p *Pool) carryOut(effects Effects, onEventLoop bool) {
 	for i := range effects {
 		switch effect := &effects[i]; effect.Kind {
@@ -126,13 +126,14 @@
 				p.reportOutcome(attempt, response)
 			}
 		case Evict, DescriptorAvailable:
-			carryOutElsewhere(effect)
+			carryOutOnOwner(effect)
 		}
 	}
 }
 
-// carryOutElsewhere carries out an effect that concerns a connection or a core of any pool. The caller holds no lock.
-func carryOutElsewhere(effect *Effect) {
+// carryOutOnOwner carries out an effect on the pool that owns the effect's connection or core, which may be any pool. The caller
+// must not hold the lock of a pool.
+func carryOutOnOwner(effect *Effect) {
 	switch effect.Kind {
 	case Evict:
 		owner := socketOf(effect.Conn).pool
@@ -143,11 +144,11 @@
 	}
 }
 
-// ResizeDescriptors changes the size of a budget that pools share, and closes the idle connections that it does not allow any more.
+// ResizeDescriptors sets the size of a budget that pools share to n descriptors, and closes the idle connections that exceed it.
 func ResizeDescriptors(budget *DescriptorBudget, n int) {
 	var effects Effects
 	budget.Resize(n, &effects)
 	for i := range effects {
-		carryOutElsewhere(&effects[i])
+		carryOutOnOwner(&effects[i])
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,15 +15,15 @@
 
 const testTimeout = 10 * time.Second
 
-// cacheServer responds to each command once it is allowed to, and counts its connections.
+// cacheServer is a server that responds to each command once the test allows it, and counts its connections.
 type cacheServer struct {
 	addr        string
 	connections atomic.Int64
-	received    chan string   // the key of each command; it is not closed
-	respond     chan struct{} // allows one response for each element; it is not closed
+	received    chan string   // gets the key of each command; never closed
+	respond     chan struct{} // allows one response for each element; never closed
 }
 
-// startCacheServer starts a server that ends with the test.
+// startCacheServer starts a server that is stopped at the end of the test.
 func startCacheServer(t *testing.T) *cacheServer {
 	t.Helper()
 	var listenConfig net.ListenConfig
@@ -37,7 +37,7 @@
 		}
 	})
 	server := &cacheServer{addr: listener.Addr().String(), received: make(chan string, 64), respond: make(chan struct{}, 64)}
-	go server.accept(listener) // ends as the listener is closed
+	go server.accept(listener) // ends when the listener is closed
 	return server
 }
 
@@ -48,12 +48,12 @@
 			return
 		}
 		s.connections.Add(1)
-		go s.serve(conn) // ends as the pool closes the connection
+		go s.serve(conn) // ends when the pool closes the connection
 	}
 }
 
 func (s *cacheServer) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the test is over
+	defer func() { _ = conn.Close() }() // the connection is of no further use, whatever the error
 	for reader := redcon.NewReader(conn); ; {
 		command, err := reader.ReadCommand()
 		if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// waitForConnections waits until the server has accepted so many connections, for a few seconds at most.
+// waitForConnections waits until the server has accepted at least the wanted number of connections, for testTimeout at most.
 func (s *cacheServer) waitForConnections(want int64) {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
@@ -76,14 +76,14 @@
 	}
 }
 
-// TestConnectionsFollowDemand: an attempt that finds the only connection busy is pipelined, as long as the attempt ahead is young;
-// demand that goes on opens a second connection, and no third.
+// TestConnectionsFollowDemand checks that an attempt that finds the only connection busy is pipelined, as long as the attempt
+// ahead of it is young. Continued demand opens a second connection, and no third one.
 func TestConnectionsFollowDemand(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		pipelineWithin     time.Duration
 		needsNewConnection bool
-		want               []int64 // connections opened after each round of two attempts at once
+		want               []int64 // total of connections opened after each round of two attempts at once
 	}{
 		{"pipelined while young", time.Hour, false, []int64{1, 1, 2, 2, 2}},
 		{"never pipelined", 0, false, []int64{2, 2}},
@@ -106,9 +106,9 @@
 			}
 			for round, want := range test.want {
 				send("a")
-				<-server.received // its connection is busy now
+				<-server.received // the connection of the first attempt is busy now
 				send("b")
-				server.waitForConnections(want) // else the first one could become idle before the second one is open
+				server.waitForConnections(want) // otherwise the first connection could become idle before the second one is open
 				server.respond <- struct{}{}
 				server.respond <- struct{}{}
 				for range 2 {
--- a/internal/upstream/response_memory.go
+++ b/internal/upstream/response_memory.go
@@ -2,13 +2,15 @@
 
 import "sync/atomic"
 
-// defaultMaxResponse is the largest value, in bytes, without a ResponseMemory: the bound that the protocol's page gives.
+// defaultMaxResponse is the largest value, in bytes, that is accepted without a ResponseMemory. It is the limit in the protocol's
+// documentation.
 const defaultMaxResponse = 64 << 10
 
-// ResponseMemory bounds the memory of long responses while they arrive, over all servers: a value may be far longer than usual, but
-// only a few such values may arrive at once. A nil ResponseMemory has no bound in total. It is safe for concurrent use.
+// ResponseMemory bounds the memory that long responses of all servers use while they arrive. One value may be far longer than
+// usual, but only a few such values may arrive at once. A nil ResponseMemory does not bound the total. It is safe for concurrent
+// use.
 type ResponseMemory struct {
-	maxResponse int // bytes
+	maxResponse int // largest value that is accepted, in bytes
 	available   atomic.Int64
 }
 
@@ -27,7 +29,7 @@
 	return m.maxResponse
 }
 
-// Reserve takes bytes from the budget and reports whether they were available.
+// Reserve takes a number of bytes from the budget and reports whether they were available.
 func (m *ResponseMemory) Reserve(bytes int) bool {
 	if m == nil || m.available.Add(int64(-bytes)) >= 0 {
 		return true
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -15,18 +15,18 @@
 // maxRetainedBuffer is the largest write buffer, in bytes, that a connection keeps for its next request.
 const maxRetainedBuffer = 32 << 10
 
-// socket is the pool's part of a connection.
+// socket is the part of a connection that its Pool owns: the network connection, and the signal that wakes its writer.
 type socket struct {
 	pool *Pool
 	conn net.Conn
 	raw  syscall.RawConn
-	// notify holds an element while there may be something to write, or the connection has been closed. It is never closed: the
-	// writer ends once the core says that the connection is closed.
+	// notify wakes the writer. It holds an element while there may be something to write, or the connection has been closed. It
+	// is never closed: the writer ends once the core says that the connection is closed.
 	notify chan struct{}
 }
 
 func newSocket(pool *Pool, conn net.Conn) *socket {
-	raw, _ := conn.(syscall.Conn).SyscallConn() // a TCP connection has one
+	raw, _ := conn.(syscall.Conn).SyscallConn() // a TCP connection always has a raw connection
 	return &socket{pool: pool, conn: conn, raw: raw, notify: make(chan struct{}, 1)}
 }
 
@@ -39,21 +39,21 @@
 	}
 }
 
-// close ends the reader by the error of its read, and the writer by a notification.
+// close closes the network connection. The reader ends by the error of its read, and the writer by a notification.
 func (s *socket) close() {
 	_ = s.conn.Close() // the connection is of no further use, whatever the error
 	s.notifyWriter()
 }
 
-// write writes the bytes of one attempt. isUsable is false after an error.
+// write writes the bytes of one attempt. isUsable says whether the connection may be used further; it is false after an error.
 func (s *socket) write(bytes []byte, deadline time.Time) (isComplete, isUsable bool) {
 	_ = s.conn.SetWriteDeadline(deadline) // fails on a closed connection, and so does the write
 	n, err := s.conn.Write(bytes)
 	return n == len(bytes), err == nil
 }
 
-// isStale reports whether the connection has bytes to read or has ended. It asks the kernel, as the reading goroutine may not have
-// run since the bytes came. See Core.NextToWrite for what it means.
+// isStale reports whether the connection has bytes to read or has ended. It asks the kernel, as the reading goroutine may not
+// have run since the bytes arrived. See Core.NextToWrite for the consequences.
 func (s *socket) isStale() bool {
 	return s.raw == nil || socketstate.IsReadable(s.raw)
 }
@@ -81,8 +81,8 @@
 	p.carryOut(effects, false)
 }
 
-// connectAcrossPauses calls connect, and once more if its timeout is found so late that the process did not run for a while: the
-// server may have been there in time.
+// connectAcrossPauses calls connect. If connect fails so late after its timeout that the process must have been paused, it is
+// called once more: the server may have answered in time.
 func connectAcrossPauses(timeout time.Duration, now func() time.Time, connect func() (net.Conn, error)) (net.Conn, error) {
 	due := now().Add(timeout)
 	conn, err := connect()
@@ -119,7 +119,7 @@
 			p.setTimer()
 			p.mu.Unlock()
 			p.carryOut(effects, false)
-			clear(effects) // they refer to attempts
+			clear(effects) // the effects refer to attempts, which would stay in memory
 			if cap(buffer) > maxRetainedBuffer {
 				buffer = nil
 			}
@@ -130,9 +130,9 @@
 	}
 }
 
-// readLoop moves what the server sends to the core until the connection is closed. Another goroutine may close the connection
-// meanwhile, which releases the decoder: so the buffer for the next bytes is requested under the lock too. That buffer is this
-// goroutine's alone until BytesReceived.
+// readLoop passes what the server sends to the core until the connection is closed. Another goroutine may close the connection
+// meanwhile, which releases the decoder. So the buffer for the next bytes is also requested under the lock. Until BytesReceived,
+// no other goroutine uses that buffer.
 func (p *Pool) readLoop(conn *Conn, socket *socket) {
 	var effects Effects
 	p.mu.Lock()
--- a/internal/upstream/socket_test.go
+++ b/internal/upstream/socket_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// TestConnectAcrossAPauseIsRepeated: the time of a connect that ran out while the process did not run says nothing of the server.
+// TestConnectAcrossAPauseIsRepeated checks that a connect is repeated once if its timeout expired while the process was paused:
+// such a timeout says nothing about the server.
 func TestConnectAcrossAPauseIsRepeated(t *testing.T) {
 	const timeout = 250 * time.Millisecond
 	for name, test := range map[string]struct {
-		took  [2]time.Duration // of each connect that fails
+		took  [2]time.Duration // time after which each connect fails
 		calls int
 	}{
 		"refused":      {[2]time.Duration{time.Millisecond}, 1},
--- a/internal/upstream/transfer.go
+++ b/internal/upstream/transfer.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// NextToWrite returns the next attempt to write to a connection; nil if there is none. The shell writes its bytes and then calls
-// WriteCompleted. From this call on the attempt is possibly executed. This is the last look at whether the client is still
-// connected and whether a retry is in its time: an attempt that must not be written ends as NotSent.
+// NextToWrite returns the next attempt to write to a connection; nil if there is none. The shell writes the attempt's bytes and
+// then calls WriteCompleted. The returned attempt is possibly executed from now on. This is the last check whether the client is
+// still connected and whether a retry is still in time: an attempt that must not be written ends as NotSent.
 //
-// isStale says that the connection has bytes to read, or has ended, while no response is awaited: the response to a request written
-// now could not be told from such bytes, and a request written to a closed connection is lost.
+// isStale says that the connection has bytes to read, or has ended, while no response is awaited. Such a connection is closed.
+// The response to a request written now could not be told apart from such bytes, and a request written to a closed connection is
+// lost.
 func (c *Core) NextToWrite(now time.Time, conn *Conn, isStale bool, effects *Effects) *Attempt {
 	if conn.closed || conn.writing != nil || len(conn.unwritten) == 0 {
 		return nil
@@ -34,8 +35,8 @@
 	return attempt
 }
 
-// WriteCompleted says how the write of the attempt from NextToWrite ended: whether its last byte was written, and whether the
-// connection may still be used.
+// WriteCompleted tells the core how the write of the attempt from NextToWrite ended: whether its last byte was written, and
+// whether the connection may still be used.
 func (c *Core) WriteCompleted(now time.Time, conn *Conn, isComplete, isUsable bool, effects *Effects) {
 	attempt := conn.writing
 	conn.writing = nil
@@ -43,10 +44,10 @@
 		return
 	}
 	if !isComplete {
-		attempt.possiblyExecuted = false // the server never got its last byte
+		attempt.possiblyExecuted = false // the server never got the attempt's last byte
 	}
 	switch {
-	case conn.closed: // close left this attempt for now
+	case conn.closed: // Core.close has left this attempt to be settled here
 		if i := slices.Index(conn.pending, attempt); i >= 0 {
 			conn.pending = slices.Delete(conn.pending, i, i+1)
 			c.settle(now, conn, attempt, effects)
@@ -54,18 +55,18 @@
 	case !isUsable:
 		c.close(now, conn, ConnectionLost, effects)
 	default:
-		c.serveNext(now, conn, effects) // its response may have come before this call
+		c.serveNext(now, conn, effects) // if the response came before this call, the connection is free now
 	}
 }
 
-// BytesReceived says that the shell put n bytes into the buffer of the connection's decoder.
+// BytesReceived tells the core that the shell has put n bytes into the read buffer of the connection's decoder.
 func (c *Core) BytesReceived(now time.Time, conn *Conn, n int, effects *Effects) {
 	conn.Decoder.BytesRead(n)
 	c.decode(now, conn, false, effects)
 }
 
-// ConnectionEnded says that a connection ended without the core closing it. isOrderly says that the server closed it, which also ends
-// a response without a length; a reset, or any other failure, ends no response.
+// ConnectionEnded tells the core that a connection ended without the core closing it. isOrderly says that the server closed it
+// normally, which completes a response without a length. A reset, or any other failure, completes no response.
 func (c *Core) ConnectionEnded(now time.Time, conn *Conn, isOrderly bool, effects *Effects) {
 	if isOrderly {
 		c.decode(now, conn, true, effects)
@@ -73,11 +74,11 @@
 	c.close(now, conn, ConnectionLost, effects)
 }
 
-// decode delivers the responses that are complete.
+// decode takes the complete responses from the decoder and delivers them.
 func (c *Core) decode(now time.Time, conn *Conn, ended bool, effects *Effects) {
 	for !conn.closed && conn.Decoder.Buffered() > 0 {
 		if !conn.mayReceive() {
-			c.close(now, conn, CorruptResponse, effects) // a response to nothing
+			c.close(now, conn, CorruptResponse, effects) // the bytes are no response to any attempt
 			return
 		}
 		response, isComplete, err := conn.Decoder.NextResponse(ended)
@@ -102,7 +103,7 @@
 // deliver gives a response to the first pending attempt of its connection.
 func (c *Core) deliver(now time.Time, conn *Conn, response Response, effects *Effects) {
 	if !conn.pending[0].isHealthCheck() && response.Outcome == Served && response.Value == nil {
-		c.close(now, conn, CorruptResponse, effects) // the response to a health check is none to a request
+		c.close(now, conn, CorruptResponse, effects) // the response to a health check has no value and can't answer a request
 		return
 	}
 	attempt := conn.popPending()
