--- a/internal/upstream/origin/codec.go
+++ b/internal/upstream/origin/codec.go
@@ -1,5 +1,5 @@
-// Package origin speaks HTTP/1.1 to the origin. It uses net/http's request and response codec on connections of the node's own
-// pool, not its Transport, which retries requests by itself.
+// Package origin implements HTTP/1.1 for connections to the origin. It uses the request and response codec of net/http on
+// connections of upstream.Pool. It does not use the Transport of net/http, which retries requests by itself.
 package origin
 
 import (
@@ -12,18 +12,18 @@
 	"shelfproxy/internal/upstream"
 )
 
-// healthCheckPath is what a health check requests.
+// healthCheckPath is the URL path that a health check requests.
 const healthCheckPath = "/alive"
 
-// Codec writes the requests to the origin and reads its responses. Its connections carry one request at a time. Memory bounds long
-// responses.
+// Codec encodes requests to the origin and decodes its responses. A connection carries one request at a time. Memory bounds the
+// memory of long responses.
 type Codec struct {
-	Host   string // of the Host header
+	Host   string // value of the Host header
 	Memory *upstream.ResponseMemory
 }
 
-// AppendRequest appends the HTTP request of an attempt, with the remaining time as the parameter d: the origin gets a request after a
-// cache server, and what that took is no longer left of the time that the client gave.
+// AppendRequest appends the HTTP request of an attempt, with the remaining time in milliseconds as the parameter d. The client's
+// own timeout would be too long: the origin gets a request after a cache server, and that has taken some of the time.
 func (c Codec) AppendRequest(b []byte, attempt *upstream.Attempt, now time.Time) []byte {
 	httpRequest := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: healthCheckPath}, Host: c.Host,
 		Header: http.Header{"User-Agent": {""}}}
@@ -38,7 +38,7 @@
 	}
 	buffer := bytes.NewBuffer(b)
 	if err := httpRequest.Write(buffer); err != nil {
-		return nil // only a writer that fails makes it fail, and a buffer never does
+		return nil // Write fails only if its writer fails, and a buffer never does
 	}
 	return buffer.Bytes()
 }
--- a/internal/upstream/origin/decoder.go
+++ b/internal/upstream/origin/decoder.go
@@ -11,27 +11,27 @@
 
 const (
 	chunkSize     = 4 << 10  // initial size of a read buffer, in bytes
-	maxUnreserved = 64 << 10 // bytes of a response that needs no response memory
-	maxHeaderSize = 64 << 10 // bytes of all headers ahead of a body
+	maxUnreserved = 64 << 10 // bytes that a response may need without reserving response memory
+	maxHeaderSize = 64 << 10 // maximum size of all headers ahead of a body, in bytes
 )
 
-// protocolPrefix starts every response.
+// protocolPrefix is the start of every response.
 var protocolPrefix = []byte("HTTP/1.")
 
-// errIncomplete says that the response has not come completely.
+// errIncomplete says that a response is incomplete and more bytes are needed.
 var errIncomplete = errors.New("incomplete response")
 
-// decoder implements upstream.Decoder. It keeps the bytes of one response and has net/http read them from the start each time that
-// more bytes came.
+// decoder implements upstream.Decoder. It keeps the bytes of one response. Each time that more bytes have come, net/http parses
+// the response again from its start.
 type decoder struct {
 	memory   *upstream.ResponseMemory
-	reserved int    // bytes of memory
+	reserved int    // number of bytes reserved from memory
 	buffer   []byte // buffer[:end] holds the bytes that belong to no response yet
 	end      int
-	needed   int // buffered bytes before which a further look at them is of no use
+	needed   int // number of buffered bytes below which it is of no use to parse again
 
-	input  bytes.Reader  // over buffer[:end]
-	reader *bufio.Reader // over input
+	input  bytes.Reader  // reads buffer[:end]
+	reader *bufio.Reader // reads input for net/http
 }
 
 // Buffered implements upstream.Decoder.
@@ -77,7 +77,8 @@
 	return bytes.Equal(d.buffer[:n], protocolPrefix[:n])
 }
 
-// maxResponseSize bounds the bytes of one response, headers and all. A chunked body takes more bytes than its value.
+// maxResponseSize returns the maximum size of one response in bytes, headers included. A body may have twice the size of the
+// largest value, as a chunked body takes more bytes than its value.
 func (d *decoder) maxResponseSize() int { return maxHeaderSize + 2*d.memory.MaxResponse() }
 
 func (d *decoder) resetReader() {
@@ -89,10 +90,11 @@
 	}
 }
 
-// unread returns the number of bytes that net/http has not taken.
+// unread returns the number of buffered bytes that net/http has not read.
 func (d *decoder) unread() int { return d.input.Len() + d.reader.Buffered() }
 
-// reserve takes response memory for what an incomplete response needs past its present reservation.
+// reserve reserves response memory for the bytes of an incomplete response that its reservation does not cover yet. It does so
+// only if these are more than maxUnreserved.
 func (d *decoder) reserve() error {
 	if missing := max(d.needed, d.end) - d.reserved; missing > maxUnreserved {
 		if !d.memory.Reserve(missing) {
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// discardRead keeps the bytes behind the response that was read.
+// discardRead removes the response that was read from the buffer, and keeps the bytes after it.
 func (d *decoder) discardRead() {
 	rest := d.unread()
 	copy(d.buffer, d.buffer[d.end-rest:d.end])
@@ -118,7 +120,7 @@
 	d.reserved, d.needed = 0, 0
 }
 
-// responseOf maps an HTTP response to one of this node.
+// responseOf converts an HTTP response to an upstream.Response.
 func responseOf(httpResponse *http.Response, body []byte) upstream.Response {
 	response := upstream.Response{Outcome: upstream.Errored, LoadReport: []byte(httpResponse.Header.Get("X-Load")),
 		ConnectionClose: httpResponse.Close}
--- a/internal/upstream/origin/golden_test.go
+++ b/internal/upstream/origin/golden_test.go
@@ -10,7 +10,7 @@
 	"shelfproxy/internal/upstream"
 )
 
-// TestRequestsMatchGoldenFile: the HTTP/1.1 requests that the origin gets.
+// TestRequestsMatchGoldenFile checks the HTTP/1.1 requests that the origin receives.
 func TestRequestsMatchGoldenFile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	read := &request.Request{Key: []byte("anna b/c"), ID: []byte("id-1"), Parameters: []byte("c=view,d=3000,t=x")}
@@ -29,7 +29,8 @@
 	golden.Check(t, "requests.golden", lines.Bytes())
 }
 
-// TestResponsesMatchGoldenFile: what the origin responds, and what the decoder makes of it, while the connection is open and at its end.
+// TestResponsesMatchGoldenFile checks how the decoder reads the responses of the origin, while the connection is open and when it
+// has ended.
 func TestResponsesMatchGoldenFile(t *testing.T) {
 	var lines golden.Lines
 	for _, text := range []string{
--- a/internal/upstream/origin/read.go
+++ b/internal/upstream/origin/read.go
@@ -9,13 +9,13 @@
 	"shelfproxy/internal/upstream"
 )
 
-// maxInterim bounds the 1xx responses ahead of a final one.
+// maxInterim bounds the number of 1xx responses ahead of a final one.
 const maxInterim = 8
 
-// trailerEOF is the text of an error of net/http that it does not export: the input ended within a trailer.
+// trailerEOF is the text of an error that net/http does not export: the input ended within a trailer.
 const trailerEOF = "http: unexpected EOF reading trailer"
 
-// incompleteAtEOF replaces an error that says that the input ended by errIncomplete.
+// incompleteAtEOF returns errIncomplete for an error that says that the input ended, and any other error as it is.
 func incompleteAtEOF(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || err != nil && err.Error() == trailerEOF {
 		return errIncomplete
@@ -23,14 +23,14 @@
 	return err
 }
 
-// readResponse reads one final response, with the interim ones that may come ahead of it. The error is errIncomplete if more bytes
-// are needed; any other says that it is malformed.
+// readResponse reads one final response, and the interim ones that may come ahead of it. The error is errIncomplete if more bytes
+// are needed. Any other error says that the response is malformed.
 func (d *decoder) readResponse(ended bool) (upstream.Response, error) {
 	httpResponse, err := d.readFinalHeader()
 	if err != nil {
 		return upstream.Response{}, err
 	}
-	defer func() { _ = httpResponse.Body.Close() }() // its bytes are in memory: there is nothing to be released
+	defer func() { _ = httpResponse.Body.Close() }() // the body is read from memory, so closing it releases nothing
 	body, err := d.readBody(httpResponse, ended)
 	if err != nil {
 		return upstream.Response{}, err
@@ -38,7 +38,8 @@
 	return responseOf(httpResponse, body), nil
 }
 
-// readFinalHeader reads headers up to that of the final response. After 101 the connection would speak another protocol.
+// readFinalHeader reads headers up to that of the final response. Status 101 is malformed, as the connection would speak another
+// protocol after it.
 func (d *decoder) readFinalHeader() (*http.Response, error) {
 	for interim := 0; ; interim++ {
 		httpResponse, err := d.readHeader()
@@ -54,7 +55,8 @@
 	}
 }
 
-// readHeader reads one header once it is complete: net/http takes half a line at the end of the input for a complete one.
+// readHeader reads one header once the buffer has all of it: net/http takes half a line at the end of the input for a complete
+// line.
 func (d *decoder) readHeader() (*http.Response, error) {
 	unread := d.buffer[d.end-d.unread() : d.end]
 	if !bytes.Contains(unread, []byte("\n\r\n")) && !bytes.Contains(unread, []byte("\n\n")) {
@@ -64,7 +66,7 @@
 	return httpResponse, incompleteAtEOF(err)
 }
 
-// readBody reads the body into a buffer of its own, as the value outlives the decoder's.
+// readBody reads the body into a new buffer, as the value outlives the decoder's buffer.
 func (d *decoder) readBody(httpResponse *http.Response, ended bool) ([]byte, error) {
 	maxBody := d.memory.MaxResponse()
 	if httpResponse.ContentLength > int64(maxBody) {
@@ -79,7 +81,7 @@
 		return nil, upstream.ErrMalformedResponse
 	case err != nil:
 		return nil, incompleteAtEOF(err)
-	case len(httpResponse.TransferEncoding) == 0 && !ended: // it ends with the connection
+	case len(httpResponse.TransferEncoding) == 0 && !ended: // the body ends with the connection
 		return nil, errIncomplete
 	}
 	return body, nil
--- a/internal/upstream/resp/codec.go
+++ b/internal/upstream/resp/codec.go
@@ -1,4 +1,4 @@
-// Package resp speaks RESP2, the protocol of Redis, to the cache servers.
+// Package resp implements RESP2, the protocol of Redis, for connections to the cache servers.
 package resp
 
 import (
@@ -9,10 +9,11 @@
 	"shelfproxy/internal/upstream"
 )
 
-// Codec writes the commands of cache servers and reads their responses. Memory bounds long responses.
+// Codec encodes commands to cache servers and decodes their responses. Memory bounds the memory of long responses.
 type Codec struct{ Memory *upstream.ResponseMemory }
 
-// AppendRequest appends the command of an attempt: as the client sent it, with the remaining time as the parameter d.
+// AppendRequest appends the command of an attempt. It is the client's command with the remaining time, in milliseconds, as the
+// parameter d. A health check is a PING.
 func (Codec) AppendRequest(b []byte, attempt *upstream.Attempt, now time.Time) []byte {
 	request := attempt.Request
 	if request == nil {
--- a/internal/upstream/resp/decoder.go
+++ b/internal/upstream/resp/decoder.go
@@ -6,8 +6,8 @@
 	"shelfproxy/internal/upstream"
 )
 
-// chunkSize is the size of a read buffer in bytes. Values are slices of the chunk that they were read into; a chunk is never written
-// over, as a value may still be on its way to a client.
+// chunkSize is the size of a read buffer in bytes. Values are slices of the chunk that they were read into. A chunk is never
+// overwritten, as a value may still be on its way to a client.
 const chunkSize = 16 << 10
 
 // decoder implements upstream.Decoder. buffer[start:end] holds the bytes that belong to no response yet.
@@ -15,8 +15,8 @@
 	memory     *upstream.ResponseMemory
 	buffer     []byte
 	start, end int
-	needed     int // bytes of the response at start, as far as they are known
-	reserved   int // bytes of memory
+	needed     int // number of bytes that the response at start has at least; 0 if not known
+	reserved   int // number of bytes reserved from memory
 }
 
 // Buffered implements upstream.Decoder.
@@ -25,20 +25,22 @@
 // BytesRead implements upstream.Decoder.
 func (d *decoder) BytesRead(n int) { d.end += n }
 
-// ReadBuffer returns the rest of the chunk. A response that does not fit there moves to a new chunk, of its own size if it is known.
+// ReadBuffer returns the unused rest of the chunk. A response that does not fit there moves to a new chunk. If the response is
+// known to be long, the new chunk has its size.
 func (d *decoder) ReadBuffer() []byte {
 	if d.end == len(d.buffer) || d.start+d.needed > len(d.buffer) {
 		partial := d.buffer[d.start:d.end]
 		size := max(chunkSize, 2*len(partial))
 		if d.isLong() {
-			size = d.needed + maxHeaderLength // what follows the value, a load report among it
+			size = d.needed + maxHeaderLength // space for what follows the value, such as a load report
 		}
 		d.replaceBuffer(size, partial)
 	}
 	return d.buffer[d.end:]
 }
 
-// replaceBuffer goes on in a buffer of at least size bytes that starts with the given bytes and has space behind them.
+// replaceBuffer replaces the buffer by one of at least size bytes, which starts with the unconsumed bytes and has space after
+// them.
 func (d *decoder) replaceBuffer(size int, unconsumed []byte) {
 	d.buffer = make([]byte, max(size, len(unconsumed)+1))
 	d.start, d.end = 0, copy(d.buffer, unconsumed)
@@ -47,7 +49,7 @@
 // isLong reports whether the response at start is known to need a buffer of its own.
 func (d *decoder) isLong() bool { return d.needed > chunkSize }
 
-// NextResponse implements upstream.Decoder. No RESP2 value ends with its connection, so it needs not know whether that has ended.
+// NextResponse implements upstream.Decoder. It ignores whether the connection has ended, as no RESP2 value is completed by that.
 func (d *decoder) NextResponse(bool) (upstream.Response, bool, error) {
 	if d.Buffered() < d.needed {
 		return upstream.Response{}, false, nil
@@ -60,7 +62,7 @@
 		return upstream.Response{}, false, d.expect(size.needed)
 	}
 	d.start += size.consumed
-	if d.isLong() { // the buffer now belongs to the value
+	if d.isLong() { // the buffer now belongs to the long value
 		d.replaceBuffer(chunkSize, d.buffer[d.start:d.end])
 	}
 	d.Release()
@@ -68,7 +70,8 @@
 	return response, err == nil, err
 }
 
-// expect notes that the response at start has at least so many bytes, and reserves memory for a long one; 0 if that is not known.
+// expect records that the response at start has at least the needed number of bytes, and reserves memory for a long response. A
+// needed number of 0 means that the size is not known.
 func (d *decoder) expect(needed int) error {
 	if needed == 0 {
 		return nil
@@ -89,14 +92,15 @@
 	d.reserved, d.needed = 0, 0
 }
 
-// busyPrefix starts the error of a server that rejects a command.
+// busyPrefix is the start of the error with which a server rejects a command.
 var busyPrefix = []byte("BUSY")
 
-// responseOf maps a RESP2 value to a response: PONG, an error, or an array of the value, the state of the cache and a load report.
+// responseOf converts a RESP2 value to a response. The value is PONG, an error, or an array of the value, the state of the cache
+// and a load report.
 func responseOf(value reply) (upstream.Response, error) {
 	switch {
 	case value.kind == simpleString:
-		return upstream.Response{Outcome: upstream.Served}, nil // PONG
+		return upstream.Response{Outcome: upstream.Served}, nil // PONG answers a health check
 	case value.kind == simpleError && !startsWithCapital(value.data):
 		return upstream.Response{}, upstream.ErrMalformedResponse
 	case value.kind == simpleError && bytes.HasPrefix(value.data, busyPrefix):
@@ -115,7 +119,7 @@
 
 func startsWithCapital(text []byte) bool { return len(text) > 0 && text[0] >= 'A' && text[0] <= 'Z' }
 
-// trailingLoadReport returns the load report that the text of an error may end with.
+// trailingLoadReport returns the load report at the end of the text of an error; nil if there is none.
 func trailingLoadReport(text []byte) []byte {
 	if i := bytes.LastIndexByte(text, ' '); i >= 0 && bytes.IndexByte(text[i:], '=') >= 0 {
 		return text[i+1:]
--- a/internal/upstream/resp/golden_test.go
+++ b/internal/upstream/resp/golden_test.go
@@ -10,7 +10,7 @@
 	"shelfproxy/internal/upstream"
 )
 
-// TestRequestsMatchGoldenFile: the RESP2 commands that cache servers get.
+// TestRequestsMatchGoldenFile checks the RESP2 commands that cache servers receive.
 func TestRequestsMatchGoldenFile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	read := &request.Request{Key: []byte("anna"), ID: []byte("id-1"), Parameters: []byte("c=view,d=3000,t=x")}
@@ -30,7 +30,7 @@
 	golden.Check(t, "requests.golden", lines.Bytes())
 }
 
-// TestResponsesMatchGoldenFile: what cache servers respond, and what the decoder makes of it.
+// TestResponsesMatchGoldenFile checks how the decoder reads the responses of cache servers.
 func TestResponsesMatchGoldenFile(t *testing.T) {
 	var lines golden.Lines
 	for _, text := range []string{"+PONG\r\n", "-BUSY qps=1,eps=2\r\n", "-BUSY\r\n", "-ERR failed q=3\r\n", "-bad\r\n", "$2\r\nab\r\n",
--- a/internal/upstream/resp/parser.go
+++ b/internal/upstream/resp/parser.go
@@ -16,30 +16,31 @@
 	array        = '*'
 )
 
-// Bounds of a response. Past them it is malformed, and nothing of its size is allocated. The bound of a value is the caller's.
+// Bounds of a response. A response that exceeds one is malformed, and no memory is allocated by the size that it announces. The
+// caller sets the bound of a value.
 const (
-	maxItems              = 3   // of an array
-	maxHeaderLength       = 512 // bytes of a header with text
-	maxNumberHeaderLength = 16  // bytes of a header with a number
+	maxItems              = 3   // items of an array
+	maxHeaderLength       = 512 // bytes of a header line with text
+	maxNumberHeaderLength = 16  // bytes of a header line with a number
 )
 
 var crlf = []byte("\r\n")
 
-// reply is one RESP2 value; its data is a slice of the buffer that it was parsed from.
+// reply is one RESP2 value. Its data is a slice of the buffer that it was parsed from.
 type reply struct {
 	kind   byte
 	data   []byte
 	isNull bool
-	items  []reply // of an array
+	items  []reply // items of an array
 }
 
-// extent is what is known of the size of a value, in bytes from its start.
+// extent is what is known about the size of a value, in bytes from the start of the value.
 type extent struct {
-	consumed int // by the complete value; 0 if more bytes are needed
-	needed   int // a lower bound for the size of the incomplete value; 0 if it is not known
+	consumed int // size of the complete value; 0 if more bytes are needed
+	needed   int // lower bound for the size of the incomplete value; 0 if not known
 }
 
-// parseReply reads one value from the start of b, with no string longer than maxBulk. An array must not be nested.
+// parseReply parses one value at the start of b. A string longer than maxBulk bytes and a nested array are malformed.
 //
 // redcon.ReadNextRESP is not used here: it does not tell a malformed value from an incomplete one, and a length near the largest
 // integer makes it panic.
@@ -60,8 +61,8 @@
 	return first, extent{consumed: size}, nil
 }
 
-// parseHeader reads the first line of a value, with its kind and its text, length or count, and returns the size of the line; 0 if
-// it is incomplete.
+// parseHeader parses the first line of a value, which has the kind of the value and its text, length or count. It returns the
+// size of the line in bytes; 0 if the line is incomplete.
 func parseHeader(b []byte) (reply, int, error) {
 	header := b[:min(len(b), maxHeaderLength)]
 	if len(b) > 0 && (b[0] == bulkString || b[0] == array || b[0] == integer) {
@@ -82,8 +83,8 @@
 	return reply{kind: b[0], data: b[1 : newline-1]}, newline + 1, nil
 }
 
-// isValidHeaderStart reports whether a header can start like this: with its kind, and printable text or a number. A carriage return is
-// looked for at the end only.
+// isValidHeaderStart reports whether a valid header can start with these bytes: its kind, and printable text or a number. A
+// carriage return is valid at the end only.
 func isValidHeaderStart(header []byte) bool {
 	text := bytes.TrimSuffix(header[1:], []byte{'\r'})
 	switch header[0] {
@@ -95,7 +96,7 @@
 	return false
 }
 
-// parseCount reads the length or count of a header; -1 stands for null.
+// parseCount parses the length or the count in a header; -1 stands for null.
 func parseCount(header reply, maxCount int) (int, error) {
 	count, err := strconv.Atoi(string(header.data))
 	if err != nil || count < -1 || count > maxCount {
@@ -104,7 +105,7 @@
 	return count, nil
 }
 
-// parseBulkString reads the string that follows a header of headerSize bytes.
+// parseBulkString parses a bulk string, whose header line has headerSize bytes.
 func parseBulkString(b []byte, header reply, headerSize, maxBulk int) (reply, extent, error) {
 	length, err := parseCount(header, maxBulk)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return reply{kind: bulkString, data: b[headerSize:end:end]}, extent{consumed: size}, nil
 }
 
-// parseArray reads the items that follow a header of headerSize bytes.
+// parseArray parses an array, whose header line has headerSize bytes.
 func parseArray(b []byte, header reply, headerSize, maxBulk int) (reply, extent, error) {
 	count, err := parseCount(header, maxItems)
 	if err != nil {
--- a/internal/upstream/resp/parser_fuzz_test.go
+++ b/internal/upstream/resp/parser_fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzParse: whatever a cache server sends, parsing it neither panics, nor consumes more than is there, nor asks for bytes that are
+// FuzzParse checks that parsing any bytes neither panics, nor consumes more bytes than there are, nor asks for bytes that are
 // there already.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"+PONG\r\n", "$9223372036854775807\r\n", "*99999999\r\n", "*3\r\n$1\r\na\r\n$-1\r\n$0\r\n\r\n",
