--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/upstream"
 )
 
-// carryOut carries out an action of the policy. A flat table of the actions.
+// carryOut carries out an action of the policy.
 func (c *Core) carryOut(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -6,8 +6,8 @@
 	"shelfproxy/internal/upstream"
 )
 
-// send starts an attempt that the policy decided on. One whose endpoint has been removed, whose request is answered or cancelled, or
-// whose time is over ends as NotSent.
+// send starts an attempt that the policy decided on. The attempt ends as NotSent if its endpoint has been removed, its request is
+// answered or cancelled, or its deadline has passed.
 func (c *Core) send(action policy.Send) {
 	open, endpoint := c.requests[action.ID], c.endpoints[action.Server]
 	if open == nil {
@@ -39,7 +39,7 @@
 	return attempt
 }
 
-// AttemptEnded takes the outcome of an attempt from its pool.
+// AttemptEnded handles the outcome of an attempt, which its pool has reported.
 func (c *Core) AttemptEnded(attempt *upstream.Attempt, response upstream.Response) {
 	c.attemptEnded(attempt, response)
 	c.settle()
@@ -54,7 +54,7 @@
 	}
 	open := c.byRequest[attempt.Request]
 	if open == nil || attempt.Number >= len(open.attempts) || open.attempts[attempt.Number] != attempt {
-		c.options.Counters.LateResponses.Add(1) // abandoned before
+		c.options.Counters.LateResponses.Add(1) // the attempt was abandoned before
 		return
 	}
 	if response.Outcome == upstream.Served {
@@ -63,17 +63,17 @@
 	c.endAttempt(open, attempt, response.Outcome)
 }
 
-// abandon ends an attempt from the node's side.
+// abandon ends an attempt with the given outcome, without waiting for the pool to report one.
 func (c *Core) abandon(open *openRequest, attempt *upstream.Attempt, outcome upstream.Outcome) {
 	endpoint := c.endpoints[attempt.Server]
 	if endpoint != nil && !endpoint.pool.Abandon(attempt) && outcome == upstream.TimedOut {
-		outcome = upstream.NotSent // it waited for a connection all the time
+		outcome = upstream.NotSent // the attempt waited for a connection all the time
 	}
 	c.endAttempt(open, attempt, outcome)
 }
 
-// withdrawUnwritten ends the attempts for a request of which nothing has been written: nobody waits for them any more. Those that are
-// possibly executed go on, as other requests may wait for what they fetch.
+// withdrawUnwritten is called when the client of a request has disconnected. It ends the attempts for the request of which
+// nothing was written. Attempts that are possibly executed go on, as other requests may wait for the values that they fetch.
 func (c *Core) withdrawUnwritten(open *openRequest) {
 	for _, attempt := range open.attempts {
 		if attempt == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// endAttempt counts the outcome of an attempt and queues it for the policy: settle notifies it.
+// endAttempt counts the outcome of an attempt and queues it in events: settle notifies the policy of it.
 func (c *Core) endAttempt(open *openRequest, attempt *upstream.Attempt, outcome upstream.Outcome) {
 	open.attempts[attempt.Number] = nil
 	open.inFlight--
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -13,52 +13,52 @@
 // loadLevelStep is the smallest change of the load level that the policy is notified of, except the return to 0.
 const loadLevelStep = 0.05
 
-// Environment is what a Core needs of its owner.
+// Environment holds the functions that the shell of a Core provides.
 type Environment struct {
-	// Now is the clock. It must not go back.
+	// Now returns the current time. The clock must not go back.
 	Now func() time.Time
-	// ReportOutcome takes the outcome of an attempt from a pool, and has AttemptEnded called with it, not before the call of the
-	// pool has returned.
+	// ReportOutcome takes the outcome of an attempt from a pool, and arranges a call of AttemptEnded with it. If the core is just
+	// calling the pool, AttemptEnded must not be called before that call has returned.
 	ReportOutcome func(*upstream.Attempt, upstream.Response)
-	// PostListUpdate has update called soon, before anything else that waits: an attempt that is decided on after a change of the
-	// endpoint list must take it into account.
+	// PostListUpdate arranges a call of update, ahead of all other work that waits. An attempt that is decided on after a change
+	// of the endpoint list must take the change into account.
 	PostListUpdate func(update func())
 }
 
-// Core owns the policy and everything that it decides on: requests, their deadlines, the attempts for each, and the endpoint list. It
-// has no clock, goroutines or sockets of its own, and is not safe for concurrent use.
+// Core owns the policy and the state that it decides on: requests, their deadlines, the attempts for each request, and the
+// endpoint list. Core has no clock, goroutines or sockets of its own, and is not safe for concurrent use.
 type Core struct {
 	options     Options
 	environment Environment
 	router      *policy.Router
-	start       time.Time // the policy's clock is Unix time at the start, and monotonic from there on
+	start       time.Time // start of the policy's clock, which begins at this Unix time and is monotonic from there on
 	timers      timerQueue
-	events      []policy.Event // outcomes of the policy's own actions, of which it has not been notified yet
+	events      []policy.Event // outcomes of the policy's own actions, of which the policy has not been notified yet
 
 	classes      map[string]int // index of each class by name
 	requests     map[uint64]*openRequest
 	byRequest    map[*request.Request]*openRequest
-	ids          map[string]bool // of requests that are owed a response
+	ids          map[string]bool // ids of the requests that are owed a response
 	lastID       uint64
-	openRequests int // that are owed a response
+	openRequests int // number of requests that are owed a response
 	memory       admission.RequestMemory
-	loadLevel    float64 // that the policy was notified of
+	loadLevel    float64 // load level that the policy was last notified of
 	requestLog   requestLog
 
 	isDraining    bool
-	drainDeadline time.Time     // while draining: no request is answered later
+	drainDeadline time.Time     // while the core drains, no request is answered after this time
 	drained       chan struct{} // closed by checkDrained when the core drains and owes no response any more
 
-	endpoints        map[string]*endpoint   // by id
-	endpointsAt      map[string][]*endpoint // by address
-	removedEndpoints map[string]*endpoint   // those of endpoints that are removed and have attempts, by id
+	endpoints        map[string]*endpoint   // all known endpoints, by id
+	endpointsAt      map[string][]*endpoint // the same endpoints, by address
+	removedEndpoints map[string]*endpoint   // known endpoints that were removed, kept while attempts are in flight to them, by id
 	listValidator    discovery.ListValidator
-	stopWatch        func() // nil before the first watch
-	watchNumber      int    // of the current watch; reports of earlier ones are dropped
+	stopWatch        func() // stops the current watch; nil before the first watch
+	watchNumber      int    // number of the current watch; reports of earlier watches are dropped
 	isWatchHealthy   bool
 }
 
-// NewCore returns a core. The error is the policy's about its settings. Start is to be called first.
+// NewCore returns a core, or an error if the policy rejects its settings. Start must be called before any other method.
 func NewCore(options Options, environment Environment) (*Core, error) {
 	router, err := policy.New(options.Policy, options.Seed)
 	if err != nil {
@@ -75,25 +75,25 @@
 	return core, nil
 }
 
-// Start takes the initial endpoint list and, where lists are pushed to the node, opens a watch.
+// Start applies the initial endpoint list. If lists are pushed to the node, it also opens a watch.
 func (c *Core) Start() {
 	c.listValidator.SetVersion(c.options.InitialList.Version)
 	c.updateEndpoints(c.options.InitialList, policy.CachedList)
-	c.options.InitialList = discovery.List{} // it would stay in memory
+	c.options.InitialList = discovery.List{} // the list is not used again and would stay in memory
 	if c.isListPushed() {
 		c.subscribe()
 	}
 	c.settle()
 }
 
-// Stop ends the watch.
+// Stop ends the watch on discovery.
 func (c *Core) Stop() {
 	if c.stopWatch != nil {
 		c.stopWatch()
 	}
 }
 
-// NotifyPolicy notifies the policy of an event from outside of the node.
+// NotifyPolicy notifies the policy of an event from outside the node.
 func (c *Core) NotifyPolicy(event policy.Event) {
 	c.notify(event)
 	c.settle()
@@ -107,13 +107,13 @@
 // OpenRequests returns how many requests are owed a response.
 func (c *Core) OpenRequests() int { return c.openRequests }
 
-// Retained returns how much the core keeps in memory: requests, of which some are answered and have attempts in flight, request ids and
-// timers. Without requests and attempts that is nothing but the policy's own timer.
+// Retained returns the number of requests, request ids and timers that the core keeps in memory. Answered requests are kept while
+// they have attempts in flight. Without requests and attempts, only the policy's own timer is kept.
 func (c *Core) Retained() (requests, ids, timers int) {
 	return len(c.requests), len(c.ids), c.timers.len()
 }
 
-// NextTimer returns when HandleTimers is to be called; false if there is nothing to wait for.
+// NextTimer returns the time at which HandleTimers has to be called next. ok is false if there is no timer.
 func (c *Core) NextTimer() (at time.Time, ok bool) { return c.timers.next() }
 
 // HandleTimers runs the timers whose time has come.
@@ -125,7 +125,8 @@
 	}
 }
 
-// SetLoadLevel notifies the policy of the fraction of the sheddable load to shed, from 0 to 1, if that has changed.
+// SetLoadLevel notifies the policy of the fraction of the sheddable load to shed, from 0 to 1. It does so if the fraction has
+// changed by loadLevelStep or has returned to 0.
 func (c *Core) SetLoadLevel(level float64) {
 	change := level - c.loadLevel
 	if change >= loadLevelStep || change <= -loadLevelStep || change != 0 && level == 0 {
@@ -144,14 +145,15 @@
 	return c.start.Add(t - time.Duration(c.start.UnixNano()))
 }
 
-// notify gives the policy an event and carries out its actions.
+// notify passes an event to the policy and carries out the policy's actions.
 func (c *Core) notify(event policy.Event) {
 	for _, action := range c.router.Handle(c.policyTime(c.environment.Now()), event) {
 		c.carryOut(action)
 	}
 }
 
-// settle notifies the policy of the outcomes of its own actions, until there are none left. Each call from outside ends with it.
+// settle notifies the policy of the outcomes of its own actions, until there are none left. Each call from outside the core ends
+// with a call of settle.
 func (c *Core) settle() {
 	for len(c.events) > 0 {
 		event := c.events[0]
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -8,32 +8,32 @@
 	"shelfproxy/internal/upstream"
 )
 
-// disconnectCase is a place where a request waits when its client disconnects.
+// disconnectCase is a point at which a request waits when its client disconnects.
 type disconnectCase struct {
 	name            string
-	waits           func(t *testing.T, node *testNode) *request.Request // returns the request whose client disconnects
-	afterDisconnect func(node *testNode)                                // nil: nothing
+	startWaiting    func(t *testing.T, node *testNode) *request.Request // brings a request to that point and returns it
+	afterDisconnect func(node *testNode)                                // what happens next; nil if nothing does
 }
 
 var disconnectCases = []disconnectCase{
-	{name: "for the event loop", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "for the event loop", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		read := node.newRequest("id", "read")
 		read.Cancel()
 		node.core.HandleRequest(read)
 		return read
 	}},
-	{name: "for a connection to the cache server", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "for a connection to the cache server", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		return node.handle("id", "read")
 	}},
-	{name: "for a connection to the origin", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "for a connection to the origin", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		return node.handleMissed("id")
 	}},
-	{name: "between a miss and its fetch", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "between a miss and its fetch", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		read := node.handle("id", "read")
 		node.cacheServer.writeAll()
 		return read
 	}, afterDisconnect: func(node *testNode) { node.cacheServer.endOldest(upstream.Missed) }},
-	{name: "between a miss and its fetch, noticed by the listener alone", waits: func(t *testing.T, node *testNode) *request.Request {
+	{name: "between a miss and its fetch, noticed by the listener alone", startWaiting: func(t *testing.T, node *testNode) *request.Request {
 		read := node.handle("id", "read")
 		node.cacheServer.writeAll()
 		read.Cancel()
@@ -43,7 +43,7 @@
 		}
 		return read
 	}},
-	{name: "in the origin's queue", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "in the origin's queue", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		node.fillOrigin()
 		return node.handle("id", "put")
 	}, afterDisconnect: func(node *testNode) {
@@ -51,12 +51,12 @@
 			node.origin.endOldest(upstream.Served)
 		}
 	}},
-	{name: "for the fetch of another request", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "for the fetch of another request", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		node.handleMissed("first")
 		node.origin.writeAll()
 		return node.handle("id", "read")
 	}, afterDisconnect: func(node *testNode) { node.origin.endOldest(upstream.Served) }},
-	{name: "in a backoff", waits: func(_ *testing.T, node *testNode) *request.Request {
+	{name: "in a backoff", startWaiting: func(_ *testing.T, node *testNode) *request.Request {
 		read := node.handleMissed("id")
 		node.origin.writeAll()
 		node.origin.endOldest(upstream.ServerBusy)
@@ -64,13 +64,14 @@
 	}},
 }
 
-// TestNothingIsStartedForDisconnectedClient: wherever a request waits when its client disconnects, no further attempt is written for
-// it, and it is forgotten; requests that wait for what it was to fetch have it fetched for them.
+// TestNothingIsStartedForDisconnectedClient checks that no further attempt is written for a request once its client has
+// disconnected, wherever the request waits, and that the request is forgotten. Requests that wait for the value that it was to
+// fetch have the value fetched for them.
 func TestNothingIsStartedForDisconnectedClient(t *testing.T) {
 	for _, test := range disconnectCases {
 		t.Run(test.name, func(t *testing.T) {
 			node := newTestNode(t)
-			r := test.waits(t, node)
+			r := test.startWaiting(t, node)
 			node.core.ClientDisconnected(r)
 			waiting := len(node.cacheServer.waiting) + len(node.origin.waiting)
 			if test.afterDisconnect != nil {
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestWaitersFetchForThemselvesWhenFetchingClientDisconnects: requests that wait for a fetch that was never written go on by themselves
-// when its client disconnects.
+// TestWaitersFetchForThemselvesWhenFetchingClientDisconnects checks requests that wait for another request's fetch, which was
+// never written. When the client of that other request disconnects, they go on by themselves.
 func TestWaitersFetchForThemselvesWhenFetchingClientDisconnects(t *testing.T) {
 	node := newTestNode(t)
 	first := node.handleMissed("first")
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Drain makes the core answer every request that it has taken, or still takes, by a deadline.
+// Drain makes the core answer every request that it has taken, or still takes, by the deadline.
 func (c *Core) Drain(deadline time.Time) {
 	c.isDraining, c.drainDeadline = true, deadline
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
@@ -16,7 +16,7 @@
 	c.checkDrained()
 }
 
-// Drained returns a channel that is closed when a core that drains owes no response any more.
+// Drained returns a channel that is closed when the core drains and owes no response any more.
 func (c *Core) Drained() <-chan struct{} { return c.drained }
 
 func (c *Core) checkDrained() {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -13,23 +13,24 @@
 // endpoint is a cache server or the origin, as the endpoint list last described it.
 type endpoint struct {
 	discovery.Server
-	pool         Upstream            // nil until it is used
-	inFlight     int                 // attempts for requests
-	healthChecks []*upstream.Attempt // in flight
+	pool         Upstream            // nil until the endpoint is used
+	inFlight     int                 // number of attempts for requests that are in flight
+	healthChecks []*upstream.Attempt // health checks that are in flight
 }
 
 var serverStates = map[discovery.State]policy.ServerState{discovery.Up: policy.Live,
 	discovery.Draining: policy.Draining, discovery.Removed: policy.Removed}
 
-// updateEndpoints takes an endpoint list, or a change of it. The pools are told first, so that nothing that is queued goes to a server
-// that has left the list; then the policy is notified. A change costs in proportion to its entries, not to the list.
+// updateEndpoints applies a full endpoint list or a change of the list. The pools are updated first, so that no queued attempt
+// goes to a server that has left the list. Then the policy is notified. The cost of a change is proportional to its entries, not
+// to the length of the list.
 func (c *Core) updateEndpoints(list discovery.List, scope policy.EndpointScope) {
 	servers := c.withSuperseded(list)
 	event := policy.EndpointUpdate{Scope: scope, Servers: make([]policy.Server, 0, len(servers))}
-	for _, described := range servers {
-		event.Servers = append(event.Servers, policy.Server{ID: described.ID, Zone: described.Zone, Kind: described.Kind, Cell: described.Cell,
-			State: serverStates[described.State], Capacity: described.Weight, StartedAt: time.Duration(described.StartedMs) * time.Millisecond})
-		c.updateEndpoint(described)
+	for _, server := range servers {
+		event.Servers = append(event.Servers, policy.Server{ID: server.ID, Zone: server.Zone, Kind: server.Kind, Cell: server.Cell,
+			State: serverStates[server.State], Capacity: server.Weight, StartedAt: time.Duration(server.StartedMs) * time.Millisecond})
+		c.updateEndpoint(server)
 	}
 	if scope != policy.DeltaUpdate {
 		c.removeUnlisted(list)
@@ -38,38 +39,38 @@
 	c.notify(event)
 }
 
-// updateEndpoint takes the description of one endpoint, which may be new.
-func (c *Core) updateEndpoint(described discovery.Server) {
-	known := c.endpoints[described.ID]
+// updateEndpoint applies the list's description of one endpoint, which may be new.
+func (c *Core) updateEndpoint(server discovery.Server) {
+	known := c.endpoints[server.ID]
 	if known == nil {
 		known = &endpoint{}
-		c.endpoints[described.ID] = known
+		c.endpoints[server.ID] = known
 	}
-	if described.State == discovery.Removed && described.Addr == "" {
-		described.Addr = known.Addr
+	if server.State == discovery.Removed && server.Addr == "" {
+		server.Addr = known.Addr
 	}
-	c.describe(known, described)
+	c.setDescription(known, server)
 	c.updatePool(known)
 }
 
-// describe changes the description of an endpoint, and where it is found by.
-func (c *Core) describe(changed *endpoint, described discovery.Server) {
-	if described.Addr != changed.Addr {
+// setDescription stores the list's description of an endpoint, and updates endpointsAt and removedEndpoints.
+func (c *Core) setDescription(changed *endpoint, server discovery.Server) {
+	if server.Addr != changed.Addr {
 		c.removeFromAddress(changed)
 	}
 	isNew := changed.ID == ""
-	if isNew || described.Addr != changed.Addr {
-		c.endpointsAt[described.Addr] = append(c.endpointsAt[described.Addr], changed)
+	if isNew || server.Addr != changed.Addr {
+		c.endpointsAt[server.Addr] = append(c.endpointsAt[server.Addr], changed)
 	}
-	changed.Server = described
-	if described.State == discovery.Removed {
-		c.removedEndpoints[described.ID] = changed
+	changed.Server = server
+	if server.State == discovery.Removed {
+		c.removedEndpoints[server.ID] = changed
 	} else {
-		delete(c.removedEndpoints, described.ID)
+		delete(c.removedEndpoints, server.ID)
 	}
 }
 
-// removeFromAddress takes an endpoint out of those at its address.
+// removeFromAddress removes an endpoint from those at its address in endpointsAt.
 func (c *Core) removeFromAddress(leaving *endpoint) {
 	others := slices.DeleteFunc(c.endpointsAt[leaving.Addr], func(other *endpoint) bool { return other == leaving })
 	if len(others) == 0 {
@@ -93,13 +94,14 @@
 	}
 	slices.Sort(unlisted)
 	for _, id := range unlisted {
-		described := c.endpoints[id].Server
-		described.State = discovery.Removed
-		c.updateEndpoint(described)
+		server := c.endpoints[id].Server
+		server.State = discovery.Removed
+		c.updateEndpoint(server)
 	}
 }
 
-// forgetRemoved drops removed endpoints without attempts: replaced servers must not fill the memory of a node that runs for long.
+// forgetRemoved forgets removed endpoints without attempts: replaced servers must not fill the memory of a node that runs for
+// long.
 func (c *Core) forgetRemoved() {
 	for id, removed := range c.removedEndpoints {
 		if removed.inFlight == 0 && len(removed.healthChecks) == 0 {
@@ -110,17 +112,17 @@
 	}
 }
 
-// upstreamOf returns an endpoint's pool. It is created as it is first used: a node meets few of thousands of servers.
+// upstreamOf returns an endpoint's pool. The pool is created when it is first used: a node uses few of thousands of servers.
 func (c *Core) upstreamOf(used *endpoint) Upstream {
 	if used.pool == nil {
 		isOrigin := c.options.Policy.OriginKind != "" && used.Kind == c.options.Policy.OriginKind
 		used.pool = c.options.NewUpstream(used.Server, isOrigin, c.environment.ReportOutcome)
-		used.pool.Update(used.Addr, used.State != discovery.Up) // a new pool has nothing to return
+		used.pool.Update(used.Addr, used.State != discovery.Up) // a new pool has no attempts to return
 	}
 	return used.pool
 }
 
-// updatePool tells an endpoint's pool of its address and state, and ends the attempts that the pool returns.
+// updatePool passes an endpoint's address and state to its pool, and ends the attempts that the pool returns.
 func (c *Core) updatePool(updated *endpoint) {
 	if updated.pool == nil {
 		return
@@ -130,11 +132,12 @@
 	}
 }
 
-// withSuperseded returns the servers of a list, and those whose address another server has taken over, as removed: a process that
-// started later at the same address. Attempts for the one before would reach its successor, which is warming up, as load that was
-// never counted as its own; and the list names the end of the one and the start of the other in any order.
+// withSuperseded returns the servers of a list, and marks superseded ones as removed: servers at whose address another process
+// has started later. The result of a change also has known servers that the change supersedes without naming them. Attempts for a
+// superseded server would reach its successor, which is warming up, as load that was never counted as the successor's own. The
+// list may name the end of the one server and the start of the other in any order.
 func (c *Core) withSuperseded(list discovery.List) []discovery.Server {
-	newest := make(map[string]int64, len(list.Servers)) // time of the latest start by address
+	newest := make(map[string]int64, len(list.Servers)) // by address: the time of the latest start, in Unix milliseconds
 	isListed := make(map[string]bool, len(list.Servers))
 	for _, server := range list.Servers {
 		isListed[server.ID] = true
@@ -142,7 +145,7 @@
 			newest[server.Addr] = max(newest[server.Addr], server.StartedMs)
 		}
 	}
-	var others []discovery.Server // that a change does not name, at addresses that it names
+	var others []discovery.Server // known servers that a change does not name, at addresses that it names
 	if !list.IsFull {
 		others = c.otherEndpointsAt(newest, isListed)
 		for _, other := range others {
@@ -164,7 +167,8 @@
 	return servers
 }
 
-// otherEndpointsAt returns the endpoints at some addresses that are not listed and not removed, in the order of their ids.
+// otherEndpointsAt returns the known servers at the given addresses that are neither listed nor removed, in the order of their
+// ids.
 func (c *Core) otherEndpointsAt(addresses map[string]int64, isListed map[string]bool) (others []discovery.Server) {
 	for address := range addresses {
 		for _, known := range c.endpointsAt[address] {
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -31,8 +31,8 @@
 	c.timers.add(check.Deadline, func() { c.expireHealthCheck(endpoint, check, isRepeated) })
 }
 
-// expireHealthCheck gives up a health check that has no answer in time. If the process did not run for a part of that time its answer may
-// wait to be read, so it is sent once more.
+// expireHealthCheck gives up a health check that was not answered in time. If the process was paused for a part of that time, the
+// answer may be there but not read yet, so the check is sent once more.
 func (c *Core) expireHealthCheck(endpoint *endpoint, check *upstream.Attempt, isRepeated bool) {
 	if !endpoint.removeHealthCheck(check) {
 		return
@@ -44,10 +44,10 @@
 		return
 	}
 	c.reportHealthCheck(check, upstream.TimedOut)
-	endpoint.pool.CloseIdle() // to a machine that is cut off they would stay open and unresponsive
+	endpoint.pool.CloseIdle() // connections to an unreachable machine would stay open without responding
 }
 
-// endHealthCheck takes the outcome of a health check, unless the check has ended already.
+// endHealthCheck handles the outcome of a health check, unless the check has already ended.
 func (c *Core) endHealthCheck(endpoint *endpoint, check *upstream.Attempt, outcome upstream.Outcome) {
 	if endpoint.removeHealthCheck(check) {
 		c.reportHealthCheck(check, outcome)
@@ -59,7 +59,7 @@
 	c.events = append(c.events, policy.HealthChecked{Server: check.Server, Reason: outcome.Reason()})
 }
 
-// removeHealthCheck forgets a health check, and reports whether it had not ended yet.
+// removeHealthCheck removes a health check from those in flight, and reports whether it was one of them.
 func (e *endpoint) removeHealthCheck(check *upstream.Attempt) bool {
 	i := slices.Index(e.healthChecks, check)
 	if i < 0 {
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -7,17 +7,17 @@
 	"shelfproxy/internal/upstream"
 )
 
-// checkHealth has the policy check the health of the cache server: an attempt at it gets no response.
+// checkHealth makes the policy check the health of the cache server: an attempt to the server gets no response.
 func (n *testNode) checkHealth() {
 	n.passTime(time.Second)
 	n.handle("unanswered", "read")
 	n.cacheServer.writeAll()
 	n.cacheServer.endOldest(upstream.ConnectionLost)
 	n.origin.writeAll()
-	n.origin.endOldest(upstream.Served) // else the next read of the key waits for this one
+	n.origin.endOldest(upstream.Served) // otherwise the next read of the key waits for this fetch
 }
 
-// pause moves the clock on as if the process had not run, so that all timers are late.
+// pause advances the clock as if the process had been paused, so that all timers are late.
 func (n *testNode) pause() {
 	n.now = n.now.Add(2 * time.Second)
 	n.core.HandleTimers()
@@ -30,8 +30,9 @@
 	return len(n.cacheServer.waiting) == 1
 }
 
-// TestHealthCheckAcrossAPauseIsRepeated: while the process does not run, nothing that a server answers is read. A health check whose
-// timeout is found late is sent once more, and does not count as the first of the two that take a server out.
+// TestHealthCheckAcrossAPauseIsRepeated checks a health check whose timeout is found late, after a pause of the process in which
+// no answer was read. The check is sent once more. It does not count as the first of the two failed checks that take a server out
+// of use.
 func TestHealthCheckAcrossAPauseIsRepeated(t *testing.T) {
 	node := newTestNode(t)
 	node.checkHealth()
@@ -42,11 +43,12 @@
 	}
 }
 
-// TestHealthCheckIsRepeatedOnce: a node that is always late still finds servers that do not answer.
+// TestHealthCheckIsRepeatedOnce checks that a node whose timers are always late still takes servers that do not answer out of
+// use.
 func TestHealthCheckIsRepeatedOnce(t *testing.T) {
 	node := newTestNode(t)
 	node.checkHealth()
-	const checks = 4 // two that fail, each sent twice
+	const checks = 4 // two checks that fail, each sent twice
 	for range checks {
 		node.pause()
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -14,7 +14,7 @@
 	"shelfproxy/internal/upstream"
 )
 
-// fakePool stands in for the pool of one endpoint: attempts wait in it, unwritten, until writeAll.
+// fakePool replaces the pool of one endpoint. Attempts wait in it, unwritten, until writeAll is called.
 type fakePool struct {
 	core     *Core
 	waiting  []*upstream.Attempt
@@ -40,7 +40,7 @@
 func (p *fakePool) CloseIdle()                              {}
 func (p *fakePool) Update(string, bool) []*upstream.Attempt { return nil }
 
-// writeAll writes what waits and returns how many attempts that are.
+// writeAll writes the attempts that wait, and returns their number.
 func (p *fakePool) writeAll() int {
 	written := len(p.waiting)
 	p.inFlight, p.waiting = append(p.inFlight, p.waiting...), nil
@@ -54,12 +54,12 @@
 	p.core.AttemptEnded(attempt, upstream.Response{Outcome: outcome, Value: []byte("v")})
 }
 
-// idleSource is a discovery service that never reports anything.
+// idleSource is a source of endpoint lists that never reports anything.
 type idleSource struct{}
 
 func (idleSource) Watch(int64, func(discovery.List, error)) func() { return func() {} }
 
-// testNode is a core with one cache server and an origin, on a clock of its own.
+// testNode is a core with one cache server and an origin, on a simulated clock.
 type testNode struct {
 	core                *Core
 	now                 time.Time
@@ -103,14 +103,14 @@
 		ClientTimeout: 3 * time.Second, Reply: func(request.Response) { n.responses++ }}
 }
 
-// handle gives the core a request that arrives now.
+// handle passes a request that arrives now to the core.
 func (n *testNode) handle(id, class string) *request.Request {
 	r := n.newRequest(id, class)
 	n.core.HandleRequest(r)
 	return r
 }
 
-// handleMissed gives the core a read that the cache server has no value for: a fetch from the origin follows.
+// handleMissed passes a read to the core for which the cache server has no value: a fetch from the origin follows.
 func (n *testNode) handleMissed(id string) *request.Request {
 	r := n.handle(id, "read")
 	n.cacheServer.writeAll()
@@ -118,7 +118,7 @@
 	return r
 }
 
-// fillOrigin sends the origin as many writes as it can take, as far as the policy knows.
+// fillOrigin sends so many writes that, as far as the policy knows, the origin can take no more.
 func (n *testNode) fillOrigin() {
 	for i := range 64 {
 		n.handle(fmt.Sprint("w", i), "put")
@@ -126,7 +126,7 @@
 	n.origin.writeAll()
 }
 
-// passTime moves the clock on, and runs the timers at their times.
+// passTime advances the clock, and runs each timer at its time.
 func (n *testNode) passTime(duration time.Duration) {
 	for end := n.now.Add(duration); ; {
 		at, ok := n.core.NextTimer()
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	maxQueuedPerConnection = 32      // requests; the connection's listener waits past that
-	fairQueueQuantum       = 4       // cost of a connection's turn: four small requests, or one of 12 KiB
-	bytesPerCost           = 4 << 10 // bytes of a value that cost as much as a request
-	maxTakenAtOnce         = 32      // requests, before the event loop looks at its other queues
+	maxQueuedPerConnection = 32      // requests of one connection that may be queued; beyond that, its listener waits
+	fairQueueQuantum       = 4       // cost that a connection may use in its turn: four small requests, or one of 12 KiB
+	bytesPerCost           = 4 << 10 // number of value bytes that cost as much as a request
+	maxTakenAtOnce         = 32      // requests that are taken before the event loop looks at its other queues
 	queueDelayTarget       = 5 * time.Millisecond
-	queueDelayInterval     = 100 * time.Millisecond // in which the delay has to fall under the target once
+	queueDelayInterval     = 100 * time.Millisecond // in each interval, the delay has to fall below the target once
 )
 
-// intake is where listeners put requests, and the event loop takes them from, fairly between connections.
+// intake is the queue from the listeners to the event loop. It is fair between connections.
 type intake struct {
 	mu       sync.Mutex // guards queue and isClosed
 	queue    admission.FairQueue[queuedRequest]
 	isClosed bool
-	capacity sync.Cond // of mu: a connection may have capacity for a request, or the intake is closed
+	capacity sync.Cond // uses mu; signals that a connection may queue another request, or that the intake is closed
 
-	// ready holds an element while requests may be queued. It is never closed.
+	// ready wakes the event loop: it holds an element while requests may be queued. It is never closed.
 	ready chan struct{}
 
-	start time.Time // of the queue delay's time
+	start time.Time // time 0 of the clock that queueDelay uses
 
-	// The fields below belong to the event loop.
+	// The fields below are used by the event loop only.
 
 	queueDelay     admission.QueueDelay
 	memoryPressure float64 // fraction of the sheddable load to shed for lack of memory
@@ -48,7 +48,7 @@
 	return in
 }
 
-// close ends the waits of add: nobody takes requests any more.
+// close ends the waits of add, as the event loop takes no more requests.
 func (in *intake) close() {
 	in.mu.Lock()
 	in.isClosed = true
@@ -56,7 +56,7 @@
 	in.mu.Unlock()
 }
 
-// add queues a request. It waits while its connection has too many requests queued, until the intake is closed.
+// add queues a request. It waits while too many requests of the same connection are queued, or until the intake is closed.
 func (in *intake) add(r *request.Request) {
 	cost := 1 + len(r.Value)/bytesPerCost
 	in.mu.Lock()
@@ -67,7 +67,7 @@
 	in.notifyLoop()
 }
 
-// next takes a request, and reports whether more are queued; ok is false if there was none.
+// next takes a request from the queue, and reports whether more are queued. ok is false if there was none.
 func (in *intake) next() (next queuedRequest, hasMore, ok bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -84,12 +84,13 @@
 	}
 }
 
-// observeDelay notes how long a request was queued.
+// observeDelay records how long a request was queued.
 func (in *intake) observeDelay(now, queuedAt time.Time) {
 	in.queueDelay.Observe(now.Sub(in.start), now.Sub(queuedAt))
 }
 
-// loadLevel returns the fraction of the sheddable load to shed: for the delay of the queue or for lack of memory.
+// loadLevel returns the fraction of the sheddable load to shed: because of the queue's delay, or for lack of memory if that is
+// more.
 func (in *intake) loadLevel(now time.Time) float64 {
 	return max(in.queueDelay.Level(now.Sub(in.start)), in.memoryPressure)
 }
@@ -97,7 +98,7 @@
 // Handle implements request.Handler. It waits while the request's connection has too many requests queued.
 func (n *Node) Handle(r *request.Request) { n.intake.add(r) }
 
-// takeQueued takes a number of queued requests at most, and has the event loop come back for the rest.
+// takeQueued handles queued requests, up to a limit. If more are queued, it makes the event loop call it again.
 func (n *Node) takeQueued() {
 	for taken := 0; ; taken++ {
 		next, hasMore, ok := n.intake.next()
@@ -106,7 +107,7 @@
 		}
 		now := time.Now()
 		n.intake.observeDelay(now, next.queuedAt)
-		n.monitor.queued(now.Sub(next.queuedAt))
+		n.monitor.recordQueueWait(now.Sub(next.queuedAt))
 		n.core.SetLoadLevel(n.intake.loadLevel(now))
 		n.monitor.measure(requestStep, n.core, func() { n.core.HandleRequest(next.Request) })
 		if taken == maxTakenAtOnce && hasMore {
@@ -116,7 +117,7 @@
 	}
 }
 
-// SetMemoryPressure tells the event loop how short of memory the node is, from 0 to 1.
+// SetMemoryPressure sets the fraction of the sheddable load to shed for lack of memory, from 0 to 1.
 func (n *Node) SetMemoryPressure(level float64) {
 	n.post(n.queue, func() {
 		n.intake.memoryPressure = level
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node owns the policy and everything that it decides on. Core does so without a clock, goroutines or sockets; Node is the event
-// loop around it. Listeners, pools and discovery reach the loop through its queues only, and the loop never waits for any of them.
+// Package node runs the policy and carries out its decisions. Core holds the policy and the state that it decides on, without a
+// clock, goroutines or sockets; Node is the event loop around a Core. Listeners, pools and discovery reach the loop through its
+// queues only, and the loop never waits for any of them.
 package node
 
 import (
@@ -13,33 +14,35 @@
 	"shelfproxy/internal/upstream"
 )
 
-// Upstream carries attempts to one endpoint; upstream.Pool implements it. Its methods must not wait.
+// Upstream carries attempts to one endpoint; upstream.Pool implements it. Its methods must not block.
 type Upstream interface {
-	// Send starts an attempt. If it returns false the attempt has already ended with the returned outcome.
+	// Send starts an attempt. If it returns false, the attempt has already ended with the returned outcome.
 	Send(*upstream.Attempt) (upstream.Outcome, bool)
-	// Abandon gives an attempt up and reports whether it may have been executed.
+	// Abandon gives an attempt up and reports whether the attempt may have been executed.
 	Abandon(*upstream.Attempt) (possiblyExecuted bool)
-	// Withdraw abandons an attempt if nothing of it was written, and reports whether it did.
+	// Withdraw abandons an attempt if nothing of it was written, and reports whether it did so.
 	Withdraw(*upstream.Attempt) bool
 	// CloseIdle closes the connections without attempts.
 	CloseIdle()
-	// Update sets the endpoint's address and whether it drains, and returns the attempts that therefore end unwritten.
+	// Update sets the endpoint's address and whether the endpoint drains. It returns the attempts that end unwritten because of
+	// that.
 	Update(addr string, isDraining bool) (unwritten []*upstream.Attempt)
 }
 
-// Options are what a node is made of.
+// Options configure a node.
 type Options struct {
 	Policy           policy.Settings
-	Seed             uint64 // of the policy's random draws
+	Seed             uint64 // seed of the policy's random numbers
 	MaxOpenRequests  int
-	MaxRequestBytes  int           // of requests that are owed a response; 0 is no bound
-	MaxClientTimeout time.Duration // longest timeout of any class: a longer one of a client is cut to it; 0 is no bound
+	MaxRequestBytes  int           // memory of the requests that are owed a response, in bytes; 0 is no bound
+	MaxClientTimeout time.Duration // longest timeout of any class, to which the timeouts of clients are cut; 0 is no bound
 	InitialList      discovery.List
 	Source           discovery.Source
-	// NewUpstream returns what carries attempts to a server; report is called with the outcomes.
+	// NewUpstream returns the Upstream that carries attempts to a server. The Upstream calls report with the outcome of each
+	// attempt.
 	NewUpstream func(server discovery.Server, isOrigin bool, report func(*upstream.Attempt, upstream.Response)) Upstream
 	Gossip      func([]byte) error // sends a datagram to all other nodes; nil if the policy must not gossip
-	Announce    func(policy.Role)  // tells all other nodes what the holder of a role's lease announces; nil without leases
+	Announce    func(policy.Role)  // sends all other nodes what the holder of a role's lease announces; nil without leases
 	Counters    *counters.Counters
 	Log         *slog.Logger
 }
@@ -51,17 +54,17 @@
 
 // Node is the event loop that owns a core. Its methods are safe for concurrent use, but must not be called from the loop itself.
 type Node struct {
-	core    *Core       // the event loop's
-	monitor loopMonitor // the event loop's
+	core    *Core       // used by the event loop only
+	monitor loopMonitor // used by the event loop only
 	count   *counters.Counters
 	intake  *intake
-	// The queues are never closed: what is sent after the loop's end is dropped.
+	// The queues are never closed: work that is sent after the loop's end is dropped.
 	queue   chan func()
-	lists   chan func()   // served before queue: an attempt that is decided on after a change of the list must take it into account
+	lists   chan func()   // updates of the endpoint list, served before queue: later decisions on attempts must take them into account
 	stopped chan struct{} // closed by Run as it returns
 }
 
-// New returns a node, which serves once Run is called. The error is the policy's about its settings.
+// New returns a node, which serves requests once Run is called. It returns an error if the policy rejects its settings.
 func New(options Options) (*Node, error) {
 	n := &Node{monitor: newLoopMonitor(options.Log, options.Counters), count: options.Counters, intake: newIntake(), queue: make(chan func(), queueLength),
 		lists: make(chan func(), listsQueueLength), stopped: make(chan struct{})}
@@ -76,7 +79,7 @@
 	return n, err
 }
 
-// post hands work to the event loop and waits while the queue is full.
+// post hands work to the event loop, and waits while the queue is full. The work is dropped if the loop has ended.
 func (n *Node) post(queue chan func(), work func()) {
 	select {
 	case queue <- work:
@@ -84,7 +87,8 @@
 	}
 }
 
-// offer hands work to the event loop, or counts it as dropped if the queue is full: requests have priority.
+// offer hands work to the event loop. If the queue is full, the work is dropped and counted as dropped gossip, as requests have
+// priority.
 func (n *Node) offer(work func()) {
 	select {
 	case n.queue <- work:
@@ -98,19 +102,19 @@
 	n.post(n.queue, func() { n.core.ClientDisconnected(r) })
 }
 
-// ReceiveGossip hands a datagram of another node to the policy.
+// ReceiveGossip hands a datagram of another node to the policy. The datagram is dropped if the queue is full.
 func (n *Node) ReceiveGossip(from int, data []byte) {
 	n.count.GossipReceived.Add(1)
 	n.offer(func() { n.core.NotifyPolicy(policy.GossipReceived{From: from, Data: data}) })
 }
 
-// SetFleetSize notifies the policy of how many nodes share the traffic from now on, this one among them; 0 stands for the configured
-// number.
+// SetFleetSize notifies the policy of the number of nodes that share the traffic from now on, this node included. The number 0
+// stands for the configured number.
 func (n *Node) SetFleetSize(nodes int) {
 	n.offer(func() { n.core.NotifyPolicy(policy.FleetSize{Nodes: nodes}) })
 }
 
-// Explain returns what the policy would decide for a key; false if the event loop is behind or has ended.
+// Explain returns what the policy would decide for a key. ok is false if the event loop is behind or has ended.
 func (n *Node) Explain(key string) (explanation policy.Explanation, ok bool) {
 	result := make(chan policy.Explanation, 1)
 	select {
@@ -126,8 +130,8 @@
 	}
 }
 
-// NotifyRole notifies the policy of a role: which node holds its lease, or what the holder announced. An event that is dropped is
-// repaired by the next one.
+// NotifyRole notifies the policy of an event of a role: which node holds the role's lease, or what the holder announced. The
+// event is dropped if the queue is full; the next event makes up for it.
 func (n *Node) NotifyRole(event policy.Event) { n.offer(func() { n.core.NotifyPolicy(event) }) }
 
 // FollowDiscovery moves the watch on the endpoint list to another source; see Core.FollowDiscovery.
@@ -135,13 +139,13 @@
 	n.post(n.lists, func() { n.core.FollowDiscovery(source) })
 }
 
-// Drain makes the node answer every request that it has taken by a deadline. The channel is closed when that is done.
+// Drain makes the node answer every request that it has taken, by the deadline. The channel is closed when all are answered.
 func (n *Node) Drain(deadline time.Time) <-chan struct{} {
 	n.post(n.queue, func() { n.core.Drain(deadline) })
 	return n.core.Drained()
 }
 
-// Run is the event loop. It returns when stop is closed.
+// Run runs the event loop. It returns when stop is closed.
 func (n *Node) Run(stop <-chan struct{}) {
 	defer n.intake.close()
 	defer close(n.stopped)
@@ -155,7 +159,8 @@
 	}
 }
 
-// runNext waits for one thing to do and does it: updates of the list before anything else. It returns false when stop is closed.
+// runNext waits for the next piece of work and does it. Updates of the endpoint list come before all other work. It returns false
+// when stop is closed.
 func (n *Node) runNext(timer *time.Timer, stop <-chan struct{}) bool {
 	select {
 	case update := <-n.lists:
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -18,23 +18,23 @@
 // lateAnswerTolerance is how long after its deadline a request may be answered before the node counts the answer as late.
 const lateAnswerTolerance = 50 * time.Millisecond
 
-// Why the node itself ended a request without a value, beside the causes of the policy.
+// Causes for which the node itself ends a request without a value, besides the causes of the policy.
 const (
-	causeMaxOpen    = "max_open"    // as many requests are open as may be
-	causeNoMemory   = "no_memory"   // those that are open use too much memory
+	causeMaxOpen    = "max_open"    // the maximum number of requests is open
+	causeNoMemory   = "no_memory"   // the open requests use too much memory
 	causeNotDecided = "not_decided" // the policy gave no answer by the deadline
 
-	causeNone = "" // of a value
+	causeNone = "" // the response is a value
 )
 
-// requestLog counts why requests ended and, at the level debug, logs what happens to each of them under its id.
+// requestLog counts why requests ended. At the debug level, it also logs what happens to each request, under the request's id.
 type requestLog struct {
 	log    *slog.Logger
 	late   *atomic.Int64
 	causes map[string]*atomic.Int64
 }
 
-// newRequestLog returns a log. It registers its counters.
+// newRequestLog returns a log and registers its counters.
 func newRequestLog(log *slog.Logger, count *counters.Counters) requestLog {
 	l := requestLog{log: log, late: count.Register("flows_answered_late"), causes: map[string]*atomic.Int64{}}
 	for _, cause := range slices.Concat(policy.CauseNames(), []string{causeMaxOpen, causeNoMemory, causeNotDecided}) {
@@ -43,7 +43,7 @@
 	return l
 }
 
-// isTracing reports whether each request is logged.
+// isTracing reports whether what happens to each request is logged.
 func (l *requestLog) isTracing() bool { return l.log.Enabled(context.Background(), slog.LevelDebug) }
 
 // received logs a request that the event loop takes.
@@ -54,7 +54,7 @@
 	}
 }
 
-// attemptSent logs an attempt.
+// attemptSent logs the start of an attempt.
 func (l *requestLog) attemptSent(open *openRequest, attempt *upstream.Attempt) {
 	if l.isTracing() {
 		l.log.Debug("an attempt was started", logs.Event, "attempt_started", "id", string(open.ID), "attempt", attempt.Number,
@@ -70,7 +70,8 @@
 	}
 }
 
-// ended counts why a request ended, and logs it; one that is answered late is logged at every level.
+// ended counts why a request ended, and logs it. A request that is answered late is logged as a warning, even if requests are not
+// traced.
 func (l *requestLog) ended(now time.Time, open *openRequest, kind request.ResponseKind, cause string) {
 	if counter := l.causes[cause]; counter != nil {
 		counter.Add(1)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	clientTransitTime  = 2 * time.Millisecond // a client's timeout runs from its sending; the request is read a little later
+	clientTransitTime  = 2 * time.Millisecond // assumed transit time: a client's timeout starts when it sends a request, a little before the node reads it
 	minRequestTimeout  = time.Millisecond
-	policyGraceTimeout = 5 * time.Millisecond // after a deadline by which the policy should have answered
+	policyGraceTimeout = 5 * time.Millisecond // wait for the policy's answer after the deadline of a request
 )
 
 // openRequest is a request that is owed a response, or has attempts in flight.
 type openRequest struct {
 	*request.Request
-	id               uint64 // the policy's name for it
+	id               uint64 // identifies the request to the policy
 	class            int
-	attempts         []*upstream.Attempt // by their numbers; nil once they have ended
-	inFlight         int                 // of attempts
-	isAnswered       bool                // no response is owed: it was given, or the client has disconnected
+	attempts         []*upstream.Attempt // attempts by number; an element is nil once the attempt has ended
+	inFlight         int                 // number of attempts that have not ended
+	isAnswered       bool                // no response is owed: one was given, or the client has disconnected
 	deadline         time.Time
-	expiry           *timer // at the deadline; nil for a request that was rejected at once
-	isMemoryReserved bool   // in Core.memory
+	expiry           *timer // fires at the deadline; nil for a request that was rejected at once
+	isMemoryReserved bool   // whether Core.memory has reserved memory for the request
 }
 
-// HandleRequest takes a request. It ignores one whose client has disconnected already.
+// HandleRequest handles a request that has arrived. It ignores a request whose client has already disconnected.
 func (c *Core) HandleRequest(r *request.Request) {
-	if r.IsCancelled() { // while it waited
+	if r.IsCancelled() { // the client disconnected while the request was queued
 		return
 	}
-	c.take(r)
+	c.handleRequest(r)
 	c.settle()
 }
 
-func (c *Core) take(r *request.Request) {
+func (c *Core) handleRequest(r *request.Request) {
 	if c.ids[string(r.ID)] {
 		c.options.Counters.Duplicate.Add(1)
 		r.Reply(request.Response{Kind: request.Invalid, Text: "request id is in use"})
 		return
 	}
 	open := c.register(r)
-	if c.openRequests > c.options.MaxOpenRequests || !open.isMemoryReserved { // nothing of it was executed
+	if c.openRequests > c.options.MaxOpenRequests || !open.isMemoryReserved { // rejected unexecuted
 		c.respond(open, request.Response{Kind: request.Rejected}, causeOfOverload(open))
 		return
 	}
@@ -56,7 +56,7 @@
 		Deadline: c.policyTime(open.deadline), Write: r.IsWrite})
 }
 
-// register counts a request, reserves memory for it, and keeps it until it is forgotten.
+// register counts a request, reserves memory for it, and keeps the request until forgetIfDone removes it.
 func (c *Core) register(r *request.Request) *openRequest {
 	class := c.classes[r.Class]
 	c.options.Counters.RequestReceived(class)
@@ -76,7 +76,7 @@
 	return open
 }
 
-// ClientDisconnected says that the client of a request that is owed a response has disconnected.
+// ClientDisconnected handles the disconnect of a client that is owed the response to a request.
 func (c *Core) ClientDisconnected(r *request.Request) {
 	c.disconnect(r)
 	c.settle()
@@ -95,7 +95,7 @@
 	c.forgetIfDone(open)
 }
 
-// causeOfOverload is why a request is rejected as it comes, without a decision of the policy.
+// causeOfOverload returns why a request is rejected when it arrives, without a decision of the policy.
 func causeOfOverload(open *openRequest) string {
 	if open.isMemoryReserved {
 		return causeMaxOpen
@@ -103,7 +103,8 @@
 	return causeNoMemory
 }
 
-// respond gives the final response to a request, unless it is answered already; nil is ignored. The cause is why it is no value.
+// respond gives the final response to a request. It ignores a request that is already answered, and nil. cause says why the
+// response is not a value; it is causeNone for a value.
 func (c *Core) respond(open *openRequest, response request.Response, cause string) {
 	if open == nil || open.isAnswered {
 		return
@@ -119,7 +120,7 @@
 	c.forgetIfDone(open)
 }
 
-// release notes that no response is owed for a request any more.
+// release records that no response is owed for a request any more, and releases the memory that is reserved for the request.
 func (c *Core) release(open *openRequest) {
 	open.isAnswered = true
 	if open.isMemoryReserved {
@@ -130,7 +131,7 @@
 	c.checkDrained()
 }
 
-// forgetIfDone removes a request that has been answered and has no attempt in flight; nil is ignored.
+// forgetIfDone removes a request that is answered and has no attempt in flight. It ignores nil.
 func (c *Core) forgetIfDone(open *openRequest) {
 	if open != nil && open.isAnswered && open.inFlight == 0 {
 		delete(c.requests, open.id)
@@ -139,7 +140,7 @@
 	}
 }
 
-// expire ends the attempts for a request at its deadline: the policy is notified of each timeout and gives the response.
+// expire ends the attempts for a request at its deadline. The policy is notified of each timeout and decides on the response.
 func (c *Core) expire(open *openRequest) {
 	for _, attempt := range open.attempts {
 		if attempt != nil {
@@ -150,8 +151,8 @@
 	if open.isAnswered {
 		return
 	}
-	// The policy's own timer may fire a moment later. After that the request is answered without it; one that is possibly
-	// executed must not be rejected, and Failed promises nothing.
+	// The policy's own timer may fire a moment later. After that the request is answered without the policy. A request that is
+	// possibly executed must not be rejected, so the response is Failed, which promises nothing.
 	c.timers.add(c.environment.Now().Add(policyGraceTimeout), func() {
 		if !open.isAnswered {
 			c.respond(open, request.Response{Kind: request.Failed}, causeNotDecided)
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -8,8 +8,8 @@
 	"shelfproxy/internal/upstream"
 )
 
-// TestRequestIsAnsweredByItsDeadline: a request whose attempts get no response is answered when its client's timeout is over but for the
-// time that the request was in transit.
+// TestRequestIsAnsweredByItsDeadline checks a request whose attempts get no response. It is answered when its client's timeout
+// has passed, less the time that the request was in transit.
 func TestRequestIsAnsweredByItsDeadline(t *testing.T) {
 	node := newTestNode(t)
 	open := node.handle("id", "read")
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestRequestIDIsUniqueWhileItIsOwedAResponse: a second request with the id of one that is owed a response is invalid; once the first is
-// answered the id may be used again.
+// TestRequestIDIsUniqueWhileItIsOwedAResponse checks two requests with the same id. The second is invalid while the first is owed
+// a response. Once the first is answered, the id may be used again.
 func TestRequestIDIsUniqueWhileItIsOwedAResponse(t *testing.T) {
 	node := newTestNode(t)
 	var kinds []request.ResponseKind
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// timer is work that is scheduled for a time.
+// timer is a function that is to be called at a time.
 type timer struct {
 	at     time.Time
-	number uint64 // of two timers for the same time the one with the lower number runs first
+	number uint64 // of two timers for the same time, the one with the lower number runs first
 	run    func()
-	index  int // in the heap; -1 once it is no longer there
+	index  int // index of the timer in the heap; -1 once the timer was removed from it
 }
 
-// timerQueue runs timers in the order of their times, and of their creation where the times are equal.
+// timerQueue orders timers by their times, and by their creation where the times are equal.
 type timerQueue struct {
 	pending timerHeap
 	created uint64
@@ -26,14 +26,15 @@
 	return added
 }
 
-// cancel removes a timer, so that what it refers to does not stay in memory until its time; nil and a timer that ran are ignored.
+// cancel removes a timer, so that what the timer refers to does not stay in memory until its time. It ignores nil and a timer
+// that has run.
 func (q *timerQueue) cancel(cancelled *timer) {
 	if cancelled != nil && cancelled.index >= 0 {
 		heap.Remove(&q.pending, cancelled.index)
 	}
 }
 
-// next returns the time of the next timer.
+// next returns the time of the next timer. ok is false if there is no timer.
 func (q *timerQueue) next() (at time.Time, ok bool) {
 	if len(q.pending) == 0 {
 		return time.Time{}, false
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -9,12 +9,13 @@
 	"shelfproxy/internal/policy"
 )
 
-// agentRetryDelay is the wait before a watch on an agent that ended is opened again. The agent runs on this machine and answers at no
-// cost, and what it has counts as announced to this node: the wait only keeps the node from calling a dead agent in a loop.
+// agentRetryDelay is the wait before the watch on an agent is opened again after it has ended. The agent runs on this machine and
+// answers at no cost, and its list counts as announced to this node. So the wait only keeps the node from calling a dead agent in
+// a loop.
 const agentRetryDelay = 100 * time.Millisecond
 
-// isListPushed reports whether the endpoint list is sent to this node without a poll by the policy: an agent on the machine provides it.
-// The node then keeps a watch on the agent by itself, which the policy knows nothing of.
+// isListPushed reports whether the endpoint list is sent to this node without a poll by the policy, because an agent on this
+// machine provides the list. The node then keeps a watch on the agent by itself, and the policy does not know of the watch.
 func (c *Core) isListPushed() bool { return !c.options.Policy.MustPoll }
 
 // subscribe opens a watch, unless a healthy one is open.
@@ -36,14 +37,14 @@
 	})
 }
 
-// FollowDiscovery moves the watch to another source, which knows the same list under the same versions: discovery is one service,
-// whatever its address. What the watch before still reports is dropped.
+// FollowDiscovery moves the watch to another source, which has the same list under the same versions: discovery is one service,
+// whatever its address. Later reports of the previous watch are dropped.
 func (c *Core) FollowDiscovery(source discovery.Source) {
 	c.options.Source, c.isWatchHealthy = source, false
 	c.subscribe()
 }
 
-// watchReported takes a report of a watch: a list, or the error with which the watch ended.
+// watchReported handles a report of a watch: a list, or the error with which the watch ended.
 func (c *Core) watchReported(number int, list discovery.List, err error) {
 	if number != c.watchNumber {
 		return
@@ -76,12 +77,13 @@
 	}
 }
 
-// watchEnded arranges for the next watch: the policy is notified and polls in its own time, or the node retries its agent.
+// watchEnded arranges for the next watch. Either the policy is notified and polls at a time of its choice, or the node retries
+// its agent.
 func (c *Core) watchEnded(list discovery.List, err error) {
-	c.options.Log.Warn("the watch on discovery ended; the endpoint list stays as it was", logs.Event, "watch_ended",
+	c.options.Log.Warn("the watch on discovery ended; the endpoint list is unchanged", logs.Event, "watch_ended",
 		"error", err.Error(), "held", c.listValidator.Version(), "came", list.Version)
 	c.isWatchHealthy = false
-	c.watchNumber++ // drops what the watch still reports
+	c.watchNumber++ // later reports of the ended watch are dropped
 	if c.isListPushed() {
 		c.timers.add(c.environment.Now().Add(agentRetryDelay), c.subscribe)
 	} else {
