--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -94,9 +94,9 @@
 	}
 	slices.Sort(unlisted)
 	for _, id := range unlisted {
-		server := c.endpoints[id].Server
-		server.State = discovery.Removed
-		c.updateEndpoint(server)
+		removed := c.endpoints[id].Server
+		removed.State = discovery.Removed
+		c.updateEndpoint(removed)
 	}
 }
 
