--- a/internal/testbed/simulation/known_faults_test.go
+++ b/internal/testbed/simulation/known_faults_test.go
@@ -32,7 +32,7 @@
 	{"deadline too late", "internal/node/requests.go", "deadline: r.ReceivedAt.Add(max(timeout-clientTransitTime, minRequestTimeout))", "deadline: r.ReceivedAt.Add(timeout + 200*time.Millisecond)", nil, false},
 	{"dirty connection handed on", "internal/upstream/transfer.go", "case conn.Decoder.Buffered() > 0 && !conn.mayReceive():", "case conn == nil:",
 		&knownFault{file: "internal/upstream/transfer.go", old: "if !conn.mayReceive() {", new: "if len(conn.pending) == 0 {",
-			also: &knownFault{file: "internal/upstream/transfer.go", old: "if isStale && conn.IsIdle() {", new: "if conn == nil {"}}, false},
+			also: &knownFault{file: "internal/upstream/transfer.go", old: "if isStale && conn.IsSoleAttemptUnwritten() {", new: "if conn == nil {"}}, false},
 	{"waiter not woken", "internal/upstream/assign.go", "case len(c.waiting) > 0:\n\t\tc.enqueue(conn, c.popWaiting(), effects)", "case len(c.waiting) > 1000:\n\t\tc.enqueue(conn, c.popWaiting(), effects)", nil, false},
 	{"request ids leak", "internal/node/requests.go", "delete(c.ids, string(open.ID))", "", nil, false},
 	{"said never to have run", "internal/upstream/transfer.go", "if !isComplete {\n\t\tattempt.possiblyExecuted = false", "if attempt != nil {\n\t\tattempt.possiblyExecuted = false", nil, false},
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -29,9 +29,9 @@
 	isEvicted   bool          // the connection's descriptor was taken for another one, and the core closes the connection next
 }
 
-// IsIdle reports whether the next attempt to write is the only one on the connection. Bytes that can already be read then are no
-// response to any attempt.
-func (c *Conn) IsIdle() bool { return len(c.unwritten) > 0 && len(c.pending) == 1 }
+// IsSoleAttemptUnwritten reports whether the connection has one attempt only, which is not written yet. Bytes that can already be
+// read then are no response to any attempt.
+func (c *Conn) IsSoleAttemptUnwritten() bool { return len(c.unwritten) > 0 && len(c.pending) == 1 }
 
 // InFlight returns the number of attempts that are assigned to the connection.
 func (c *Conn) InFlight() int { return len(c.pending) }
--- a/internal/upstream/transfer.go
+++ b/internal/upstream/transfer.go
@@ -17,7 +17,7 @@
 	if conn.closed || conn.writing != nil || len(conn.unwritten) == 0 {
 		return nil
 	}
-	if isStale && conn.IsIdle() {
+	if isStale && conn.IsSoleAttemptUnwritten() {
 		c.close(now, conn, CorruptResponse, effects) // the pending attempt is unwritten and gets another connection
 		return nil
 	}
