--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -89,7 +89,8 @@
 }
 
 // TestWaitersFetchForThemselvesWhenFetchingClientDisconnects checks requests that wait for another request's fetch, which was
-// never written. When the client of that other request disconnects, they go on by themselves.
+// never written. When the client of that other request disconnects, the waiting requests go to the cache server and the origin
+// themselves.
 func TestWaitersFetchForThemselvesWhenFetchingClientDisconnects(t *testing.T) {
 	node := newTestNode(t)
 	first := node.handleMissed("first")
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestSuccessorSupersedesServerAtItsAddress checks lists that name a server which started at the address of another one. The list
-// still calls the earlier server up, or names it anew. The earlier server must count as removed, in whatever order the two are
-// named. If both started long ago, both stay.
+// may still call the earlier server up, or name it again later. The earlier server must count as removed, in whatever order the
+// two are named. If both started long ago, both stay.
 func TestSuccessorSupersedesServerAtItsAddress(t *testing.T) {
 	predecessor := discovery.Server{ID: "s", Addr: "h:1", Kind: "box", Weight: 1}
 	successor := discovery.Server{ID: "t", Addr: "h:1", Kind: "box", Weight: 1, StartedMs: 7}
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -12,7 +12,7 @@
 // healthCheckTimeout bounds one health check.
 const healthCheckTimeout = 500 * time.Millisecond
 
-// checkHealth sends a health check to an endpoint; an unknown one is ignored.
+// checkHealth sends a health check to an endpoint. It ignores an unknown endpoint.
 func (c *Core) checkHealth(id string) { c.sendHealthCheck(id, false) }
 
 func (c *Core) sendHealthCheck(id string, isRepeated bool) {
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -46,7 +46,7 @@
 // isTracing reports whether what happens to each request is logged.
 func (l *requestLog) isTracing() bool { return l.log.Enabled(context.Background(), slog.LevelDebug) }
 
-// received logs a request that the event loop takes.
+// received logs a request that the event loop has taken from the intake.
 func (l *requestLog) received(now time.Time, open *openRequest) {
 	if l.isTracing() {
 		l.log.Debug("a request was received", logs.Event, "request_received", "id", string(open.ID), "key", string(open.Key),
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -15,7 +15,7 @@
 	SentAt   time.Time        // when the node handed the attempt to the pool
 	Deadline time.Time        // when the request times out
 	WriteBy  time.Time        // latest time at which the attempt may be written; zero is no bound
-	// NeedsNewConnection asks for a new connection, if one may be opened. The server may close a reused connection just as the
+	// NeedsNewConnection asks for a new connection, if one may be opened. The server may close a reused connection while the
 	// attempt is written, which would leave the attempt possibly executed.
 	NeedsNewConnection bool
 
--- a/internal/upstream/decoder_test.go
+++ b/internal/upstream/decoder_test.go
@@ -91,8 +91,8 @@
 	return values
 }
 
-// TestDecodersRejectResponsesTheyCanNotTake checks that a response that is longer than allowed is malformed as soon as its length
-// is known, and that one that exceeds the available response memory has an error of its own.
+// TestDecodersRejectResponsesTheyCanNotTake checks two errors. A response that is longer than allowed is malformed as soon as its
+// length is known. A response that exceeds the available response memory has an error of its own.
 func TestDecodersRejectResponsesTheyCanNotTake(t *testing.T) {
 	ample := upstream.NewResponseMemory(testResponseMemory, testMaxResponse)
 	scarce := upstream.NewResponseMemory(100_000, testMaxResponse)
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -18,12 +18,12 @@
 	PoolExhausted                   // never written: all connections are busy and no more may be opened
 	ServerDraining                  // never written: the server left the endpoint list while the attempt waited for a connection
 	ConnectFailed                   // no connection was established in time
-	WriteInterrupted                // the connection broke before the last byte was written
-	ConnectionLost                  // the connection ended after the last byte may have been written
+	WriteInterrupted                // the connection broke before the last byte of the attempt was written
+	ConnectionLost                  // the connection ended after the last byte of the attempt may have been written
 	CorruptResponse                 // the server sent bytes that are not a valid response; the connection was closed
 	ResponseTooLarge                // the response does not fit the response memory that is available
 	TimedOut                        // no response by the request's deadline
-	Cancelled                       // abandoned by the policy
+	Cancelled                       // the policy abandoned the attempt
 	numOutcomes
 )
 
--- a/internal/upstream/response_memory.go
+++ b/internal/upstream/response_memory.go
@@ -14,7 +14,7 @@
 	available   atomic.Int64
 }
 
-// NewResponseMemory returns a budget of the given bytes, of which one response takes at most maxResponse.
+// NewResponseMemory returns a budget of the given number of bytes. One response takes at most maxResponse of them.
 func NewResponseMemory(bytes, maxResponse int) *ResponseMemory {
 	m := &ResponseMemory{maxResponse: maxResponse}
 	m.available.Store(int64(bytes))
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -47,7 +47,7 @@
 
 // write writes the bytes of one attempt. isUsable says whether the connection may be used further; it is false after an error.
 func (s *socket) write(bytes []byte, deadline time.Time) (isComplete, isUsable bool) {
-	_ = s.conn.SetWriteDeadline(deadline) // fails on a closed connection, and so does the write
+	_ = s.conn.SetWriteDeadline(deadline) // an error means that the connection is closed, and then the write fails as well
 	n, err := s.conn.Write(bytes)
 	return n == len(bytes), err == nil
 }
