--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -11,13 +11,13 @@
 	"shelfproxy/internal/request"
 )
 
-// The commands that are requests.
+// The names of the commands that become requests.
 const (
 	getCommand = "CACHE.GET"
 	setCommand = "CACHE.SET"
 )
 
-// decode takes the commands that are complete, as long as there are slots for their responses.
+// decode dispatches the complete commands that were read from a connection, up to the limit of commands that wait for responses.
 func (c *Core) decode(now time.Time, conn *Conn, effects *Effects) {
 	conn.isPaused = false
 	for !conn.isClosed {
@@ -25,7 +25,7 @@
 			conn.isPaused = true
 			return
 		}
-		// The reader copies the bytes of each command into a buffer of the command's own, so its slices may be kept.
+		// The reader copies each command into a buffer of its own, so the slices of a command may be kept.
 		command, err := conn.commands.ReadCommand()
 		switch {
 		case errors.Is(err, errNeedMoreBytes):
@@ -41,7 +41,8 @@
 	}
 }
 
-// rejectFraming ends a connection whose framing is broken: its client still gets the responses that are owed, and one about the framing.
+// rejectFraming ends a connection whose framing is broken. Its client still gets the pending responses, and then an error about the
+// framing.
 func (c *Core) rejectFraming(now time.Time, conn *Conn, err error, effects *Effects) {
 	c.count.BadFraming.Add(1)
 	conn.slots = append(conn.slots, &ResponseSlot{isReady: true, prefix: errorResponse(err)})
@@ -50,7 +51,7 @@
 	c.notifyWriter(conn, effects)
 }
 
-// dispatch handles one command. A flat table of the commands.
+// dispatch handles one command: it hands requests to the handler and answers all other commands itself.
 func (c *Core) dispatch(now time.Time, conn *Conn, command redcon.Command, effects *Effects) {
 	arguments := len(command.Args) - 1
 	switch name := command.Args[0]; {
@@ -102,5 +103,5 @@
 	c.answer(now, conn, admission.CommandInvalid, errorResponse(err), effects)
 }
 
-// errorResponse returns the bytes that tell a client of an error: the texts of the errors are part of the wire format.
+// errorResponse returns the RESP2 error that reports err to a client. The error texts are part of the wire format.
 func errorResponse(err error) []byte { return redcon.AppendError(nil, "ERR "+err.Error()) }
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -9,30 +9,30 @@
 	"shelfproxy/internal/request"
 )
 
-// Conn is one client's connection. Core and its shell share it: the shell calls its methods under the lock that guards the core, except
-// ReadBuffer, which is the reading goroutine's.
+// Conn is the connection of one client. Core and its shell share it. The shell calls its methods under the lock that guards the
+// core, except ReadBuffer, which only the connection's reader goroutine calls.
 type Conn struct {
-	// Socket belongs to the shell.
+	// Socket is the shell's data of the connection; the core does not use it.
 	Socket any
 
-	id                  uint64 // in the connection table
+	id                  uint64 // identifies the connection in the connection table
 	framing             framingGuard
-	commands            *redcon.Reader  // reads from framing
-	slots               []*ResponseSlot // of the responses that are owed, in the order of their commands
-	writing             int             // the first slots, whose responses are being written
-	writingSince        time.Time       // when the last write began
-	isPaused            bool            // as many responses are owed as may be: further commands wait
-	isFramingBroken     bool            // nothing more is read
-	closeAfterResponses bool            // close once everything that is owed is written
-	isCheckingUnread    bool            // close once the shell has found that nothing came that is not read
-	hasLastCheck        bool            // it was kept open past the drain's deadline once
-	endReason           EndReason       // why it is closed, once it is to be
+	commands            *redcon.Reader  // parses the bytes that framing hands over
+	slots               []*ResponseSlot // one per command whose response is not written yet, in the order of the commands
+	writing             int             // number of leading slots whose responses are being written
+	writingSince        time.Time       // when the last write of responses began
+	isPaused            bool            // set while MaxPipelined commands wait for responses: no further command is read
+	isFramingBroken     bool            // the framing is broken: no further byte is read
+	closeAfterResponses bool            // close the connection once all pending responses are written
+	isCheckingUnread    bool            // CheckUnread was requested and UnreadChecked was not called yet
+	wasKeptPastDeadline bool            // the connection was kept open once past the drain deadline, as unread bytes had arrived
+	endReason           EndReason       // why the connection closes; valid once closeAfterResponses or isClosed is set
 	end                 End             // valid once isClosed is set
 	isClosed            bool
 	acceptedAt          time.Time
-	arrivedBy           time.Time // when the last bytes that were read had come; zero if that is not known
-	quietSince          time.Time // nothing that is read from now on was sent before this
-	lingerDeadline      time.Time // until when a closed connection lingers; zero if it does not
+	arrivedBy           time.Time // time by which the last bytes that were read had arrived; zero if unknown
+	sentAfter           time.Time // bytes that are read from now on were sent at this time or later
+	lingerDeadline      time.Time // when a closed connection stops lingering; zero if the connection does not linger
 }
 
 func newConn(id uint64) *Conn {
@@ -41,14 +41,14 @@
 	return conn
 }
 
-// accepted says when the connection was accepted, and when it may have been opened at the earliest.
-func (c *Conn) accepted(now, openedSince time.Time) { c.acceptedAt, c.quietSince = now, openedSince }
+// accepted records when the connection was accepted, and the earliest time at which the client may have opened it.
+func (c *Conn) accepted(now, openedSince time.Time) { c.acceptedAt, c.sentAfter = now, openedSince }
 
-// BytesArrived says that the bytes that are passed to the core next had come by a time.
+// BytesArrived records that the bytes which are passed to the core next had arrived by the given time.
 func (c *Conn) BytesArrived(by time.Time) { c.arrivedBy = by }
 
-// arrival returns when a command that is decoded now may have come at the earliest: by the time that the kernel knows of, and where
-// the process may have been paused since an earlier time, not after that.
+// arrival returns the earliest time at which a command that is decoded now may have arrived: the time that the kernel reports or the
+// bound from arrivalAcrossPause, whichever is earlier. earliest is the same bound for any bytes that the process reads now.
 func (c *Conn) arrival(now, earliest time.Time) time.Time {
 	bound := c.arrivalAcrossPause(now, earliest)
 	if !c.arrivedBy.IsZero() && c.arrivedBy.Before(bound) {
@@ -57,40 +57,40 @@
 	return bound
 }
 
-// arrivalAcrossPause returns when a command that is read now may have come at the earliest, where what the process reads now may have
-// come at a given time. A command may have come while its connection waited to be accepted, but not before the write of the response
-// to the last command began, unless its client pipelines.
+// arrivalAcrossPause returns the earliest time at which a command that is read now may have arrived, given the earliest time for any
+// bytes that the process reads now. A command may have arrived while its connection waited to be accepted. It did not arrive before
+// the write of the previous response began, unless its client pipelines.
 func (c *Conn) arrivalAcrossPause(now, earliest time.Time) time.Time {
-	waited := pause.IsShown(c.quietSince, c.acceptedAt) // never once a response was written
-	if waited && now.Sub(c.acceptedAt) < settleTime || earliest.Before(c.quietSince) {
-		return c.quietSince
+	waited := pause.IsShown(c.sentAfter, c.acceptedAt) // false once a response was written
+	if waited && now.Sub(c.acceptedAt) < settleTime || earliest.Before(c.sentAfter) {
+		return c.sentAfter
 	}
 	return earliest
 }
 
-// ReadBuffer returns the buffer for the next bytes of the client, while the connection is not paused.
+// ReadBuffer returns the buffer for the next bytes from the client. It must not be filled while the connection is paused.
 func (c *Conn) ReadBuffer() []byte { return c.framing.buffer[:] }
 
-// IsPaused reports whether nothing more is to be read before the effect ResumeReading.
+// IsPaused reports whether the shell must stop reading until the effect ResumeReading.
 func (c *Conn) IsPaused() bool { return c.isPaused }
 
-// IsClosed reports whether the connection has ended: what still comes on it is discarded.
+// IsClosed reports whether the connection has ended. Bytes that still arrive on it are discarded.
 func (c *Conn) IsClosed() bool { return c.isClosed }
 
-// IsLingering reports whether the connection has ended and is to be read for a while. A close over unread bytes would reset the
-// connection, and the client would lose the last responses that it has not read yet.
+// IsLingering reports whether the connection has ended but is still read for a while. Closing a socket that holds unread bytes
+// resets the connection, and the client would lose the last responses that it has not read yet.
 func (c *Conn) IsLingering() bool { return !c.lingerDeadline.IsZero() }
 
-// hasResponseToWrite reports whether a write may start: none is going on, and the first response is there.
+// hasResponseToWrite reports whether a write may start: no write is in progress, and the first pending response is ready.
 func (c *Conn) hasResponseToWrite() bool {
 	return !c.isClosed && c.writing == 0 && len(c.slots) > 0 && c.slots[0].isReady
 }
 
-// End says how a connection that is closed ended.
+// End returns how the connection ended. It is valid once IsClosed returns true.
 func (c *Conn) End() End { return c.end }
 
-// owedRequests returns how many requests have no response that was written.
-func (c *Conn) owedRequests() (owed int) {
+// unansweredRequests returns the number of requests whose responses are not written yet.
+func (c *Conn) unansweredRequests() (owed int) {
 	for _, slot := range c.slots {
 		if slot.isRequest {
 			owed++
@@ -99,13 +99,13 @@
 	return owed
 }
 
-// ResponseSlot is the place of one command's response among those of its connection.
+// ResponseSlot holds the response to one command. The slots of a connection are in the order of its commands.
 type ResponseSlot struct {
-	request   *request.Request // until it is answered; nil if the listener answers by itself
-	isRequest bool             // it was given to the handler
+	request   *request.Request // the request until it is answered; nil for a command that the listener answers itself
+	isRequest bool             // the command was handed to the handler as a request
 	isReady   bool
-	prefix    []byte // of the response, or all of it
-	value     []byte // follows prefix, with a line end behind it; not copied
+	prefix    []byte // the first bytes of the response, or all of them
+	value     []byte // written after prefix and followed by CRLF; nil if prefix is the whole response; not copied
 }
 
 func (s *ResponseSlot) size() int { return len(s.prefix) + len(s.value) }
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -9,33 +9,34 @@
 	"shelfproxy/internal/request"
 )
 
-// Core decides for the connections of clients: what a command means, in which order responses are written, how many commands may wait,
-// and which connections are closed. It has no clock, sockets or goroutines: its calls take the time and collect the effects to be
-// carried out. It is not safe for concurrent use.
+// Core makes the decisions about client connections: what a command means, in which order responses are written, how many commands
+// may wait, and which connections are closed. It has no clock, sockets or goroutines: its methods take the current time and collect
+// the effects that the shell carries out. It is not safe for concurrent use.
 type Core struct {
-	// Reply is called with the final response to a request, by whoever gives it; the shell passes it to Respond.
+	// Reply is called with the final response to a request by the code that answers it. The shell sets Reply to a function that passes
+	// the response to Respond.
 	Reply func(*Conn, *ResponseSlot, request.Response)
 
 	classes map[string]bool
-	tenants map[string]string // each under its own name: a request must not keep its command in memory for the name
+	tenants map[string]string // maps each name to itself: a request uses this copy, which does not keep the command in memory
 	limits  Limits
 	count   *counters.Counters
 
-	start             time.Time // of the connection table's time
+	start             time.Time // time zero of the connection table's clock
 	pause             pauseTracker
-	table             *admission.ConnectionTable // of the open connections; lingering ones are not in it
+	table             *admission.ConnectionTable // the open connections without the lingering ones
 	maxConnections    int
-	conns             map[uint64]*Conn // the open ones by id
-	lingering         []*Conn          // in the order of their deadlines
+	conns             map[uint64]*Conn // the open connections by id
+	lingering         []*Conn          // lingering connections, earliest deadline first
 	lastID            uint64
-	capacityExhausted int64 // how often a connection had to wait for capacity
+	capacityExhausted int64 // number of times that a connection had to wait for capacity
 
 	isDraining    bool
-	drainDeadline time.Time // while draining: when connections with an incomplete command are closed
+	drainDeadline time.Time // valid while draining: until then connections with a partial command stay open
 }
 
-// NewCore returns a core. classes are the classes of requests that exist: a request of another class is answered with an error. A
-// request of a tenant that is not among tenants has no tenant.
+// NewCore returns a core. A request whose class is not among classes is answered with an error. A request whose tenant is not among
+// tenants is handled without a tenant.
 func NewCore(now time.Time, classes, tenants []string, limits Limits, count *counters.Counters) *Core {
 	core := &Core{classes: map[string]bool{}, tenants: map[string]string{}, limits: limits, count: count,
 		maxConnections: limits.MaxConnections, conns: map[uint64]*Conn{}, start: now,
@@ -49,10 +50,11 @@
 	return core
 }
 
-// tableTime converts a time to the connection table's.
+// tableTime converts a time to the clock of the connection table.
 func (c *Core) tableTime(now time.Time) admission.Time { return now.Sub(c.start) }
 
-// Accepted takes a connection that a client opened, at waitingSince or later: now, unless connections had to wait to be accepted.
+// Accepted adds a new connection, which its client opened at waitingSince or later. waitingSince is now, unless connections had to
+// wait to be accepted.
 func (c *Core) Accepted(now, waitingSince time.Time) *Conn {
 	c.lastID++
 	conn := newConn(c.lastID)
@@ -64,7 +66,8 @@
 	return conn
 }
 
-// HasCapacity reports whether one more connection may be accepted. If not, it closes one that may be closed for it.
+// HasCapacity reports whether one more connection may be accepted. If not, it closes an idle connection to make space, if there is
+// one that may be closed. While draining it always returns true.
 func (c *Core) HasCapacity(now time.Time, effects *Effects) bool {
 	hasCapacity, victim, hasVictim := c.table.Admit(c.tableTime(now))
 	if !hasCapacity {
@@ -76,19 +79,19 @@
 	return hasCapacity || c.isDraining
 }
 
-// Usage returns how many connections there are, lingering ones among them, and how often one more had to wait for capacity.
+// Usage returns the number of connections, including the lingering ones, and how often another connection had to wait for capacity.
 func (c *Core) Usage() (used int, exhausted int64) {
 	return c.table.Len() + len(c.lingering), c.capacityExhausted
 }
 
-// SetMaxConnections changes how many connections there may be.
+// SetMaxConnections changes the maximum number of connections.
 func (c *Core) SetMaxConnections(n int, effects *Effects) {
 	c.maxConnections = n
 	c.table.SetCapacity(maxOpen(n))
 	effects.capacityAvailable()
 }
 
-// BytesReceived says that the shell put n bytes into the connection's ReadBuffer.
+// BytesReceived handles n bytes that the shell has read into the connection's ReadBuffer.
 func (c *Core) BytesReceived(now time.Time, conn *Conn, n int, effects *Effects) {
 	if conn.isClosed {
 		return
@@ -98,20 +101,21 @@
 	c.closeIfDone(now, conn, effects)
 }
 
-// Resume goes on with what a paused connection has already sent.
+// Resume continues to decode the bytes that were read from a connection before it was paused.
 func (c *Core) Resume(now time.Time, conn *Conn, effects *Effects) {
 	c.decode(now, conn, effects)
 	c.closeIfDone(now, conn, effects)
 }
 
-// closeIfDone closes a connection that is to be closed if nothing is owed on it and no command has begun.
+// closeIfDone closes a connection for which closeAfterResponses is set, once it has neither a pending response nor a partial
+// command.
 func (c *Core) closeIfDone(now time.Time, conn *Conn, effects *Effects) {
 	if conn.closeAfterResponses && len(conn.slots) == 0 && !conn.framing.hasPartialCommand() {
 		c.closeUnlessUnread(now, conn, effects)
 	}
 }
 
-// ConnectionEnded says that the client closed the connection, or that it broke.
+// ConnectionEnded handles a connection that the client has closed, or that has failed.
 func (c *Core) ConnectionEnded(now time.Time, conn *Conn, effects *Effects) {
 	if conn.IsLingering() {
 		c.endLingering(conn, effects)
@@ -120,7 +124,7 @@
 	c.close(now, conn, EndedByClient, effects)
 }
 
-// finish closes a connection once everything that is owed on it is written.
+// finish closes a connection once all of its pending responses are written.
 func (c *Core) finish(now time.Time, conn *Conn, reason EndReason, effects *Effects) {
 	if !conn.closeAfterResponses || reason == EndedByDrain {
 		conn.closeAfterResponses, conn.endReason = true, reason
@@ -130,13 +134,14 @@
 	}
 }
 
-// closeUnlessUnread closes a connection on which nothing is owed, unless a command came that is not read yet, or that is read and not
-// decoded: its client would wait for the response in vain. A process that did not run for a while sees its timers before the bytes.
+// closeUnlessUnread closes a connection without pending responses. It does not if a command may have arrived that is not read yet,
+// or that is read but not decoded: the client would never get a response to it. This happens after a pause of the process, which
+// sees expired timers before the bytes that arrived meanwhile.
 func (c *Core) closeUnlessUnread(now time.Time, conn *Conn, effects *Effects) {
 	switch {
-	case conn.isFramingBroken || conn.endReason == EndedByQuit: // nothing more is owed
+	case conn.isFramingBroken || conn.endReason == EndedByQuit: // no later command gets a response
 		c.closeInOrder(now, conn, effects)
-	case conn.isPaused: // what is read may hold commands
+	case conn.isPaused: // the bytes that were already read may hold commands
 		effects.add(ResumeReading, conn, nil)
 	case !conn.isClosed && !conn.isCheckingUnread:
 		conn.isCheckingUnread = true
@@ -144,29 +149,29 @@
 	}
 }
 
-// UnreadChecked says whether bytes of a connection came that are not read. The caller is whoever reads the connection, so that no bytes
-// are on their way to the core.
+// UnreadChecked handles the result of a CheckUnread effect: hasUnread reports whether bytes have arrived that are not read yet. It
+// must be called by the goroutine that reads the connection, so that no bytes are between the socket and the core.
 func (c *Core) UnreadChecked(now time.Time, conn *Conn, hasUnread bool, effects *Effects) {
 	conn.isCheckingUnread = false
 	switch {
 	case conn.isClosed || !conn.closeAfterResponses:
-	case len(conn.slots) == 0 && !conn.isPaused && (!hasUnread || c.isCheckedEnough(now, conn)):
+	case len(conn.slots) == 0 && !conn.isPaused && (!hasUnread || c.mayCloseDespiteUnread(now, conn)):
 		c.closeInOrder(now, conn, effects)
-	case conn.endReason != EndedByDrain: // it is not idle after all
+	case conn.endReason != EndedByDrain: // the connection turned out not to be idle
 		conn.closeAfterResponses = false
 		c.table.Retain(conn.id)
 		effects.capacityAvailable()
 	}
 }
 
-// isCheckedEnough reports whether a connection is closed though its client goes on sending: past the drain's deadline it is kept open
-// once more.
-func (c *Core) isCheckedEnough(now time.Time, conn *Conn) bool {
+// mayCloseDespiteUnread reports whether a connection is closed although unread bytes have arrived. A connection is kept open as long
+// as its client sends, but past the drain deadline only once more.
+func (c *Core) mayCloseDespiteUnread(now time.Time, conn *Conn) bool {
 	if !c.isDraining || now.Before(c.drainDeadline) {
 		return false
 	}
-	isLast := conn.hasLastCheck
-	conn.hasLastCheck = true
+	isLast := conn.wasKeptPastDeadline
+	conn.wasKeptPastDeadline = true
 	return isLast
 }
 
@@ -181,7 +186,8 @@
 	c.cancelRequests(conn, effects)
 }
 
-// closeInOrder closes a connection whose client may still read: it lingers until the client has closed it too.
+// closeInOrder closes a connection whose client may still read responses. The connection lingers until the client has closed it too,
+// or until its linger deadline.
 func (c *Core) closeInOrder(now time.Time, conn *Conn, effects *Effects) {
 	if conn.isClosed {
 		return
@@ -198,14 +204,14 @@
 
 func (c *Core) remove(now time.Time, conn *Conn, effects *Effects) {
 	conn.isClosed = true
-	conn.end = End{ConnectionID: conn.id, Reason: conn.endReason, Owed: conn.owedRequests()}
+	conn.end = End{ConnectionID: conn.id, Reason: conn.endReason, Owed: conn.unansweredRequests()}
 	effects.add(ReportEnd, conn, nil)
 	c.countEnd(conn.endReason)
 	delete(c.conns, conn.id)
 	c.table.Closed(c.tableTime(now), conn.id)
 }
 
-// countEnd counts a connection that the node has ended.
+// countEnd counts a connection that the node closed because of one of its limits.
 func (c *Core) countEnd(reason EndReason) {
 	switch reason {
 	case EndedIdle:
@@ -219,8 +225,8 @@
 	}
 }
 
-// cancelRequests tells the requests that wait for their responses that their client has disconnected. It ends the closing of a
-// connection.
+// cancelRequests cancels the unanswered requests of a connection and tells the handler that their client has disconnected. It is the
+// last step of closing a connection.
 func (c *Core) cancelRequests(conn *Conn, effects *Effects) {
 	for _, slot := range conn.slots {
 		if slot.request != nil && !slot.isReady {
@@ -232,7 +238,7 @@
 	effects.capacityAvailable()
 }
 
-// endLingering closes a lingering connection for good.
+// endLingering closes the socket of a lingering connection.
 func (c *Core) endLingering(conn *Conn, effects *Effects) {
 	conn.lingerDeadline = time.Time{}
 	c.lingering = slices.DeleteFunc(c.lingering, func(other *Conn) bool { return other == conn })
--- a/internal/listener/core_property_test.go
+++ b/internal/listener/core_property_test.go
@@ -15,34 +15,34 @@
 // invalidCommand stands in modelClient.unanswered for a command without an id.
 const invalidCommand = "?"
 
-// modelClient is a client and its side of a connection.
+// modelClient models a client and its side of a connection.
 type modelClient struct {
 	conn             *Conn
-	unanswered       []string // ids of commands without a response, in order
-	sent             []byte   // not yet read by the core
-	mayResume        bool     // the core may have more to take of what it has read
-	received         string   // of the write that is going on
+	unanswered       []string // ids of the commands without a response, in the order in which they were sent
+	sent             []byte   // bytes that the client has sent and the core has not read yet
+	mayResume        bool     // the core asked for Resume, which was not called yet
+	received         string   // responses of the write that is in progress
 	isWriting        bool
 	isEnded          bool
-	isCheckRequested bool // the core wants to know of unread bytes
+	isCheckRequested bool // the core asked for CheckUnread, which was not carried out yet
 }
 
 // modelRequest is a request that the core has handed to its handler.
 type modelRequest struct {
 	*request.Request
-	isDisconnected bool // its handler was told that the client has disconnected
+	isDisconnected bool // the handler was told that the client has disconnected
 }
 
-// coreModel plays the shell, the handler and the clients of a core.
+// coreModel stands in for the shell, the handler and the clients of a core.
 type coreModel struct {
 	core     *Core
 	limits   Limits
 	now      time.Time
 	clients  []*modelClient
-	requests map[string]*modelRequest // by id
-	replied  map[string]bool          // by id
+	requests map[string]*modelRequest // requests handed to the handler, by id
+	replied  map[string]bool          // requests that the handler has answered, by id
 	lastID   int
-	current  *rapid.T // of the call that is running, for Reply
+	current  *rapid.T // the test of the running call, which Reply needs
 }
 
 func newCoreModel(t *rapid.T) *coreModel {
@@ -97,7 +97,7 @@
 	}
 }
 
-// pickClient returns any client; nil if there is none.
+// pickClient draws one of the clients; it returns nil if there is none.
 func (m *coreModel) pickClient(t *rapid.T) *modelClient {
 	if len(m.clients) == 0 {
 		return nil
@@ -105,7 +105,7 @@
 	return m.clients[rapid.IntRange(0, len(m.clients)-1).Draw(t, "client")]
 }
 
-// deliver moves what a client sent to the core, as far as the core takes it.
+// deliver passes the bytes that a client has sent to the core, until the core pauses the connection.
 func (m *coreModel) deliver(t *rapid.T, client *modelClient) {
 	for !client.conn.IsClosed() && (client.mayResume || !client.conn.IsPaused() && len(client.sent) > 0) {
 		var effects Effects
@@ -124,8 +124,8 @@
 	}
 }
 
-// checkOrderlyEnd checks that nothing is owed on a connection that the core closes in order: no command that it has read is left
-// without a response, nor one that it could have read, but that a client may send on past the drain's deadline.
+// checkOrderlyEnd checks a connection that the core closes in order: every command that the core has read has a response, and no
+// unread bytes are left. Unread bytes are allowed past the drain deadline only, as a client may go on sending.
 func (m *coreModel) checkOrderlyEnd(t *rapid.T, client *modelClient) {
 	client.isEnded = true
 	isPastDrain := m.core.isDraining && !m.now.Before(m.core.drainDeadline)
@@ -142,7 +142,7 @@
 	}
 }
 
-// checkUnread tells the core of unread bytes, if it wants to know.
+// checkUnread tells the core whether the client has unread bytes, if the core asked for it.
 func (m *coreModel) checkUnread(t *rapid.T, client *modelClient) {
 	if !client.isCheckRequested {
 		return
@@ -153,7 +153,7 @@
 	m.carryOut(t, effects)
 }
 
-// checkReceived reads the complete responses that a client received: they must be those of its commands, in order.
+// checkReceived checks the responses that a client received: they must be the responses to its commands, in order.
 func (m *coreModel) checkReceived(t *rapid.T, client *modelClient) {
 	for client.received != "" {
 		header, rest, _ := strings.Cut(client.received, "\r\n")
@@ -183,7 +183,7 @@
 	}
 }
 
-// write completes the write that is going on to a client and starts the next.
+// write completes the write to a client that is in progress, if any, and starts the next one.
 func (m *coreModel) write(t *rapid.T, client *modelClient, isWritten bool) {
 	if client.isWriting && !client.conn.IsClosed() {
 		client.isWriting = false
@@ -231,7 +231,7 @@
 	}
 }
 
-// reply gives the response to one of the requests.
+// reply has the handler answer one of the open requests.
 func (m *coreModel) reply(t *rapid.T) {
 	m.current = t
 	for id, r := range m.requests {
@@ -267,7 +267,8 @@
 	m.carryOut(t, effects)
 }
 
-// finish answers and writes everything, then drains the core, and checks that nothing is left.
+// finish answers all requests, writes all responses and drains the core. It checks that every command got its response and that no
+// connection is left.
 func (m *coreModel) finish(t *rapid.T) {
 	m.current = t
 	for range 50 {
@@ -294,16 +295,17 @@
 	for _, client := range m.clients {
 		m.checkUnread(t, client)
 	}
-	m.now = m.now.Add(lingerTimeout) // lingering connections end by themselves
+	m.now = m.now.Add(lingerTimeout) // lingering connections end at their deadline
 	m.expireIdle(t)
 	if used, _ := m.core.Usage(); used != 0 || len(m.core.conns) != 0 {
 		t.Fatalf("%d connections are used and %d open in the end, want none", used, len(m.core.conns))
 	}
 }
 
-// TestCoreKeepsItsInvariantsInAnyOrderOfCalls calls a core in any order that a shell could: each command gets one response, in order
-// and with what its handler replied; a handler is told once of a client that disconnected; no more commands wait for responses than
-// may; invalid commands get an error; no connection is closed in order over unread bytes; and nothing is left in the end.
+// TestCoreKeepsItsInvariantsInAnyOrderOfCalls makes random calls of a core, in any order that a shell could, and checks its
+// invariants. Each command gets one response, in order and with the reply of the handler; an invalid command gets an error. The
+// handler is told once that a client has disconnected. The number of commands that wait for responses is bounded. No connection is
+// closed in order while it has unread bytes. No connection is left in the end.
 func TestCoreKeepsItsInvariantsInAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newCoreModel(t)
--- a/internal/listener/core_test.go
+++ b/internal/listener/core_test.go
@@ -14,7 +14,8 @@
 	return slices.ContainsFunc(effects, func(effect Effect) bool { return effect.Kind == kind && effect.Conn == conn })
 }
 
-// TestBrokenFramingIsAnsweredAndEndsConnection: the client gets one error about the framing, and then an end in order.
+// TestBrokenFramingIsAnsweredAndEndsConnection checks that a client that breaks the framing gets one error about it, and that its
+// connection is then half-closed rather than reset, so that the client can read the error.
 func TestBrokenFramingIsAnsweredAndEndsConnection(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newTestCore(now, coreTestLimits)
@@ -35,7 +36,8 @@
 	}
 }
 
-// TestLingeringConnectionsAreBounded: the connection that has lingered for longest is closed for one more.
+// TestLingeringConnectionsAreBounded checks that the connection that has lingered for longest is closed when one more starts to
+// linger.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	core := newTestCore(now, coreTestLimits)
--- a/internal/listener/effect.go
+++ b/internal/listener/effect.go
@@ -2,30 +2,30 @@
 
 import "shelfproxy/internal/request"
 
-// EffectKind says what a Core wants done.
+// EffectKind is a kind of work that a Core asks its shell to do.
 type EffectKind int
 
 // The kinds of effects.
 const (
-	HandleRequest      EffectKind = iota // hand Request to the handler, which may wait; what follows on the connection waits with it
+	HandleRequest      EffectKind = iota // hand Request to the handler, which may block; later commands of the connection then wait
 	ClientDisconnected                   // the client of Request has disconnected
-	WriteResponses                       // Conn has responses to write: call NextToWrite
+	WriteResponses                       // responses of Conn are ready: call NextToWrite
 	ResumeReading                        // Conn is no longer paused: call Resume
-	CheckUnread                          // look for bytes of Conn that came and are not read, then call UnreadChecked
-	HalfClose                            // end the sending side of Conn, read and discard until it ends, then call ConnectionEnded
+	CheckUnread                          // check whether Conn has unread bytes, then call UnreadChecked
+	HalfClose                            // close the sending side of Conn, discard its bytes until it ends, then call ConnectionEnded
 	CloseConnection                      // close Conn
-	ReportEnd                            // Conn has ended as its End says
+	ReportEnd                            // Conn has ended: count and log Conn.End
 	CapacityAvailable                    // there may be capacity for another connection: call HasCapacity
 )
 
-// Effect is one thing that a Core wants done. Effects are carried out in their order.
+// Effect is one piece of work for the shell. Effects are carried out in order.
 type Effect struct {
 	Kind    EffectKind
 	Conn    *Conn
 	Request *request.Request
 }
 
-// Effects collects what one call of a Core wants done. The core keeps no reference to it.
+// Effects collects the effects of one call of a Core. The core keeps no reference to it.
 type Effects []Effect
 
 func (e *Effects) add(kind EffectKind, conn *Conn, r *request.Request) {
--- a/internal/listener/end.go
+++ b/internal/listener/end.go
@@ -3,25 +3,25 @@
 // EndReason is why a client's connection ended.
 type EndReason int
 
-// The reasons.
+// The reasons why a connection ends.
 const (
-	EndedByClient       EndReason = iota // the client closed it, or it broke
-	EndedByQuit                          // the client asked for it
-	EndedByDrain                         // the listener was closed
-	EndedIdle                            // it was idle for too long
-	EndedWithoutCommand                  // no complete command came in time
-	EndedForCapacity                     // it was idle, and another connection was to be accepted
-	EndedStuck                           // its client took no responses
+	EndedByClient       EndReason = iota // the client closed the connection, or the connection failed
+	EndedByQuit                          // the client sent QUIT
+	EndedByDrain                         // the listener was closed, which drains its connections
+	EndedIdle                            // the connection was idle for too long
+	EndedWithoutCommand                  // no complete command arrived in time
+	EndedForCapacity                     // the connection was idle and was closed to make space for another one
+	EndedStuck                           // the client read no responses
 	EndedWriteFailed                     // a response could not be written
-	EndedBadFraming                      // what came is no command
+	EndedBadFraming                      // the client sent bytes that are no RESP2 command
 )
 
 var endReasonNames = [...]string{"client", "quit", "drain", "idle", "no_command", "capacity", "stuck", "write_failed", "bad_framing"}
 
-// String returns the name of the reason in the log.
+// String returns the name of the reason, as it is logged.
 func (r EndReason) String() string { return endReasonNames[r] }
 
-// End says how a client's connection ended.
+// End describes how a client's connection ended.
 type End struct {
 	ConnectionID uint64
 	Reason       EndReason
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -8,8 +8,8 @@
 	"shelfproxy/internal/admission"
 )
 
-// ExpireIdle closes the connections whose time is over and returns how long to wait for the next call. Without it they would stay
-// for good and keep usual clients out. A call that comes late shows that the process did not run.
+// ExpireIdle closes the connections whose timeouts have expired and returns how long to wait before the next call. Without it these
+// connections would stay open forever and keep other clients out. A late call shows that the process did not run.
 func (c *Core) ExpireIdle(now time.Time, effects *Effects) (wait time.Duration) {
 	wait = c.expireIdle(now, effects)
 	c.pause.called(now, wait)
@@ -26,11 +26,11 @@
 	}
 	c.closeIdle(now, effects)
 	c.closeStuck(now, effects)
-	effects.capacityAvailable() // a connection that was too new to be closed for another may be old enough now
+	effects.capacityAvailable() // a connection that was too new to be evicted may be old enough now
 	return c.sweepInterval(now)
 }
 
-// expireDrain closes the connections that are still open at the drain's deadline as soon as nothing is owed on them.
+// expireDrain closes the connections that are still open past the drain deadline, each once its pending responses are written.
 func (c *Core) expireDrain(now time.Time, effects *Effects) {
 	if now.Before(c.drainDeadline) {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// closeIdle closes connections that have been idle for too long, a bounded number at a time.
+// closeIdle closes connections that have been idle for too long, at most maxExpiredPerSweep in one call.
 func (c *Core) closeIdle(now time.Time, effects *Effects) {
 	for _, id := range c.table.ExpireIdle(c.tableTime(now), maxExpiredPerSweep) {
 		reason := EndedIdle
@@ -51,14 +51,14 @@
 	}
 }
 
-// closeStuck closes connections that take none of their responses, while the unsent bytes of all are over their bound.
+// closeStuck closes connections whose clients read no responses, as long as the unsent bytes of all connections exceed their bound.
 func (c *Core) closeStuck(now time.Time, effects *Effects) {
 	for {
 		id, isStuck := c.table.NextStuck(c.tableTime(now))
 		if !isStuck {
 			return
 		}
-		c.close(now, c.conns[id], EndedStuck, effects) // even while a write is going on
+		c.close(now, c.conns[id], EndedStuck, effects) // even while a write is in progress
 	}
 }
 
@@ -70,8 +70,8 @@
 	return maxSweepInterval
 }
 
-// Drain starts to close connections as soon as nothing is owed on them. A connection with an incomplete command, and one that is
-// accepted from now on, has a moment for the rest of the command.
+// Drain starts to close all connections, each once its pending responses are written. A connection with a partial command, or one
+// that is accepted from now on, has lingerTimeout to send the rest of the command.
 func (c *Core) Drain(now time.Time, effects *Effects) {
 	c.isDraining, c.drainDeadline = true, now.Add(lingerTimeout)
 	effects.capacityAvailable()
--- a/internal/listener/framing.go
+++ b/internal/listener/framing.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Bounds of one command, past which its framing counts as broken. A value that is a little larger than allowed is still read
-// completely, so that the client gets a response about it.
+// Bounds of one command, past which its framing counts as broken. They leave some space above the largest allowed value: a value
+// that is only a little too large is still read completely, so that the client gets an error response about it.
 const (
 	maxArguments      = 64
 	maxArgumentLength = 72 << 10 // bytes
@@ -12,7 +12,8 @@
 	readBufferSize    = 4 << 10 // bytes
 )
 
-// protocolError says how the framing of a connection is broken. Clients get its text behind "-ERR ": it must not change.
+// protocolError describes how the framing of a connection is broken. Clients receive its text after "-ERR ", so the text must not
+// change.
 type protocolError string
 
 // Error returns the text for the client.
@@ -24,49 +25,50 @@
 	errInvalidFraming  protocolError = "expected an array of bulk strings"
 )
 
-// errNeedMoreBytes says that all bytes that came have been handed over.
+// errNeedMoreBytes is returned when all received bytes have been handed over.
 var errNeedMoreBytes = errors.New("more bytes are needed")
 
-// framingState is what a framingGuard expects next.
+// framingState is the part of the framing that a framingGuard expects next.
 type framingState int
 
 const (
-	expectHeader   framingState = iota // '*', or '$' within a command
-	expectDigit                        // or CR
-	expectHeaderLF                     // of the line with a count or length
-	expectBulk                         // bytes of a bulk string
+	expectHeader   framingState = iota // '*' at the start of a command, '$' within one
+	expectDigit                        // a digit of a count or length, or the CR behind it
+	expectHeaderLF                     // the LF that ends the line with a count or length
+	expectBulk                         // contents of a bulk string
 	expectBulkCR
 	expectBulkLF
 )
 
-// framingGuard is the input of redcon's reader. It follows the framing and ends the stream before the byte that breaks it. redcon's own
-// check drops the valid commands that came in the same read as a broken one; a count near the largest integer makes it loop for ever,
-// such a length of a bulk string makes it panic, and a command without an end makes its buffer grow without bound.
+// framingGuard is the input of redcon's reader. It checks the framing and ends the stream before the byte that breaks it. redcon's
+// reader cannot be left to check it: it drops valid commands that arrive in the same read as a broken one. An array count near the
+// largest integer makes it loop forever, and a bulk string length of that size makes it panic. A command without an end makes its
+// buffer grow without bound.
 //
-// It never waits for bytes: without any it returns errNeedMoreBytes. It is not safe for concurrent use.
+// framingGuard never waits for bytes: when it has none it returns errNeedMoreBytes. It is not safe for concurrent use.
 type framingGuard struct {
-	err      error // that broke the framing
+	err      error // describes how the framing is broken; nil while it is valid
 	state    framingState
-	isBulk   bool // the number that is read is the length of a bulk string, not the count of an array
-	number   int  // as far as it is read; while in a bulk string, the bytes that are still to come
-	digits   int  // of the number, as far as they are read
-	argsLeft int  // bulk strings of the command that are still to come
+	isBulk   bool // number is the length of a bulk string, not the count of an array
+	number   int  // value of the digits read so far; within a bulk string, its bytes that are still to come
+	digits   int  // digits of the number read so far
+	argsLeft int  // bulk strings of the command that are not complete yet
 	length   int  // bytes of the command's bulk strings so far
 
-	buffer [readBufferSize]byte // buffer[next:end] was read from the client and not yet handed over
+	buffer [readBufferSize]byte // buffer[next:end] was read from the client but not handed over yet
 	next   int
 	end    int
 }
 
-// bytesRead says that n bytes were put into buffer, after everything before was handed over.
+// bytesRead records that n bytes were read into buffer. All earlier bytes must have been handed over.
 func (g *framingGuard) bytesRead(n int) { g.next, g.end = 0, n }
 
-// hasPartialCommand reports whether a command has begun and is not complete.
+// hasPartialCommand reports whether the first part of a command was handed over, but not all of it.
 func (g *framingGuard) hasPartialCommand() bool { return g.state != expectHeader || g.argsLeft > 0 }
 
-// Read implements io.Reader. It hands over no more than the rest of the current command: redcon's reader reuses its buffer only once
-// all in it has been taken. With a partial command at the end of each read it would double the buffer, over and over, up to all bytes
-// that a client ever sent.
+// Read implements io.Reader. It returns no more than the rest of the current command, because redcon's reader reuses its buffer only
+// once the buffer is empty. If each read ended in a partial command, the reader would double its buffer again and again, until the
+// buffer held all bytes that the client ever sent.
 func (g *framingGuard) Read(b []byte) (int, error) {
 	if g.err != nil {
 		return 0, g.err
@@ -80,11 +82,11 @@
 	if accepted == 0 {
 		return 0, g.err
 	}
-	return accepted, nil // with an error too: the bytes before it may hold complete commands
+	return accepted, nil // even if g.err is set: the bytes before the error may complete a command
 }
 
-// accept follows the framing up to the end of the current command, or up to a byte that breaks it, and returns the number of valid
-// bytes.
+// accept checks the framing of input up to the end of the current command, or up to the byte that breaks the framing, and returns
+// the number of valid bytes.
 func (g *framingGuard) accept(input []byte) (accepted int) {
 	for accepted < len(input) {
 		if g.state == expectBulk {
@@ -102,7 +104,7 @@
 	return accepted
 }
 
-// skipBulk takes up to available bytes of a bulk string and returns how many.
+// skipBulk skips up to available bytes of a bulk string's contents and returns how many it skipped.
 func (g *framingGuard) skipBulk(available int) int {
 	taken := min(g.number, available)
 	g.number -= taken
@@ -112,7 +114,7 @@
 	return taken
 }
 
-// step takes one byte outside the contents of bulk strings.
+// step checks one byte of the framing, outside the contents of bulk strings.
 func (g *framingGuard) step(char byte) error {
 	switch g.state {
 	case expectHeader:
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// endHeader takes the count or length that was read.
+// endHeader checks and applies the count or length that the header line held.
 func (g *framingGuard) endHeader() error {
 	if g.isBulk {
 		return g.startBulk()
--- a/internal/listener/framing_fuzz_test.go
+++ b/internal/listener/framing_fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// FuzzGuard: redcon's reader neither panics nor loops on anything that the guard lets through.
+// FuzzGuard checks that redcon's reader neither panics nor loops forever on any bytes that a framingGuard lets through.
 func FuzzGuard(f *testing.F) {
 	for _, seed := range []string{"*1\r\n$4\r\nPING\r\n", "*9223372036854775807\r\n", "*2\r\n$9223372036854775800\r\nx",
 		"*2\r\n$0\r\n\r\n$1\r\na\r\n*1\r\n$-1\r\n", "PING\r\n"} {
--- a/internal/listener/framing_test.go
+++ b/internal/listener/framing_test.go
@@ -11,7 +11,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// feedingReader reads through a framingGuard, and feeds it from source whenever it needs more bytes.
+// feedingReader reads through a framingGuard, which it refills from source whenever the guard needs more bytes.
 type feedingReader struct {
 	*framingGuard
 	source io.Reader
@@ -30,7 +30,8 @@
 	}
 }
 
-// sizeRecorder records the largest buffer that it was asked to fill: redcon's reader passes what is left of its own.
+// sizeRecorder records the size of the largest buffer that it was asked to fill. redcon's reader passes the free part of its own
+// buffer.
 type sizeRecorder struct {
 	reader  io.Reader
 	maxSize int
@@ -41,8 +42,9 @@
 	return r.reader.Read(b)
 }
 
-// TestLongStreamDoesNotGrowReadBuffer: of commands that come without a pause, each cut anywhere by the reads, and large values among
-// them, every one arrives as it was sent, and the buffer stays within twice the largest command.
+// TestLongStreamDoesNotGrowReadBuffer guards against a read buffer that grows with the length of the stream, which happens if reads
+// end in a partial command again and again. It sends commands without a gap, so that reads cut them anywhere. Every command must
+// arrive as it was sent, and the buffer must stay within twice the size of the largest command.
 func TestLongStreamDoesNotGrowReadBuffer(t *testing.T) {
 	for name, size := range map[string]int{"small": 70, "near the guard's buffer": 4071, "large": 60 << 10} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/listener/helpers_test.go
+++ b/internal/listener/helpers_test.go
@@ -7,7 +7,7 @@
 	"shelfproxy/internal/request"
 )
 
-// newTestCore returns a core for the class "read" without tenants.
+// newTestCore returns a core with the class "read" and without tenants.
 func newTestCore(now time.Time, limits Limits) *Core {
 	return NewCore(now, []string{"read"}, nil, limits, newTestCounters())
 }
@@ -16,7 +16,7 @@
 	return counters.New([]string{"read"}, request.ResponseKinds(), nil)
 }
 
-// checkUnread does what effects ask for in CheckUnread, for connections without unread bytes, and adds the effects of that.
+// checkUnread carries out the CheckUnread effects as for connections without unread bytes, and adds the effects that follow.
 func checkUnread(core *Core, now time.Time, effects *Effects) {
 	for _, effect := range *effects {
 		if effect.Kind == CheckUnread {
--- a/internal/listener/limits.go
+++ b/internal/listener/limits.go
@@ -6,38 +6,38 @@
 	"shelfproxy/internal/admission"
 )
 
-// Limits bound what clients may make the node hold.
+// Limits bounds the resources that clients can make the node use.
 type Limits struct {
-	MaxConnections int           // open connections
-	MaxPipelined   int           // commands of one connection that wait for their responses
-	MaxValue       int           // bytes of a value
-	WriteTimeout   time.Duration // bounds one write: a client that takes no bytes for this long is stuck
-	MaxUnsentBytes int           // of responses to all clients; past it stuck connections are closed; 0 is no bound
+	MaxConnections int           // connections, open and lingering
+	MaxPipelined   int           // commands of one connection that may wait for their responses
+	MaxValue       int           // largest value, in bytes
+	WriteTimeout   time.Duration // bounds one write of responses; a connection whose write does not complete in this time is closed
+	MaxUnsentBytes int           // bytes of unsent responses to all clients together, past which stuck connections are closed; 0 is no bound
 
-	// How long a connection without an open request may stay.
+	// The fields below bound how long a connection without an open request may stay.
 
-	FirstCommandTimeout time.Duration // without a complete command: the platform's clients expect an error within 3 s
-	CrowdedIdleTimeout  time.Duration // idle while the table is nearly full
-	IdleTimeout         time.Duration // idle otherwise
+	FirstCommandTimeout time.Duration // until the first complete command; clients of the platform expect an error within 3 s
+	CrowdedIdleTimeout  time.Duration // for an idle connection while the connection table is nearly full
+	IdleTimeout         time.Duration // for an idle connection while there is capacity
 }
 
 const (
-	minSweepInterval    = 5 * time.Millisecond   // between two looks for connections whose time is over
-	maxSweepInterval    = 100 * time.Millisecond // as above
-	maxExpiredPerSweep  = 64                     // connections
-	stuckTimeout        = 250 * time.Millisecond // without taking a byte, while the unsent bytes of all are over their bound
-	lingerTimeout       = 500 * time.Millisecond // for a client to read the last response and to close in its turn
-	maxWriteSize        = 256 << 10              // bytes of one write, so that it shows what a client takes; one response may be larger
-	maxKeyLength        = 512                    // bytes of a key or a request id
-	maxParametersLength = 1 << 10                // bytes
+	minSweepInterval    = 5 * time.Millisecond   // shortest time between two searches for expired connections
+	maxSweepInterval    = 100 * time.Millisecond // longest time between two searches for expired connections
+	maxExpiredPerSweep  = 64                     // idle connections that one sweep closes at most
+	stuckTimeout        = 250 * time.Millisecond // after which a client that reads no byte is stuck, while MaxUnsentBytes is exceeded
+	lingerTimeout       = 500 * time.Millisecond // how long a client has to read the last response and close its side
+	maxWriteSize        = 256 << 10              // bytes of one write, so that it shows a client's progress; one response may be larger
+	maxKeyLength        = 512                    // longest key or request id, in bytes
+	maxParametersLength = 1 << 10                // longest list of parameters, in bytes
 	maxClientTimeout    = time.Hour
 )
 
-// maxLingering returns how many of the connections may be lingering ones: a crowd whose connections are closed must not keep others
-// out.
+// maxLingering returns how many of the connections may linger. Without this bound many connections that are closed at once would
+// keep new ones out.
 func maxLingering(maxConnections int) int { return max(1, maxConnections/16) }
 
-// maxOpen returns how many connections may be open and not lingering.
+// maxOpen returns how many connections may be open, not counting the lingering ones.
 func maxOpen(maxConnections int) int { return maxConnections - maxLingering(maxConnections) }
 
 func connectionPolicy(limits Limits) admission.ConnectionPolicy {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener is the clients' side of a node: it reads their RESP2 commands, hands them to a request.Handler, and writes the
-// responses in the order of the commands. Core decides; Listener moves the bytes and keeps the time for it. The package knows nothing
-// of the policy.
+// Package listener serves the clients of a node: it reads their RESP2 commands, hands the requests to a request.Handler, and writes
+// the responses in the order of the commands. Core makes the decisions; Listener is its shell and does the I/O and the timing. The
+// package does not depend on the policy.
 package listener
 
 import (
@@ -19,36 +19,36 @@
 )
 
 const (
-	usualEffects         = 8 // of one call of the core, but for rare cases
-	usualResponseEffects = 2 // as above, of a response
+	initialEffectsCapacity         = 8 // effects; enough for most calls of the core
+	initialResponseEffectsCapacity = 2 // effects; enough for most calls of Core.Respond
 
-	maxCopiedSize    = 4 << 10               // bytes of responses that are copied into one buffer to be written
-	acceptRetryDelay = 5 * time.Millisecond  // after an error, lack of descriptors among them: those in use come back
-	finalAcceptTime  = 20 * time.Millisecond // for connections in the kernel's queue when the listener closes: what was sent on them would be lost
+	maxCopiedSize    = 4 << 10               // up to this many bytes, responses are copied into one buffer and written at once
+	acceptRetryDelay = 5 * time.Millisecond  // after a failed accept, for example for lack of descriptors: some are freed soon
+	finalAcceptTime  = 20 * time.Millisecond // how long Close still accepts from the kernel's queue: commands sent there would be lost
 )
 
 // Listener accepts the connections of clients and serves them until it is closed. It is safe for concurrent use.
 //
 // Each connection has a reader and a writer goroutine, which end once the core has closed the connection; Wait waits for them. Serve
-// starts one more, which looks for connections whose time is over. It ends by itself once Close was called and no connection is left.
+// starts one more goroutine, which closes expired connections. It ends once Close was called and no connection is left.
 type Listener struct {
 	netListener  net.Listener
 	handler      request.Handler
 	count        *counters.Counters
 	writeTimeout time.Duration
-	log          *slog.Logger  // of the ends of connections, at the level debug
-	closedOwing  *atomic.Int64 // requests without a complete response on connections that the node ended
-	discarded    *atomic.Int64 // bytes that came on connections which the node had ended
+	log          *slog.Logger  // receives the ends of connections, at level debug
+	closedOwing  *atomic.Int64 // counts requests without a complete response on connections that the node ended
+	discarded    *atomic.Int64 // counts bytes that arrived on connections after the node had ended them
 
 	mu       sync.Mutex // guards core, including all of its connections, and isClosed
 	core     *Core
 	isClosed bool
-	capacity sync.Cond // of mu: there may be capacity for another connection
+	capacity sync.Cond // uses mu; signalled when there may be capacity for another connection
 
-	loops sync.WaitGroup // the readers and writers
+	loops sync.WaitGroup // the reader and writer goroutines
 }
 
-// New returns a listener that accepts once Serve is called. See NewCore for classes and tenants.
+// New returns a listener, which accepts connections once Serve is called. See NewCore for classes and tenants.
 func New(netListener net.Listener, handler request.Handler, classes, tenants []string, limits Limits, count *counters.Counters,
 	log *slog.Logger) *Listener {
 	l := &Listener{netListener: netListener, handler: handler, count: count, writeTimeout: limits.WriteTimeout, log: log,
@@ -59,21 +59,21 @@
 	return l
 }
 
-// call makes one call of the core under the lock and carries out its effects without it.
+// call runs callCore under the lock and then carries out the effects without the lock.
 func (l *Listener) call(callCore func(now time.Time, effects *Effects)) {
-	effects := make(Effects, 0, usualEffects)
+	effects := make(Effects, 0, initialEffectsCapacity)
 	l.mu.Lock()
 	callCore(time.Now(), &effects)
 	l.mu.Unlock()
 	l.carryOut(effects)
 }
 
-// carryOut carries effects out, in order and without the lock.
+// carryOut carries out effects in order. The caller must not hold the lock.
 func (l *Listener) carryOut(effects Effects) {
 	for i := range effects {
 		switch effect := &effects[i]; effect.Kind {
 		case HandleRequest:
-			l.handler.Handle(effect.Request) // may wait
+			l.handler.Handle(effect.Request) // may block
 		case ClientDisconnected:
 			l.handler.ClientDisconnected(effect.Request)
 		case WriteResponses:
@@ -100,14 +100,14 @@
 		l.closedOwing.Add(int64(end.Owed))
 	}
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
-		l.log.Debug("a connection of a client ended", logs.Event, "connection_ended", "connection", end.ConnectionID,
+		l.log.Debug("client connection ended", logs.Event, "connection_ended", "connection", end.ConnectionID,
 			"reason", end.Reason.String(), "owed", end.Owed)
 	}
 }
 
 func socketOf(conn *Conn) *socket { return conn.Socket.(*socket) }
 
-// Serve accepts connections until Close. The error is that of closing the socket.
+// Serve accepts connections until Close or StopAccepting is called. It returns the error of closing the listening socket, if any.
 func (l *Listener) Serve() error {
 	go l.sweep()
 	var queue acceptQueue
@@ -116,7 +116,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded): // set by Close: all that had come is accepted
+		case errors.Is(err, os.ErrDeadlineExceeded): // the deadline that Close set: the kernel's queue has been accepted
 			return l.netListener.Close()
 		case err != nil:
 			l.count.AcceptFailed.Add(1)
@@ -131,7 +131,7 @@
 	}
 }
 
-// serveConnection starts the reader and the writer of a connection, which was opened at waitingSince or later.
+// serveConnection starts the reader and the writer of a connection, which its client opened at waitingSince or later.
 func (l *Listener) serveConnection(netConn net.Conn, waitingSince time.Time) {
 	socket := newSocket(netConn)
 	l.loops.Add(2)
@@ -143,8 +143,8 @@
 	})
 }
 
-// awaitCapacity waits until another connection may be accepted, and reports whether it did wait: meanwhile connections wait in the
-// kernel's queue.
+// awaitCapacity waits until another connection may be accepted, and reports whether it had to wait. New connections stay in the
+// kernel's queue meanwhile.
 func (l *Listener) awaitCapacity() (waited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,7 +155,7 @@
 			l.mu.Unlock()
 			l.carryOut(effects)
 			l.mu.Lock()
-			continue // what it closed may have made the capacity
+			continue // the effects may have closed a connection and so made capacity
 		}
 		if hasCapacity {
 			return waited
@@ -165,19 +165,19 @@
 	}
 }
 
-// Usage returns how many connections there are, and how often one more had to wait for capacity.
+// Usage returns the number of connections, including the lingering ones, and how often another connection had to wait for capacity.
 func (l *Listener) Usage() (used int, exhausted int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.core.Usage()
 }
 
-// SetMaxConnections changes how many connections there may be.
+// SetMaxConnections changes the maximum number of connections.
 func (l *Listener) SetMaxConnections(n int) {
 	l.call(func(_ time.Time, effects *Effects) { l.core.SetMaxConnections(n, effects) })
 }
 
-// sweep has the core close the connections whose time is over, until the listener is closed and its last connection has ended.
+// sweep periodically has the core close expired connections, until the listener is closed and its last connection has ended.
 func (l *Listener) sweep() {
 	for wait, isOver := maxSweepInterval, false; !isOver; {
 		time.Sleep(wait)
@@ -189,12 +189,13 @@
 	}
 }
 
-// StopAccepting leaves new connections to whoever else accepts on the same socket.
+// StopAccepting closes the listening socket. New connections are left to others that accept on the same socket.
 func (l *Listener) StopAccepting() {
-	_ = l.netListener.Close() // fails if it is closed already
+	_ = l.netListener.Close() // an error means that it is closed already
 }
 
-// Close stops accepting and closes connections as soon as nothing is owed on them. It does not wait for their ends.
+// Close stops accepting and closes each connection once its pending responses are written. It does not wait for the connections to
+// end.
 func (l *Listener) Close() {
 	l.call(func(now time.Time, effects *Effects) {
 		l.isClosed = true
@@ -211,7 +212,7 @@
 
 // respond passes a final response to the core.
 func (l *Listener) respond(conn *Conn, slot *ResponseSlot, response request.Response) {
-	effects := make(Effects, 0, usualResponseEffects)
+	effects := make(Effects, 0, initialResponseEffectsCapacity)
 	l.mu.Lock()
 	l.core.Respond(time.Now(), conn, slot, response, &effects)
 	l.mu.Unlock()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -13,7 +13,7 @@
 	"shelfproxy/internal/request"
 )
 
-// echoHandler serves each request with its id.
+// echoHandler answers each request with the request's id as the value.
 type echoHandler struct{}
 
 func (echoHandler) Handle(r *request.Request) {
@@ -21,8 +21,8 @@
 }
 func (echoHandler) ClientDisconnected(*request.Request) {}
 
-// TestQueuedConnectionsAreServedAtClose: connections in the kernel's queue when the listener closes are accepted, what was sent on them
-// is answered, and then they end in order.
+// TestQueuedConnectionsAreServedAtClose guards against losing connections that are in the kernel's queue when the listener closes.
+// They must be accepted, the commands sent on them answered, and the connections then closed in order.
 func TestQueuedConnectionsAreServedAtClose(t *testing.T) {
 	var listenConfig net.ListenConfig
 	netListener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 		}
 		clients = append(clients, client)
 	}
-	listener.Close() // before it has accepted one
+	listener.Close() // before any connection is accepted
 	served := make(chan error, 1)
 	go func() { served <- listener.Serve() }()
 	for i, client := range clients {
--- a/internal/listener/loops.go
+++ b/internal/listener/loops.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// readEvent is what a reader found on its connection. One without a field that is set says that the wait was interrupted.
+// readEvent is what a reader found on its connection. The zero value means that the wait was interrupted.
 type readEvent struct {
-	size          int       // of the bytes in the connection's buffer
-	arrivedBy     time.Time // when the bytes had come
+	size          int       // number of bytes in the connection's ReadBuffer
+	arrivedBy     time.Time // time by which the bytes had arrived
 	isEnded       bool      // the connection has ended
-	isUnreadCheck bool      // the core has asked for unread bytes
-	hasUnread     bool      // there are some
+	isUnreadCheck bool      // the core has requested a check for unread bytes
+	hasUnread     bool      // result of that check: unread bytes have arrived
 }
 
-// readLoop moves what the client sends to the core until the connection ends. While the connection is paused it waits for the client's
-// close alone.
+// readLoop passes the bytes that the client sends to the core until the connection ends. While the connection is paused it only
+// waits for the client to close it.
 func (l *Listener) readLoop(conn *Conn, socket *socket) {
 	defer l.loops.Done()
 	var effects Effects
@@ -29,11 +29,11 @@
 		isPaused = !conn.IsClosed() && conn.IsPaused()
 		l.mu.Unlock()
 		l.carryOut(effects)
-		clear(effects) // they refer to what was read
+		clear(effects) // the effects refer to the commands that were read
 	}
 }
 
-// handleReadEvent passes an event to the core. The caller holds the lock.
+// handleReadEvent passes an event to the core. The caller must hold the lock.
 func (l *Listener) handleReadEvent(conn *Conn, event readEvent, isPaused bool, effects *Effects) {
 	now := time.Now()
 	if event.isUnreadCheck {
@@ -52,7 +52,7 @@
 	}
 }
 
-// nextReadEvent waits until there is something to read, or the wait is interrupted.
+// nextReadEvent waits until bytes arrive, the connection ends or the wait is interrupted.
 func nextReadEvent(conn *Conn, socket *socket, isPaused bool) (event readEvent) {
 	event.size, event.isEnded = receive(conn, socket, isPaused)
 	switch {
@@ -64,25 +64,25 @@
 	return event
 }
 
-// receive waits for bytes of the client, or for its close alone while the connection is paused. It returns the number of bytes in the
-// connection's buffer, and whether the connection has ended. Neither says that the wait was interrupted.
+// receive waits for bytes from the client or, while the connection is paused, only for the client to close it. It returns the number
+// of bytes in the connection's buffer, and whether the connection has ended. 0 and false mean that the wait was interrupted.
 func receive(conn *Conn, socket *socket, isPaused bool) (n int, isEnded bool) {
 	if isPaused {
 		return 0, socket.awaitClose()
 	}
 	n, err := socket.conn.Read(conn.ReadBuffer())
-	if errors.Is(err, os.ErrDeadlineExceeded) { // set for an awaitClose that had ended by itself
+	if errors.Is(err, os.ErrDeadlineExceeded) { // set by resumeReading, for this read or for an awaitClose that had already returned
 		socket.clearReadDeadline()
 		return n, false
 	}
 	return n, err != nil && n == 0
 }
 
-// writeLoop moves responses to the client until the connection ends.
+// writeLoop writes responses to the client until the connection ends.
 func (l *Listener) writeLoop(conn *Conn, socket *socket) {
 	defer l.loops.Done()
 	var responses [][]byte
-	var buffer []byte // of maxCopiedSize and some line ends at most
+	var buffer []byte // holds at most maxCopiedSize bytes and some line ends
 	var effects Effects
 	for range socket.notify {
 		for {
@@ -98,7 +98,7 @@
 			}
 			var err error
 			buffer, err = socket.write(responses, size, l.writeTimeout, buffer)
-			clear(responses) // they refer to what was read
+			clear(responses) // the responses refer to buffers that can be freed now
 			effects = effects[:0]
 			l.mu.Lock()
 			l.core.WriteCompleted(time.Now(), conn, err == nil, &effects)
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -11,7 +11,7 @@
 	"shelfproxy/internal/request"
 )
 
-// Errors of commands. Clients get their texts behind "-ERR ": they must not change.
+// Errors of invalid commands. Clients receive their texts after "-ERR ", so the texts must not change.
 var (
 	errUnknownCommand    = errors.New("unknown command")
 	errInvalidKey        = errors.New("bad key")
@@ -23,7 +23,8 @@
 	errUnknownClass      = errors.New("unknown class")
 )
 
-// argumentCountError says that a command has too few or too many arguments. Clients get its text, as with the errors above.
+// argumentCountError reports that a command has too few or too many arguments. Clients receive its text, so the text must not
+// change.
 type argumentCountError struct{ command string }
 
 // Error returns the text for the client.
@@ -31,15 +32,15 @@
 	return "wrong number of arguments for '" + e.command + "'"
 }
 
-// The parameters that the listener reads; others are passed on.
+// The names of the parameters that the listener reads. Other parameters are passed on unread.
 const (
 	classParameter   = "c"
 	tenantParameter  = "t"
 	timeoutParameter = "d" // in milliseconds
 )
 
-// parseRequest makes a request of CACHE.GET key id parameters or CACHE.SET key id parameters value. The error says what is wrong with
-// the command, as one of the errors above.
+// parseRequest returns the request of a command "CACHE.GET key id parameters" or "CACHE.SET key id parameters value". If the command
+// is invalid it returns one of the errors above.
 func (c *Core) parseRequest(receivedAt time.Time, command redcon.Command) (*request.Request, error) {
 	parsed := &request.Request{ReceivedAt: receivedAt, IsWrite: isCommand(command.Args[0], setCommand)}
 	wantArgs := 4
@@ -86,10 +87,11 @@
 	return len(name) > 0 && len(name) <= maxKeyLength && !bytes.ContainsFunc(name, isUnprintable)
 }
 
-// isUnprintable keeps spaces and control characters out of what is passed on in the header of an HTTP request.
+// isUnprintable reports whether char is anything but printable ASCII without the space. Keys, ids and parameters are passed on in
+// the header of an HTTP request, so they must not hold such characters.
 func isUnprintable(char rune) bool { return char <= ' ' || char >= 0x7f }
 
-// parseParameters sets the fields of a request that its parameters name.
+// parseParameters sets the class, tenant and timeout of a request from its parameters.
 func (c *Core) parseParameters(r *request.Request) error {
 	for rest := r.Parameters; len(rest) > 0; {
 		var pair []byte
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// parseTimeout reads a number of milliseconds.
+// parseTimeout parses a timeout in milliseconds, from 1 up to maxClientTimeout.
 func parseTimeout(value []byte) (time.Duration, error) {
 	milliseconds, err := strconv.Atoi(string(value))
 	if err != nil || milliseconds <= 0 || milliseconds > int(maxClientTimeout.Milliseconds()) {
--- a/internal/listener/parse_test.go
+++ b/internal/listener/parse_test.go
@@ -9,7 +9,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// TestInvalidRequestIsRejectedForItsFirstError: the error says what is wrong with a command, in the order in which it is checked.
+// TestInvalidRequestIsRejectedForItsFirstError checks the error of each kind of invalid command. A command with several errors gets
+// the one that is checked first.
 func TestInvalidRequestIsRejectedForItsFirstError(t *testing.T) {
 	const parameters = "c=read,d=3000"
 	for _, test := range []struct {
--- a/internal/listener/pause.go
+++ b/internal/listener/pause.go
@@ -6,19 +6,19 @@
 	"shelfproxy/internal/pause"
 )
 
-// settleTime is the time after a pause in which what came during it is read.
+// settleTime is how long after a pause the process still reads bytes that may have arrived during the pause.
 const settleTime = 50 * time.Millisecond
 
-// acceptQueue knows since when connections may have waited in the kernel's queue, as none could be accepted.
+// acceptQueue tracks since when connections may have waited in the kernel's queue because none could be accepted.
 type acceptQueue struct {
-	blockedFrom, blockedUntil time.Time // the last time for which none could be
-	isFailing                 bool      // the last accept failed
+	blockedFrom, blockedUntil time.Time // the last period in which no connection could be accepted
+	isFailing                 bool      // the most recent accept failed
 }
 
-// blocked says that no connection could be accepted for a time.
+// blocked records that no connection could be accepted in a period.
 func (q *acceptQueue) blocked(from, until time.Time) { q.blockedFrom, q.blockedUntil = from, until }
 
-// failed says that an accept failed, of several in a row perhaps.
+// failed records a failed accept. Consecutive failures form one period in which no connection could be accepted.
 func (q *acceptQueue) failed(now time.Time) {
 	if !q.isFailing {
 		q.blockedFrom = now
@@ -26,7 +26,7 @@
 	q.blockedUntil, q.isFailing = now, true
 }
 
-// succeeded says that a connection was accepted. It returns since when the connection may have waited.
+// succeeded records a successful accept and returns since when the connection may have waited.
 func (q *acceptQueue) succeeded(now time.Time) (waitingSince time.Time) {
 	q.isFailing = false
 	if now.Sub(q.blockedUntil) < settleTime {
@@ -35,14 +35,14 @@
 	return now
 }
 
-// pauseTracker finds pauses in which the process did not run, from calls that are due at known times. What is read after a pause may
-// have come at its beginning, and the time of its client runs from there.
+// pauseTracker detects pauses, in which the process did not run, by calls that are due at known times and come late. Bytes that are
+// read after a pause may have arrived at its beginning, and the timeout of their client counts from there.
 type pauseTracker struct {
-	lastCall, nextCall      time.Time // the last call, and when the next one is due
-	pausedFrom, pausedUntil time.Time // the last pause
+	lastCall, nextCall      time.Time // time of the last call, and when the next call is due
+	pausedFrom, pausedUntil time.Time // beginning and end of the last pause
 }
 
-// called says that a call came, and how long after it the next one is due.
+// called records a call at now. wait is the time until the next call is due.
 func (p *pauseTracker) called(now time.Time, wait time.Duration) {
 	if p.isOverdue(now) {
 		p.pausedFrom, p.pausedUntil = p.lastCall, now
@@ -54,10 +54,11 @@
 	return !p.nextCall.IsZero() && pause.IsShown(p.nextCall, now)
 }
 
-// earliestArrival returns when bytes that are read now may have come: now, but for a pause.
+// earliestArrival returns the earliest time at which bytes that are read now may have arrived: the beginning of a pause that has
+// just ended, or else now.
 func (p *pauseTracker) earliestArrival(now time.Time) time.Time {
 	switch {
-	case p.isOverdue(now): // the reader runs before the call that would have shown the pause
+	case p.isOverdue(now): // the reader runs before the late call that records the pause
 		return p.lastCall
 	case now.Sub(p.pausedUntil) < settleTime:
 		return p.pausedFrom
--- a/internal/listener/pause_test.go
+++ b/internal/listener/pause_test.go
@@ -7,41 +7,43 @@
 	"shelfproxy/internal/pause"
 )
 
-// TestArrivalIsBeforeAPause: what is read after a pause may have come at its beginning, whichever goroutine runs first; later, and
-// without a pause, it came when it is read.
+// TestArrivalIsBeforeAPause guards against requests that get too much time because the process was paused when they arrived. Bytes
+// that are read right after a pause may have arrived at its beginning, whether the reader or the periodic call runs first. Without a
+// pause, and from settleTime after it, they arrived when they are read.
 func TestArrivalIsBeforeAPause(t *testing.T) {
 	const wait, pauseLength = 100 * time.Millisecond, time.Second
 	start := time.Unix(1000, 0)
 	var tracker pauseTracker
 	tracker.called(start, wait)
-	tracker.called(start.Add(wait+pause.MinLength-time.Millisecond), wait) // a little late
+	tracker.called(start.Add(wait+pause.MinLength-time.Millisecond), wait) // late, but by less than a pause
 	lastCall := start.Add(wait + pause.MinLength - time.Millisecond)
 	if now := lastCall.Add(wait); !tracker.earliestArrival(now).Equal(now) {
-		t.Errorf("without a pause: came %v before it is read, want 0", now.Sub(tracker.earliestArrival(now)))
+		t.Errorf("without a pause: arrived %v before it is read, want 0", now.Sub(tracker.earliestArrival(now)))
 	}
 	resumed := lastCall.Add(pauseLength)
 	if got := tracker.earliestArrival(resumed); !got.Equal(lastCall) {
-		t.Errorf("before the call that shows the pause: came %v after its beginning, want 0", got.Sub(lastCall))
+		t.Errorf("before the call that shows the pause: arrived %v after its beginning, want 0", got.Sub(lastCall))
 	}
 	tracker.called(resumed, wait)
 	if got := tracker.earliestArrival(resumed.Add(settleTime - 1)); !got.Equal(lastCall) {
-		t.Errorf("behind that call: came %v after its beginning, want 0", got.Sub(lastCall))
+		t.Errorf("after the call that shows the pause: arrived %v after its beginning, want 0", got.Sub(lastCall))
 	}
 	if now := resumed.Add(settleTime); !tracker.earliestArrival(now).Equal(now) {
-		t.Errorf("later: came %v before it is read, want 0", now.Sub(tracker.earliestArrival(now)))
+		t.Errorf("settleTime after the pause: arrived %v before it is read, want 0", now.Sub(tracker.earliestArrival(now)))
 	}
 }
 
-// TestArrivalIsBoundedByTheConnection: a command came neither before the response to the last one, nor before its connection was opened;
-// on a connection that waited to be accepted it may have come at once.
+// TestArrivalIsBoundedByTheConnection checks the bounds of a command's arrival time. A command arrived neither before the response
+// to the previous command nor before its connection was opened. If the connection waited to be accepted, the command may have
+// arrived as soon as the connection was opened.
 func TestArrivalIsBoundedByTheConnection(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for name, test := range map[string]struct {
-		acceptedAt, openedSince int // ms
-		writtenAt               int // of the last response; 0 for none
+		acceptedAt, openedSince int // times in ms
+		writtenAt               int // when the last response was written; 0 for none
 		readAt, earliest        int
-		arrivedBy               int // as the kernel has it; 0 if it does not
+		arrivedBy               int // arrival time that the kernel reports; 0 for none
 		want                    int
 	}{
 		"no pause":                          {0, 0, 0, 900, 900, 0, 900},
@@ -59,38 +61,39 @@
 		var conn Conn
 		conn.accepted(at(test.acceptedAt), at(test.openedSince))
 		if test.writtenAt > 0 {
-			conn.quietSince = at(test.writtenAt)
+			conn.sentAfter = at(test.writtenAt)
 		}
 		if test.arrivedBy > 0 {
 			conn.BytesArrived(at(test.arrivedBy))
 		}
 		if got := conn.arrival(at(test.readAt), at(test.earliest)); !got.Equal(at(test.want)) {
-			t.Errorf("%s: came at %v, want %v", name, got.Sub(start), at(test.want).Sub(start))
+			t.Errorf("%s: arrived at %v, want %v", name, got.Sub(start), at(test.want).Sub(start))
 		}
 	}
 }
 
-// TestConnectionsWaitWhileNoneCanBeAccepted: what is accepted behind failures in a row may have waited since the first.
+// TestConnectionsWaitWhileNoneCanBeAccepted checks since when an accepted connection may have waited. After consecutive failed
+// accepts that is the first of them, after a wait for capacity its beginning, and otherwise the time of the accept.
 func TestConnectionsWaitWhileNoneCanBeAccepted(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var queue acceptQueue
 	queue.failed(start)
 	queue.failed(start.Add(time.Second))
 	if got := queue.succeeded(start.Add(time.Second + time.Millisecond)); !got.Equal(start) {
-		t.Errorf("behind failures: waits since %v after the first, want 0", got.Sub(start))
+		t.Errorf("after failures: waited since %v after the first, want 0", got.Sub(start))
 	}
 	if now := start.Add(2 * time.Second); !queue.succeeded(now).Equal(now) {
-		t.Error("later: waited, want not")
+		t.Error("one second after the failures: got a connection that waited, want one that did not")
 	}
 	from := start.Add(3 * time.Second)
 	queue.blocked(from, from.Add(time.Second))
 	if got := queue.succeeded(from.Add(time.Second)); !got.Equal(from) {
-		t.Errorf("behind a wait for capacity: waits since %v after its beginning, want 0", got.Sub(from))
+		t.Errorf("after a wait for capacity: waited since %v after its beginning, want 0", got.Sub(from))
 	}
 }
 
-// TestArrivalIsNotBoundedByTheEndOfAWrite: a client may have its response long before the process sees the end of the write, and the
-// next command may come meanwhile.
+// TestArrivalIsNotBoundedByTheEndOfAWrite guards against an arrival time that is too late after a pause during a write. The client
+// may receive its response and send the next command long before the process sees the end of the write.
 func TestArrivalIsNotBoundedByTheEndOfAWrite(t *testing.T) {
 	const pauseLength = 2 * time.Second
 	start := time.Unix(1000, 0)
--- a/internal/listener/responses.go
+++ b/internal/listener/responses.go
@@ -11,7 +11,7 @@
 
 var crlf = []byte("\r\n")
 
-// Respond fills the slot of a request with its response, which is written after those of the commands before.
+// Respond stores the response to a request in its slot. It is written after the responses to all earlier commands of the connection.
 func (c *Core) Respond(now time.Time, conn *Conn, slot *ResponseSlot, response request.Response, effects *Effects) {
 	if conn.isClosed || slot.isReady {
 		return
@@ -19,11 +19,11 @@
 	slot.prefix, slot.value = encodeResponse(response)
 	c.table.AddUnsentBytes(c.tableTime(now), conn.id, slot.size())
 	slot.isReady = true
-	slot.request = nil // else the command with its value would stay in memory until the responses before are written
+	slot.request = nil // otherwise the command and its value would stay in memory until the earlier responses are written
 	c.notifyWriter(conn, effects)
 }
 
-// encodeResponse returns the RESP2 bytes of a response; a value is not copied, and a line end follows it.
+// encodeResponse returns the RESP2 encoding of a response. It does not copy a value, and the caller must write CRLF after the value.
 func encodeResponse(response request.Response) (prefix, value []byte) {
 	switch response.Kind {
 	case request.Served:
@@ -42,15 +42,15 @@
 	return nil, nil
 }
 
-// notifyWriter has the shell write the responses that are ready, if the first one is.
+// notifyWriter asks the shell to write responses if the first pending response is ready and no write is in progress.
 func (c *Core) notifyWriter(conn *Conn, effects *Effects) {
 	if conn.hasResponseToWrite() {
 		effects.add(WriteResponses, conn, nil)
 	}
 }
 
-// NextToWrite returns the responses to write next, appended to buffers, and their size in bytes. The shell writes them and then calls
-// WriteCompleted. There are none while a write is going on.
+// NextToWrite appends the responses to write next to buffers and returns them with their size in bytes. The shell writes them and
+// then calls WriteCompleted. While a write is in progress, NextToWrite returns no responses.
 func (c *Core) NextToWrite(now time.Time, conn *Conn, buffers [][]byte) (responses [][]byte, size int) {
 	if conn.isClosed || conn.writing > 0 {
 		return buffers, 0
@@ -71,7 +71,7 @@
 	return buffers, size
 }
 
-// WriteCompleted says whether the responses from NextToWrite were written.
+// WriteCompleted ends the write of the responses from NextToWrite; isWritten reports whether the write succeeded.
 func (c *Core) WriteCompleted(now time.Time, conn *Conn, isWritten bool, effects *Effects) {
 	written := conn.writing
 	conn.writing = 0
@@ -83,12 +83,12 @@
 		c.close(now, conn, EndedWriteFailed, effects)
 		return
 	}
-	// Only now are these responses no longer owed: a connection with slots is not closed as idle.
-	unsentBytes := requestBytes(conn.slots[:written])
+	// The slots are removed only after the write, as a connection with slots is not closed as idle.
+	unsentBytes := unsentResponseBytes(conn.slots[:written])
 	conn.slots = append(conn.slots[:0:0], conn.slots[written:]...)
 	c.table.AddUnsentBytes(c.tableTime(now), conn.id, -unsentBytes)
 	c.table.ResponsesWritten(c.tableTime(now), conn.id, written)
-	conn.quietSince = conn.writingSince // the client may have had them at once, and sent its next command
+	conn.sentAfter = conn.writingSince // the client may have received the responses at once and sent its next command
 	switch {
 	case conn.closeAfterResponses && len(conn.slots) == 0:
 		c.closeUnlessUnread(now, conn, effects)
@@ -98,8 +98,8 @@
 	c.notifyWriter(conn, effects)
 }
 
-// requestBytes returns the size of the responses that Respond counted as unsent: those of requests.
-func requestBytes(slots []*ResponseSlot) (bytes int) {
+// unsentResponseBytes returns the bytes that Respond added to the unsent bytes for these slots: only responses to requests count.
+func unsentResponseBytes(slots []*ResponseSlot) (bytes int) {
 	for _, slot := range slots {
 		if slot.isRequest {
 			bytes += slot.size()
--- a/internal/listener/socket.go
+++ b/internal/listener/socket.go
@@ -11,31 +11,31 @@
 	"shelfproxy/internal/socketstate"
 )
 
-// past is a deadline that ends a wait at once.
+// past is a deadline that has expired, to interrupt a wait at once.
 var past = time.Unix(1, 0)
 
-// socket is the listener's part of a connection.
+// socket is the shell's part of a connection: the network connection and the signals to its two goroutines.
 type socket struct {
 	conn net.Conn
-	// notify holds an element while there may be something to write, or the connection has ended. It is never closed: the writer
-	// ends once the core says that the connection is closed.
+	// notify holds an element while there may be responses to write, or after the connection has ended. It is never closed: the
+	// writer ends once the core reports the connection as closed.
 	notify chan struct{}
 
-	isCheckRequested atomic.Bool // the core wants to know of unread bytes; whoever sets it interrupts the reader
+	isCheckRequested atomic.Bool // the core has requested a check for unread bytes; set before the reader is interrupted
 
-	// The fields below belong to the reader.
+	// The fields below are used by the reader goroutine only.
 
 	raw            syscall.RawConn
 	pollFDs        [1]unix.PollFd
-	isDisconnected bool                  // the client has closed the connection, whatever it sent before
+	isDisconnected bool                  // the client has closed the connection, whether or not unread bytes are left
 	pollClose      func(fd uintptr) bool // sets isDisconnected and returns it
-	sinceData      time.Duration         // since the last bytes came; see socketstate.SinceData
+	sinceData      time.Duration         // time since the last bytes arrived; see socketstate.SinceData
 	pollSinceData  func(fd uintptr)      // sets sinceData
 }
 
 func newSocket(conn net.Conn) *socket {
 	s := &socket{conn: conn, notify: make(chan struct{}, 1)}
-	s.raw, _ = conn.(syscall.Conn).SyscallConn() // a TCP connection has one
+	s.raw, _ = conn.(syscall.Conn).SyscallConn() // a TCP connection always has a raw connection
 	s.pollClose = func(fd uintptr) bool {
 		s.pollFDs[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
 		n, err := unix.Poll(s.pollFDs[:], 0)
@@ -47,28 +47,29 @@
 }
 
 // awaitClose waits, without reading, until the client has closed the connection or resumeReading is called, and reports whether the
-// client has closed it. It sees the close over unread bytes too: a read would show the close only behind them, and they may be
-// requests that nobody waits for.
+// client has closed it. It detects the close even if unread bytes are left. A read would report the close only after these bytes,
+// which may be requests that no client waits for any more.
 func (s *socket) awaitClose() (isDisconnected bool) {
-	// The errors mean that the connection is closed or the wait interrupted; the read that follows shows which.
+	// An error means that the connection is closed or that the wait was interrupted; the next read shows which.
 	_ = s.raw.Read(s.pollClose)
-	_ = s.conn.SetReadDeadline(time.Time{})                 // before the core is called: what it wants from then on sets the deadline again
-	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // a wait that was interrupted before it began has not polled
+	_ = s.conn.SetReadDeadline(time.Time{})                 // before the next call of the core, whose effects may set the deadline again
+	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // the wait has not polled if it was interrupted before it began
 	return s.isDisconnected
 }
 
-// requestCheck has the reader look for unread bytes.
+// requestCheck interrupts the reader and has it check for unread bytes.
 func (s *socket) requestCheck() {
 	s.isCheckRequested.Store(true)
 	s.resumeReading()
 }
 
-// hasUnread reports whether bytes came that are not read, or the client has closed the connection. It asks the kernel.
+// hasUnread asks the kernel whether unread bytes have arrived or the client has closed the connection.
 func (s *socket) hasUnread() bool { return s.raw != nil && socketstate.IsReadable(s.raw) }
 
-// arrivedBy returns when the last bytes that were read had come: before now, if they waited to be read.
+// arrivedBy returns the time by which the last bytes that were read had arrived, as the kernel reports it. It is before now if the
+// bytes waited to be read.
 func (s *socket) arrivedBy() time.Time {
-	now := time.Now() // before the kernel is asked: a pause between the two is on the safe side
+	now := time.Now() // before the kernel is asked: a pause between the two calls then makes the result too early, not too late
 	s.sinceData = 0
 	if s.raw.Control(s.pollSinceData) != nil {
 		return now
@@ -76,19 +77,20 @@
 	return now.Add(-s.sinceData)
 }
 
-// resumeReading interrupts awaitClose, or the next call of it.
+// resumeReading interrupts the reader's current wait, in awaitClose or in a read, or else its next one.
 func (s *socket) resumeReading() {
-	_ = s.conn.SetReadDeadline(past) // fails on a closed connection only, which interrupts as well
+	_ = s.conn.SetReadDeadline(past) // fails only on a closed connection, which interrupts the wait as well
 }
 
-// clearReadDeadline ends the effect of a resumeReading that interrupted no wait.
+// clearReadDeadline removes the deadline that resumeReading has set, so that the reader can wait again.
 func (s *socket) clearReadDeadline() {
-	_ = s.conn.SetReadDeadline(time.Time{}) // fails on a closed connection only, and so does the next read
+	_ = s.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, on which the next read fails too
 }
 
-// write writes the responses, of size bytes in total. It uses and returns a buffer, so that small responses are one write.
+// write writes the responses, which have size bytes in total. Small responses are copied into buffer and written in one system call.
+// It returns the buffer for reuse.
 func (s *socket) write(responses [][]byte, size int, timeout time.Duration, buffer []byte) ([]byte, error) {
-	_ = s.conn.SetWriteDeadline(time.Now().Add(timeout)) // fails on a closed connection only, and so does the write
+	_ = s.conn.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, on which the write fails too
 	if size > maxCopiedSize {
 		buffers := net.Buffers(responses)
 		_, err := buffers.WriteTo(s.conn)
@@ -102,18 +104,18 @@
 	return buffer, err
 }
 
-// halfClose tells the client that nothing more comes, and the reader to discard what still does.
+// halfClose closes the sending side of the connection and wakes the reader, which then discards what the client still sends.
 func (s *socket) halfClose() {
 	if conn, ok := s.conn.(interface{ CloseWrite() error }); ok {
-		_ = conn.CloseWrite() // fails if the client has gone, which the reader sees
+		_ = conn.CloseWrite() // fails if the client has disconnected, which the reader detects
 	}
 	s.resumeReading()
 	s.notifyWriter()
 }
 
-// close ends the reader by the error of its read, and the writer by a notification.
+// close closes the connection. The reader ends by the error of its read, the writer by a notification.
 func (s *socket) close() {
-	_ = s.conn.Close() // the connection is of no further use, whatever the error
+	_ = s.conn.Close() // an error needs no handling: the connection is not used any more
 	s.notifyWriter()
 }
 
