--- a/internal/admission/concurrency_limiter.go
+++ b/internal/admission/concurrency_limiter.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// ConcurrencyLimiter bounds how many requests are in flight at one server by how long responses take, so that what
-// waits for the server waits where its order can still be chosen. It is a congestion window with additive increase and
-// multiplicative decrease (AIMD): where responses take much longer than the server needs, the rest of the time is spent
-// in the server's queue, and half of the limit goes; it comes back step by step while it is what holds requests up. What
-// the server needs shows after each cut, when its queue has drained, or where next to nothing is in flight: it may have
-// become slower, and no limit makes it quicker.
+// ConcurrencyLimiter bounds how many requests are in flight at one server, by the latencies of the responses. Further
+// requests then wait in the node, where their order can still be chosen, and not in the server's queue.
+//
+// The limit is a congestion window with additive increase and multiplicative decrease (AIMD). If responses take much
+// longer than the server needs, the rest of the time is spent in the server's queue, and the limit is halved. The limit
+// grows again step by step while it is reached. The latency that the server itself needs is seen after each cut, once
+// the server's queue has drained, and while almost no request is in flight. If that latency is longer than before, the
+// server has become slower, and no lower limit makes it faster.
 type ConcurrencyLimiter struct {
 	Max float64 // the limit at the start, and its upper bound
 
 	limit  float64
-	cutAt  Time // when the limit was last cut
+	cutAt  Time // time of the last cut of the limit; 0 before the first
 	reads  latencyStats
 	writes latencyStats
 }
 
 const (
-	cutFactor          = 0.5              // fraction of the limit that stays when it is cut
-	crowdedFactor      = 1.6              // times the least mean latency from which a latency means queueing
-	minCrowdedFraction = 0.5              // of the samples have to mean queueing: a lost one and a few long ones move the mean
-	minUsefulLimit     = 2.0              // up to this limit a long latency is the server's own
-	growthStep         = 0.1              // of a place for each response, or 1/limit where that is more
-	meanSamples        = 8                // samples that a mean is of
-	leastFadeTime      = 30 * time.Second // in which the least mean latency grows e times
+	cutFactor            = 0.5              // fraction of the limit that is left after a cut
+	congestedFactor      = 1.6              // multiple of minMean above which a latency indicates queueing
+	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing: a lost or a few long ones can raise the mean
+	minUsefulLimit       = 2.0              // up to this limit a long latency is attributed to the server itself, not to its queue
+	growthStep           = 0.1              // increase of the limit for each response; 1/limit if that is more
+	meanSamples          = 8                // number of samples in a mean
+	minMeanGrowthTime    = 30 * time.Second // time in which minMean grows by a factor of e
 )
 
-// LatencySample is how one request to the server ended.
+// LatencySample describes how one request to the server ended.
 type LatencySample struct {
-	IsWrite    bool // writes and reads take different times
+	IsWrite    bool // writes and reads have separate statistics, as they take different times
 	Latency    time.Duration
-	IsRejected bool // by the server
-	IsTimedOut bool // without a response
+	IsRejected bool // the server rejected the request
+	IsTimedOut bool // the request timed out without a response
 }
 
-// Limit returns how many requests may be in flight.
+// Limit returns the maximum number of requests in flight.
 func (c *ConcurrencyLimiter) Limit() int {
 	if c.limit == 0 {
 		c.limit = c.Max
@@ -46,22 +48,22 @@
 	return int(c.limit)
 }
 
-// Observe takes a sample and adjusts the limit. A mean latency up to calm never means queueing; inFlight counts the
-// requests in flight, the sample's among them.
-func (c *ConcurrencyLimiter) Observe(now Time, sample LatencySample, calm time.Duration, inFlight int) {
-	c.Limit() // sets it at the start
+// Observe takes a sample and adjusts the limit. A mean latency up to acceptable never counts as queueing. inFlight is the
+// number of requests in flight, including the one of the sample.
+func (c *ConcurrencyLimiter) Observe(now Time, sample LatencySample, acceptable time.Duration, inFlight int) {
+	c.Limit() // initialises the limit
 	if c.cutAt > 0 && now-sample.Latency < c.cutAt {
-		return // sent before the last cut: it shows nothing of its effect
+		return // the request was sent before the last cut, so it does not show the effect of the cut
 	}
 	stats := &c.reads
 	if sample.IsWrite {
 		stats = &c.writes
 	}
-	stats.record(now, sample, calm)
+	stats.record(now, sample, acceptable)
 	switch {
-	case sample.IsRejected || stats.isCrowded(calm):
+	case sample.IsRejected || stats.isCongested(acceptable):
 		if c.limit <= minUsefulLimit && !sample.IsRejected {
-			stats.least = stats.mean
+			stats.minMean = stats.mean
 		}
 		c.cut(now, inFlight)
 	case float64(inFlight) >= c.limit-1:
@@ -69,59 +71,61 @@
 	}
 }
 
-// cut lowers the limit, and starts new means: those so far are of the limit before.
+// cut lowers the limit and starts new means, as the samples so far were taken under the old limit.
 func (c *ConcurrencyLimiter) cut(now Time, inFlight int) {
 	c.limit, c.cutAt = max(1, min(c.limit, float64(inFlight))*cutFactor), now
 	c.reads.samples, c.writes.samples = 0, 0
 }
 
-// latencyStats is how long one kind of request takes: of late, and the least of that, which is what the server needs.
-// The least is forgotten slowly, as a queue that never drains must not pass for the server's own time.
+// latencyStats holds the latency statistics of one kind of request: the recent mean, and the smallest mean, which is the
+// latency that the server itself needs. The smallest mean grows only slowly, as the latency of a queue that never drains
+// must not be taken for the server's own.
 type latencyStats struct {
-	mean, least     time.Duration
-	crowdedFraction float64 // of the same samples, that meant queueing
-	samples         int     // that the mean is of
-	updatedAt       Time
+	mean, minMean     time.Duration
+	congestedFraction float64 // fraction of the recent samples that indicated queueing
+	samples           int     // number of samples in the mean
+	updatedAt         Time
 }
 
-func (s *latencyStats) record(now Time, sample LatencySample, calm time.Duration) {
+func (s *latencyStats) record(now Time, sample LatencySample, acceptable time.Duration) {
 	if s.samples < meanSamples {
 		s.samples++
 	}
-	threshold := s.crowdedLatency(calm)
+	threshold := s.congestedLatency(acceptable)
 	latency := sample.Latency
-	if sample.IsTimedOut && s.least > 0 {
-		// It may have been lost on its way, or with its connection, and its time is only for how long somebody waited. Half
-		// of those that a mean is of have to be lost before that means queueing, where one would do by its time.
-		latency = min(latency, time.Duration(crowdedFactor*float64(threshold)))
+	if sample.IsTimedOut && s.minMean > 0 {
+		// The request may have been lost on its way or with its connection, so its latency only shows how long the node
+		// waited. With the latency capped, half of the samples of a mean have to time out before they indicate queueing;
+		// uncapped, one would be enough.
+		latency = min(latency, time.Duration(congestedFactor*float64(threshold)))
 	}
 	s.mean += (latency - s.mean) / time.Duration(s.samples)
-	crowded := 0.0
+	congested := 0.0
 	if latency > threshold {
-		crowded = 1
+		congested = 1
 	}
-	s.crowdedFraction += (crowded - s.crowdedFraction) / float64(s.samples)
+	s.congestedFraction += (congested - s.congestedFraction) / float64(s.samples)
 	if s.hasMean() {
-		s.updateLeast(now)
+		s.updateMinMean(now)
 	}
 }
 
-func (s *latencyStats) updateLeast(now Time) {
-	faded := time.Duration(float64(s.least) * math.Exp(float64(now-s.updatedAt)/float64(leastFadeTime)))
-	if s.least == 0 || s.mean < faded {
-		faded = s.mean
+func (s *latencyStats) updateMinMean(now Time) {
+	grown := time.Duration(float64(s.minMean) * math.Exp(float64(now-s.updatedAt)/float64(minMeanGrowthTime)))
+	if s.minMean == 0 || s.mean < grown {
+		grown = s.mean
 	}
-	s.least, s.updatedAt = faded, now
+	s.minMean, s.updatedAt = grown, now
 }
 
-// hasMean reports whether there are enough samples for a mean.
+// hasMean reports whether the mean has its full number of samples.
 func (s *latencyStats) hasMean() bool { return s.samples == meanSamples }
 
-// crowdedLatency returns the latency past which requests wait in the server's queue.
-func (s *latencyStats) crowdedLatency(calm time.Duration) time.Duration {
-	return max(calm, time.Duration(crowdedFactor*float64(s.least)))
+// congestedLatency returns the latency above which requests are assumed to wait in the server's queue.
+func (s *latencyStats) congestedLatency(acceptable time.Duration) time.Duration {
+	return max(acceptable, time.Duration(congestedFactor*float64(s.minMean)))
 }
 
-func (s *latencyStats) isCrowded(calm time.Duration) bool {
-	return s.hasMean() && s.crowdedFraction >= minCrowdedFraction && s.mean > s.crowdedLatency(calm)
+func (s *latencyStats) isCongested(acceptable time.Duration) bool {
+	return s.hasMean() && s.congestedFraction >= minCongestedFraction && s.mean > s.congestedLatency(acceptable)
 }
--- a/internal/admission/concurrency_limiter_test.go
+++ b/internal/admission/concurrency_limiter_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// queueServer serves a number of requests at a time, in the order in which they came.
+// queueServer models a server that serves a number of requests at a time, in the order of their arrival.
 type queueServer struct {
-	work   time.Duration // that a request takes on average
-	freeAt []Time        // when each place is free
+	work   time.Duration // average time that a request takes
+	freeAt []Time        // when each of the server's places becomes free
 }
 
-// serve accepts a request and returns when its response comes.
+// serve accepts a request and returns the time of its response.
 func (s *queueServer) serve(now Time, work time.Duration) (done Time) {
 	earliest := 0
 	for i := range s.freeAt {
@@ -24,7 +24,7 @@
 	return s.freeAt[earliest]
 }
 
-// drive keeps as many requests in flight as the limit allows, and returns the mean latency and the responses a second.
+// drive keeps as many requests in flight as the limit allows. It returns the mean latency and the responses per second.
 func drive(limiter *ConcurrencyLimiter, server *queueServer, from, span Time, rng *rand.Rand) (mean time.Duration, rate float64) {
 	type request struct{ sentAt, doneAt Time }
 	var inFlight []request
@@ -50,8 +50,8 @@
 	return total / time.Duration(max(responses, 1)), float64(responses) / span.Seconds()
 }
 
-// In front of a server of four places the limit keeps latencies near the time that the work takes and the server busy,
-// also after the server became four times as slow and as quick again.
+// TestLimitFollowsTheServer checks that the limit keeps a server of four places busy, with latencies near the time that
+// the work itself takes. The same holds after the server has become four times as slow, and as fast as before again.
 func TestLimitFollowsTheServer(t *testing.T) {
 	const span = 20 * time.Second
 	for seed := range uint64(20) {
@@ -82,13 +82,13 @@
 	if got := limiter.Limit(); got != 10 {
 		t.Fatalf("got the limit %d after a cut with 20 in flight, want 10", got)
 	}
-	for range 30 { // sent before it was cut
+	for range 30 { // these requests were sent before the cut
 		limiter.Observe(1100*time.Millisecond, LatencySample{Latency: time.Second}, 0, 20)
 	}
 	if got := limiter.Limit(); got != 10 {
 		t.Errorf("got the limit %d after samples that were sent before the cut, want 10", got)
 	}
-	for range 2000 { // however bad it gets, one may be in flight
+	for range 2000 { // the limit never falls below one request in flight
 		limiter.Observe(limiter.cutAt+10*time.Second, LatencySample{IsRejected: true}, 0, 1)
 	}
 	if got := limiter.Limit(); got != 1 {
@@ -96,9 +96,9 @@
 	}
 }
 
-func TestLimitStaysWhileLatenciesAreCalm(t *testing.T) {
+func TestLimitStaysWhileLatenciesAreAcceptable(t *testing.T) {
 	limiter := &ConcurrencyLimiter{Max: 64}
-	for i := range 1000 { // latencies differ widely, but none is over what is calm
+	for i := range 1000 { // latencies differ widely, but none exceeds the acceptable 250 ms
 		latency := time.Duration(10+i%7*30) * time.Millisecond
 		limiter.Observe(Time(i)*100*time.Millisecond, LatencySample{IsWrite: i%5 == 0, Latency: latency}, 250*time.Millisecond, 3)
 	}
@@ -107,15 +107,16 @@
 	}
 }
 
-// One sample in eight of a request that was lost, or that takes long as it is long itself, does not cut the limit of a
-// server that is well; a server of which all samples are such counts as crowded within a dozen.
+// TestFewLongLatenciesDoNotCutTheLimit guards against a cut of the limit although the server is not congested. One sample
+// in eight is of a request that was lost, or that takes long because it needs much work: it must not cut the limit. If
+// all samples are like that, the limit must be cut within 12 samples.
 func TestFewLongLatenciesDoNotCutTheLimit(t *testing.T) {
-	const interval = 300 * time.Millisecond // between two samples
+	const interval = 300 * time.Millisecond // time between two samples
 	timedOut := LatencySample{Latency: 236 * time.Millisecond, IsTimedOut: true}
 	long := LatencySample{Latency: 1300 * time.Millisecond}
 	for _, test := range []struct {
-		calm time.Duration
-		bad  LatencySample
+		acceptable time.Duration
+		bad        LatencySample
 	}{
 		{0, timedOut},
 		{30 * time.Millisecond, timedOut},
@@ -131,17 +132,17 @@
 					sample = test.bad
 				}
 				now += interval
-				limiter.Observe(now, sample, test.calm, 20)
+				limiter.Observe(now, sample, test.acceptable, 20)
 			}
 		}
 		observe(func(i int) bool { return i%8 == 7 })
 		if got := limiter.Limit(); got != 64 {
-			t.Errorf("calm %v: got the limit %d with one sample in eight like %+v, want 64", test.calm, got, test.bad)
+			t.Errorf("acceptable %v: got the limit %d with one sample in eight like %+v, want 64", test.acceptable, got, test.bad)
 		}
 		start := now
 		observe(func(int) bool { return true })
 		if got := limiter.Limit(); got == 64 || now-start > 12*interval {
-			t.Errorf("calm %v: got the limit %d, %v after all samples are like %+v, want a cut within 12 samples", test.calm, got, now-start, test.bad)
+			t.Errorf("acceptable %v: got the limit %d, %v after all samples are like %+v, want a cut within 12 samples", test.acceptable, got, now-start, test.bad)
 		}
 	}
 }
--- a/internal/admission/connection_stage.go
+++ b/internal/admission/connection_stage.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Stage is what a connection has shown so far. It decides how long the connection may stay without an open request.
+// Stage classifies a connection by the commands that it has sent. It decides how long the connection may stay without an
+// open request.
 type Stage int
 
-// The stages.
+// The stages of a connection.
 const (
 	StageNew            Stage = iota // has sent nothing yet
-	StagePartialCommand              // has sent part of a command, and gets a response once it is complete
-	StageGreeted                     // has sent valid commands, but no request: a check by a proxy, or a client library's greeting
+	StagePartialCommand              // has sent part of a command, which gets a response once it is complete
+	StageGreeted                     // has sent valid commands but no request, like a proxy's check or a client library's start
 	StageOneRequest                  // has made one request
 	StageInvalid                     // its last command was invalid
 	StageRegular                     // has made several requests
@@ -27,39 +28,39 @@
 // Command is a kind of command.
 type Command int
 
-// The kinds of commands.
+// The kinds of commands that a connection receives.
 const (
 	CommandRequest Command = iota
-	CommandOther           // answered by the listener itself
-	CommandInvalid         // answered with an error
+	CommandOther           // valid, and answered by the listener itself
+	CommandInvalid         // invalid, and answered with an error
 )
 
 // connection is one connection of the table.
 type connection struct {
 	id           uint64
-	openCommands int  // that wait for a response
-	idleSince    Time // while there are none, and since the first byte of a partial command
+	openCommands int  // commands that wait for a response
+	idleSince    Time // time since which openCommands is 0, or of the first part of a later partial command
 	stage        Stage
-	isClosing    bool // it was given up, and Closed has not been called yet
+	isClosing    bool // the connection was marked for closing, and Closed was not called yet
 
 	requests      int
 	lastRequest   Time
-	meanInterval  float64 // seconds between requests, a moving mean
-	hasValid      bool    // it sent a valid command
-	isLastInvalid bool    // its last command was invalid
-	hasPartial    bool    // it sent part of a command
+	meanInterval  float64 // moving mean of the seconds between requests
+	hasValid      bool    // the connection has sent a valid command
+	isLastInvalid bool    // the last command was invalid
+	hasPartial    bool    // the connection has sent part of a command
 
-	unsent     int  // bytes of responses that are ready and not written
-	progressAt Time // when some of them were last written, or the first became ready
+	unsent     int  // bytes of responses that are ready but not written
+	progressAt Time // when unsent bytes were last written, or the first became ready
 
-	queue          *idleQueue // that it is in, or nil
+	queue          *idleQueue // idle queue that holds the connection, or nil
 	previous, next *connection
 }
 
-// intervalWeight is one over the weight of the newest interval in the moving mean.
-const intervalWeight = 3
+// inverseIntervalWeight is the inverse of the newest interval's weight in the moving mean.
+const inverseIntervalWeight = 3
 
-// recordCommand notes a complete command.
+// recordCommand records a complete command.
 func (c *connection) recordCommand(now Time, kind Command) {
 	c.hasPartial = false
 	c.openCommands++
@@ -76,12 +77,12 @@
 		if c.requests == 2 {
 			c.meanInterval = interval
 		}
-		c.meanInterval += (interval - c.meanInterval) / intervalWeight
+		c.meanInterval += (interval - c.meanInterval) / inverseIntervalWeight
 	}
 	c.lastRequest = now
 }
 
-// currentStage returns what the connection has shown by now.
+// currentStage returns the stage that follows from the commands sent so far.
 func (c *connection) currentStage() Stage {
 	switch {
 	case c.hasPartial:
@@ -98,19 +99,19 @@
 	return StageNew
 }
 
-// Regular connections are told apart by the interval of their requests, in classes of which each is twice as slow as the
-// one before.
+// Regular connections are grouped into classes by the interval between their requests. The length of each class is twice
+// that of the one before.
 const (
 	intervalClasses  = 14
 	shortestInterval = 8 * time.Millisecond
-	minLogInterval   = 1e-6 // seconds: an interval of 0 has no logarithm
+	minLogInterval   = 1e-6 // seconds; avoids the logarithm of an interval of 0
 )
 
-// intervalClass returns the class of an interval in seconds: the first whose length is no shorter.
+// intervalClass returns the class of an interval in seconds: the first class that is at least as long, or the last one.
 func intervalClass(seconds float64) int {
 	class := math.Ceil(math.Log2(max(seconds, minLogInterval) / shortestInterval.Seconds()))
 	return int(min(max(class, 0), intervalClasses-1))
 }
 
-// classSeconds returns the length of an interval class.
+// classSeconds returns the length of an interval class in seconds.
 func classSeconds(class int) float64 { return shortestInterval.Seconds() * math.Exp2(float64(class)) }
--- a/internal/admission/connection_table.go
+++ b/internal/admission/connection_table.go
@@ -1,22 +1,22 @@
 package admission
 
 // ConnectionTable decides which connections of a listener are kept. Idle connections of one stage and interval class
-// wait in the order in which they became idle, so the next to expire is always at the head of one of a few queues: an
-// event costs the same however many connections there are, and the table is never scanned.
+// are queued in the order in which they became idle, so the next connection to expire is always at the head of one of a
+// few queues. The cost of an event does not depend on the number of connections, and the table is never scanned.
 //
-// It closes nothing itself: ExpireIdle, Admit and NextStuck give connections up, and the caller closes them and calls
-// Closed, or Retain for one that turns out not to be idle.
+// The table closes no connection itself: ExpireIdle, Admit and NextStuck mark connections for closing. The caller closes
+// them and calls Closed, or Retain for a connection that turns out not to be idle.
 type ConnectionTable struct {
 	policy      ConnectionPolicy
 	connections map[uint64]*connection
-	queues      [numQueues]idleQueue // see queueIndex
-	closing     int                  // connections that were given up and are not closed yet
-	unsent      int                  // bytes of responses, at all connections together
+	queues      [numQueues]idleQueue // queues of idle connections; see queueIndex
+	closing     int                  // number of connections that are marked for closing and not closed yet
+	unsent      int                  // bytes of unsent responses, on all connections together
 	slowReaders map[uint64]*connection
 	growth      growthRate
 }
 
-// numQueues is one queue for each stage, and for regular connections one for each interval class.
+// numQueues is the number of queues: one for each stage, and for regular connections one for each interval class.
 const numQueues = int(numStages) + intervalClasses
 
 // NewConnectionTable returns an empty table.
@@ -28,17 +28,16 @@
 	}
 }
 
-// SetCapacity changes the number of connections that there may be. A table with more admits none until enough are
-// closed.
+// SetCapacity changes the maximum number of connections. A table that holds more admits none until enough are closed.
 func (t *ConnectionTable) SetCapacity(maxConnections int) { t.policy.MaxConnections = maxConnections }
 
-// Capacity returns the number of connections that there may be.
+// Capacity returns the maximum number of connections.
 func (t *ConnectionTable) Capacity() int { return t.policy.MaxConnections }
 
-// Len returns the number of connections, with those that were given up and are not closed yet.
+// Len returns the number of connections, including those that are marked for closing and not closed yet.
 func (t *ConnectionTable) Len() int { return len(t.connections) }
 
-// Stage returns what a connection has shown.
+// Stage returns the stage of a connection, as of when it last became idle.
 func (t *ConnectionTable) Stage(id uint64) Stage {
 	if c := t.connections[id]; c != nil {
 		return c.stage
@@ -54,7 +53,7 @@
 	t.enqueue(c)
 }
 
-// PartialCommand reports that part of a command was received. Further parts of the same command change nothing.
+// PartialCommand records that part of a command was received. Further parts of the same command change nothing.
 func (t *ConnectionTable) PartialCommand(now Time, id uint64) {
 	c := t.connections[id]
 	if c == nil || c.hasPartial {
@@ -67,7 +66,7 @@
 	}
 }
 
-// CommandReceived reports a complete command; the connection is not idle until its response is written.
+// CommandReceived records a complete command. The connection is not idle until the response is written.
 func (t *ConnectionTable) CommandReceived(now Time, id uint64, kind Command) {
 	c := t.connections[id]
 	if c == nil {
@@ -77,7 +76,7 @@
 	c.recordCommand(now, kind)
 }
 
-// ResponsesWritten reports that a number of responses were written.
+// ResponsesWritten records that a number of responses were written.
 func (t *ConnectionTable) ResponsesWritten(now Time, id uint64, responses int) {
 	c := t.connections[id]
 	if c == nil {
@@ -106,7 +105,8 @@
 	t.growth.record(now, -1)
 }
 
-// Retain takes back that a connection was given up: it is not idle. Its timeout counts from when it did before.
+// Retain unmarks a connection that was marked for closing but turned out not to be idle. Its idle time still counts from
+// the same moment.
 func (t *ConnectionTable) Retain(id uint64) {
 	c := t.connections[id]
 	if c == nil || !c.isClosing {
@@ -119,7 +119,7 @@
 	}
 }
 
-// enqueue puts an idle connection at its place among the others, unless it was given up.
+// enqueue puts an idle connection into the queue of its stage, unless it is marked for closing.
 func (t *ConnectionTable) enqueue(c *connection) {
 	c.unlink()
 	if c.isClosing {
@@ -129,7 +129,8 @@
 	t.queues[queueIndex(c)].push(c)
 }
 
-// queueIndex returns the queue of a connection: that of its stage or, for a regular one, of its interval class.
+// queueIndex returns the index of a connection's queue: that of its stage or, for a regular connection, of its interval
+// class.
 func queueIndex(c *connection) int {
 	if c.stage != StageRegular {
 		return int(c.stage)
@@ -137,8 +138,8 @@
 	return int(numStages) + intervalClass(c.meanInterval)
 }
 
-// giveUp marks a connection as one that the caller closes, and returns its id.
-func (t *ConnectionTable) giveUp(c *connection) uint64 {
+// markForClosing marks a connection that the caller has to close, takes it out of its queue, and returns its id.
+func (t *ConnectionTable) markForClosing(c *connection) uint64 {
 	c.unlink()
 	c.isClosing = true
 	t.closing++
--- a/internal/admission/connection_table_test.go
+++ b/internal/admission/connection_table_test.go
@@ -20,7 +20,7 @@
 	table.ResponsesWritten(now+10*ms, id, 1)
 }
 
-func TestConnectionWithOpenRequestIsNeverGivenUp(t *testing.T) {
+func TestConnectionWithOpenRequestIsNeverMarkedForClosing(t *testing.T) {
 	table := newTable(4)
 	for id := range uint64(4) {
 		table.Accepted(0, id)
@@ -36,7 +36,7 @@
 	if _, victim, found := table.Admit(time.Hour + ms); !found || victim != 2 {
 		t.Fatalf("got the victim %d, %v, want 2", victim, found)
 	}
-	table.CommandReceived(time.Hour+2*ms, 2, CommandRequest) // it was sent before the connection was closed
+	table.CommandReceived(time.Hour+2*ms, 2, CommandRequest) // the client sent this command before the connection was closed
 	table.ResponsesWritten(time.Hour+3*ms, 2, 1)
 	if _, victim, found := table.Admit(time.Hour + 4*ms); found {
 		t.Errorf("got another victim, %d, while one is not closed yet", victim)
@@ -47,17 +47,17 @@
 	}
 }
 
-// tableModel drives a table by random events beside the counts that it has to agree with.
+// tableModel applies random events to a table, and keeps its own counts, with which the table has to agree.
 type tableModel struct {
 	*rapid.T
-	table   *ConnectionTable
-	now     Time
-	lastID  uint64
-	open    map[uint64]int // commands that wait for a response, by connection
-	givenUp map[uint64]bool
+	table  *ConnectionTable
+	now    Time
+	lastID uint64
+	open   map[uint64]int // number of commands that wait for a response, by connection
+	marked map[uint64]bool
 }
 
-// pick draws one of the connections, if there are any.
+// pick draws the id of one of the connections, if there are any.
 func (m *tableModel) pick() (uint64, bool) {
 	ids := make([]uint64, 0, len(m.open))
 	for id := range m.open {
@@ -70,11 +70,11 @@
 	return rapid.SampledFrom(ids).Draw(m.T, "id"), true
 }
 
-func (m *tableModel) giveUp(id uint64) {
-	if m.open[id] > 0 || m.givenUp[id] {
-		m.Fatalf("%d was given up with %d open commands, given up before: %v", id, m.open[id], m.givenUp[id])
+func (m *tableModel) markForClosing(id uint64) {
+	if m.open[id] > 0 || m.marked[id] {
+		m.Fatalf("connection %d was marked for closing with %d open commands, marked before: %v", id, m.open[id], m.marked[id])
 	}
-	m.givenUp[id] = true
+	m.marked[id] = true
 }
 
 func (m *tableModel) admit() {
@@ -83,7 +83,7 @@
 		m.table.Accepted(m.now, m.lastID)
 		m.open[m.lastID] = 0
 	} else if found {
-		m.giveUp(victim)
+		m.markForClosing(victim)
 	}
 }
 
@@ -110,7 +110,7 @@
 
 func (m *tableModel) expire() {
 	for _, id := range m.table.ExpireIdle(m.now, 3) {
-		m.giveUp(id)
+		m.markForClosing(id)
 	}
 }
 
@@ -118,14 +118,14 @@
 	if id, ok := m.pick(); ok {
 		m.table.Closed(m.now, id)
 		delete(m.open, id)
-		delete(m.givenUp, id)
+		delete(m.marked, id)
 	}
 }
 
-// check compares the table's counts with the model's, and its queues with the idle connections.
+// check compares the table's counts with the model's. It checks that the queues hold the idle connections, in order.
 func (m *tableModel) check() {
-	if m.table.Len() != len(m.open) || m.table.closing != len(m.givenUp) {
-		m.Fatalf("got %d connections and %d closing, want %d and %d", m.table.Len(), m.table.closing, len(m.open), len(m.givenUp))
+	if m.table.Len() != len(m.open) || m.table.closing != len(m.marked) {
+		m.Fatalf("got %d connections and %d closing, want %d and %d", m.table.Len(), m.table.closing, len(m.open), len(m.marked))
 	}
 	queued := 0
 	for i := range m.table.queues {
@@ -138,7 +138,7 @@
 	}
 	idle := 0
 	for id, open := range m.open {
-		if open == 0 && !m.givenUp[id] {
+		if open == 0 && !m.marked[id] {
 			idle++
 		}
 	}
@@ -147,9 +147,9 @@
 	}
 }
 
-func TestTableCountsMatchAndOnlyIdleConnectionsAreGivenUp(t *testing.T) {
+func TestTableCountsMatchAndOnlyIdleConnectionsAreMarkedForClosing(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		model := &tableModel{T: r, table: newTable(rapid.IntRange(1, 12).Draw(r, "places")), open: map[uint64]int{}, givenUp: map[uint64]bool{}}
+		model := &tableModel{T: r, table: newTable(rapid.IntRange(1, 12).Draw(r, "places")), open: map[uint64]int{}, marked: map[uint64]bool{}}
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			model.now += time.Duration(rapid.IntRange(0, 400).Draw(r, "wait")) * ms
 			switch rapid.IntRange(0, 6).Draw(r, "event") {
--- a/internal/admission/descriptor_split.go
+++ b/internal/admission/descriptor_split.go
@@ -5,111 +5,112 @@
 	"time"
 )
 
-// Side is a use of file descriptors.
+// Side is one of the uses among which file descriptors are divided.
 type Side int
 
-// The sides.
+// The sides, each with its own limit of descriptors.
 const (
 	Clients      Side = iota
-	CacheServers      // all cache servers together
+	CacheServers      // connections to all cache servers together
 	Origin
 	NumSides
 )
 
-// SideUsage is the use of a side at one moment.
+// SideUsage describes the descriptors that a side uses at one moment.
 type SideUsage struct {
 	InUse     int
-	Exhausted int64 // how often there was no descriptor, since the start
+	Exhausted int64 // number of times since the start that no descriptor was available
 }
 
 // DescriptorSplitPolicy configures a DescriptorSplit.
 type DescriptorSplitPolicy struct {
-	Start, Floor [NumSides]int // descriptors at the start, and at least
-	Step         int           // descriptors that move at a time, at most
-	Hold         time.Duration // for which a side that gained some gives none away
-	Fade         time.Duration // after which a peak of use counts 1/e
+	Start, Floor [NumSides]int // descriptors of each side at the start, and its minimum
+	Step         int           // maximum number of descriptors that move at a time
+	Hold         time.Duration // time for which a side that gained descriptors gives none away
+	Fade         time.Duration // time in which a peak of use decays to 1/e
 }
 
-// DescriptorSplit divides descriptors among the sides by need. What one side gains another gives, so the sum never
-// changes; a side gives only what it has not used of late, and never below its floor. A side that has just gained some
-// keeps it for a while, so that two sides in need do not pass the same ones back and forth.
+// DescriptorSplit divides descriptors among the sides by need. A side gains only what another side gives, so the sum
+// never changes. A side gives only descriptors that it has not used recently, and never goes below its floor. A side
+// that has just gained descriptors keeps them for a while, so that two sides in need do not pass the same ones back and
+// forth.
 type DescriptorSplit struct {
 	policy    DescriptorSplitPolicy
 	limits    [NumSides]int
-	peak      [NumSides]float64 // of the descriptors in use, fading
-	exhausted [NumSides]int64   // as of the last look
-	gainedAt  [NumSides]Time    // 0: never
+	peak      [NumSides]float64 // peak number of descriptors in use, which decays with time
+	exhausted [NumSides]int64   // SideUsage.Exhausted as of the last Rebalance
+	gainedAt  [NumSides]Time    // when each side last gained descriptors; 0 for never
 	updatedAt Time
 	isStarted bool
 }
 
 const (
-	peakHeadroom      = 1.25 // times the peak that a side keeps
-	spareDescriptors  = 2    // that it keeps beside
-	nearlyUsedUpTenth = 9    // tenths of a limit in use from which on a side may need more
+	peakHeadroom          = 1.25 // multiple of its peak use that a side keeps
+	spareDescriptors      = 2    // descriptors that a side keeps beyond that
+	nearlyExhaustedTenths = 9    // tenths of its limit that a side has to use before it may need more
 )
 
-// NewDescriptorSplit returns a split with the policy's limits at the start.
+// NewDescriptorSplit returns a split whose limits are policy.Start.
 func NewDescriptorSplit(policy DescriptorSplitPolicy) *DescriptorSplit {
 	return &DescriptorSplit{policy: policy, limits: policy.Start}
 }
 
-// Limits returns how many descriptors each side may use now.
+// Limits returns the number of descriptors that each side may use now.
 func (s *DescriptorSplit) Limits() [NumSides]int { return s.limits }
 
-// Rebalance takes the use of all sides, moves some descriptors to the side most in need, if another can spare them, and
-// reports whether it did. It is called at even intervals, a few times a second.
+// Rebalance takes the current use of all sides and moves some descriptors to the side most in need, if another side can
+// spare them. It reports whether it moved any. It is called at even intervals, a few times a second.
 func (s *DescriptorSplit) Rebalance(now Time, usage [NumSides]SideUsage) (changed bool) {
-	needy, ok := s.mostInNeed(now, usage)
+	recipient, ok := s.mostInNeed(now, usage)
 	if !ok {
 		return false
 	}
-	donor, spare := s.donorFor(needy, now)
+	donor, spare := s.donorFor(recipient, now)
 	if spare == 0 {
 		return false
 	}
 	moved := min(s.policy.Step, spare)
 	s.limits[donor] -= moved
-	s.limits[needy] += moved
-	s.gainedAt[needy] = max(now, 1)
+	s.limits[recipient] += moved
+	s.gainedAt[recipient] = max(now, 1)
 	return true
 }
 
-// mostInNeed updates the peaks and returns the side with the greatest need, if any has one.
-func (s *DescriptorSplit) mostInNeed(now Time, usage [NumSides]SideUsage) (needy Side, ok bool) {
-	fade := 1.0
+// mostInNeed updates the peaks and returns the side with the greatest need; ok is false if no side needs more.
+func (s *DescriptorSplit) mostInNeed(now Time, usage [NumSides]SideUsage) (recipient Side, ok bool) {
+	decay := 1.0
 	if s.isStarted && s.policy.Fade > 0 {
-		fade = math.Exp(-float64(now-s.updatedAt) / float64(s.policy.Fade))
+		decay = math.Exp(-float64(now-s.updatedAt) / float64(s.policy.Fade))
 	}
 	greatest := 0.0
 	for side := range NumSides {
-		s.peak[side] = max(float64(usage[side].InUse), s.peak[side]*fade)
+		s.peak[side] = max(float64(usage[side].InUse), s.peak[side]*decay)
 		if need := s.need(side, usage[side]); need > greatest {
-			needy, greatest, ok = side, need, true
+			recipient, greatest, ok = side, need, true
 		}
 		s.exhausted[side] = usage[side].Exhausted
 	}
 	s.updatedAt, s.isStarted = now, true
-	return needy, ok
+	return recipient, ok
 }
 
-// need returns how much a side needs more descriptors; 0 is not at all. One time that there was none counts as much as
-// a whole side in use.
+// need returns how urgently a side needs more descriptors; 0 means not at all. One time that no descriptor was available
+// counts as much as a limit that is used completely.
 func (s *DescriptorSplit) need(side Side, usage SideUsage) float64 {
 	need := 0.0
 	if s.isStarted {
 		need = float64(usage.Exhausted - s.exhausted[side])
 	}
-	if usage.InUse*10 >= s.limits[side]*nearlyUsedUpTenth {
+	if usage.InUse*10 >= s.limits[side]*nearlyExhaustedTenths {
 		need += float64(usage.InUse) / float64(max(1, s.limits[side]))
 	}
 	return need
 }
 
-// donorFor returns the side that can spare the most descriptors for another, and how many; 0 where none can.
-func (s *DescriptorSplit) donorFor(needy Side, now Time) (donor Side, spare int) {
+// donorFor returns the side that can spare the most descriptors for the recipient, and how many; 0 if no side can.
+func (s *DescriptorSplit) donorFor(recipient Side, now Time) (donor Side, spare int) {
 	for side := range NumSides {
-		if side == needy || s.gainedAt[side] > 0 && now-s.gainedAt[side] < s.policy.Hold {
+		if side == recipient || s.gainedAt[side] > 0 && now-s.gainedAt[side] < s.policy.Hold {
 			continue
 		}
 		if excess := s.limits[side] - s.reserved(side); excess > spare {
@@ -119,8 +120,8 @@
 	return donor, spare
 }
 
-// reserved returns how many descriptors a side does not give away: what it has used of late and a quarter, so that a move
-// never takes one that is in use.
+// reserved returns how many descriptors a side does not give away: its recent peak and a quarter more, so that a move
+// never takes a descriptor that is in use.
 func (s *DescriptorSplit) reserved(side Side) int {
 	return max(s.policy.Floor[side], int(math.Ceil(s.peak[side]*peakHeadroom))+spareDescriptors)
 }
--- a/internal/admission/descriptor_split_test.go
+++ b/internal/admission/descriptor_split_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// splitRun feeds a split with demands, and keeps what it did.
+// splitRun passes demands for descriptors to a split, and records how the limits change.
 type splitRun struct {
 	*testing.T
 	policy     DescriptorSplitPolicy
 	split      *DescriptorSplit
 	exhausted  [NumSides]int64
-	lastChange [NumSides]int // of the limit, other than 0
-	reversals  int           // changes of a limit in the other direction than the one before
+	lastChange [NumSides]int // last change of each limit, other than 0
+	reversals  int           // number of changes of a limit in the opposite direction of the change before
 }
 
-// step shows the split a demand for descriptors, and checks what has to hold after any step.
+// step rebalances the split for a demand, and checks that the sum of the limits is unchanged and that no limit is below
+// its floor.
 func (r *splitRun) step(now Time, demand [NumSides]int) {
 	var usage [NumSides]SideUsage
 	before := r.split.Limits()
@@ -57,17 +58,18 @@
 
 func sum(limits [NumSides]int) int { return limits[Clients] + limits[CacheServers] + limits[Origin] }
 
-// Descriptors go to the side that shows need, from one that does not use them; the sum stays, and when two sides are in
-// need the limits settle. The series is in the test's log.
+// TestDescriptorsAreGivenToTheSideInNeed checks that descriptors move from a side that does not use them to the side in
+// need. It guards against two sides in need that pass descriptors back and forth: the limits have to settle. The limits
+// over time are in the test's log.
 func TestDescriptorsAreGivenToTheSideInNeed(t *testing.T) {
 	policy := DescriptorSplitPolicy{Start: [NumSides]int{176, 105, 35}, Floor: [NumSides]int{64, 24, 8}, Step: 8, Hold: 2 * time.Second, Fade: 5 * time.Second}
 	run := &splitRun{T: t, policy: policy, split: NewDescriptorSplit(policy)}
 	var series []string
-	for i := range 240 { // a minute
+	for i := range 240 { // one minute in steps of 250 ms
 		demand := [NumSides]int{40, 30, 10}
 		switch {
 		case i >= 40 && i < 120:
-			demand[Clients] = 400 // more than there are
+			demand[Clients] = 400 // more descriptors than there are
 		case i >= 120:
 			demand[CacheServers], demand[Origin] = 300, 200
 		}
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,19 +1,19 @@
-// Package admission decides which clients and requests a node admits, and how the node's resources are divided. Each
-// limiter has a file of its own:
+// Package admission decides which clients and requests a node admits, and how the node's resources are divided. It
+// provides these limiters:
 //
-//   - ConnectionTable keeps the connections of clients, each for as long as its behaviour deserves;
+//   - ConnectionTable decides how long each client connection is kept, by the commands that it has sent;
 //   - DescriptorSplit divides file descriptors among clients, cache servers and the origin;
-//   - QueueDelay finds out when the node itself is overloaded (CoDel);
-//   - FairQueue takes commands from connections in turn (deficit round robin);
-//   - PriorityQueue orders what waits for the origin;
-//   - ConcurrencyLimiter bounds what is in flight at the origin (AIMD);
+//   - QueueDelay detects that the node itself is overloaded (CoDel);
+//   - FairQueue orders commands so that connections take turns (deficit round robin);
+//   - PriorityQueue orders the fetches that wait for the origin;
+//   - ConcurrencyLimiter bounds the requests in flight at the origin (AIMD);
 //   - RetryBudget bounds retries as a fraction of first attempts (token bucket);
-//   - RequestMemory and MemoryPressure keep the node below its limit on memory.
+//   - RequestMemory and MemoryPressure keep the node below its memory limit.
 //
-// The package has no clock, I/O or goroutines: each type takes a time and an event, and answers what follows. The
-// listener, the node and the policy call it; it imports nothing of theirs. No type is safe for concurrent use.
+// The package has no clock, I/O or goroutines: the methods take the current time and an event, and return the decision.
+// The listener, the node and the policy use it; it imports none of them. No type is safe for concurrent use.
 //
-// Times are durations since any fixed moment and must not go back.
+// Times are durations since an arbitrary fixed moment and must not decrease.
 package admission
 
 import "time"
--- a/internal/admission/eviction_test.go
+++ b/internal/admission/eviction_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// regularClient makes a request at even intervals, and reconnects when it was disconnected.
+// regularClient models a client that makes a request at even intervals, and reconnects after it was disconnected.
 type regularClient struct {
 	id             uint64
-	next           Time // request
+	next           Time // time of the next request
 	interval       time.Duration
 	isDisconnected bool
 }
 
-// crowd is a table with regular clients, and with others that connect at even intervals and never close.
+// crowd models a table with regular clients, and with others that connect at even intervals and never close.
 type crowd struct {
 	table    *ConnectionTable
 	regulars []*regularClient
@@ -24,7 +24,7 @@
 
 func newCrowd(maxConnections, regulars int) *crowd {
 	c := &crowd{table: newTable(maxConnections)}
-	for range regulars { // they are connected before the others come
+	for range regulars { // the regular clients are connected before the others
 		c.lastID++
 		c.table.Accepted(0, c.lastID)
 		c.regulars = append(c.regulars, &regularClient{id: c.lastID, next: time.Duration(c.lastID) * 7 * ms, interval: 150 * ms})
@@ -41,7 +41,7 @@
 	}
 }
 
-// connect opens a connection of the crowd.
+// connect opens a connection of a client that is not a regular one.
 func (c *crowd) connect(now Time, sendsRequest bool) {
 	c.opened++
 	ok, victim, found := c.table.Admit(now)
@@ -59,7 +59,7 @@
 	}
 }
 
-// request makes the regular clients send what is due.
+// request makes the regular clients send the requests that are due.
 func (c *crowd) request(now Time) {
 	for _, client := range c.regulars {
 		if now < client.next {
@@ -75,15 +75,17 @@
 	}
 }
 
-// One-shot clients that never close, at four times the rate that the table could hold for 2 s, and 400 connections that
-// send nothing, neither keep regular clients out nor cost them their connections.
+// TestCrowdDoesNotDisconnectRegularClients guards against a crowd of other clients that keeps regular clients out or
+// makes the table close their connections. In one case the crowd are one-shot clients that never close, and connect at
+// four times the rate at which the table could keep each for 2 s. In the other case a connection that sends nothing is
+// opened every 7 ms.
 func TestCrowdDoesNotDisconnectRegularClients(t *testing.T) {
 	for name, test := range map[string]struct {
-		interval     time.Duration // between two connections of the crowd
+		interval     time.Duration // time between two connections of the crowd
 		sendsRequest bool
 	}{"one-shot clients": {5 * ms, true}, "silent connections": {7 * ms, false}} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrowd(100, 20) // 2 s of 200 a second would be 400
+			c := newCrowd(100, 20) // space for 100 connections: 200 per second, each kept for 2 s, would need 400
 			for now := Time(0); now < 10*time.Second; now += ms {
 				if now > time.Second && now%test.interval == 0 {
 					c.connect(now, test.sendsRequest)
@@ -96,7 +98,7 @@
 			if c.reconnects > 20 {
 				t.Errorf("got %d reconnects of regular clients, want 20 at most", c.reconnects)
 			}
-			if test.sendsRequest && c.notAdmitted > c.opened/4 { // silent ones may wait
+			if test.sendsRequest && c.notAdmitted > c.opened/4 { // silent connections may wait
 				t.Errorf("got %d of %d connections not admitted at once, want a quarter at most", c.notAdmitted, c.opened)
 			}
 		})
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -1,28 +1,28 @@
 package admission
 
-// FairQueue takes items from many connections and gives them out in turn, so that hundreds of commands on one
-// connection wait behind each other and not before everybody else's: deficit round robin (Shreedhar and Varghese, 1995).
-// Each connection has a queue of its own, of bounded length.
+// FairQueue holds the items of many connections and returns them so that the connections take turns: deficit round robin
+// (Shreedhar and Varghese, 1995). Hundreds of commands of one connection then delay each other, but not the commands of
+// other connections. Each connection has a queue of its own, of bounded length.
 type FairQueue[T any] struct {
-	Quantum          int // cost that a connection may give out in its turn
-	MaxPerConnection int // items of a connection that wait; one more is not taken; 0 is no bound
+	Quantum          int // cost of the items that a connection may have taken in one turn
+	MaxPerConnection int // items of one connection that may wait; further items are not accepted; 0 is no bound
 
 	queues map[uint64]*connectionQueue[T]
-	active []*connectionQueue[T] // those with items, in turn, from first on
+	active []*connectionQueue[T] // queues that hold items, in the order of their turns; starts at index first
 	first  int
 	total  int
-	spare  []*connectionQueue[T] // empty ones, to be reused
+	spare  []*connectionQueue[T] // empty queues to be reused
 }
 
-// maxSpareQueues bounds the empty queues that are kept.
+// maxSpareQueues bounds the number of empty queues that are kept for reuse.
 const maxSpareQueues = 64
 
-// connectionQueue holds the items of one connection, in their order.
+// connectionQueue holds the items of one connection, in the order in which they were added.
 type connectionQueue[T any] struct {
 	id      uint64
 	items   []queuedItem[T]
-	next    int // index of the first item that waits
-	deficit int // cost that it may still give out in its turn
+	next    int // index of the first item that still waits
+	deficit int // cost of the items that may still be taken in this turn
 	hasTurn bool
 }
 
@@ -31,11 +31,11 @@
 	cost  int
 }
 
-// Len returns how many items wait.
+// Len returns the number of items that wait.
 func (q *FairQueue[T]) Len() int { return q.total }
 
-// Add appends an item to the queue of connection id and reports whether there was space for it. A cost below 1 counts
-// as 1.
+// Add appends an item to the queue of the connection id and reports whether there was space for it. A cost below 1
+// counts as 1.
 func (q *FairQueue[T]) Add(id uint64, cost int, value T) bool {
 	queue := q.queues[id]
 	if queue == nil {
@@ -65,7 +65,7 @@
 	return queue
 }
 
-// Next takes out the next item and returns it with the id of its connection; ok is false where none waits.
+// Next removes the next item and returns it with the id of its connection; ok is false if no item waits.
 func (q *FairQueue[T]) Next() (value T, id uint64, ok bool) {
 	for q.first < len(q.active) {
 		queue := q.active[q.first]
@@ -84,7 +84,7 @@
 	return value, 0, false
 }
 
-// takeFrom takes out the next item of the first active queue.
+// takeFrom removes and returns the next item of queue, which must be the first active queue.
 func (q *FairQueue[T]) takeFrom(queue *connectionQueue[T]) T {
 	item := queue.items[queue.next]
 	queue.deficit -= item.cost
@@ -98,7 +98,7 @@
 	return item.value
 }
 
-// discard ends an empty queue, which saves no deficit up.
+// discard removes an empty queue. Its connection loses the unused deficit.
 func (q *FairQueue[T]) discard(queue *connectionQueue[T]) {
 	delete(q.queues, queue.id)
 	*queue = connectionQueue[T]{items: queue.items[:0]}
@@ -107,8 +107,8 @@
 	}
 }
 
-// removeFirst takes the first queue out of the active ones. The space before the first is reclaimed once it is half of
-// the slice.
+// removeFirst removes the first queue from the active ones. The unused space at the beginning of the slice is reclaimed
+// once it is half of the slice.
 func (q *FairQueue[T]) removeFirst() {
 	q.active[q.first] = nil
 	if q.first++; q.first*2 >= len(q.active) {
--- a/internal/admission/fair_queue_test.go
+++ b/internal/admission/fair_queue_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Hundreds of commands of one connection wait behind each other; large items count for more; a full queue takes no more.
+// TestPipelineOfOneConnectionDoesNotDelayOthers guards against one connection with hundreds of commands that delays the
+// others. It also checks that an item of a higher cost waits longer, and that a full queue accepts no further item.
 func TestPipelineOfOneConnectionDoesNotDelayOthers(t *testing.T) {
 	queue := &FairQueue[string]{Quantum: 2, MaxPerConnection: 200}
 	for i := range 250 {
@@ -42,7 +43,8 @@
 	}
 }
 
-// fairQueueModel counts what went into a queue and came out, by connection; the items are these counts.
+// fairQueueModel counts the items added to and taken from a queue, by connection. Each item is its connection's count
+// when it was added.
 type fairQueueModel struct {
 	*rapid.T
 	queue             *FairQueue[int]
@@ -58,7 +60,7 @@
 	}
 }
 
-// take takes out one item, if any waits, and checks that it is the next of its connection.
+// take takes one item out of the queue, if any waits, and checks that it is the next one of its connection.
 func (m *fairQueueModel) take() (ok bool) {
 	value, id, ok := m.queue.Next()
 	if !ok {
--- a/internal/admission/idle_expiry.go
+++ b/internal/admission/idle_expiry.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// growthRate is how fast the table fills, in connections a second, over the last growthWindow or so.
+// growthRate estimates how fast the table fills, in connections per second, over about the last growthWindow.
 type growthRate struct {
 	perSecond float64
 	updatedAt Time
 }
 
-// growthWindow is the time constant of the rate, in seconds: a connection counts 1/e after it.
+// growthWindow is the time constant of the rate in seconds: a connection's weight has decayed to 1/e after this time.
 const growthWindow = 0.5
 
 func (g *growthRate) record(now Time, connections float64) {
@@ -23,8 +23,8 @@
 	return g.perSecond * math.Exp(-(now-g.updatedAt).Seconds()/growthWindow)
 }
 
-// Crowding returns how crowded the table is: 0 while there is capacity, and 1 where connections get their short idle
-// timeouts.
+// Crowding returns how crowded the table is, from 0 to 1: at 0 connections have their long idle timeouts, at 1 their
+// short ones.
 func (t *ConnectionTable) Crowding(now Time) float64 {
 	policy := t.policy
 	expected := float64(t.Len()-t.closing) + max(0, t.growth.at(now))*policy.LookAhead.Seconds()
@@ -32,8 +32,8 @@
 	return min(1, max(0, (fill-policy.CrowdedFrom)/(policy.CrowdedFull-policy.CrowdedFrom)))
 }
 
-// idleTimeout returns how long the connections of a queue may stay idle. It shrinks by the same factor for each step of
-// the crowding.
+// idleTimeout returns how long the connections of a queue may stay idle. It interpolates between the long and the short
+// timeout on a logarithmic scale: equal steps of the crowding shrink it by equal factors.
 func (t *ConnectionTable) idleTimeout(queue int, crowding float64) time.Duration {
 	stage := Stage(min(queue, int(StageRegular)))
 	timeouts := t.policy.IdleTimeouts[stage]
@@ -45,7 +45,7 @@
 	return time.Duration(math.Exp((1-crowding)*logLong + crowding*logShort))
 }
 
-// ExpireIdle gives up the connections whose idle timeout is over, at most limit of them, and returns their ids.
+// ExpireIdle marks connections whose idle timeout has expired for closing, at most limit of them, and returns their ids.
 func (t *ConnectionTable) ExpireIdle(now Time, limit int) (ids []uint64) {
 	crowding := t.Crowding(now)
 	for i := range t.queues {
@@ -55,13 +55,13 @@
 			if head == nil || now-head.idleSince < timeout {
 				break
 			}
-			ids = append(ids, t.giveUp(head))
+			ids = append(ids, t.markForClosing(head))
 		}
 	}
 	return ids
 }
 
-// NextExpiry returns when ExpireIdle is to be called next, if nothing else happens; ok is false where no connection is
+// NextExpiry returns when the next idle timeout expires, if nothing else happens before; ok is false if no connection is
 // idle.
 func (t *ConnectionTable) NextExpiry(now Time) (at Time, ok bool) {
 	at = Time(math.MaxInt64)
--- a/internal/admission/idle_expiry_test.go
+++ b/internal/admission/idle_expiry_test.go
@@ -10,7 +10,7 @@
 func TestIdleTimeoutFollowsTheStage(t *testing.T) {
 	for name, test := range map[string]struct {
 		behave func(table *ConnectionTable)
-		want   Time // of the expiry
+		want   Time // time of the expiry
 	}{
 		"nothing sent":    {func(*ConnectionTable) {}, 2500 * ms},
 		"partial command": {func(table *ConnectionTable) { table.PartialCommand(time.Second, 1) }, 3500 * ms},
@@ -24,7 +24,7 @@
 		"partial command after a request": {func(table *ConnectionTable) {
 			exchange(table, 0, 1, CommandRequest)
 			table.PartialCommand(time.Second, 1)
-			table.PartialCommand(3*time.Second, 1) // more of it
+			table.PartialCommand(3*time.Second, 1) // a further part of the same command
 		}, 3500 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,13 +48,14 @@
 	}
 }
 
-// From one connection to the next the idle timeout changes by a small factor only, and it never grows.
+// TestIdleTimeoutShrinksSmoothlyAsTheTableFills checks that each further connection shrinks the idle timeout by a small
+// factor only, and that the timeout never grows.
 func TestIdleTimeoutShrinksSmoothlyAsTheTableFills(t *testing.T) {
 	table := newTable(200)
 	last := math.Inf(1)
 	for id := range uint64(200) {
 		table.Accepted(0, id)
-		now := 10 * time.Second // the growth is over
+		now := 10 * time.Second // the table has stopped growing, so its growth does not count
 		timeout := float64(table.idleTimeout(int(StageOneRequest), table.Crowding(now)))
 		if timeout > last || timeout < last*0.85 && !math.IsInf(last, 1) {
 			t.Errorf("with %d connections the timeout goes from %s to %s", id+1, time.Duration(last), time.Duration(timeout))
--- a/internal/admission/idle_queue.go
+++ b/internal/admission/idle_queue.go
@@ -1,9 +1,10 @@
 package admission
 
-// idleQueue is a doubly linked list of idle connections, the one idle for longest first.
+// idleQueue is a doubly linked list of idle connections, the connection that is idle for longest first.
 type idleQueue struct{ head, tail *connection }
 
-// push inserts a connection by the time since when it is idle. That is at the end, but for what a caller reports late.
+// push inserts a connection in the order of idleSince. That is at the tail, unless the caller reported the connection
+// late.
 func (q *idleQueue) push(c *connection) {
 	before := q.tail
 	for before != nil && before.idleSince > c.idleSince {
@@ -22,7 +23,7 @@
 	}
 }
 
-// unlink takes a connection out of the queue that it is in, if any.
+// unlink removes a connection from its queue, if it is in one.
 func (c *connection) unlink() {
 	queue := c.queue
 	if queue == nil {
--- a/internal/admission/memory_pressure.go
+++ b/internal/admission/memory_pressure.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// MemoryPressure turns what the whole node uses of its limit on memory into the fraction of the sheddable load to shed,
-// from 0 to 1. It extrapolates, since memory fills at a rate, and falls slowly, as the garbage collector gives back late.
+// MemoryPressure derives the fraction of the sheddable load to shed, from 0 to 1, from the memory use of the whole node.
+// It extrapolates a rise of the use, to react before the memory is full. The fraction falls slowly, as the garbage
+// collector frees memory late.
 type MemoryPressure struct {
-	Limit int64 // bytes, past which the node is killed; 0 is no limit
+	Limit int64 // bytes past which the node is killed; 0 is no limit
 
 	isStarted bool
-	lastUsed  int64 // bytes
+	lastUsed  int64 // bytes in use at the last call of Observe
 	updatedAt Time
 	level     float64
 }
 
 const (
-	// memoryLow is the fraction of the limit up to which nothing is shed. The collector works to stay below 0.6, which is
-	// passed for moments.
+	// memoryLow is the fraction of the limit up to which nothing is shed. The garbage collector works to keep the use below
+	// 0.6 of the limit, but the use exceeds that for moments.
 	memoryLow = 0.72
-	// memoryHigh is the fraction of the limit from which on all that may be shed is.
+	// memoryHigh is the fraction of the limit from which on the whole sheddable load is shed.
 	memoryHigh = 0.90
-	// memoryLookAhead is how far a rise is extrapolated, and maxMemoryLookAhead the fraction of the limit that this may add:
-	// a start fills memory fast, and then stops.
+	// memoryLookAhead is how far a rise of the use is extrapolated. maxMemoryLookAhead is the largest fraction of the limit
+	// that the extrapolation may add, because the use rises fast when a node starts, and then stops.
 	memoryLookAhead    = 500 * time.Millisecond
 	maxMemoryLookAhead = 0.15
-	// pressureFall is how much the level may fall in a second.
+	// pressureFall is how much the level may fall per second.
 	pressureFall = 0.5
 )
 
-// Observe takes the bytes in use now and returns the level.
+// Observe takes the bytes in use now and returns the fraction of the sheddable load to shed.
 func (m *MemoryPressure) Observe(now Time, used int64) float64 {
 	if m.Limit <= 0 {
 		return 0
--- a/internal/admission/memory_pressure_test.go
+++ b/internal/admission/memory_pressure_test.go
@@ -9,8 +9,8 @@
 	const mb = 1 << 20
 	const step = 250 * time.Millisecond
 	for name, test := range map[string]struct {
-		used       []int64 // MB of 100, a quarter of a second apart
-		least, top float64 // of the level at the end
+		used       []int64 // MB in use, of a limit of 100 MB, every 250 ms
+		least, top float64 // bounds of the level at the end
 	}{
 		"little":          {[]int64{20, 20, 20}, 0, 0},
 		"level, not much": {[]int64{70, 70, 70}, 0, 0},
--- a/internal/admission/priority_queue.go
+++ b/internal/admission/priority_queue.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// PriorityQueue holds what waits for capacity and gives out the item of the greatest weight first, and of equals the one
-// that came last: in an overload the others are too late anyway, and to serve in order would make all of them so. The
-// weight of an item grows with each that waits for it. Its operations take time linear in its length.
+// PriorityQueue holds items that wait for capacity and returns the item of the greatest weight first. Among items of
+// equal weight the newest is first: in an overload the older ones are too late anyway, and serving them in order would
+// make all of them too late. Adding an item again adds to its weight. The operations take time linear in the length.
 type PriorityQueue[T comparable] struct {
 	items   []T
-	weights []float64 // by the index of the item
+	weights []float64 // weight of the item at the same index
 }
 
-// Len returns how many items wait.
+// Len returns the number of items that wait.
 func (q *PriorityQueue[T]) Len() int { return len(q.items) }
 
-// Add appends an item or, where it waits already, adds to its weight.
+// Add appends an item or, if it already waits, adds to its weight.
 func (q *PriorityQueue[T]) Add(item T, weight float64) {
 	if i := slices.Index(q.items, item); i >= 0 {
 		q.weights[i] += weight
@@ -25,7 +25,7 @@
 // Contains reports whether an item waits.
 func (q *PriorityQueue[T]) Contains(item T) bool { return slices.Contains(q.items, item) }
 
-// Remove takes out an item and reports whether it waited.
+// Remove removes an item and reports whether it was in the queue.
 func (q *PriorityQueue[T]) Remove(item T) bool {
 	i := slices.Index(q.items, item)
 	if i < 0 {
@@ -35,7 +35,7 @@
 	return true
 }
 
-// Next takes out the item of the greatest weight; ok is false where none waits.
+// Next removes and returns the item of the greatest weight; ok is false if no item waits.
 func (q *PriorityQueue[T]) Next() (item T, ok bool) {
 	best := -1
 	for i, weight := range q.weights {
--- a/internal/admission/priority_queue_test.go
+++ b/internal/admission/priority_queue_test.go
@@ -8,7 +8,7 @@
 	queue.Add("b", 2)
 	queue.Add("c", 1)
 	queue.Add("d", 1)
-	queue.Add("a", 1.5) // more wait for it
+	queue.Add("a", 1.5) // adds to the weight of the item that waits
 	if !queue.Remove("d") || queue.Remove("d") {
 		t.Error("got that d does not wait, or waits still after it was removed")
 	}
@@ -25,7 +25,8 @@
 	}
 }
 
-// The one that waits for longest is the first to be too late.
+// TestNewestOfEqualsComesOutFirst checks the order of equal weights: the item that waits for longest is the first to be
+// too late.
 func TestNewestOfEqualsComesOutFirst(t *testing.T) {
 	var queue PriorityQueue[string]
 	queue.Add("old", 1)
--- a/internal/admission/queue_delay.go
+++ b/internal/admission/queue_delay.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// QueueDelay finds out whether a queue is behind by how long items wait in it, not by how many there are: a burst that
-// is worked off does not count, a queue whose shortest wait over an interval stays above the target does (CoDel; Nichols
-// and Jacobson, "Controlling Queue Delay", 2012). Where CoDel drops one packet after another, this returns the fraction
-// of the sheddable load to shed, which rises while the queue stays behind and falls when it no longer does.
+// QueueDelay detects a standing queue by how long items wait in it, not by how many there are (CoDel; Nichols and
+// Jacobson, "Controlling Queue Delay", 2012). A queue is behind if the shortest wait over an interval exceeds the target;
+// a burst that is soon served does not count. Where CoDel drops single packets, QueueDelay returns the fraction of the
+// sheddable load to shed. That fraction rises while the queue stays behind, and falls when it no longer is.
 type QueueDelay struct {
-	Target   time.Duration // up to which a wait is fine
-	Interval time.Duration // over which the shortest wait counts; several service times
+	Target   time.Duration // longest wait that is acceptable
+	Interval time.Duration // time over which the shortest wait is taken; several service times
 
 	intervalStart Time
 	isStarted     bool
-	shortest      time.Duration // wait of this interval
-	hasSample     bool          // in this interval
+	shortest      time.Duration // shortest wait in this interval
+	hasSample     bool          // an item left the queue in this interval
 	level         float64
 }
 
 const (
-	levelRise        = 0.1  // at the end of an interval, for each multiple of the target that the shortest wait is of
-	maxRiseMultiple  = 4    // of the target
-	levelFall        = 0.15 // at the end of an interval that is not behind
-	maxIdleIntervals = 64   // after which the level is 0 in any case
+	levelRise        = 0.1  // rise at the end of an interval that is behind, times the ratio of its shortest wait to the target
+	maxRiseMultiple  = 4    // bound of that ratio
+	levelFall        = 0.15 // fall at the end of an interval that is not behind
+	maxIdleIntervals = 64   // number of intervals without a call after which the level is set to 0
 )
 
-// Observe takes the wait of an item that left the queue.
+// Observe records how long an item waited that has left the queue.
 func (d *QueueDelay) Observe(now Time, wait time.Duration) {
 	d.endIntervals(now)
 	if !d.hasSample || wait < d.shortest {
@@ -38,7 +38,8 @@
 	return d.level
 }
 
-// endIntervals ends the intervals that are over. One in which nothing left the queue says that it was empty.
+// endIntervals ends the intervals that have passed. An interval in which no item left the queue counts as not behind, as
+// the queue was empty.
 func (d *QueueDelay) endIntervals(now Time) {
 	if !d.isStarted {
 		d.intervalStart, d.isStarted = now, true
--- a/internal/admission/queue_delay_test.go
+++ b/internal/admission/queue_delay_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A burst that is worked off has no effect; while a queue stays behind the level rises, and it falls once it does not.
+// TestLevelRisesWhileTheQueueStaysBehind checks that a burst that is soon served has no effect, that the level rises
+// while the queue stays behind, and that it falls afterwards.
 func TestLevelRisesWhileTheQueueStaysBehind(t *testing.T) {
 	delay := &QueueDelay{Target: 5 * ms, Interval: 100 * ms}
 	observe := func(from, to Time, wait func(i int) time.Duration) {
@@ -14,9 +15,9 @@
 			from += 2 * ms
 		}
 	}
-	observe(0, time.Second, func(i int) time.Duration { return time.Duration(50-i%50) * ms }) // down to 1 ms each time
+	observe(0, time.Second, func(i int) time.Duration { return time.Duration(50-i%50) * ms }) // the wait falls to 1 ms in each burst
 	if got := delay.Level(time.Second); got != 0 {
-		t.Errorf("bursts that are worked off: got the level %.2f, want 0", got)
+		t.Errorf("bursts that are soon served: got the level %.2f, want 0", got)
 	}
 	behind := func(int) time.Duration { return 8 * ms }
 	observe(time.Second, 1300*ms, behind)
@@ -30,5 +31,5 @@
 	if got := delay.Level(5 * time.Second); got != 0 {
 		t.Errorf("after 2 s without items: got the level %.2f, want 0", got)
 	}
-	delay.Observe(time.Hour, 0) // a long pause costs nothing
+	delay.Observe(time.Hour, 0) // ends at once: the many intervals of a long pause are not ended one by one
 }
--- a/internal/admission/request_memory.go
+++ b/internal/admission/request_memory.go
@@ -1,23 +1,23 @@
 package admission
 
-// RequestMemory bounds the bytes of the requests in progress: what each came with, and what is kept for it. Values come
-// with writes, which have the greatest weight and are never shed; so the last part is for them alone, and past the bound
-// a request is rejected before anything of it has run.
+// RequestMemory bounds the bytes of the requests in progress: the value of each request, and the memory that the node
+// keeps for it. Only writes carry values. They have the greatest weight and are never shed, so the last part of the
+// memory is reserved for writes. Past the bound a request is rejected before any of it is executed.
 type RequestMemory struct {
-	Limit int // bytes; 0 is no bound
+	Limit int // bytes of all requests in progress; 0 is no bound
 
-	used int // bytes
+	used int // bytes that are reserved
 }
 
 const (
-	// bytesPerRequest is what the node keeps for a request beside its value: the request, its attempts, timers and map
-	// entries, and its part of the buffers that it was read from and is written to.
+	// bytesPerRequest is the memory that the node keeps for a request in addition to its value: the request, its attempts,
+	// timers and map entries, and its part of the buffers that it was read from and is written to.
 	bytesPerRequest = 2 << 10
-	// writeReserve is the part of the bound that reads leave to writes: one in so many.
+	// writeReserve is the divisor of Limit that gives the bytes reserved for writes: a quarter of the limit.
 	writeReserve = 4
 )
 
-// Reserve counts a request with a value of valueSize bytes, and reports whether there was memory for it.
+// Reserve reserves memory for a request with a value of valueSize bytes, and reports whether there was enough.
 func (m *RequestMemory) Reserve(valueSize int, isWrite bool) bool {
 	limit := m.Limit
 	if !isWrite {
@@ -30,5 +30,5 @@
 	return true
 }
 
-// Release gives back what Reserve counted for a request.
+// Release frees the memory that Reserve reserved for a request.
 func (m *RequestMemory) Release(valueSize int) { m.used -= bytesPerRequest + valueSize }
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// RetryBudget bounds retries as a fraction of first attempts, so that attempts never multiply when much fails at once.
-// It is a token bucket: each first attempt earns a fraction of a token, and a retry costs a whole one. Some tokens are
-// earned by time alone, as a node with few requests would never earn one.
+// RetryBudget bounds retries as a fraction of first attempts, so that retries never multiply the load when many attempts
+// fail at once. It is a token bucket: each first attempt earns a fraction of a token, and a retry costs one token. Some
+// tokens are earned by time alone, as a node with few requests would otherwise never earn one.
 type RetryBudget struct {
-	Ratio        float64 // tokens that a first attempt earns
+	Ratio        float64 // tokens that each first attempt earns
 	MinPerSecond float64 // tokens that each second earns
-	MaxSaved     float64 // tokens that can be saved up
-	Burst        float64 // up to which tokens are saved in any case; past it no more than the last second earned; 0 is no such bound
+	MaxSaved     float64 // maximum number of saved tokens
+	Burst        float64 // tokens that may always be saved; beyond it only those earned in the last second may; 0 is no bound
 
-	recentlyEarned float64 // tokens; what was earned a second ago weighs 1/e
+	recentlyEarned float64 // tokens earned recently; a token earned a second ago counts 1/e
 	tokens         float64
 	updatedAt      Time
 	isStarted      bool
@@ -34,7 +34,7 @@
 	return true
 }
 
-// refill adds what the time since the last call earned, and applies the bounds. A budget starts full.
+// refill adds the tokens that the time since the last call has earned, and applies the bounds. A budget starts full.
 func (b *RetryBudget) refill(now Time) {
 	if !b.isStarted {
 		b.isStarted, b.tokens = true, b.MaxSaved
--- a/internal/admission/retry_budget_test.go
+++ b/internal/admission/retry_budget_test.go
@@ -8,7 +8,7 @@
 func TestRetriesStayAFractionOfFirstAttempts(t *testing.T) {
 	budget := &RetryBudget{Ratio: 0.2, MinPerSecond: 1, MaxSaved: 10}
 	retries := 0
-	for i := range 10000 { // 1000 a second for 10 s, and all fail
+	for i := range 10000 { // 1000 requests per second for 10 s, which all fail
 		now := time.Duration(i) * ms
 		budget.RecordAttempt(now)
 		for range 5 {
@@ -25,7 +25,7 @@
 func TestNodeWithFewRequestsMayRetry(t *testing.T) {
 	budget := &RetryBudget{Ratio: 0.2, MinPerSecond: 1, MaxSaved: 10}
 	retries := 0
-	for i := range 100 { // one a second
+	for i := range 100 { // one request per second
 		budget.RecordAttempt(time.Duration(i) * time.Second)
 		if budget.AllowRetry(time.Duration(i) * time.Second) {
 			retries++
@@ -36,8 +36,10 @@
 	}
 }
 
-// After a quiet minute a node has saved up what its last second earned: 300 nodes of 18 requests a second a third of a
-// second's requests each, one of 80 a second what it always had.
+// TestSavedRetriesFollowTheRequestRate guards against a large fleet of nodes with few requests each, of which every node
+// saves many retries. After a minute without retries a node has saved what its last second earned. With 300 nodes of 18
+// requests per second, that is a third of one second's requests for each. A node with 80 requests per second saves nearly
+// as much as without Burst.
 func TestSavedRetriesFollowTheRequestRate(t *testing.T) {
 	for _, test := range []struct{ rate, least, most int }{{1, 3, 3}, {18, 4, 8}, {80, 24, 30}, {1000, 30, 30}} {
 		budget := &RetryBudget{Ratio: 0.34, MinPerSecond: 0.5, MaxSaved: 30, Burst: 3}
--- a/internal/admission/unsent_bytes.go
+++ b/internal/admission/unsent_bytes.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// slowReaderBytes is how many bytes may be unsent at a connection without its being a candidate for closing.
+// slowReaderBytes is the number of unsent bytes past which a connection is a candidate for closing as stuck.
 const slowReaderBytes = 32 << 10
 
-// AddUnsentBytes reports that bytes of responses became ready for a connection or, below 0, were written to it.
+// AddUnsentBytes records that bytes of responses became ready for a connection or, if bytes is negative, were written.
 func (t *ConnectionTable) AddUnsentBytes(now Time, id uint64, bytes int) {
 	c := t.connections[id]
 	if c == nil {
@@ -23,8 +23,8 @@
 	}
 }
 
-// NextStuck gives up a connection that reads nothing while too many bytes are unsent at all together. The caller closes
-// it at once: what is unsent will never be written, and is not counted any more.
+// NextStuck marks a connection for closing whose client reads nothing, while all connections together have too many
+// unsent bytes. The caller closes it at once. Its unsent bytes will never be written, so they no longer count.
 func (t *ConnectionTable) NextStuck(now Time) (id uint64, found bool) {
 	if t.policy.MaxUnsentBytes <= 0 || t.unsent <= t.policy.MaxUnsentBytes {
 		return 0, false
@@ -37,12 +37,13 @@
 	t.unsent -= worst.unsent
 	worst.unsent = 0
 	if !worst.isClosing {
-		t.giveUp(worst)
+		t.markForClosing(worst)
 	}
 	return worst.id, true
 }
 
-// longestStuck returns the slow reader without progress for longest, if that is longer than the stuck timeout, or nil.
+// longestStuck returns the slow reader that has made no progress for longest, or nil if none has reached the stuck
+// timeout.
 func (t *ConnectionTable) longestStuck(now Time) (worst *connection) {
 	timeout := t.stuckTimeout()
 	for _, c := range t.slowReaders {
@@ -53,7 +54,8 @@
 	return worst
 }
 
-// stuckTimeout returns the policy's timeout, shorter the more is unsent: at twice the bound a quarter of it is left.
+// stuckTimeout returns the policy's timeout, which shrinks as the unsent bytes exceed their bound: at twice the bound it
+// is a quarter.
 func (t *ConnectionTable) stuckTimeout() time.Duration {
 	fraction := float64(t.policy.MaxUnsentBytes) / float64(t.unsent)
 	return time.Duration(float64(t.policy.StuckTimeout) * fraction * fraction)
--- a/internal/admission/unsent_bytes_test.go
+++ b/internal/admission/unsent_bytes_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Too many bytes are unsent to four clients together: the one that has read nothing for longest is closed, and one that
-// reads slowly stays.
+// TestLongestStuckReaderIsClosedFirst checks which connection is closed when four clients together have too many unsent
+// bytes: the one whose client has read nothing for longest. The connection of a client that reads slowly stays.
 func TestLongestStuckReaderIsClosedFirst(t *testing.T) {
 	policy := DefaultConnectionPolicy(10, time.Second, time.Minute, 50*ms)
 	policy.MaxUnsentBytes, policy.StuckTimeout = 1<<20, 250*ms
@@ -17,9 +17,9 @@
 		table.AddUnsentBytes(time.Duration(id)*ms, id, 300<<10)
 	}
 	if id, found := table.NextStuck(100 * ms); found {
-		t.Errorf("got %d closed before it can be told stuck from slow", id)
+		t.Errorf("got %d closed before it is known to be stuck rather than slow", id)
 	}
-	table.AddUnsentBytes(200*ms, 0, -100<<10) // it reads
+	table.AddUnsentBytes(200*ms, 0, -100<<10) // client 0 reads
 	if id, found := table.NextStuck(300 * ms); !found || id != 1 {
 		t.Fatalf("got %d closed, %v, want 1", id, found)
 	}
