--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters counts what a node accepts, sends and answers. The names of the counters, in INFO and in the log, are
-// an interface of releases that are in use: they stay what they are.
+// Package counters counts what a node accepts, sends and answers. The names of the counters appear in INFO and in the log.
+// They are an interface of releases that are in use, so they must not change.
 package counters
 
 import (
@@ -8,49 +8,50 @@
 	"sync/atomic"
 )
 
-// Counters may be used from any goroutine, but for Register.
+// Counters holds all counters of a node. It is safe for concurrent use, except for Register.
 type Counters struct {
-	// Connections of clients: accepted, failed to be, and those with a failed write.
+	// Client connections that were accepted, failed accepts, and failed writes of responses.
 	Accepted, AcceptFailed, WriteFailed atomic.Int64
-	// Connections that the node closed: without a complete command, idle, to make space for another, reading nothing.
+	// Client connections that the node closed: without a complete command, idle, to make space for another connection, and
+	// those whose clients read nothing.
 	ClosedWithoutCommand, ClosedIdle, ClosedForCapacity, ClosedStuck atomic.Int64
-	// Commands that are no request: invalid, without a valid framing, with the id of an open request.
+	// Commands that were rejected: as invalid, for broken framing, and for the id of a request that is still open.
 	Malformed, BadFraming, Duplicate atomic.Int64
 	// Connections opened to cache servers and to the origin.
 	UpstreamConnections, OriginConnections atomic.Int64
-	// Moves of descriptors from one side to another.
+	// Moves of descriptors from one side to another; see admission.DescriptorSplit.
 	DescriptorRebalances atomic.Int64
 	// Health checks sent.
 	HealthChecks atomic.Int64
-	// Watches of the endpoint list: opened, broken, with a malformed response; lists received and rejected.
+	// Watches of the endpoint list that were opened, broke, or got a malformed response; lists received, and lists rejected.
 	Watches, WatchesBroken, WatchesMalformed, Lists, ListsRejected atomic.Int64
-	// Gossip datagrams: sent, received, of unknown senders or too long, dropped here.
+	// Gossip datagrams that were sent, received, ignored as too long or from an unknown sender, and dropped by this node.
 	GossipSent, GossipReceived, GossipForeign, GossipDropped atomic.Int64
-	// Configurations read again, and those that were invalid.
+	// Reloads of the configuration that succeeded, and those that failed because the configuration was invalid.
 	Reloads, ReloadsFailed atomic.Int64
-	// Requests rejected as those in progress use too much memory.
+	// Requests rejected because the requests in progress use too much memory.
 	RejectedForMemory atomic.Int64
-	// Responses of servers that came after the end of their request.
+	// Responses of servers that arrived after the end of their request.
 	LateResponses atomic.Int64
-	// Requests whose client disconnected before the answer.
+	// Requests whose client disconnected before the response.
 	ClientsDisconnected atomic.Int64
 	// Requests served after the latency objective of their class.
 	ServedLate atomic.Int64
 
-	classes, answers, outcomes []string       // names
-	received, sent             []atomic.Int64 // by class
-	answered                   []atomic.Int64 // by class and answer
-	ended                      []atomic.Int64 // by class and outcome
+	classes, answers, outcomes []string       // names of the classes, of the kinds of final responses, and of the outcomes
+	received, sent             []atomic.Int64 // requests and attempts, by class
+	answered                   []atomic.Int64 // final responses, by class and kind
+	ended                      []atomic.Int64 // ended attempts, by class and outcome
 	registered                 []registeredCounter
 }
 
-// registeredCounter belongs to a part of the node that is switched on by configuration.
+// registeredCounter is a counter of a part of the node that the configuration switches on.
 type registeredCounter struct {
 	name  string
 	count *atomic.Int64
 }
 
-// New returns counters for classes of requests, kinds of final answers and outcomes of attempts.
+// New returns counters for the given classes of requests, kinds of final responses and outcomes of attempts.
 func New(classes, answers, outcomes []string) *Counters {
 	return &Counters{
 		classes:  classes,
@@ -63,7 +64,7 @@
 	}
 }
 
-// Register adds a counter of a part of the node that is switched on by configuration. It must be called before any other
+// Register adds a counter for a part of the node that the configuration switches on. It must be called before any other
 // goroutine uses c.
 func (c *Counters) Register(name string) *atomic.Int64 {
 	count := new(atomic.Int64)
@@ -71,19 +72,19 @@
 	return count
 }
 
-// RequestReceived counts a request that was accepted.
+// RequestReceived counts a received request of a class.
 func (c *Counters) RequestReceived(class int) { c.received[class].Add(1) }
 
-// AttemptSent counts an attempt.
+// AttemptSent counts an attempt that was sent for a request of a class.
 func (c *Counters) AttemptSent(class int) { c.sent[class].Add(1) }
 
-// RequestAnswered counts a final answer.
+// RequestAnswered counts a final response, by the class of its request and the kind of the response.
 func (c *Counters) RequestAnswered(class, answer int) { c.answered[class*len(c.answers)+answer].Add(1) }
 
-// AttemptEnded counts the outcome of an attempt.
+// AttemptEnded counts an ended attempt, by the class of its request and its outcome.
 func (c *Counters) AttemptEnded(class, outcome int) { c.ended[class*len(c.outcomes)+outcome].Add(1) }
 
-// Total returns how many final answers there were, and how many of one kind.
+// Total returns the number of final responses of all kinds, and of the given kind, over all classes.
 func (c *Counters) Total(kind int) (answers, ofKind int) {
 	for i := range c.answered {
 		count := int(c.answered[i].Load())
@@ -95,7 +96,7 @@
 	return answers, ofKind
 }
 
-// String returns all counters, one name and figure a line.
+// String returns all counters, one name and value per line.
 func (c *Counters) String() string {
 	var text strings.Builder
 	c.Each(func(name string, count int64) { fmt.Fprintf(&text, "%s %d\n", name, count) })
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// doubler is a core whose effects are its event, twice.
+// doubler is a core that returns each event twice, as its effects.
 type doubler struct{ now time.Duration }
 
 func (d *doubler) Step(now time.Duration, event int) []int {
@@ -15,7 +15,7 @@
 	return []int{event, event}
 }
 
-// start runs a loop until the end of the test.
+// start runs a loop in a new goroutine until the end of the test.
 func start(t *testing.T, loop *Loop[int, int], interval time.Duration, tick func()) {
 	t.Helper()
 	stop, ended := make(chan struct{}), make(chan struct{})
@@ -67,7 +67,7 @@
 }
 
 func TestEventIsDroppedWhileQueueIsFull(t *testing.T) {
-	loop := New(&doubler{}, func(int) {}) // not running
+	loop := New(&doubler{}, func(int) {}) // the loop is not running, so the queue fills
 	for event := range queueLength {
 		if !loop.Post(event) {
 			t.Fatalf("event %d was dropped, want %d to be queued", event, queueLength)
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// The rate limit of one event of one component.
+// The rate limit for the records of one event of one component.
 const (
-	burst  = 10               // records that are written in a window
-	window = 10 * time.Second // after which the event is written again, with the number of records that were dropped
+	burst  = 10               // maximum number of records that are written in a window
+	window = 10 * time.Second // length of a window; the next window's first record holds the number of dropped records
 )
 
-// droppedKey is the key of the attribute that counts the records dropped in the window before.
+// droppedKey is the key of the attribute that holds the number of records dropped in the previous window.
 const droppedKey = "left_out"
 
-// limiter is a slog.Handler that passes on the first records of each event in a window and counts the others. Events are
-// names in the code, so their number is bounded. Records without an event, errors, and records below the level info, which
-// an operator has asked for, are never dropped. It is safe for concurrent use.
+// limiter is a slog.Handler that passes on the first records of each event in a window, and drops and counts the others.
+// Event names are constants in the code, so their number is bounded. Three kinds of records are never dropped: those
+// without an event, errors, and records below the level info, which are written only if an operator has asked for them.
+// limiter is safe for concurrent use.
 type limiter struct {
 	slog.Handler
 	component string
-	windows   *eventWindows // shared by all loggers that derive from one log
+	windows   *eventWindows // shared by all loggers that are derived from the same one
 }
 
 // eventWindows holds the current window of each event.
@@ -34,7 +35,7 @@
 // eventKey identifies an event of a component.
 type eventKey struct{ component, event string }
 
-// eventWindow counts the records of one event since the window began.
+// eventWindow counts the records of one event since the start of the window.
 type eventWindow struct {
 	start   time.Time
 	records int
@@ -45,8 +46,8 @@
 	return &limiter{Handler: handler, windows: &eventWindows{events: map[eventKey]*eventWindow{}}}
 }
 
-// Handle writes a record, or drops it if its event has used up its window. The first record of a later window carries the
-// number of dropped ones.
+// Handle writes a record, or drops it if its event has reached the limit of its window. The first record of the next window
+// holds the number of dropped records.
 func (l *limiter) Handle(ctx context.Context, record slog.Record) error {
 	event := eventOf(record)
 	if event == "" || record.Level >= slog.LevelError || record.Level < slog.LevelInfo {
@@ -63,7 +64,7 @@
 	return l.Handler.Handle(ctx, record)
 }
 
-// eventOf returns the event that a record names, or "".
+// eventOf returns the value of a record's Event attribute, or "" if the record has none.
 func eventOf(record slog.Record) string {
 	event := ""
 	record.Attrs(func(attr slog.Attr) bool {
@@ -75,7 +76,8 @@
 	return event
 }
 
-// allow counts a record and reports whether it is written, and how many records were dropped in the window that it ends.
+// allow counts a record and reports whether it may be written. If the record starts a new window, droppedBefore is the
+// number of records dropped in the previous one.
 func (w *eventWindows) allow(key eventKey, at time.Time) (allowed bool, droppedBefore int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,12 +98,12 @@
 	return true, droppedBefore
 }
 
-// WithAttrs returns a handler with further attributes that shares this one's windows.
+// WithAttrs returns a handler that adds attributes and shares the windows of this one.
 func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &limiter{Handler: l.Handler.WithAttrs(attrs), component: l.component, windows: l.windows}
 }
 
-// WithGroup returns a handler with a group that shares this one's windows.
+// WithGroup returns a handler that adds a group and shares the windows of this one.
 func (l *limiter) WithGroup(name string) slog.Handler {
 	return &limiter{Handler: l.Handler.WithGroup(name), component: l.component, windows: l.windows}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,8 @@
 // Package logs creates the structured logs of the project's programs.
 //
-// Every record has a component and an event. An event's name does not change from one release to the next, so that scripts
-// can match it; the message is for people. Records of an event that repeats are rate limited and the dropped ones are counted,
-// so that a persistent fault can neither flood the log nor use up the node's processor.
+// Every record has a component and an event. The name of an event does not change between releases, so that scripts can
+// match it; the message is for people. The records of each event are rate limited and the dropped ones are counted, so that a
+// persistent fault can neither flood the log nor use up the node's CPU time.
 package logs
 
 import (
@@ -14,16 +14,16 @@
 	"golang.org/x/term"
 )
 
-// Event is the key of the attribute that names what happened.
+// Event is the key of the attribute that holds the name of the event.
 const Event = "event"
 
-// Options configure a log.
+// Options configures a logger.
 type Options struct {
 	Level  slog.Level
-	Format string // one of Formats; "auto" is text on a terminal and JSON otherwise
+	Format string // one of Formats; "auto" means text on a terminal and JSON otherwise
 }
 
-// Formats are the values of Options.Format.
+// Formats lists the valid values of Options.Format.
 var Formats = []string{"auto", "text", "json"}
 
 // Level parses the name of a level: debug, info, warn or error.
@@ -59,7 +59,7 @@
 	return isFile && term.IsTerminal(int(file.Fd()))
 }
 
-// Component returns a logger for one part of a program. Each component's events are limited on their own.
+// Component returns a logger for one part of a program. The events of each component are rate limited separately.
 func Component(logger *slog.Logger, name string) *slog.Logger {
 	component := logger.With("component", name)
 	if limited, ok := component.Handler().(*limiter); ok {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// TestRepeatedEventsAreLimitedAndCounted: records of one event are limited; the next window's first record counts the dropped
-// ones, and other events, other components and errors are not limited with it.
+// TestRepeatedEventsAreLimitedAndCounted guards against a repeated event that floods the log. The number of records of one
+// event in a window is limited, and the first record of the next window holds the number of dropped ones. Other events, other
+// components and errors are not affected by that limit, and neither are records below the level info.
 func TestRepeatedEventsAreLimitedAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, Options{Format: "auto"})
