--- a/internal/admission/connection_table_test.go
+++ b/internal/admission/connection_table_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("got %v expired with open requests, want none", got)
 	}
 	if ok, victim, found := table.Admit(time.Hour); ok || found {
-		t.Errorf("got admitted %v, victim %d %v with open requests at all connections, want neither", ok, victim, found)
+		t.Errorf("got admitted %v, victim %d %v with open requests on all connections, want neither", ok, victim, found)
 	}
 	table.ResponsesWritten(time.Hour, 2, 1)
 	if _, victim, found := table.Admit(time.Hour + ms); !found || victim != 2 {
--- a/internal/admission/eviction_test.go
+++ b/internal/admission/eviction_test.go
@@ -76,9 +76,9 @@
 }
 
 // TestCrowdDoesNotDisconnectRegularClients guards against a crowd of other clients that keeps regular clients out or
-// makes the table close their connections. In one case the crowd are one-shot clients that never close, and connect at
-// four times the rate at which the table could keep each for 2 s. In the other case a connection that sends nothing is
-// opened every 7 ms.
+// makes the table close their connections. In one case the crowd consists of one-shot clients that never close: they
+// connect at four times the rate at which the table could keep each connection for 2 s. In the other case a connection
+// that sends nothing is opened every 7 ms.
 func TestCrowdDoesNotDisconnectRegularClients(t *testing.T) {
 	for name, test := range map[string]struct {
 		interval     time.Duration // time between two connections of the crowd
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -4,7 +4,7 @@
 // (Shreedhar and Varghese, 1995). Hundreds of commands of one connection then delay each other, but not the commands of
 // other connections. Each connection has a queue of its own, of bounded length.
 type FairQueue[T any] struct {
-	Quantum          int // cost of the items that a connection may have taken in one turn
+	Quantum          int // cost that is added to the deficit of a connection at each of its turns
 	MaxPerConnection int // items of one connection that may wait; further items are not accepted; 0 is no bound
 
 	queues map[uint64]*connectionQueue[T]
@@ -22,7 +22,7 @@
 	id      uint64
 	items   []queuedItem[T]
 	next    int // index of the first item that still waits
-	deficit int // cost of the items that may still be taken in this turn
+	deficit int // cost of the items that may still be taken from the queue in this turn
 	hasTurn bool
 }
 
--- a/internal/admission/idle_expiry_test.go
+++ b/internal/admission/idle_expiry_test.go
@@ -36,13 +36,13 @@
 				t.Errorf("got the next expiry %s, %v, want %s", at, ok, test.want)
 			}
 			if got := table.ExpireIdle(at-ms, 10); len(got) != 0 {
-				t.Errorf("got %v expired before, want none", got)
+				t.Errorf("got %v expired 1 ms too early, want none", got)
 			}
 			if got := table.ExpireIdle(at, 10); !slices.Equal(got, []uint64{1}) {
 				t.Errorf("got %v expired, want [1]", got)
 			}
 			if got := table.ExpireIdle(at+time.Hour, 10); len(got) != 0 {
-				t.Errorf("got %v expired twice", got)
+				t.Errorf("got %v expired again, want none", got)
 			}
 		})
 	}
--- a/internal/admission/priority_queue_test.go
+++ b/internal/admission/priority_queue_test.go
@@ -10,10 +10,10 @@
 	queue.Add("d", 1)
 	queue.Add("a", 1.5) // adds to the weight of the item that waits
 	if !queue.Remove("d") || queue.Remove("d") {
-		t.Error("got that d does not wait, or waits still after it was removed")
+		t.Error("got false for the first Remove of d, or true for the second, want true and false")
 	}
 	if queue.Contains("d") || !queue.Contains("c") {
-		t.Error("got that d waits after it was removed, or that c does not")
+		t.Error("got d in the queue after it was removed, or c not in the queue")
 	}
 	for _, want := range []string{"a", "b", "c"} {
 		if got, ok := queue.Next(); !ok || got != want {
@@ -21,7 +21,7 @@
 		}
 	}
 	if got, ok := queue.Next(); ok || queue.Len() != 0 {
-		t.Errorf("got %q, %v of an empty queue of length %d", got, ok, queue.Len())
+		t.Errorf("got %q, %v and the length %d after all items were taken, want false and 0", got, ok, queue.Len())
 	}
 }
 
--- a/internal/admission/request_memory_test.go
+++ b/internal/admission/request_memory_test.go
@@ -29,7 +29,7 @@
 		t.Error("got no memory for a write after a request ended")
 	}
 	if unbounded := (RequestMemory{}); !unbounded.Reserve(1<<30, false) {
-		t.Error("got a bound without a limit")
+		t.Error("got no memory from a RequestMemory without a limit")
 	}
 }
 
--- a/internal/admission/retry_budget_test.go
+++ b/internal/admission/retry_budget_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestSavedRetriesFollowTheRequestRate guards against a large fleet of nodes with few requests each, of which every node
+// TestSavedRetriesFollowTheRequestRate guards against a large fleet of nodes with few requests each, in which every node
 // saves many retries. After a minute without retries a node has saved what its last second earned. With 300 nodes of 18
 // requests per second, that is a third of one second's requests for each. A node with 80 requests per second saves nearly
 // as much as without Burst.
--- a/internal/admission/unsent_bytes_test.go
+++ b/internal/admission/unsent_bytes_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("got %d closed, %v, want 1", id, found)
 	}
 	if id, found := table.NextStuck(300 * ms); found {
-		t.Errorf("got %d closed though no longer too much is unsent", id)
+		t.Errorf("got %d closed although the unsent bytes are within their bound", id)
 	}
 	table.Closed(301*ms, 1)
 	table.Closed(301*ms, 2)
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -58,7 +58,7 @@
 		if !isStuck {
 			return
 		}
-		c.close(now, c.conns[id], EndedStuck, effects) // even while a write is in progress
+		c.close(now, c.conns[id], EndedStuck, effects) // closes the connection even while a write is in progress
 	}
 }
 
--- a/internal/listener/expiry_test.go
+++ b/internal/listener/expiry_test.go
@@ -57,7 +57,7 @@
 	effects = nil
 	receive(conn, rest)
 	if got := len(effects) > 0 && effects[0].Kind == HandleRequest; got != isTaken {
-		t.Errorf("command taken %v, want %v", got, isTaken)
+		t.Errorf("got the command handled: %v, want %v", got, isTaken)
 	}
 	if !isTaken {
 		return
--- a/internal/listener/pause_test.go
+++ b/internal/listener/pause_test.go
@@ -111,6 +111,6 @@
 		t.Fatalf("got effects %+v, want a request", effects)
 	}
 	if got := effects[0].Request.ReceivedAt; !got.Equal(start) {
-		t.Errorf("the request came %v after the write began, want 0", got.Sub(start))
+		t.Errorf("the request arrived %v after the write began, want 0", got.Sub(start))
 	}
 }
