--- a/internal/fleet/membership/agent/agent.go
+++ b/internal/fleet/membership/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs membership.Core inside a node: one goroutine owns the core, and a bounded queue leads to it. It decides
-// nothing.
+// Package agent runs membership.Core inside a node. One goroutine owns the core and takes events from a bounded queue. All decisions
+// are made by the core.
 package agent
 
 import (
@@ -13,31 +13,31 @@
 	"shelfproxy/internal/logs"
 )
 
-// ticksPerTimeout is how often within a ProbeTimeout the core gets a tick.
+// ticksPerTimeout is how many ticks the core gets in one ProbeTimeout.
 const ticksPerTimeout = 2
 
-// Options configure an agent. Its functions are called from the agent's goroutine and must not block.
+// Options configures an agent. The functions are called from the agent's goroutine and must not block.
 type Options struct {
 	Config       membership.Config
 	Send         func(to int, data []byte) error // sends a datagram to one node, by its index
-	SetFleetSize func(nodes int)                 // takes how many nodes share the work from now on, this one among them; 0: unknown
+	SetFleetSize func(nodes int)                 // sets the number of nodes that share the work, this one included; 0: unknown
 	CountEvent   func(EventKind)
 	Log          *slog.Logger
 }
 
-// EventKind is what Options.CountEvent counts: a state of membership stands for another node that came into it, and the constants
-// below for the rest.
+// EventKind is the kind of an event that Options.CountEvent counts. A value of membership.State stands for another node that
+// entered that state. The constants below are the other kinds.
 type EventKind int
 
-// The kinds of events that are no states.
+// The kinds of events other than the states of membership.
 const (
-	MessageCorrupt      EventKind = iota + EventKind(membership.Left) + 1 // a datagram was ignored as corrupt
-	OtherPeerList                                                         // a datagram of a node with another list of nodes was ignored
-	IncarnationConflict                                                   // a later process with this node's name was learnt of
-	EventKinds                                                            // number of kinds
+	MessageCorrupt      EventKind = iota + EventKind(membership.Left) + 1 // a datagram was ignored because it was corrupt
+	OtherPeerList                                                         // a datagram was ignored: its sender has another list of nodes
+	IncarnationConflict                                                   // this node learned of a later process with its own name
+	EventKinds                                                            // number of event kinds
 )
 
-// String returns the kind's name among the counters.
+// String returns the kind's name as used in the counters.
 func (k EventKind) String() string {
 	if k > EventKind(membership.Left) {
 		return [...]string{"garbled", "foreign", "claimed"}[k-MessageCorrupt]
@@ -45,14 +45,14 @@
 	return membership.State(k).String()
 }
 
-// Agent is one node's part. Receive, UpdatePeers and Shutdown may be called from any goroutine and do not block.
+// Agent runs the membership core of one node. Receive, UpdatePeers and Shutdown may be called from any goroutine and do not block.
 type Agent struct {
 	*eventloop.Loop[membership.Event, membership.Effect]
 	opt  Options
 	core *membership.Core
 }
 
-// New makes an agent, which takes part once Serve runs.
+// New returns an agent. The agent becomes active when Serve is called.
 func New(opt Options) (*Agent, error) {
 	core, err := membership.New(opt.Config)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return a, nil
 }
 
-// Receive hands over a datagram of another node. While the agent's queue is full it is lost.
+// Receive passes a datagram from another node to the core. The datagram is lost if the agent's queue is full.
 func (a *Agent) Receive(from int, data []byte) {
 	a.Post(membership.MessageReceived{From: from, Data: data})
 }
@@ -71,15 +71,15 @@
 // UpdatePeers replaces the list of nodes.
 func (a *Agent) UpdatePeers(p membership.PeersChanged) { a.Post(p) }
 
-// Shutdown tells the other nodes that this one ends.
+// Shutdown makes the core tell other nodes that this node is shutting down.
 func (a *Agent) Shutdown() { a.Post(membership.ShutdownStarted{}) }
 
-// Serve owns the core until stop is closed. It must be called once, and returns only then.
+// Serve runs the core and returns when stop is closed. It must be called exactly once.
 func (a *Agent) Serve(stop <-chan struct{}) {
 	a.Run(stop, a.opt.Config.ProbeTimeout/ticksPerTimeout, func() { a.Step(membership.Tick{}) })
 }
 
-// execute carries an effect of the core out.
+// execute carries out an effect of the core.
 func (a *Agent) execute(effect membership.Effect) {
 	switch effect := effect.(type) {
 	case membership.Send:
@@ -92,7 +92,7 @@
 		a.opt.Log.Debug("the number of nodes that share the work changed", logs.Event, "member_count", "nodes", effect.Nodes)
 	case membership.IncarnationConflict:
 		a.opt.CountEvent(IncarnationConflict)
-		a.opt.Log.Warn("another process with this node's name and a later start: one runs now, or the clock was set back",
+		a.opt.Log.Warn("another process has this node's name and a later start: it runs now, or this node's clock was set back",
 			logs.Event, "member_claimed", "started_ms", effect.Incarnation)
 	case membership.MessageRejected:
 		a.opt.CountEvent(rejectionKind(effect))
@@ -104,8 +104,8 @@
 		"node", change.Node, "was", change.From.String(), "started_ms", change.Incarnation)
 }
 
-// stateChangeLevel keeps suspicions and their refutations, which a lossy network causes all the time, out of the log's default
-// level.
+// stateChangeLevel returns the level at which a state change is logged. Suspicions and their refutations are logged at debug level
+// only, because a lossy network causes them all the time.
 func stateChangeLevel(change membership.StateChanged) slog.Level {
 	wasPresent := change.From == membership.Suspect || change.From == membership.Alive
 	if change.To == membership.Suspect || change.To == membership.Alive && wasPresent {
--- a/internal/fleet/membership/agent/agent_test.go
+++ b/internal/fleet/membership/agent/agent_test.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/fleet/membership"
 )
 
-// TestEventKindsAreNamedAsCounters: the counters' names are the states and three more.
+// TestEventKindsAreNamedAsCounters: event kinds have the names that the counters have, which are the states and three more.
 func TestEventKindsAreNamedAsCounters(t *testing.T) {
 	var got []string
 	for kind := range EventKinds {
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestSuspicionsAreLoggedAtDebug: a node that starts, dies or leaves is logged at the default level; one that is suspected and refutes
-// it is not.
+// TestSuspicionsAreLoggedAtDebug: starts, deaths and departures of nodes are logged at the default level, suspicions and their
+// refutations only at debug level.
 func TestSuspicionsAreLoggedAtDebug(t *testing.T) {
 	for _, test := range []struct {
 		from, to membership.State
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -13,19 +13,20 @@
 	maxSuspicionFactor = 100
 )
 
-// Config is the configuration of one node's part. All nodes of a fleet have the same but for Self, Incarnation and Seed.
+// Config configures the membership core of one node. Self, Incarnation and Seed differ from node to node; the other fields have
+// the same values on all nodes of a fleet.
 type Config struct {
-	Self, Nodes     int           // index of this node, and number of nodes on the list
-	PeerListID      uint32        // identifies the list of nodes: an index means nothing under another list
-	Incarnation     uint64        // Unix time of the process's start in milliseconds: greater for each process of a node unless its clock is set back
-	ProbeInterval   time.Duration // between two pings of a node
-	ProbeTimeout    time.Duration // wait for an ack before other nodes are asked to ping
-	IndirectProbes  int           // number of nodes that are asked
-	SuspicionFactor float64       // probe intervals, times the logarithm of the fleet's size, after which a suspect is dead
+	Self, Nodes     int           // index of this node in the list of nodes, and length of that list
+	PeerListID      uint32        // identifies the list of nodes: under another list an index stands for another node
+	Incarnation     uint64        // Unix milliseconds of the process's start: later for each new process unless the clock is set back
+	ProbeInterval   time.Duration // time between two pings that a node sends; also called a period
+	ProbeTimeout    time.Duration // wait for an ack before other nodes are asked to ping the silent node
+	IndirectProbes  int           // number of nodes that are asked to ping a silent node
+	SuspicionFactor float64       // a suspect is declared dead after SuspicionFactor * log2(Nodes+1) probe intervals
 	Seed            uint64
 }
 
-// Validate returns an agreement.FieldError for the first field whose value is out of its range.
+// Validate returns an agreement.FieldError for the first field whose value is out of range.
 func (c Config) Validate() error {
 	if err := agreement.ValidateNodes(c.Self, c.Nodes, agreement.MaxNodes); err != nil {
 		return err
@@ -37,7 +38,7 @@
 		return agreement.InvalidField("wait", "must be above 0, and half a period at most")
 	case c.IndirectProbes < 0 || c.IndirectProbes > maxIndirectProbes:
 		return agreement.InvalidField("ask", "must be from 0 to %d", maxIndirectProbes)
-	case !(c.SuspicionFactor >= minSuspicionFactor && c.SuspicionFactor <= maxSuspicionFactor): // also for NaN
+	case !(c.SuspicionFactor >= minSuspicionFactor && c.SuspicionFactor <= maxSuspicionFactor): // rejects NaN too
 		return agreement.InvalidField("suspicion", "must be from %d to %d", minSuspicionFactor, maxSuspicionFactor)
 	}
 	return nil
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// maxPause is how many probe intervals may pass without an event. After a longer pause this process was stopped, and the pings
-// it sent before tell nothing.
+// maxPause is how many probe intervals may pass between two events. If more pass, this process was paused: that its earlier pings
+// were not acknowledged then says nothing about the other nodes.
 const maxPause = 3
 
-// Core is one node's part. It is not safe for concurrent use.
+// Core is the membership state machine of one node. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	random  *rand.Rand
-	members []member // by index; this node's own included
-	effects []Effect // of the step in hand
+	members []member // all nodes of the list by index, this one included
+	effects []Effect // effects of the current call of Step
 
-	isStarted   bool // the first event came
-	hasLeft     bool // this node has shut down
+	isStarted   bool // the first event was received
+	hasLeft     bool // this node has told others that it shuts down
 	lastStep    Time
-	peersSince  Time // when the present list of nodes came into use
-	nextPeriod  Time // when the next period begins
+	peersSince  Time // when the current list of nodes came into use
+	nextPeriod  Time // when the next probe period begins
 	periodCount int
-	sequence    uint32 // of the last ping
-	fleetSize   int    // that was last reported
+	sequence    uint32 // sequence number of the last ping that this node sent
+	fleetSize   int    // fleet size in the last FleetSizeChanged effect
 
 	probeOrder    []int // the other nodes, in the order in which they are pinged
-	orderPosition int   // index into probeOrder
+	orderPosition int   // index into probeOrder of the next node to ping
 	probe         probe
 	relays        []relay
 }
 
-// New makes a core. It takes part from its first event on.
+// New returns a core. The core becomes active at its first event.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	return c, nil
 }
 
-// reset forgets all nodes but this one, whose incarnation is given.
+// reset forgets everything about the other nodes, including pings in flight, and sets the incarnation of this node.
 func (c *Core) reset(incarnation uint64) {
 	c.members = make([]member, c.cfg.Nodes)
 	c.members[c.cfg.Self] = member{state: Alive, incarnation: incarnation}
@@ -56,11 +56,11 @@
 	c.shuffleProbeOrder()
 }
 
-// fleetLogarithm is the factor by which dissemination and suspicion take longer in a greater fleet.
+// fleetLogarithm returns log2(Nodes+1). Dissemination and suspicion take longer by this factor in a larger fleet.
 func (c *Core) fleetLogarithm() float64 { return math.Log2(float64(c.cfg.Nodes) + 1) }
 
-// Step takes one event and returns its effects in the order in which they have to be carried out. They belong to the caller.
-// After ShutdownStarted it ignores all events.
+// Step handles one event and returns the effects that the caller has to carry out, in this order. The caller owns the returned
+// slice. All events after ShutdownStarted are ignored.
 func (c *Core) Step(now Time, event Event) []Effect {
 	c.effects = nil
 	if c.hasLeft {
@@ -83,7 +83,8 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// advance notes the time of a step. The first one starts the core, and one after a long pause forgets what it waited for.
+// advance records the time of a step. The first step starts the core. A step after a long pause drops the acks and refutations
+// that the core was waiting for.
 func (c *Core) advance(now Time) {
 	if !c.isStarted {
 		c.isStarted, c.peersSince, c.lastStep = true, now, now
@@ -95,8 +96,8 @@
 	c.lastStep = now
 }
 
-// resumeAfterPause drops the pings in flight, whose acks may have been lost, and gives all suspects their full time again, since
-// their refutations may have been lost too.
+// resumeAfterPause drops the pings in flight, because their acks may have been lost during the pause. It also restarts the
+// SuspicionTimeout of all suspects, because their refutations may have been lost too.
 func (c *Core) resumeAfterPause(now Time) {
 	c.probe.isPending, c.relays = false, nil
 	for node := range c.members {
@@ -106,7 +107,7 @@
 	}
 }
 
-// runTimers does what is due by now.
+// runTimers handles the timeouts that have expired by now, and starts the next probe period if it is due.
 func (c *Core) runTimers(now Time) {
 	c.sendPingRequests(now)
 	c.expireRelays(now)
@@ -119,7 +120,7 @@
 	c.startPeriod(now)
 }
 
-// changePeers replaces the list of nodes, unless the new one is invalid.
+// changePeers replaces the list of nodes. An invalid new list is ignored.
 func (c *Core) changePeers(now Time, event PeersChanged) {
 	previous := c.cfg
 	c.cfg.Self, c.cfg.Nodes, c.cfg.PeerListID = event.Self, event.Nodes, event.PeerListID
@@ -131,7 +132,7 @@
 	c.reset(c.members[previous.Self].incarnation)
 }
 
-// shutDown tells some other nodes that this one has left; they tell the rest.
+// shutDown tells IndirectProbes+2 random nodes that this node has left. These nodes pass it on to the rest.
 func (c *Core) shutDown() {
 	c.members[c.cfg.Self].state = Left
 	for _, node := range c.randomAlive(c.cfg.IndirectProbes+2, c.cfg.Self) {
--- a/internal/fleet/membership/core_test.go
+++ b/internal/fleet/membership/core_test.go
@@ -8,11 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestFleetConverges: after anything that can happen all running nodes know who is running.
+// TestFleetConverges: after nodes were killed, restarted, paused, shut down or partitioned, every running node learns which nodes
+// are running.
 func TestFleetConverges(t *testing.T) {
 	for name, test := range map[string]struct {
-		nodes int
-		play  func(f *simulatedFleet)
+		nodes  int
+		inject func(f *simulatedFleet)
 	}{
 		"a node is killed":           {5, func(f *simulatedFleet) { f.kill(1) }},
 		"half are killed":            {10, func(f *simulatedFleet) { f.kill(0, 2, 4, 6, 8) }},
@@ -38,23 +39,23 @@
 		for seed := range uint64(5) {
 			f := newSimulatedFleet(t, seed, test.nodes, 0.1)
 			f.converge(name + ", at the start")
-			test.play(f)
+			test.inject(f)
 			f.converge(fmt.Sprintf("%s, seed %d", name, seed))
 		}
 	}
 }
 
-// TestFailureDetection measures how long a death takes to be known to all, how often a running node is declared dead, and what it
-// costs, against loss and the size of the fleet.
+// TestFailureDetection measures, for several fleet sizes and loss rates, how long it takes until all nodes know that a node died,
+// how often a running node is declared dead, and how many bytes a node sends per second.
 func TestFailureDetection(t *testing.T) {
-	const calm = time.Minute
+	const observationTime = time.Minute
 	for _, nodes := range []int{4, 40, 100} {
 		for _, lossRate := range []float64{0, 0.05, 0.2} {
 			f := newSimulatedFleet(t, 1, nodes, lossRate)
 			start := f.converge("the start")
 			f.bytesSent, f.falselyDead, f.changes = 0, 0, map[State]int{}
-			f.advance(calm)
-			bytesPerNode := float64(f.bytesSent) / calm.Seconds() / float64(nodes)
+			f.advance(observationTime)
+			bytesPerNode := float64(f.bytesSent) / observationTime.Seconds() / float64(nodes)
 			suspected, falselyDead := f.changes[Suspect], f.falselyDead
 			f.kill(nodes / 2)
 			detection := f.converge("the death")
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestPausedNodeDeclaresNoneDead: a node that was stopped and goes on does not take the others for dead because their acks to what
-// it sent before are missing.
+// TestPausedNodeDeclaresNoneDead: a node that resumes after a pause must not declare the others dead because the acks to its earlier
+// pings were lost.
 func TestPausedNodeDeclaresNoneDead(t *testing.T) {
 	f := newSimulatedFleet(t, 3, 6, 0)
 	f.converge("the start")
@@ -88,8 +89,8 @@
 	f.converge("after the pause")
 }
 
-// TestIncarnationConflictRecursWhileTwoRun: of two processes with one node's name each learns of the other again and again; a date
-// that was set back is learnt of once, and the node is alive to the others all the same.
+// TestIncarnationConflictRecursWhileTwoRun: while two processes run under one node's name, the incarnation conflict recurs. After
+// the clock was set back and the node restarted, the conflict does not recur, and the other nodes take the node for alive.
 func TestIncarnationConflictRecursWhileTwoRun(t *testing.T) {
 	const hour = uint64(time.Hour / time.Millisecond)
 	for name, bothRun := range map[string]bool{"both run": true, "the clock was set back": false} {
@@ -99,13 +100,13 @@
 		fleet.incarnations[1] += hour
 		fleet.start(1)
 		fleet.converge("the later process is known")
-		if !bothRun { // the next one's date is an hour before it
+		if !bothRun { // the next process starts with its clock an hour behind
 			fleet.incarnations[1] = minIncarnation
 			fleet.start(1)
 		}
 		for range 40 {
 			fleet.advance(testInterval)
-			if bothRun { // the earlier one receives what the others send, and pings them
+			if bothRun { // the earlier process receives datagrams too, and its answers are delivered
 				for _, effect := range earlier.Step(fleet.now, MessageReceived{0, fleet.knownTo(0, 1)}) {
 					switch effect := effect.(type) {
 					case IncarnationConflict:
@@ -120,17 +121,17 @@
 			t.Errorf("%s: got %d conflicts", name, fleet.conflicts[1])
 		}
 		if m := fleet.nodes[0].members[1]; !bothRun && (m.state != Alive || m.incarnation != fleet.nodes[1].members[1].incarnation) {
-			t.Errorf("%s: taken for %+v, want alive with its own incarnation", name, m)
+			t.Errorf("%s: got node 1 known as %+v, want alive with its own incarnation", name, m)
 		}
 	}
 }
 
-// fleetSizeObserver is one node, what the others send it, and the fleet's size that it last reported.
+// fleetSizeObserver feeds one core with datagrams of other nodes and holds the fleet size that the core last reported.
 type fleetSizeObserver struct {
 	t        *testing.T
 	core     *Core
 	now      time.Duration
-	reported int // -1: none yet
+	reported int // last reported fleet size; -1: none yet
 }
 
 func (o *fleetSizeObserver) step(event Event) {
@@ -141,13 +142,13 @@
 	}
 }
 
-// receive brings a datagram in which a node says that it is alive, and more.
+// receive passes the core a datagram with the updates and one more, in which its sender says that it is alive.
 func (o *fleetSizeObserver) receive(from int, updates ...update) {
 	updates = append(updates, update{uint16(from), minIncarnation, 0, Alive})
 	o.step(MessageReceived{from, message{kind: kindAck, updates: updates}.encode()})
 }
 
-// receiveFor brings datagrams of some nodes for a time.
+// receiveFor passes the core a datagram from each of the nodes in every test interval, for a duration.
 func (o *fleetSizeObserver) receiveFor(duration time.Duration, nodes ...int) {
 	for end := o.now + duration; o.now < end; o.now += testInterval {
 		for _, node := range nodes {
@@ -163,7 +164,8 @@
 	}
 }
 
-// TestFleetSize: the fleet's size is the configured one until enough is known, and no other node can make it smaller.
+// TestFleetSize: once a majority is present, nodes that are still unknown count until there was time to learn of them. No other
+// node can make the fleet size smaller, and without a majority it is 0.
 func TestFleetSize(t *testing.T) {
 	const nodes = 5
 	o := &fleetSizeObserver{t: t, core: newTestCore(t, nodes), reported: -1}
@@ -182,8 +184,8 @@
 	o.expect("the other is dead, and two of five are left", 0)
 }
 
-// TestUpdatesCommute: whatever is known, an update that is not newer changes nothing, and two orders of the same updates end in the
-// same state.
+// TestUpdatesCommute: an update that is applied a second time changes nothing, and the same updates lead to the same state in any
+// order.
 func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyUpdate := rapid.Custom(func(t *rapid.T) update {
@@ -206,7 +208,7 @@
 	})
 }
 
-// applyInOrder returns what a node knows of node 1 after updates, each of which comes twice.
+// applyInOrder returns what node 0 knows about node 1 after the updates in the given order, each of them applied twice.
 func applyInOrder(t *rapid.T, updates []update, order []int) update {
 	core := newTestCore(t, 3)
 	for _, i := range order {
--- a/internal/fleet/membership/dissemination.go
+++ b/internal/fleet/membership/dissemination.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// transmissionFactor, times the logarithm of the fleet's size, is how often a node passes on one update.
+// transmissionFactor, multiplied by fleetLogarithm, is the number of datagrams in which a node passes on one update.
 const transmissionFactor = 3.0
 
 func (c *Core) maxTransmissions() int { return int(math.Ceil(transmissionFactor * c.fleetLogarithm())) }
 
-// send sends a message with as many updates as fit.
+// send sends a message to a node and piggybacks as many updates as fit into the datagram.
 func (c *Core) send(to int, m message) {
 	m.peerListID = c.cfg.PeerListID
 	for _, node := range c.nodesToAnnounce(to) {
@@ -21,8 +21,8 @@
 	c.emit(Send{To: to, Data: m.encode()})
 }
 
-// nodesToAnnounce returns the nodes about which a datagram holds updates: this node first, then the receiver if it is suspect or
-// dead, so that it can refute it, and then those whose updates were sent least often so far.
+// nodesToAnnounce returns the nodes whose updates go into a datagram to the receiver. This node comes first, then the receiver if
+// it is suspect or dead, so that the receiver can refute that. The nodes whose updates were sent least often so far fill the rest.
 func (c *Core) nodesToAnnounce(receiver int) []int {
 	nodes := []int{c.cfg.Self}
 	if state := c.members[receiver].state; state == Suspect || state == Dead {
@@ -30,18 +30,18 @@
 	}
 	var pending []int
 	for node, m := range c.members {
-		if m.transmissions > 0 && !slices.Contains(nodes, node) {
+		if m.sendsLeft > 0 && !slices.Contains(nodes, node) {
 			pending = append(pending, node)
 		}
 	}
-	slices.SortStableFunc(pending, func(a, b int) int { return cmp.Compare(c.members[b].transmissions, c.members[a].transmissions) })
+	slices.SortStableFunc(pending, func(a, b int) int { return cmp.Compare(c.members[b].sendsLeft, c.members[a].sendsLeft) })
 	capacity := maxUpdates - len(nodes)
 	return append(nodes, pending[:min(len(pending), capacity)]...)
 }
 
-// countTransmission notes that an update about a node was sent once more.
+// countTransmission records that the update about a node was sent once more.
 func (c *Core) countTransmission(node int) {
-	if m := &c.members[node]; node != c.cfg.Self && m.transmissions > 0 {
-		m.transmissions--
+	if m := &c.members[node]; node != c.cfg.Self && m.sendsLeft > 0 {
+		m.sendsLeft--
 	}
 }
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -1,19 +1,19 @@
 package membership
 
-// Event is an input of Core.Step: one of the types below.
+// Event is an input of Core.Step: Tick, MessageReceived, ShutdownStarted or PeersChanged.
 type Event interface{ event() }
 
 type (
-	// Tick says that time has passed. The core wants one every half ProbeTimeout or so.
+	// Tick says that time has passed. The core needs one about every half ProbeTimeout to run its timers.
 	Tick struct{}
-	// MessageReceived brings a datagram of another node.
+	// MessageReceived is a datagram from another node.
 	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// ShutdownStarted says that this node is about to end.
+	// ShutdownStarted says that this node is shutting down.
 	ShutdownStarted struct{}
-	// PeersChanged replaces the list of nodes. The state of all other nodes is unknown then. A list that Config.Validate rejects
+	// PeersChanged replaces the list of nodes. The state of all other nodes becomes Unknown. A list that Config.Validate rejects
 	// is ignored.
 	PeersChanged struct {
 		Self, Nodes int
@@ -26,7 +26,8 @@
 func (ShutdownStarted) event() {}
 func (PeersChanged) event()    {}
 
-// Effect is an output of Core.Step, to be carried out by its caller: one of the types below.
+// Effect is an output of Core.Step that the caller has to carry out: Send, StateChanged, FleetSizeChanged, IncarnationConflict or
+// MessageRejected.
 type Effect interface{ effect() }
 
 type (
@@ -35,20 +36,20 @@
 		To   int
 		Data []byte
 	}
-	// StateChanged says that another node is in another state from now on, or in the same one with a later incarnation.
+	// StateChanged says that the state of another node changed, or that the node has a later incarnation in the same state.
 	StateChanged struct {
 		Node        int
 		From        State
 		To          State
 		Incarnation uint64
 	}
-	// FleetSizeChanged says what Core.FleetSize returns from now on.
+	// FleetSizeChanged says that Core.FleetSize now returns Nodes.
 	FleetSizeChanged struct{ Nodes int }
-	// IncarnationConflict says that another process with this node's name and a later incarnation was learnt of. Either this
-	// node's clock was set back since, or that process runs now; in the latter case the conflict recurs. This node's
-	// incarnation becomes a later one than the other's.
+	// IncarnationConflict says that this node learned of another process with its name and a later incarnation. Either this
+	// node's clock was set back after that process started, or that process is still running. In the latter case the conflict
+	// recurs. This node raises its own incarnation above the other's.
 	IncarnationConflict struct{ Incarnation uint64 }
-	// MessageRejected says that a datagram was ignored: it was corrupt, or its sender has another list of nodes.
+	// MessageRejected says that a datagram was ignored because it was corrupt or because its sender has another list of nodes.
 	MessageRejected struct {
 		From          int
 		OtherPeerList bool
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenDatagrams: the datagrams of earlier releases are read, and the same bytes are written.
+// TestGoldenDatagrams: datagrams recorded from earlier releases can be decoded, and their messages are encoded to the same bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	var all []update
 	for state := Unknown + 1; state < numStates; state++ {
@@ -32,12 +32,12 @@
 	file := golden.Read(t, "datagrams.golden")
 	for _, test := range messages {
 		if got, err := decode(golden.Hex(t, file, test.name)); err != nil || !reflect.DeepEqual(got, test.message) {
-			t.Errorf("%s: read as %+v, %v; want %+v", test.name, got, err, test.message)
+			t.Errorf("%s: decoded as %+v, %v; want %+v", test.name, got, err, test.message)
 		}
 	}
 }
 
-// TestGoldenStatus: operators' scripts read the members as JSON.
+// TestGoldenStatus: the JSON of Member stays the same, because operators' scripts parse it.
 func TestGoldenStatus(t *testing.T) {
 	var lines golden.Lines
 	for state := Unknown; state < numStates; state++ {
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -7,20 +7,21 @@
 	"shelfproxy/internal/fleet/datagram"
 )
 
-// Magic is the first byte of the datagrams of this package.
+// Magic is the first byte of every membership datagram.
 const Magic = 'M'
 
 var protocol = agreement.Protocol{Magic: Magic, Version: 1}
 
-// The kinds of messages.
+// The kinds of messages, as written in the header of a datagram.
 const (
 	kindPing        = 1
 	kindAck         = 2
 	kindPingRequest = 3
 )
 
-// A datagram holds the identifier of the list of nodes, a sequence number that an ack repeats, the node that a ping-req is
-// about, the number of updates, and these. What a later version writes behind them is skipped.
+// The fields of a datagram are the identifier of the list of nodes (4 bytes), a sequence number that the ack repeats (4), the
+// node that a ping-req asks to ping (2), the number of updates (1), and the updates. An update holds a node's index (2), its
+// incarnation (5), number of refutations (1) and state (1). Fields that a later version adds at the end are skipped.
 const (
 	fixedBytes  = 4 + 4 + 2 + 1
 	updateBytes = 2 + 5 + 1 + 1
@@ -37,11 +38,11 @@
 	kind       byte
 	peerListID uint32
 	sequence   uint32
-	target     uint16 // node to ping, of a kindPingRequest
+	target     uint16 // index of the node to ping; only used by kindPingRequest
 	updates    []update
 }
 
-// encode returns the message as a datagram. Of more than maxUpdates updates the last ones are dropped.
+// encode returns the message as a datagram. Updates beyond the first maxUpdates are dropped.
 func (m message) encode() []byte {
 	updates := m.updates[:min(len(m.updates), maxUpdates)]
 	data := protocol.Begin(m.kind)
@@ -63,7 +64,7 @@
 	return append(data, u.refutations, byte(u.state))
 }
 
-// decode reads a datagram. Its error is agreement.ErrCorruptMessage.
+// decode parses a datagram. It returns agreement.ErrCorruptMessage if the datagram is invalid.
 func decode(data []byte) (message, error) {
 	kind, fields, err := protocol.Open(data)
 	if err != nil {
--- a/internal/fleet/membership/message_test.go
+++ b/internal/fleet/membership/message_test.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/fleet/datagram"
 )
 
-// TestMessageRoundTrip: a message is read as it was written, and any flipped bit is found.
+// TestMessageRoundTrip: decode returns the message that was encoded, and rejects the datagram if any single bit is flipped.
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := anyMessage(t)
@@ -19,7 +19,7 @@
 		}
 		data[rapid.IntRange(0, len(data)-1).Draw(t, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if got, err := decode(data); err == nil {
-			t.Fatalf("a corrupt datagram was read as %v", got)
+			t.Fatalf("a corrupt datagram was decoded as %v", got)
 		}
 	})
 }
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// absentProbePeriods is how many periods pass between two pings of a node that is dead, has left or is unknown. By them a fleet
-// that was partitioned finds together again.
+// absentProbePeriods is how many periods pass between two pings to nodes that are dead, have left or are unknown. These pings
+// reunite a fleet after a partition.
 const absentProbePeriods = 4
 
-// probe is the ping of the current period.
+// probe is the ping that this node sent to the next node in turn in the current period.
 type probe struct {
 	node       int
 	sequence   uint32
 	sentAt     Time
 	isPending  bool // no ack was received yet
-	isIndirect bool // other nodes were asked to ping it too
+	isIndirect bool // other nodes were asked to ping the node too
 }
 
-// relay is a ping that this node sends because another one asked it to by a ping-req.
+// relay is a ping that this node sent on behalf of another node, which asked for it by a ping-req.
 type relay struct {
 	requester         int
-	requesterSequence uint32 // that the requester's ack has to repeat
+	requesterSequence uint32 // sequence number of the ping-req, repeated by the ack to the requester
 	target            int
-	sequence          uint32 // of this node's own ping
+	sequence          uint32 // sequence number of this node's ping to the target
 	sentAt            Time
 }
 
-// startPeriod pings the next node in turn, and now and then one that is not present.
+// startPeriod pings the next node in turn and, in some periods, a node that is not present.
 func (c *Core) startPeriod(now Time) {
 	c.probe.isPending = false
 	c.periodCount++
@@ -32,7 +32,7 @@
 	c.pingAbsent()
 }
 
-// probeNext pings the next node in turn that is present, if there is one.
+// probeNext pings the next present node of the probe order, if any node is present.
 func (c *Core) probeNext(now Time) {
 	for range c.probeOrder {
 		node := c.nextProbeTarget()
@@ -43,7 +43,7 @@
 	}
 }
 
-// nextProbeTarget returns the next node of the probe order. Once all were returned a new random order begins.
+// nextProbeTarget returns the next node of the probe order. After the last node the order is shuffled again.
 func (c *Core) nextProbeTarget() int {
 	node := c.probeOrder[c.orderPosition]
 	c.orderPosition++
@@ -58,7 +58,8 @@
 	c.random.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 }
 
-// pingAbsent pings a random node that is not present: in some periods, or in each one if no other node is present.
+// pingAbsent pings a random node that is not present. It does so every absentProbePeriods periods, or in every period if no other
+// node is present.
 func (c *Core) pingAbsent() {
 	var absent []int
 	for _, node := range c.probeOrder {
@@ -79,7 +80,7 @@
 	return c.sequence
 }
 
-// sendPingRequests asks other nodes to ping the probed one if it has not acknowledged this node's ping in time.
+// sendPingRequests asks other nodes to ping the probed node if that node has not acknowledged this node's ping within ProbeTimeout.
 func (c *Core) sendPingRequests(now Time) {
 	p := &c.probe
 	if !p.isPending || p.isIndirect || now-p.sentAt < c.cfg.ProbeTimeout {
@@ -91,7 +92,7 @@
 	}
 }
 
-// randomAlive draws up to count other nodes that are alive, but not the excluded one.
+// randomAlive returns up to count random nodes that are alive, other than this node and the excluded one.
 func (c *Core) randomAlive(count, excluded int) []int {
 	var nodes []int
 	for _, node := range c.random.Perm(c.cfg.Nodes) {
@@ -102,15 +103,15 @@
 	return nodes
 }
 
-// relayPing pings a node for the requester.
+// relayPing pings a node on behalf of the requester, and records the ping so that its ack can be passed on.
 func (c *Core) relayPing(now Time, requester int, requesterSequence uint32, target int) {
 	sequence := c.sendPing(target)
 	c.relays = append(c.relays, relay{requester: requester, requesterSequence: requesterSequence, target: target, sequence: sequence, sentAt: now})
 }
 
-// acknowledged takes an ack, which answers either the ping of this period or relayed ones. For these the requester is
-// answered.
-func (c *Core) acknowledged(from int, sequence uint32) {
+// receiveAck handles an ack. The ack answers either this period's ping or a relayed one. For a relayed ping an ack is sent to
+// the requester.
+func (c *Core) receiveAck(from int, sequence uint32) {
 	if c.probe.isPending && c.probe.sequence == sequence {
 		c.probe.isPending = false
 		return
@@ -124,7 +125,7 @@
 	})
 }
 
-// expireRelays forgets relayed pings whose requester does not wait for them any more.
+// expireRelays removes relayed pings that are a probe interval old: their requester no longer waits for an ack.
 func (c *Core) expireRelays(now Time) {
 	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool { return now-r.sentAt >= c.cfg.ProbeInterval })
 }
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -6,11 +6,11 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// maxClockAhead is how far past this node's clock an incarnation may be. Incarnations are dates by the clocks of the nodes'
-// machines, and one that is far off must not bar a node's later processes from its name.
+// maxClockAhead is how far ahead of this node's clock an incarnation may be. Incarnations are start times by the clocks of the
+// nodes' machines. If an incarnation of the far future were accepted, all later processes of that node would count as outdated.
 const maxClockAhead = 24 * time.Hour
 
-// receive takes a datagram of another node.
+// receive handles a datagram from another node.
 func (c *Core) receive(now Time, event MessageReceived) {
 	if !agreement.IsPeer(event.From, c.cfg.Self, c.cfg.Nodes) {
 		return
@@ -25,7 +25,8 @@
 	c.answer(now, event.From, m)
 }
 
-// applyUpdates takes the updates of a datagram about nodes of the list and of plausible incarnations.
+// applyUpdates applies the updates of a datagram. It ignores those about nodes that are not on the list, and those whose
+// incarnation is more than maxClockAhead in the future.
 func (c *Core) applyUpdates(now Time, updates []update) {
 	maxIncarnation := c.cfg.Incarnation + uint64((now+maxClockAhead)/time.Millisecond)
 	for _, u := range updates {
@@ -35,7 +36,7 @@
 	}
 }
 
-// answer does what a message asks for.
+// answer acknowledges a ping, relays the ping that a ping-req asks for, or handles an ack.
 func (c *Core) answer(now Time, from int, m message) {
 	switch m.kind {
 	case kindPing:
@@ -45,6 +46,6 @@
 			c.relayPing(now, from, m.sequence, target)
 		}
 	case kindAck:
-		c.acknowledged(from, m.sequence)
+		c.receiveAck(from, m.sequence)
 	}
 }
--- a/internal/fleet/membership/simulated_fleet_test.go
+++ b/internal/fleet/membership/simulated_fleet_test.go
@@ -10,19 +10,19 @@
 
 const (
 	testInterval    = 500 * time.Millisecond // ProbeInterval of the tests
-	testTimeout     = 100 * time.Millisecond // ProbeTimeout
-	testSuspicion   = 2                      // SuspicionFactor
+	testTimeout     = 100 * time.Millisecond // ProbeTimeout of the tests
+	testSuspicion   = 2                      // SuspicionFactor of the tests
 	simulationTick  = 25 * time.Millisecond
-	maxTestLatency  = 27 * time.Millisecond // of a datagram
+	maxTestLatency  = 27 * time.Millisecond // upper bound of the latency of a datagram
 	convergeTimeout = 2 * time.Minute
 )
 
-// testConfig is the configuration of a node in a fleet of tests.
+// testConfig returns the configuration of node self in a test fleet.
 func testConfig(self, nodes int) Config {
 	return Config{Self: self, Nodes: nodes, Incarnation: minIncarnation, ProbeInterval: testInterval, ProbeTimeout: testTimeout, SuspicionFactor: testSuspicion}
 }
 
-// newTestCore returns node 0 of a fleet.
+// newTestCore returns the core of node 0 in a test fleet.
 func newTestCore(t interface{ Fatal(args ...any) }, nodes int) *Core {
 	core, err := New(testConfig(0, nodes))
 	if err != nil {
@@ -31,13 +31,13 @@
 	return core
 }
 
-// simulatedFleet plays a fleet: datagrams that are lost, late, doubled and out of order, nodes that are killed, paused and
-// restarted, and partitions.
+// simulatedFleet simulates a fleet: datagrams that are lost, late, duplicated and out of order; nodes that are killed, paused and
+// restarted; and partitions.
 type simulatedFleet struct {
 	t            *testing.T
 	random       *rand.Rand
 	now          time.Duration
-	nodes        []*Core // nil: no process
+	nodes        []*Core // cores by node; nil: the node's process does not run
 	startedAt    []time.Duration
 	incarnations []uint64
 	isPaused     []bool
@@ -45,10 +45,10 @@
 	inFlight     []packet
 	lossRate     float64
 
-	changes     map[State]int // changes of a node's state, by the new one
+	changes     map[State]int // number of StateChanged effects by the new state
 	falselyDead int           // how often a running node was declared dead
 	bytesSent   int
-	conflicts   []int // incarnation conflicts, by node
+	conflicts   []int // number of IncarnationConflict effects by node
 }
 
 type packet struct {
@@ -76,7 +76,7 @@
 	return f
 }
 
-// start starts a node, in place of its present process if there is one.
+// start starts a new process of a node. The process replaces the one that runs, if any.
 func (f *simulatedFleet) start(node int) {
 	f.incarnations[node] = max(f.incarnations[node]+1, minIncarnation+uint64(f.now/time.Millisecond))
 	cfg := testConfig(node, len(f.nodes))
@@ -96,7 +96,7 @@
 
 func (f *simulatedFleet) isRunning(node int) bool { return f.nodes[node] != nil && !f.isPaused[node] }
 
-// step gives a node an event and carries its effects out.
+// step passes an event to a node and carries out the effects.
 func (f *simulatedFleet) step(node int, event Event) {
 	if f.nodes[node] == nil {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// send puts a datagram on the network, a tenth of them twice.
+// send puts a datagram on the simulated network. One datagram in ten is duplicated.
 func (f *simulatedFleet) send(from int, datagramSent Send) {
 	f.bytesSent += len(datagramSent.Data)
 	if len(datagramSent.Data) > datagram.MaxSize {
@@ -130,7 +130,7 @@
 	}
 }
 
-// advance lets time pass.
+// advance runs the simulation for a duration, in steps of simulationTick.
 func (f *simulatedFleet) advance(duration time.Duration) {
 	for end := f.now + duration; f.now < end; f.now += simulationTick {
 		packets := f.inFlight
@@ -150,7 +150,7 @@
 	}
 }
 
-// hasConverged reports whether every running node takes exactly the running ones for present.
+// hasConverged reports whether each running node takes exactly the running nodes for present.
 func (f *simulatedFleet) hasConverged() bool {
 	for node, core := range f.nodes {
 		if !f.isRunning(node) {
@@ -165,7 +165,7 @@
 	return true
 }
 
-// converge lets time pass until the fleet has converged, and returns how long that took.
+// converge runs the simulation until the fleet has converged, and returns how long that took.
 func (f *simulatedFleet) converge(what string) time.Duration {
 	f.t.Helper()
 	for began := f.now; ; f.advance(simulationTick) {
@@ -178,7 +178,7 @@
 	}
 }
 
-// knownTo returns a datagram in which one node says what it knows of another.
+// knownTo returns a datagram in which one node says what it knows about another.
 func (f *simulatedFleet) knownTo(node, about int) []byte {
 	core := f.nodes[node]
 	return message{kind: kindAck, peerListID: core.cfg.PeerListID, updates: []update{core.members[about].update(about)}}.encode()
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -1,34 +1,35 @@
-// Package membership finds out which nodes of a fleet are running. It is SWIM (Das, Gupta and Motivala, 2002) with suspicion and
-// refutation, in datagrams of 256 bytes at most, among the nodes of a configured list. Core has no clock and no I/O: its Step
+// Package membership detects which nodes of a fleet are running. It implements SWIM (Das, Gupta and Motivala, 2002) with suspicion
+// and refutation. The nodes of a configured list exchange datagrams of 256 bytes at most. Core has no clock and no I/O: its Step
 // takes the time and an event and returns effects.
 //
-// In each period a node pings one other, in a random order in which every node has its turn. One that does not acknowledge the
-// ping is pinged through a few others (ping-req), and then suspected; a suspect that does not refute the suspicion in time is
-// dead. Updates about nodes are piggybacked on every datagram.
+// In each period a node pings one other node, in a random order in which every node has its turn. If the pinged node does not
+// send an ack, a few other nodes are asked to ping it (ping-req). If no ack arrives that way either, the node is suspected. A
+// suspect that does not refute the suspicion in time is declared dead. Updates about nodes are piggybacked on every datagram.
 //
-// Updates about a node are ordered by its incarnation (the start of its process), the number of its refutations within it, and
-// the state, so one that is late, doubled or out of order changes nothing. See docs/fleet.md.
+// Updates about a node are ordered by its incarnation (the start of its process), then by the number of its refutations within
+// that incarnation, then by its state. So an update that is late, duplicated or out of order changes nothing. See docs/fleet.md.
 package membership
 
 import "time"
 
-// Time is a point on this node's clock, counted from its start.
+// Time is a point in time on this node's clock, as the duration since the node's start.
 type Time = time.Duration
 
-// State is what is known of a node.
+// State says whether a node is running, as far as is known.
 type State byte
 
-// The states. Of two updates of one incarnation with as many refutations the one with the later state overrides the other.
+// The states of a node. If two updates have the same incarnation and number of refutations, the one with the greater state
+// overrides the other.
 const (
 	Unknown State = iota // no update was received yet
 	Alive
 	Suspect
 	Dead
-	Left // shut down on its own
+	Left // the node shut down gracefully
 	numStates
 )
 
-// String returns the state's name in the log, the counters and the control socket.
+// String returns the state's name as used in the log, the counters and the control socket.
 func (s State) String() string {
 	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[s]
 }
@@ -36,17 +37,17 @@
 // isPresent reports whether a node in this state counts as running.
 func (s State) isPresent() bool { return s == Alive || s == Suspect }
 
-// member is what is known of one node.
+// member is what this node knows about one node of the list.
 type member struct {
-	state         State
-	incarnation   uint64
-	refutations   uint8 // within the incarnation; wraps
-	since         Time  // when it came into the state
-	transmissions int   // how often this is still to be piggybacked on a datagram
-	lastSeen      Time  // when the last datagram came from the node itself; 0: none did
+	state       State
+	incarnation uint64
+	refutations uint8 // number of refutations within the incarnation; wraps after 255
+	since       Time  // when the node entered the state
+	sendsLeft   int   // how often the update about the node is still to be piggybacked on a datagram
+	lastSeen    Time  // when the last datagram from the node itself was received; 0: never
 }
 
-// update is what one datagram says of one node.
+// update is what a datagram says about one node.
 type update struct {
 	node        uint16
 	incarnation uint64
@@ -54,13 +55,13 @@
 	state       State
 }
 
-// update returns what datagrams say of this member.
+// update returns the update about this member for datagrams; node is its index.
 func (m member) update(node int) update {
 	return update{node: uint16(node), incarnation: m.incarnation, refutations: m.refutations, state: m.state}
 }
 
-// isOverriddenBy reports whether an update is newer than what is known: of a later incarnation, of a later refutation, or of a
-// later state.
+// isOverriddenBy reports whether an update is newer than what is known: it has a later incarnation, the same one and more
+// refutations, or the same two and a greater state.
 func (m member) isOverriddenBy(u update) bool {
 	switch {
 	case m.state == Unknown:
@@ -73,5 +74,6 @@
 	return u.state > m.state
 }
 
-// refutationsAhead is by how much a is ahead of b, two numbers of refutations, which wrap. It is negative if a is behind.
+// refutationsAhead returns by how much a is ahead of b; the result is negative if a is behind. Both are numbers of refutations,
+// which wrap.
 func refutationsAhead(a, b uint8) int8 { return int8(a - b) }
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -6,19 +6,19 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// lastSeenRounds is how many rounds of pings of the whole list a node may send nothing and still counts for FleetSize. In that
-// time every node that is running is seen by each other one.
+// lastSeenRounds is for how many rounds FleetSize still counts a node after the last datagram from it. In one round a node pings
+// the whole list. Within lastSeenRounds rounds every node receives a datagram from every other running node.
 const lastSeenRounds = 2
 
-// Member is the state of one node as this one knows it, in the form of the control socket.
+// Member is the state of one node as this node knows it. The control socket returns it as JSON.
 type Member struct {
 	Node        int           `json:"node"`
 	State       string        `json:"state"`
 	Incarnation uint64        `json:"started_ms"`
-	Duration    time.Duration `json:"for_ns"` // since it came into the state
+	Duration    time.Duration `json:"for_ns"` // time since the node entered the state
 }
 
-// Members returns all nodes of the list by their indices.
+// Members returns the states of all nodes of the list, by index.
 func (c *Core) Members(now Time) []Member {
 	members := make([]Member, len(c.members))
 	for node, m := range c.members {
@@ -27,11 +27,12 @@
 	return members
 }
 
-// FleetSize is how many nodes share the work, this one among them, or 0 if no majority of the list is present: of a partitioned
-// fleet each part has all the others for dead, while clients reach them all.
+// FleetSize returns how many nodes share the work, this one included. It returns 0 if no majority of the list is present: in a
+// partitioned fleet each part takes all nodes of the other parts for dead, while clients still reach them all.
 //
-// It counts the nodes that are alive or suspect, those that this node saw itself of late, whatever others say, so that no other
-// node can make it smaller, and those of which this node has not had the time to learn.
+// It counts the nodes that are alive or suspect. It also counts the nodes from which this node received a datagram recently,
+// whatever others say about them, so that no other node can make the number smaller. Soon after the list of nodes came into use it
+// also counts the unknown nodes, because this node has not had the time to learn of them.
 func (c *Core) FleetSize(now Time) int {
 	recent := lastSeenRounds * time.Duration(len(c.probeOrder)) * c.cfg.ProbeInterval
 	isStarting := now-c.peersSince < recent+c.SuspicionTimeout()
@@ -51,7 +52,7 @@
 	return present + notYetKnown
 }
 
-// reportFleetSize emits the fleet's size if it has changed.
+// reportFleetSize emits FleetSizeChanged if the fleet's size has changed.
 func (c *Core) reportFleetSize(now Time) {
 	if nodes := c.FleetSize(now); nodes != c.fleetSize {
 		c.fleetSize = nodes
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// SuspicionTimeout is how long a node is suspected before it is dead.
+// SuspicionTimeout returns how long a node is suspected before it is declared dead.
 func (c *Core) SuspicionTimeout() time.Duration {
 	return time.Duration(c.cfg.SuspicionFactor * c.fleetLogarithm() * float64(c.cfg.ProbeInterval))
 }
 
-// suspectUnresponsive suspects the node that was probed in the period that ends now, unless it acknowledged the ping or sent
-// anything else since.
+// suspectUnresponsive marks the node that was probed in the ending period as suspect, unless an ack or any other datagram of that
+// node was received since the ping.
 func (c *Core) suspectUnresponsive(now Time) {
 	if !c.probe.isPending {
 		return
@@ -19,7 +19,7 @@
 	}
 }
 
-// expireSuspects declares the nodes dead that have been suspected for too long.
+// expireSuspects declares dead the nodes that have been suspected for SuspicionTimeout.
 func (c *Core) expireSuspects(now Time) {
 	for node, m := range c.members {
 		if m.state == Suspect && now-m.since >= c.SuspicionTimeout() {
@@ -28,14 +28,14 @@
 	}
 }
 
-// changeState puts a node into another state by this node's own observation.
+// changeState sets the state of another node after an observation of this node itself.
 func (c *Core) changeState(now Time, node int, state State) {
 	u := c.members[node].update(node)
 	u.state = state
 	c.apply(now, u)
 }
 
-// apply takes an update about a node if it is newer than what is known.
+// apply applies an update about a node if the update is newer than what is known. It refutes a wrong update about this node.
 func (c *Core) apply(now Time, u update) {
 	if u.state == Unknown || u.state >= numStates {
 		return
@@ -54,20 +54,20 @@
 		since = previous.since
 	}
 	c.members[node] = member{
-		state:         u.state,
-		incarnation:   u.incarnation,
-		refutations:   u.refutations,
-		since:         since,
-		transmissions: c.maxTransmissions(),
-		lastSeen:      previous.lastSeen,
+		state:       u.state,
+		incarnation: u.incarnation,
+		refutations: u.refutations,
+		since:       since,
+		sendsLeft:   c.maxTransmissions(),
+		lastSeen:    previous.lastSeen,
 	}
 	if previous.state != u.state || previous.incarnation != u.incarnation {
 		c.emit(StateChanged{Node: node, From: previous.state, To: u.state, Incarnation: u.incarnation})
 	}
 }
 
-// refute takes an update about this node. If it says that the node is not alive or that it is another process, this node's next
-// datagrams override it.
+// refute handles an update about this node. If the update says that this node is not alive, or has a later incarnation, this node
+// raises its number of refutations or its incarnation, so that its next datagrams override the update.
 func (c *Core) refute(u update) {
 	self := &c.members[c.cfg.Self]
 	switch {
