--- a/internal/fleet/gossip/assessment_test.go
+++ b/internal/fleet/gossip/assessment_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestOutlierGivesUpSlots: a server gives up slots by how much worse than all servers it does.
+// TestOutlierGivesUpSlots: a server gives up the more slots, the worse it does compared with all servers.
 func TestOutlierGivesUpSlots(t *testing.T) {
 	for _, test := range []struct{ utilisation, ofAll, want float64 }{
 		{0, 0, 1}, {0.3, 0, 1}, {0.45, 0, 0.5}, {1, 0, minKeptFraction}, {1, 1, 1}, {0.9, 0.8, 1}, {0.6, 0.1, 1.0 / 3},
@@ -19,7 +19,8 @@
 	}
 }
 
-// TestUnresponsivenessIsCorroborated: one node that is cut off must not take a server from all the others.
+// TestUnresponsivenessIsCorroborated: a single node that is cut off from a server must not take the server away from all other
+// nodes.
 func TestUnresponsivenessIsCorroborated(t *testing.T) {
 	type report struct {
 		at               Time
--- a/internal/fleet/gossip/buffer.go
+++ b/internal/fleet/gossip/buffer.go
@@ -8,11 +8,11 @@
 // Buffer collects a node's own observations and its sample of requested keys until they are encoded. The zero value is empty. It
 // is not safe for concurrent use.
 type Buffer struct {
-	observations []Observation // one for each server, by the first event
-	keys         []Fingerprint // at most maxKeys, by their requests
+	observations []Observation // one for each server, in the order of the first event about it
+	keys         []Fingerprint // at most maxKeys, in the order of their requests
 }
 
-// KeyRequested adds a key of the sample. If there are more than a datagram can hold the earliest is dropped.
+// KeyRequested adds a key to the sample. If there are more keys than a datagram can hold, the earliest key is dropped.
 func (b *Buffer) KeyRequested(key Fingerprint) {
 	if len(b.keys) == maxKeys {
 		b.keys = slices.Delete(b.keys, 0, 1)
@@ -20,7 +20,7 @@
 	b.keys = append(b.keys, key)
 }
 
-// observation returns the observation of a server, a new one if there is none.
+// observation returns the observation of a server. If there is none it adds an empty one.
 func (b *Buffer) observation(server Fingerprint) *Observation {
 	for i := range b.observations {
 		if b.observations[i].Server == server {
@@ -31,11 +31,11 @@
 	return &b.observations[len(b.observations)-1]
 }
 
-// AttemptEnded counts an attempt at a server, which failed or was slow if isFailure is set.
+// AttemptEnded counts an attempt at a server. isFailure says that the attempt failed or was slow.
 func (b *Buffer) AttemptEnded(server Fingerprint, isFailure bool) {
 	observation := b.observation(server)
 	if observation.Attempts == maxAttempts {
-		return // a sample is enough
+		return // maxAttempts attempts are a sufficient sample
 	}
 	observation.Attempts++
 	if isFailure {
@@ -43,20 +43,20 @@
 	}
 }
 
-// Recovered notes that a server answered that was taken for unresponsive.
+// Recovered records that a server answered after this node had taken it for unresponsive.
 func (b *Buffer) Recovered(server Fingerprint) {
 	observation := b.observation(server)
 	observation.Recovered, observation.Unresponsive = true, false
 }
 
-// Unresponsive notes that a server is taken for unresponsive.
+// Unresponsive records that this node takes a server for unresponsive.
 func (b *Buffer) Unresponsive(server Fingerprint) {
 	observation := b.observation(server)
 	observation.Recovered, observation.Unresponsive = false, true
 }
 
-// Encode returns a datagram with all keys and as many observations as fit, the most severe first if they don't all fit. These are
-// removed from the buffer. If it is empty the datagram is nil.
+// Encode returns a datagram with all keys and as many observations as fit, and removes both from the buffer. If not all
+// observations fit, the most severe ones are taken. If the buffer is empty, Encode returns nil.
 func (b *Buffer) Encode() []byte {
 	if len(b.observations)+len(b.keys) == 0 {
 		return nil
@@ -71,5 +71,5 @@
 	return data
 }
 
-// clear drops all that was collected.
+// clear removes all observations and keys from the buffer.
 func (b *Buffer) clear() { b.observations, b.keys = nil, nil }
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -2,17 +2,18 @@
 
 import "errors"
 
-// A datagram is one byte of version, one with the number of keys, three bytes for each key, and then the observations, four bytes
-// each: three with the server's fingerprint, and one with the numbers of attempts and failures, three bits each, and two flags.
+// A datagram consists of the version (1 byte), the number of keys (1 byte), the keys (3 bytes each) and the observations (4 bytes
+// each). An observation is the server's fingerprint (3 bytes) and a byte with the number of attempts (3 bits), the number of
+// failures (3 bits) and two flags.
 const (
 	version          = 2
 	headerBytes      = 2
 	fingerprintBytes = 3
 	observationBytes = 4
 
-	maxAttempts     = 7  // of one observation; three bits
-	maxKeys         = 16 // of one datagram
-	maxObservations = 50 // of one datagram; the platform takes 256 bytes
+	maxAttempts     = 7  // greatest number of attempts in one observation, as it has three bits
+	maxKeys         = 16 // greatest number of keys in one datagram
+	maxObservations = 50 // greatest number of observations in one datagram; the platform carries at most 256 bytes
 	maxBytes        = headerBytes + maxKeys*fingerprintBytes + maxObservations*observationBytes
 
 	attemptsShift    = 5
@@ -21,10 +22,10 @@
 	flagUnresponsive = 2
 )
 
-// ErrMalformed is returned for a datagram that no node of this version sent.
+// ErrMalformed is returned for a datagram that cannot come from a node of this version.
 var ErrMalformed = errors.New("gossip: malformed datagram")
 
-// encode returns a message as a datagram. It must not have more than maxKeys keys and maxObservations observations.
+// encode returns the message as a datagram. The message must not have more than maxKeys keys and maxObservations observations.
 func (m Message) encode() []byte {
 	data := make([]byte, 0, headerBytes+len(m.Keys)*fingerprintBytes+len(m.Observations)*observationBytes)
 	data = append(data, version, byte(len(m.Keys)))
@@ -42,7 +43,7 @@
 	return append(data, byte(f>>16), byte(f>>8), byte(f))
 }
 
-// summary is the last byte of an observation: the numbers and flags.
+// summary returns the last byte of an encoded observation: the numbers of attempts and failures, and the flags.
 func (o Observation) summary() byte {
 	summary := byte(o.Attempts<<attemptsShift | o.Failures<<failuresShift)
 	if o.Recovered {
@@ -54,7 +55,7 @@
 	return summary
 }
 
-// Decode reads a datagram. Of a malformed one nothing is returned but ErrMalformed.
+// Decode parses a datagram. For a malformed datagram it returns an empty Message and ErrMalformed.
 func Decode(data []byte) (Message, error) {
 	if len(data) <= headerBytes || len(data) > maxBytes || data[0] != version || data[1] > maxKeys {
 		return Message{}, ErrMalformed
@@ -82,12 +83,12 @@
 	return message, nil
 }
 
-// decodeFingerprint reads the first three bytes of data.
+// decodeFingerprint decodes the fingerprint in the first three bytes of data.
 func decodeFingerprint(data []byte) Fingerprint {
 	return Fingerprint(data[0])<<16 | Fingerprint(data[1])<<8 | Fingerprint(data[2])
 }
 
-// decodeObservation reads the first four bytes of data.
+// decodeObservation decodes the observation in the first four bytes of data.
 func decodeObservation(data []byte) (Observation, error) {
 	summary := data[fingerprintBytes]
 	observation := Observation{
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-const platformDatagramBytes = 256 // the platform takes no longer datagram
+const platformDatagramBytes = 256 // the platform carries no longer datagrams
 
-// observationModel is what a Buffer should hold of each server.
+// observationModel holds, for each server, the observation that a Buffer should hold.
 type observationModel map[Fingerprint]Observation
 
-// addEvent gives an event to a buffer and to the model.
+// addEvent applies one random event to a buffer and to the model.
 func (m observationModel) addEvent(t *rapid.T, buffer *Buffer) {
 	server := Fingerprint(rapid.IntRange(0, 70).Draw(t, "server") << 17)
 	want := m[server]
@@ -38,7 +38,8 @@
 	m[server] = want
 }
 
-// TestBufferRoundTrip: what a buffer collects is decoded from its datagrams, all of it and each once.
+// TestBufferRoundTrip: every observation that a buffer collects, and each of its last maxKeys keys, is decoded from exactly one
+// of its datagrams.
 func TestBufferRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var buffer Buffer
@@ -64,7 +65,7 @@
 			if !slices.Equal(message.Keys, keys) {
 				t.Fatalf("got keys %v, want %v", message.Keys, keys)
 			}
-			keys = nil // they are all in the first datagram
+			keys = nil // all keys are in the first datagram
 			for _, got := range message.Observations {
 				if wanted, ok := want[got.Server]; !ok || wanted != got {
 					t.Fatalf("got %+v, want %+v", got, wanted)
@@ -81,15 +82,15 @@
 func TestMalformedDatagramsAreRejected(t *testing.T) {
 	good := []byte{version, 1, 0, 0, 5, 0, 0, 7, 2<<attemptsShift | 1<<failuresShift, 0, 0, 8, flagUnresponsive}
 	for name, data := range map[string][]byte{
-		"empty":                      {},
-		"no key and no observation":  {version, 0},
-		"another version":            append([]byte{9}, good[1:]...),
-		"truncated":                  good[:12],
-		"truncated in the key":       good[:4],
-		"too many keys":              append([]byte{version, maxKeys + 1}, bytes.Repeat([]byte{0, 0, 1}, maxKeys+1)...),
-		"too many observations":      append([]byte{version, 0}, bytes.Repeat([]byte{0, 0, 1, 1 << attemptsShift}, maxObservations+1)...),
-		"more failures than tries":   {version, 0, 0, 0, 7, 1<<attemptsShift | 2<<failuresShift},
-		"unresponsive and recovered": {version, 0, 0, 0, 7, flagUnresponsive | flagRecovered},
+		"empty":                       {},
+		"no key and no observation":   {version, 0},
+		"another version":             append([]byte{9}, good[1:]...),
+		"truncated":                   good[:12],
+		"truncated in the key":        good[:4],
+		"too many keys":               append([]byte{version, maxKeys + 1}, bytes.Repeat([]byte{0, 0, 1}, maxKeys+1)...),
+		"too many observations":       append([]byte{version, 0}, bytes.Repeat([]byte{0, 0, 1, 1 << attemptsShift}, maxObservations+1)...),
+		"more failures than attempts": {version, 0, 0, 0, 7, 1<<attemptsShift | 2<<failuresShift},
+		"unresponsive and recovered":  {version, 0, 0, 0, 7, flagUnresponsive | flagRecovered},
 	} {
 		if got, err := Decode(data); !errors.Is(err, ErrMalformed) || len(got.Observations)+len(got.Keys) != 0 {
 			t.Errorf("%s: got %v, %v, want nothing and %v", name, got, err, ErrMalformed)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -7,12 +7,13 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenDatagrams: the datagrams of earlier releases are read, and the same bytes are written.
+// TestGoldenDatagrams: datagrams recorded from earlier releases can be decoded, and the same events are encoded to the same
+// bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	var buffer Buffer
 	buffer.KeyRequested(0x010203)
 	buffer.KeyRequested(0xfffffe)
-	for range 9 { // more than an observation counts
+	for range 9 { // more attempts than an observation can count
 		buffer.AttemptEnded(0x0a0b0c, true)
 	}
 	buffer.AttemptEnded(0x0a0b0d, false)
--- a/internal/fleet/gossip/sender.go
+++ b/internal/fleet/gossip/sender.go
@@ -3,40 +3,42 @@
 import "time"
 
 const (
-	// fullSampleAttempts is the number of recent attempts at a server up to which all are sent, and past which fewer.
+	// fullSampleAttempts is the number of known recent attempts at a server up to which every attempt is sent. Above it, only a
+	// fraction of the attempts is sent.
 	fullSampleAttempts = 6.0
-	// intervalPerNode bounds what each node receives: 200 datagrams a second.
+	// intervalPerNode, multiplied by the fleet's size, is the interval between two datagrams of one node. This bounds what each
+	// node receives to 200 datagrams a second.
 	intervalPerNode = 5 * time.Millisecond
-	// minInterval is between two datagrams of one node.
+	// minInterval is the lower bound of the interval between two datagrams of one node.
 	minInterval = 250 * time.Millisecond
-	// keySampleInterval is the number of requests of which one key is sent: 600 keys a second from 300 nodes with 18 requests
-	// a second each.
+	// keySampleInterval is the number of requests out of which the key of one is sent. From 300 nodes with 18 requests a second
+	// each, this makes 600 keys a second.
 	keySampleInterval = 8
-	// recentKeys is within how many of a node's requests a repeated key is sent at once.
+	// recentKeys is the number of a node's latest requests within which a repeated key is sent at once.
 	recentKeys = 8
-	// repeatFactor is how many times as often as expected a key has to be among the recent ones to be sent at once.
+	// repeatFactor is how many times as often as expected a key has to be among the recent keys to be sent at once.
 	repeatFactor = 3
 )
 
-// Sender decides what a node tells the others, and when. What its methods do not sample out is collected in the Buffer. It is not
-// safe for concurrent use.
+// Sender decides what a node tells the other nodes, and when. Its methods sample attempts and keys and collect the sample in the
+// Buffer. It is not safe for concurrent use.
 //
-// Methods with a parameter draw take a random number from 0 to 1, which decides about a sample.
+// The parameter draw of some methods is a random number from 0 to 1. It decides whether something becomes part of the sample.
 type Sender struct {
 	Buffer
-	Disabled        bool // messages are not allowed: nothing is sent
-	IsHealthChecker bool // this node checks the servers' health for all, so it sends recoveries at once
-	FleetSize       int  // number of nodes
+	Disabled        bool // gossip is not allowed: nothing is sent
+	IsHealthChecker bool // this node checks the servers' health for all nodes, so it sends recoveries at once
+	FleetSize       int  // number of nodes in the fleet
 
 	nextAt     Time
 	lastSentAt Time
-	isUrgent   bool                    // something should be sent before nextAt
-	recent     [recentKeys]Fingerprint // the keys requested last, as a ring
+	isUrgent   bool                    // the buffer holds something that should be sent before nextAt
+	recent     [recentKeys]Fingerprint // ring buffer of the latest requested keys
 	requests   int                     // number of keys requested so far
 }
 
-// AttemptEnded samples an attempt at a server if it is suspect. The more recent attempts at it are known, those of other nodes
-// included, the smaller is the part that is sent. Failures and successes are sampled alike, so their ratio is kept.
+// AttemptEnded samples an attempt at a suspect server. The more recent attempts at the server are known, those of other nodes
+// included, the smaller the fraction that is sent. Failures and successes are sampled alike, so their ratio is kept.
 func (s *Sender) AttemptEnded(server *Assessment, knownAttempts float64, isFailure bool, draw float64) {
 	rate := fullSampleAttempts / max(fullSampleAttempts, knownAttempts)
 	if server.IsSuspect() && draw < rate*rate*rate {
@@ -44,27 +46,27 @@
 	}
 }
 
-// Recovered notes that a server answered that was taken for unresponsive.
+// Recovered records that a server answered after this node had taken it for unresponsive.
 func (s *Sender) Recovered(server Fingerprint) {
 	s.Buffer.Recovered(server)
 	s.isUrgent = s.isUrgent || s.IsHealthChecker
 }
 
-// KeyRequested samples the keys that the node is requested. One that is repeated within a few requests is sent at once, unless
-// that is no more than the fraction of all requests that it is known to draw: the others must know of a key that begins to draw a
-// large part before each of them has sent its first request to the same server.
+// KeyRequested samples the keys that clients request from this node. A key that is repeated within a few requests is sent at
+// once, unless the fraction of all requests that it is known to draw explains the repetition. The other nodes must know of a key
+// that begins to draw a large part of all requests before each node has sent its first request for that key to the same server.
 func (s *Sender) KeyRequested(key Fingerprint, knownFraction, draw float64) {
 	count := s.countRecent(key) + 1
 	s.recent[s.requests%recentKeys] = key
 	s.requests++
-	isSurprising := count > 1 && float64(count) > repeatFactor*knownFraction*recentKeys
-	if isSurprising || draw*keySampleInterval < 1 {
+	isUnexpected := count > 1 && float64(count) > repeatFactor*knownFraction*recentKeys
+	if isUnexpected || draw*keySampleInterval < 1 {
 		s.Buffer.KeyRequested(key)
 	}
-	s.isUrgent = s.isUrgent || isSurprising
+	s.isUrgent = s.isUrgent || isUnexpected
 }
 
-// countRecent returns how often a key is among the recent ones.
+// countRecent returns how often a key is among the last recentKeys requested keys.
 func (s *Sender) countRecent(key Fingerprint) int {
 	count := 0
 	for _, recent := range s.recent[:min(s.requests, recentKeys)] {
@@ -75,14 +77,14 @@
 	return count
 }
 
-// NextDatagram returns a datagram for all nodes if it is time for one and there is something to send, and nil otherwise. By draw
-// nodes that started together do not send together.
+// NextDatagram returns a datagram for all nodes if it is time for one and there is something to send, and nil otherwise. The
+// random draw shifts the time of the next datagram, so that nodes that started together do not send together.
 func (s *Sender) NextDatagram(now Time, draw float64) []byte {
 	if s.Disabled {
 		s.clear()
 	}
-	mayHurry := s.isUrgent && now-s.lastSentAt >= minInterval
-	if now < s.nextAt && !mayHurry {
+	maySendEarly := s.isUrgent && now-s.lastSentAt >= minInterval
+	if now < s.nextAt && !maySendEarly {
 		return nil
 	}
 	interval := max(minInterval, intervalPerNode*time.Duration(s.FleetSize))
--- a/internal/fleet/gossip/sender_test.go
+++ b/internal/fleet/gossip/sender_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestNothingIsSentAboutAHealthyServer: attempts at a server that does as well as the others are no observations.
+// TestNothingIsSentAboutAHealthyServer: attempts at a server that does about as well as the others are not sent to other nodes.
 func TestNothingIsSentAboutAHealthyServer(t *testing.T) {
 	healthy := NewAssessment(1)
 	healthy.Update(0.05, 0)
@@ -19,7 +19,7 @@
 	}
 }
 
-// countSampled returns how many of 1000 attempts at a server are sampled where so many are known.
+// countSampled returns how many of 1000 attempts at a server are sampled if knownAttempts attempts are known.
 func countSampled(server *Assessment, knownAttempts float64, isFailure bool) int {
 	const attempts = 1000
 	sampled := 0
@@ -31,7 +31,8 @@
 	return sampled
 }
 
-// TestFewerAttemptsAreSampledWhereManyAreKnown: of a suspect server the less is sent the more is known, failures and successes alike.
+// TestFewerAttemptsAreSampledWhereManyAreKnown: the more attempts at a suspect server are known, the fewer are sent. Failures and
+// successes are sampled alike.
 func TestFewerAttemptsAreSampledWhereManyAreKnown(t *testing.T) {
 	suspect := NewAssessment(2)
 	suspect.Update(0.6, 0)
@@ -46,9 +47,9 @@
 	}
 }
 
-// TestDatagramsAreSpacedByTheFleetSize: the nodes of a fleet together send no more than each of them can take.
+// TestDatagramsAreSpacedByTheFleetSize: all nodes of a fleet together send no more datagrams than one node can receive.
 func TestDatagramsAreSpacedByTheFleetSize(t *testing.T) {
-	const maxSent = 27 // in 10 s by one of 80 nodes, 5 ms each
+	const maxSent = 27 // datagrams that one of 80 nodes may send in 10 s, at 5 ms per node
 	sender := Sender{FleetSize: 80}
 	sent := 0
 	for now := Time(0); now < 10*time.Second; now += 10 * time.Millisecond {
@@ -69,12 +70,12 @@
 	}
 }
 
-// TestRepeatedKeysAreSentAtOnce: a key that comes twice within a few requests is sent before its time, unless that is what it is
-// known to draw.
+// TestRepeatedKeysAreSentAtOnce: a key that is requested twice within a few requests is sent before the next datagram is due,
+// unless the key is known to draw so many requests.
 func TestRepeatedKeysAreSentAtOnce(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		between       int // other requests between the two
+		between       int // number of other requests between the two requests for the key
 		knownFraction float64
 		want          bool
 	}{
@@ -85,7 +86,7 @@
 		{"known to draw much", 0, 0.2, false},
 	} {
 		sender := Sender{FleetSize: 300}
-		sender.NextDatagram(0, 0.5) // the next is scheduled in 1.5 s
+		sender.NextDatagram(0, 0.5) // the next datagram is due in 1.5 s
 		sender.KeyRequested(7, test.knownFraction, 1)
 		for i := range test.between {
 			sender.KeyRequested(Fingerprint(100+i), 0, 1)
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestKeysAreSampled: of keys that are not repeated one in eight goes with the next datagram.
+// TestKeysAreSampled: of the keys that are not repeated, one in eight is sent with the next datagram.
 func TestKeysAreSampled(t *testing.T) {
 	const requests = 1000
 	var sender Sender
