--- a/internal/fleet/datagram/datagram.go
+++ b/internal/fleet/datagram/datagram.go
@@ -1,6 +1,6 @@
-// Package datagram is the outer form that the datagrams of all agreements between nodes share: a magic byte that tells an
-// agreement's datagrams from other traffic, a byte each for version and kind, the fields of the kind, and a CRC-32 of all
-// that. Numbers are big-endian. It has no clock, no I/O and no state.
+// Package datagram implements the outer format that the datagrams of all agreements between nodes share: a magic byte that tells
+// an agreement's datagrams from other traffic, one byte each for version and kind, the fields of the kind, and a CRC-32 of all
+// these bytes. Numbers are big-endian. The package has no clock, no I/O and no state.
 package datagram
 
 import (
@@ -8,15 +8,15 @@
 	"hash/crc32"
 )
 
-// MaxSize is the greatest size of a datagram in bytes: no longer one is carried on the platform.
+// MaxSize is the greatest size of a datagram in bytes. The platform carries no longer ones.
 const MaxSize = 256
 
 const (
-	headerSize   = 3 // magic, version, kind
+	headerSize   = 3 // one byte each for magic, version and kind
 	checksumSize = 4
 )
 
-// MaxPayload is how many bytes the fields of a kind may have together.
+// MaxPayload is the greatest size of all fields of a datagram together, in bytes.
 const MaxPayload = MaxSize - headerSize - checksumSize
 
 // Begin returns the header of a datagram. The caller appends the fields and passes the result to Seal.
@@ -24,13 +24,13 @@
 	return append(make([]byte, 0, MaxSize), magic, version, kind)
 }
 
-// Seal appends the checksum and so completes a datagram.
+// Seal appends the checksum to a header and its fields, which completes the datagram.
 func Seal(data []byte) []byte {
 	return binary.BigEndian.AppendUint32(data, crc32.ChecksumIEEE(data))
 }
 
-// Open verifies the size, the header and the checksum of a datagram and returns its kind and a reader of its fields; ok is
-// false for one that was damaged, cut short, or sealed with another magic byte or version.
+// Open verifies the size, the header and the checksum of a datagram and returns its kind and a reader of its fields. It returns
+// ok = false for a datagram that was damaged, was cut short, or has another magic byte or version.
 func Open(data []byte, magic, version byte) (kind byte, fields *Reader, ok bool) {
 	if len(data) < headerSize+checksumSize || len(data) > MaxSize || data[0] != magic || data[1] != version {
 		return 0, nil, false
@@ -71,8 +71,9 @@
 // U64 reads a number of eight bytes.
 func (r *Reader) U64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-// IsValid reports whether all fields that were read were there. Further ones, which a later version may add, do not matter.
+// IsValid reports whether the datagram had all the fields that were read. Fields after them, which a later version may add, do
+// not matter.
 func (r *Reader) IsValid() bool { return !r.isInvalid }
 
-// IsEmpty reports whether no byte is left.
+// IsEmpty reports whether all bytes of the fields were read.
 func (r *Reader) IsEmpty() bool { return len(r.left) == 0 }
--- a/internal/fleet/datagram/datagram_test.go
+++ b/internal/fleet/datagram/datagram_test.go
@@ -13,7 +13,7 @@
 	testKind    = 7
 )
 
-// newDatagram returns a datagram with a field of each size.
+// newDatagram returns a datagram with one field of each size that Reader can read.
 func newDatagram() []byte {
 	data := append(Begin(testMagic, testVersion, testKind), 0x01)
 	data = binary.BigEndian.AppendUint16(data, 0x0203)
--- a/internal/fleet/peers/addresses.go
+++ b/internal/fleet/peers/addresses.go
@@ -1,5 +1,4 @@
-// Package peers moves datagrams between the nodes of a fleet by UDP. It decides nothing: it sends what it is given and hands over
-// what comes in.
+// Package peers sends datagrams to the other nodes of a fleet over UDP and receives theirs. It does not interpret their content.
 package peers
 
 import (
@@ -8,23 +7,23 @@
 	"slices"
 )
 
-// Addresses says where the nodes of a fleet reach each other. All are of the form "IP:port".
+// Addresses holds the UDP addresses at which the nodes of a fleet reach each other. Each has the form "IP:port".
 type Addresses struct {
-	Listen    string   // of this node
-	Peers     []string // of all nodes by their indices, this one included
-	Broadcast string   // reaches all nodes
+	Listen    string   // address of this node
+	Peers     []string // addresses of all nodes by index, this one included
+	Broadcast string   // address that reaches all nodes
 }
 
 // AddressError says which address of a configuration is invalid.
 type AddressError struct {
-	Field string // in the configuration, for instance "peers[2]"
+	Field string // field of the configuration, for instance "peers[2]"
 	Err   error
 }
 
-// Error names the field and the cause.
+// Error returns the name of the field and the cause.
 func (e *AddressError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *AddressError) Unwrap() error { return e.Err }
 
 // The fields of the configuration that hold addresses.
@@ -33,20 +32,20 @@
 	fieldBroadcast = "peers_all"
 )
 
-// Validate returns an *AddressError for the first field that is no address.
+// Validate returns an *AddressError for the first field that does not hold a valid address.
 func (a Addresses) Validate() error {
 	_, _, err := a.parse()
 	return err
 }
 
-// routes are the parsed addresses of a fleet. They are not changed once made.
+// routes holds the parsed addresses of a fleet. It is not changed after parse has returned it.
 type routes struct {
 	broadcast netip.AddrPort
-	nodes     []netip.AddrPort   // by index
-	indices   map[netip.Addr]int // by address
+	nodes     []netip.AddrPort   // addresses of all nodes by index
+	indices   map[netip.Addr]int // index of each node by its IP address
 }
 
-// parse returns this node's address and the routes to the others.
+// parse returns this node's address and the routes to all nodes.
 func (a Addresses) parse() (listen netip.AddrPort, _ *routes, err error) {
 	if listen, err = parseAddress(fieldListen, a.Listen); err != nil {
 		return listen, nil, err
@@ -74,15 +73,15 @@
 	return address, nil
 }
 
-// Self is this node's index among the peers, or -1 if it is not one of them.
+// Self returns this node's index in Peers, or -1 if this node is not one of them.
 func (a Addresses) Self() int { return slices.Index(a.Peers, a.Listen) }
 
-// CountChanges is how many peers were added to or removed from a list to get another one.
+// CountChanges returns how many peers have to be added and removed to get from the list of a to that of b.
 func (a Addresses) CountChanges(b Addresses) int {
 	return countMissing(a.Peers, b.Peers) + countMissing(b.Peers, a.Peers)
 }
 
-// countMissing is how many of the wanted are not in a list.
+// countMissing returns how many of the wanted peers are not in a list.
 func countMissing(wanted, list []string) int {
 	missing := 0
 	for _, peer := range wanted {
--- a/internal/fleet/peers/socket.go
+++ b/internal/fleet/peers/socket.go
@@ -10,36 +10,37 @@
 	"time"
 )
 
-// MaxDatagram is the size in bytes of the longest datagram that the platform takes.
+// MaxDatagram is the size in bytes of the longest datagram that the platform carries.
 const MaxDatagram = 256
 
-// openInterval is how often OpenLater tries to open its address.
+// openInterval is how long a socket of OpenLater waits before it tries again to open its address.
 const openInterval = 20 * time.Millisecond
 
-// Errors of sending. The datagram is lost.
+// Errors of Broadcast and SendTo. The datagram was not sent and is lost.
 var (
-	// ErrNotOpen says that another process still has the node's address.
+	// ErrNotOpen says that the socket is not open yet because another process still uses the node's address.
 	ErrNotOpen = errors.New("peers: the node's address is still in use")
-	// ErrTooLong says that a datagram has more than MaxDatagram bytes.
+	// ErrTooLong says that the datagram has more than MaxDatagram bytes.
 	ErrTooLong = errors.New("peers: datagram too long")
-	// ErrUnknownNode says that there is no node of the given index.
+	// ErrUnknownNode says that no node has the given index.
 	ErrUnknownNode = errors.New("peers: unknown node")
 )
 
-// errListenChanged is the cause of an AddressError for a change of this node's own address.
+// errListenChanged is the cause of the AddressError that UpdatePeers returns if this node's own address would change.
 var errListenChanged = errors.New("cannot be changed while the node runs")
 
-// Socket sends datagrams to the other nodes and receives theirs. Its methods are safe for concurrent use; Receive has one caller.
+// Socket sends datagrams to the other nodes and receives theirs. Its methods are safe for concurrent use, but Receive must have
+// only one caller.
 type Socket struct {
 	listen    netip.AddrPort
 	routes    atomic.Pointer[routes]
-	conn      atomic.Pointer[net.UDPConn] // nil until the address was opened
-	opened    chan struct{}               // closed by open
+	conn      atomic.Pointer[net.UDPConn] // nil until the address is opened
+	opened    chan struct{}               // closed by open when conn is set
 	closed    chan struct{}               // closed by Close
 	closeOnce sync.Once
 }
 
-// Open opens a node's socket.
+// Open returns a node's socket, open at the node's address.
 func Open(a Addresses) (*Socket, error) {
 	s, err := newSocket(a)
 	if err != nil {
@@ -51,10 +52,10 @@
 	return s, nil
 }
 
-// OpenLater returns a node's socket whose address another process may still have. It is opened once that process releases it;
-// until then sending fails with ErrNotOpen and Receive waits.
+// OpenLater returns a node's socket whose address another process may still use. A goroutine opens the socket once that process
+// releases the address. Until then sending fails with ErrNotOpen and Receive waits.
 //
-// The goroutine that opens it ends when it has succeeded or Close is called.
+// The goroutine ends when it has opened the socket or Close is called.
 func OpenLater(a Addresses) (*Socket, error) {
 	s, err := newSocket(a)
 	if err != nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// UpdatePeers replaces the addresses of the other nodes. This node's own must stay the same.
+// UpdatePeers replaces the addresses of the other nodes. This node's own address must stay the same.
 func (s *Socket) UpdatePeers(a Addresses) error {
 	listen, r, err := a.parse()
 	if err != nil {
@@ -107,12 +108,12 @@
 	return nil
 }
 
-// Broadcast sends a datagram to all nodes. A datagram that was sent may be lost all the same.
+// Broadcast sends a datagram to all nodes. The datagram may be lost even if Broadcast returns no error.
 func (s *Socket) Broadcast(data []byte) error {
 	return s.write(data, s.routes.Load().broadcast)
 }
 
-// SendTo sends a datagram to one node, by its index. A datagram that was sent may be lost all the same.
+// SendTo sends a datagram to the node with an index. The datagram may be lost even if SendTo returns no error.
 func (s *Socket) SendTo(node int, data []byte) error {
 	nodes := s.routes.Load().nodes
 	if node < 0 || node >= len(nodes) {
@@ -133,8 +134,9 @@
 	return err
 }
 
-// Receive calls received for each datagram of another node, with that node's index, and foreign for each one that is too long or
-// from an address that is no peer's. It returns net.ErrClosed once the socket is closed. The data belong to received.
+// Receive calls received for each datagram from another node, with that node's index. It calls foreign for each datagram that is
+// too long or whose sender is not a peer. It returns net.ErrClosed once the socket is closed. The function received owns its
+// data.
 func (s *Socket) Receive(received func(from int, data []byte), foreign func(netip.AddrPort)) error {
 	select {
 	case <-s.opened:
@@ -151,7 +153,7 @@
 		address := sender.Addr().Unmap()
 		from, isPeer := s.routes.Load().indices[address]
 		switch {
-		case address == s.listen.Addr(): // this node's own broadcast
+		case address == s.listen.Addr(): // ignore this node's own broadcast
 		case !isPeer || n > MaxDatagram:
 			foreign(sender)
 		default:
--- a/internal/fleet/peers/socket_test.go
+++ b/internal/fleet/peers/socket_test.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// The addresses of the tests: of this node, of its peer, and one that is no node's.
+// The IP addresses of the tests: those of this node's peer, of this node, and of a sender that is no node of the fleet.
 const (
 	peerIP    = "127.0.0.2"
 	ownIP     = "127.0.0.3"
 	foreignIP = "127.0.0.4"
 )
 
-// holdAddress opens a UDP socket at a free port of an address.
+// holdAddress opens a UDP socket at a free port of an IP address.
 func holdAddress(t *testing.T, address string) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(netip.MustParseAddr(address), 0)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed conn already
 	return conn
 }
 
-// release frees the address of a socket for another one.
+// release closes conn, so that another socket can use its address.
 func release(t *testing.T, conn *net.UDPConn) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -43,14 +43,14 @@
 	})
 }
 
-// received is one datagram that a socket handed over.
+// received is one datagram that a Socket passed to a function of Receive.
 type received struct {
-	from      int // -1: foreign
+	from      int // index of the sender; -1: foreign
 	data      string
 	isForeign bool
 }
 
-// receiveAll receives until the test ends.
+// receiveAll starts to receive, until the test ends, and returns a channel of the datagrams.
 func receiveAll(t *testing.T, socket *Socket) <-chan received {
 	t.Helper()
 	datagrams, done := make(chan received, 16), make(chan error, 1)
@@ -70,7 +70,7 @@
 	return datagrams
 }
 
-// expectDatagram waits for the next datagram.
+// expectDatagram waits for the next datagram and compares it with the wanted one.
 func expectDatagram(t *testing.T, datagrams <-chan received, want received) {
 	t.Helper()
 	select {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestDatagramsCarryTheSendersIndex: a node receives the others' datagrams with their indices; those of an address that is no peer's,
-// and those that are too long, are foreign.
+// TestDatagramsCarryTheSendersIndex: a node receives each peer's datagrams with that peer's index. Datagrams that are too long or
+// whose sender is not a peer are foreign.
 func TestDatagramsCarryTheSendersIndex(t *testing.T) {
 	peer, own, foreign := holdAddress(t, peerIP), holdAddress(t, ownIP), holdAddress(t, foreignIP)
 	addresses := Addresses{
@@ -140,7 +140,8 @@
 	}
 }
 
-// TestOpenLaterWaitsForTheAddress: a socket whose address another process has sends nothing, and receives once it is released.
+// TestOpenLaterWaitsForTheAddress: while another process uses its address a socket sends nothing. Once the address is released,
+// the socket receives.
 func TestOpenLaterWaitsForTheAddress(t *testing.T) {
 	peer, own := holdAddress(t, peerIP), holdAddress(t, ownIP)
 	addresses := Addresses{
@@ -167,7 +168,7 @@
 	expectDatagram(t, datagrams, received{from: 0, data: "hello"})
 }
 
-// TestPeersAreReplacedButNotTheOwnAddress: a running socket takes other peers, but no other address of its own.
+// TestPeersAreReplacedButNotTheOwnAddress: UpdatePeers can change the peers of an open socket, but not the socket's own address.
 func TestPeersAreReplacedButNotTheOwnAddress(t *testing.T) {
 	own := holdAddress(t, ownIP)
 	addresses := Addresses{Listen: own.LocalAddr().String(), Broadcast: "127.0.0.9:1"}
