--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -11,7 +11,7 @@
 	fingerprintBytes = 3
 	observationBytes = 4
 
-	maxAttempts     = 7  // greatest number of attempts in one observation, as it has three bits
+	maxAttempts     = 7  // greatest number of attempts in one observation; it is sent in three bits
 	maxKeys         = 16 // greatest number of keys in one datagram
 	maxObservations = 50 // greatest number of observations in one datagram; the platform carries at most 256 bytes
 	maxBytes        = headerBytes + maxKeys*fingerprintBytes + maxObservations*observationBytes
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip exchanges observations of servers and keys among the nodes of a fleet: how many of a node's recent attempts at a
 // server were slow or failed, whether the server answered at all, and a sample of the keys that clients requested from the node.
-// The package has no clock and no I/O. What follows from the observations for a request is decided by the policy.
+// The package has no clock and no I/O. The policy decides what follows from the observations for a request.
 //
 // In a large fleet one node uses most servers seldom, while all nodes together use each server all the time. One node also sees a
 // key that draws a tenth of all requests about as often as any other key. Without gossip the nodes together would send the
--- a/internal/fleet/gossip/sender.go
+++ b/internal/fleet/gossip/sender.go
@@ -11,7 +11,7 @@
 	intervalPerNode = 5 * time.Millisecond
 	// minInterval is the lower bound of the interval between two datagrams of one node.
 	minInterval = 250 * time.Millisecond
-	// keySampleInterval is the number of requests out of which the key of one is sent. From 300 nodes with 18 requests a second
+	// keySampleInterval is the average number of requests for each key that is sent. From 300 nodes with 18 requests a second
 	// each, this makes 600 keys a second.
 	keySampleInterval = 8
 	// recentKeys is the number of a node's latest requests within which a repeated key is sent at once.
--- a/internal/fleet/membership/agent/agent.go
+++ b/internal/fleet/membership/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs membership.Core inside a node. One goroutine owns the core and takes events from a bounded queue. All decisions
-// are made by the core.
+// Package agent runs membership.Core inside a node. One goroutine owns the core and takes events from a bounded queue. All
+// decisions are made by the core.
 package agent
 
 import (
@@ -45,7 +45,8 @@
 	return membership.State(k).String()
 }
 
-// Agent runs the membership core of one node. Receive, UpdatePeers and Shutdown may be called from any goroutine and do not block.
+// Agent runs the membership core of one node. Receive, UpdatePeers and Shutdown may be called from any goroutine and do not
+// block.
 type Agent struct {
 	*eventloop.Loop[membership.Event, membership.Effect]
 	opt  Options
@@ -104,8 +105,8 @@
 		"node", change.Node, "was", change.From.String(), "started_ms", change.Incarnation)
 }
 
-// stateChangeLevel returns the level at which a state change is logged. Suspicions and their refutations are logged at debug level
-// only, because a lossy network causes them all the time.
+// stateChangeLevel returns the level at which a state change is logged. Suspicions and their refutations are logged at debug
+// level only, because a lossy network causes them all the time.
 func stateChangeLevel(change membership.StateChanged) slog.Level {
 	wasPresent := change.From == membership.Suspect || change.From == membership.Alive
 	if change.To == membership.Suspect || change.To == membership.Alive && wasPresent {
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxPause is how many probe intervals may pass between two events. If more pass, this process was paused: that its earlier pings
-// were not acknowledged then says nothing about the other nodes.
+// maxPause is how many probe intervals may pass between two events. If more pass, this process was paused. Missing acks to its
+// earlier pings then say nothing about the other nodes.
 const maxPause = 3
 
 // Core is the membership state machine of one node. It is not safe for concurrent use.
@@ -83,8 +83,8 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// advance records the time of a step. The first step starts the core. A step after a long pause drops the acks and refutations
-// that the core was waiting for.
+// advance records the time of a step. The first step starts the core. A step after a long pause calls resumeAfterPause, because
+// acks and refutations may have been lost.
 func (c *Core) advance(now Time) {
 	if !c.isStarted {
 		c.isStarted, c.peersSince, c.lastStep = true, now, now
--- a/internal/fleet/membership/core_test.go
+++ b/internal/fleet/membership/core_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestPausedNodeDeclaresNoneDead: a node that resumes after a pause must not declare the others dead because the acks to its earlier
-// pings were lost.
+// TestPausedNodeDeclaresNoneDead: a node that resumes after a pause must not declare the others dead because the acks to its
+// earlier pings were lost.
 func TestPausedNodeDeclaresNoneDead(t *testing.T) {
 	f := newSimulatedFleet(t, 3, 6, 0)
 	f.converge("the start")
@@ -90,7 +90,8 @@
 }
 
 // TestIncarnationConflictRecursWhileTwoRun: while two processes run under one node's name, the incarnation conflict recurs. After
-// the clock was set back and the node restarted, the conflict does not recur, and the other nodes take the node for alive.
+// the clock was set back and the node restarted, the conflict is reported but does not recur, and the other nodes take the node
+// for alive.
 func TestIncarnationConflictRecursWhileTwoRun(t *testing.T) {
 	const hour = uint64(time.Hour / time.Millisecond)
 	for name, bothRun := range map[string]bool{"both run": true, "the clock was set back": false} {
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -6,7 +6,7 @@
 // reunite a fleet after a partition.
 const absentProbePeriods = 4
 
-// probe is the ping that this node sent to the next node in turn in the current period.
+// probe is the ping that this node sent in the current period to the next node of the probe order.
 type probe struct {
 	node       int
 	sequence   uint32
@@ -24,7 +24,7 @@
 	sentAt            Time
 }
 
-// startPeriod pings the next node in turn and, in some periods, a node that is not present.
+// startPeriod pings the next present node of the probe order and, in some periods, a node that is not present.
 func (c *Core) startPeriod(now Time) {
 	c.probe.isPending = false
 	c.periodCount++
@@ -80,7 +80,8 @@
 	return c.sequence
 }
 
-// sendPingRequests asks other nodes to ping the probed node if that node has not acknowledged this node's ping within ProbeTimeout.
+// sendPingRequests asks other nodes to ping the probed node if that node has not acknowledged this node's ping within
+// ProbeTimeout.
 func (c *Core) sendPingRequests(now Time) {
 	p := &c.probe
 	if !p.isPending || p.isIndirect || now-p.sentAt < c.cfg.ProbeTimeout {
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -60,8 +60,8 @@
 	return update{node: uint16(node), incarnation: m.incarnation, refutations: m.refutations, state: m.state}
 }
 
-// isOverriddenBy reports whether an update is newer than what is known: it has a later incarnation, the same one and more
-// refutations, or the same two and a greater state.
+// isOverriddenBy reports whether an update is newer than what is known: it has a later incarnation; or the same one and
+// more refutations; or the same one, as many refutations and a greater state.
 func (m member) isOverriddenBy(u update) bool {
 	switch {
 	case m.state == Unknown:
