--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Config says how processes are started, observed and replaced.
+// Config configures how a Core starts, observes and replaces processes.
 type Config struct {
 	Instances         int
-	MaxConcurrent     int           // instances that are replaced at the same time
+	MaxConcurrent     int           // maximum number of instances that are replaced at the same time
 	ReadyTimeout      time.Duration // a process that is not ready this long after its start is killed
-	ObservationPeriod time.Duration // after a process became ready, in which its end or its failures count against its program
-	TerminateTimeout  time.Duration // a process that was told to terminate is killed after this
-	HangTimeout       time.Duration // a process that has reported responses and then reports none for this long hangs; 0: no check
-	MinBackoff        time.Duration // before the start after a failed one; doubled with each failure in a row, with full jitter
-	MaxBackoff        time.Duration // bounds the doubling
-	MaxFailureRate    float64       // of an observed process, above the median of the other instances; from 0 to 1
-	MinSamples        int           // responses from which a failure rate is judged
-	Seed              uint64        // of the backoff's jitter
+	ObservationPeriod time.Duration // how long after becoming ready a process's exit or failed responses count against its program
+	TerminateTimeout  time.Duration // a process that has not ended this long after it was told to terminate is killed
+	HangTimeout       time.Duration // a process that sends no report for this long after its last one counts as hung; 0: no check
+	MinBackoff        time.Duration // wait after a failed start; doubled with each failure in a row, with full jitter
+	MaxBackoff        time.Duration // upper bound for the doubling of MinBackoff
+	MaxFailureRate    float64       // how far an observed process may exceed the median failure rate of the others; from 0 to 1
+	MinSamples        int           // minimum number of responses from which a failure rate is computed
+	Seed              uint64        // seed of the backoff's jitter
 }
 
 // Bounds of the configuration.
 const (
 	maxInstances   = 1000
-	minHangTimeout = time.Second // processes report four times a second
+	minHangTimeout = time.Second // processes send a report four times a second
 )
 
-// Validate returns an error that names the first field, as the supervisor's file spells it, that is out of bounds.
+// Validate checks that all fields are within their bounds. The error names the first field that is not, by its key in the
+// supervisor's file.
 func (c Config) Validate() error {
-	isFraction := c.MaxFailureRate >= 0 && c.MaxFailureRate <= 1 // not so for NaN
+	isFraction := c.MaxFailureRate >= 0 && c.MaxFailureRate <= 1 // false for NaN
 	switch {
 	case c.Instances < 1 || c.Instances > maxInstances:
 		return errors.New("instances: must be from 1 to 1000")
--- a/internal/supervisor/core.go
+++ b/internal/supervisor/core.go
@@ -1,9 +1,9 @@
 // Package supervisor decides how the processes of many instances of a program are kept running on one machine and replaced one
-// after another, without a moment in which an instance does not serve: a successor is started beside the process that it
-// replaces, which is told to terminate once the successor is ready.
+// after another without downtime: a successor is started while the process that it replaces still serves. That process is told
+// to terminate once the successor is ready.
 //
-// The core has no clock, processes or I/O: it takes (now, event) and returns effects, which internal/supervisor/agent carries
-// out. docs/supervise.md describes the behaviour.
+// The core has no clock and does no I/O: it takes the time and an event and returns effects, which internal/supervisor/agent
+// carries out. docs/supervise.md describes the behaviour.
 package supervisor
 
 import (
@@ -12,27 +12,28 @@
 	"time"
 )
 
-// Time is a point on the supervisor's clock.
+// Time is a time on the supervisor's clock, counted from its start.
 type Time = time.Duration
 
-// minPause is the time between two steps that shows that the supervisor did not run. Ticks come twenty times a second.
+// minPause is how far apart two steps must be for the supervisor to have been paused. Ticks come twenty times a second.
 const minPause = time.Second
 
-// Core decides for all instances. It is not safe for concurrent use.
+// Core decides when the processes of all instances are started, replaced and killed. It is not safe for concurrent use.
 type Core struct {
 	cfg           Config
 	rng           *rand.Rand
 	instances     []instance
-	lastProcess   int  // the number of the process that was started last
-	isHalted      bool // no further replacement starts
+	lastProcess   int  // number of the process that was started last
+	isHalted      bool // no further replacement starts until an operator resumes
 	isReplacing   bool // replacements were requested and not all of them are done
-	isStopping    bool
-	stoppedIsSent bool
+	isStopping    bool // StopRequested was received
+	stoppedIsSent bool // the effect Stopped was emitted
 	lastStepAt    Time
-	effects       []Effect // of the current step
+	effects       []Effect // effects of the current step
 }
 
-// New returns a core. It starts processes with its first event.
+// New returns a core, or an error if cfg is invalid. The core starts a process of each instance when it handles its
+// first event.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -41,7 +42,7 @@
 }
 
 // Step handles one event and then everything that is due by now. It returns the effects in the order in which they are to be
-// carried out; they belong to the caller. Events of unknown processes and instances have no effect.
+// carried out; the caller owns the slice. Events that name an unknown process or instance are ignored.
 func (c *Core) Step(now Time, ev Event) []Effect {
 	c.effects = nil
 	c.excludePause(now)
@@ -67,7 +68,8 @@
 	return c.effects
 }
 
-// excludePause moves all waits on by the time in which the supervisor did not run: no process could reach it in that time.
+// excludePause extends the timeouts of all processes by the time in which the supervisor did not run, because no process could
+// report to it during that time.
 func (c *Core) excludePause(now Time) {
 	gap := now - c.lastStepAt
 	c.lastStepAt = now
@@ -87,8 +89,8 @@
 	c.emit(LogEvent{Kind: kind, Instance: instance, Process: process})
 }
 
-// find returns a process and the index of its instance, or nil for a number that has no process.
-func (c *Core) find(number int) (int, *process) {
+// findProcess returns the process with the given number and the index of its instance, or a nil process if there is none.
+func (c *Core) findProcess(number int) (int, *process) {
 	for i := range c.instances {
 		for _, p := range c.instances[i].processes() {
 			if p.number == number {
@@ -99,7 +101,7 @@
 	return 0, nil
 }
 
-// handleTimers acts on what is due.
+// handleTimers acts on the timeouts that have expired by now and starts the processes that are due.
 func (c *Core) handleTimers(now Time) {
 	remaining := 0
 	for i := range c.instances {
@@ -118,7 +120,8 @@
 	c.reportAllReplaced()
 }
 
-// checkTimeouts kills the processes of an instance that did not become ready or did not end in time.
+// checkTimeouts kills the processes of an instance that did not become ready within ReadyTimeout, or did not end within
+// TerminateTimeout after they were told to.
 func (c *Core) checkTimeouts(now Time, i int) {
 	in := &c.instances[i]
 	if p := in.successor; p != nil && !p.isTerminating && !p.isKilled && now-p.startedAt >= c.cfg.ReadyTimeout {
@@ -133,13 +136,13 @@
 	}
 }
 
-// startMissing starts a process for each instance that does not serve, and returns the number of instances that are out of
-// service or being replaced.
+// startMissing starts a process for each instance that does not serve, once its backoff is over. It returns the number of
+// instances that are out of service or being replaced.
 func (c *Core) startMissing(now Time) (unavailable int) {
 	for i := range c.instances {
 		in := &c.instances[i]
 		if !in.isServing() && in.successor == nil && now >= in.startAfter {
-			in.replaceRequested = false // what starts now is what is installed now
+			in.replaceRequested = false // the new process already runs the program that is installed now
 			c.start(now, i)
 		}
 		if in.isBeingReplaced || !in.isServing() {
@@ -149,7 +152,7 @@
 	return unavailable
 }
 
-// stop terminates the processes that serve or start; those that were replaced have been told before.
+// stop tells the processes that serve or start to terminate. Processes that were replaced were told when that happened.
 func (c *Core) stop(now Time) {
 	c.isStopping, c.isReplacing = true, false
 	for i := range c.instances {
@@ -160,7 +163,7 @@
 	}
 }
 
-// reportStopped says, once, that no process remains.
+// reportStopped emits Stopped, once, when no process remains.
 func (c *Core) reportStopped(remaining int) {
 	if remaining == 0 && !c.stoppedIsSent {
 		c.stoppedIsSent = true
--- a/internal/supervisor/core_test.go
+++ b/internal/supervisor/core_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// tickInterval is the time between two ticks of a fake machine.
+// tickInterval is the time between two Tick events that a fakeMachine sends to its core.
 const tickInterval = 50 * time.Millisecond
 
 func testConfig(instances, maxConcurrent int) Config {
@@ -27,19 +27,19 @@
 	}
 }
 
-// fatalf is what a fakeMachine needs of *testing.T and *rapid.T.
-type fatalf interface {
+// testingT is the part of *testing.T and *rapid.T that a fakeMachine uses.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// fakeMachine simulates the processes that a core starts. A test decides what each of them does; after each step it checks
-// what must hold at any time.
+// fakeMachine simulates the processes that a core starts. A test decides what each process does. After each step the fakeMachine
+// checks the invariants.
 type fakeMachine struct {
-	t         fatalf
+	t         testingT
 	core      *Core
 	now       Time
-	alive     map[int]*fakeProcess // by number
+	alive     map[int]*fakeProcess // by the process's number
 	logged    map[LogEventKind]int
 	isStopped bool
 }
@@ -51,7 +51,7 @@
 	isKilled      bool
 }
 
-func newFakeMachine(t fatalf, cfg Config) *fakeMachine {
+func newFakeMachine(t testingT, cfg Config) *fakeMachine {
 	t.Helper()
 	core, err := New(cfg)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return m
 }
 
-// step lets the core handle an event, carries out its effects and checks them.
+// step has the core handle an event, carries out the effects and checks the invariants.
 func (m *fakeMachine) step(ev Event) {
 	m.t.Helper()
 	for _, effect := range m.core.Step(m.now, ev) {
@@ -93,26 +93,26 @@
 func (m *fakeMachine) kill(number int) {
 	m.t.Helper()
 	if m.alive[number] == nil {
-		m.t.Fatalf("process %d is killed, and has ended", number)
+		m.t.Fatalf("process %d is killed, but it has ended", number)
 	}
 	m.alive[number].isKilled = true
 }
 
-// terminate tells a process to terminate, which must happen once, and only when another one serves or all are stopped.
+// terminate tells a process to terminate. It fails the test if the process was told before, or if no other process of its
+// instance serves while the core is not stopping.
 func (m *fakeMachine) terminate(number int) {
 	m.t.Helper()
 	process := m.alive[number]
 	if process == nil || process.isTerminating {
-		m.t.Fatalf("process %d is told to terminate, and has ended or was told before", number)
+		m.t.Fatalf("process %d is told to terminate, but it has ended or was told before", number)
 	}
 	if !m.core.isStopping && !m.isServedWithout(process.instance, number) {
-		m.t.Fatalf("process %d of instance %d is told to terminate, and no other serves", number, process.instance)
+		m.t.Fatalf("process %d of instance %d is told to terminate, but no other process serves", number, process.instance)
 	}
 	process.isTerminating = true
 }
 
-// isServedWithout reports whether an instance has a process, except for the given one, that is ready and was not told to
-// terminate.
+// isServedWithout reports whether an instance has a process other than number except that is ready and was not told to terminate.
 func (m *fakeMachine) isServedWithout(instance, except int) bool {
 	for number, process := range m.alive {
 		if number != except && process.instance == instance && process.isReady && !process.isTerminating {
@@ -122,7 +122,8 @@
 	return false
 }
 
-// check fails the test if an instance has more than one process that serves or starts, or too many instances are replaced.
+// check fails the test if an instance has more than one process that serves or more than one that starts, or if more than
+// MaxConcurrent instances are being replaced.
 func (m *fakeMachine) check() {
 	m.t.Helper()
 	replaced := 0
@@ -161,10 +162,10 @@
 	m.step(Exited{number, isClean})
 }
 
-// reportsNoFailure is a report of a process that is idle.
-func reportsNoFailure(number int) ResponseCounts { return ResponseCounts{Process: number} }
+// idleReport returns the report of a process that has given no responses.
+func idleReport(number int) ResponseCounts { return ResponseCounts{Process: number} }
 
-// runHealthy lets time pass in which every process becomes ready, reports, and ends when it is told to.
+// runHealthy lets time pass during which every process behaves well: it becomes ready, sends reports, and ends when it is told to.
 func (m *fakeMachine) runHealthy(duration time.Duration) {
 	m.t.Helper()
 	for end := m.now + duration; m.now < end; m.now += tickInterval {
@@ -176,14 +177,14 @@
 			case !process.isReady:
 				m.becomeReady(number)
 			default:
-				m.step(reportsNoFailure(number))
+				m.step(idleReport(number))
 			}
 		}
 		m.step(Tick{})
 	}
 }
 
-// current is the number of the process that serves at an instance, 0 if there is none.
+// current returns the number of the process that serves at an instance, or 0 if there is none.
 func (m *fakeMachine) current(instance int) int {
 	if process := m.core.instances[instance].current; process != nil {
 		return process.number
@@ -191,7 +192,7 @@
 	return 0
 }
 
-// allCurrent lists the processes that serve, by instance.
+// allCurrent returns the number of the serving process of each instance, 0 for an instance without one.
 func (m *fakeMachine) allCurrent() []int {
 	var numbers []int
 	for i := range m.core.instances {
@@ -200,12 +201,13 @@
 	return numbers
 }
 
-// TestReplacingAllHaltsAtUnhealthySuccessor: how far replacing all instances gets depends on what its first successor does; after
-// a halt it can be resumed.
+// TestReplacingAllHaltsAtUnhealthySuccessor guards against a faulty release that is installed on every instance. Replacing must
+// halt if the first successor crashes, is never ready, or fails more often than the other instances, but not if all fail alike.
+// After a halt it can be resumed.
 func TestReplacingAllHaltsAtUnhealthySuccessor(t *testing.T) {
 	for name, test := range map[string]struct {
 		successor    func(m *fakeMachine, number int)
-		wantReplaced int // of three instances
+		wantReplaced int // how many of the three instances have a new process in the end
 		wantHalted   bool
 	}{
 		"becomes ready":        {func(m *fakeMachine, number int) { m.becomeReady(number) }, 3, false},
@@ -263,19 +265,19 @@
 	}
 }
 
-// checkResumes fails the test unless all instances are replaced after an operator resumes.
+// checkResumes fails the test unless all instances are replaced after an operator's resume.
 func (m *fakeMachine) checkResumes(t *testing.T) {
 	t.Helper()
 	m.step(ResumeRequested{})
 	m.step(ReplaceAllRequested{})
 	m.runHealthy(20 * time.Second)
 	if m.logged[LogAllReplaced] == 0 {
-		t.Errorf("replacing does not go on after a resume; logged %v", m.logged)
+		t.Errorf("replacing does not continue after a resume; logged %v", m.logged)
 	}
 }
 
-// TestCrashedProcessIsRestartedWithBackoff: a process that ends by itself is started again, at once if it drained, else after a
-// growing wait.
+// TestCrashedProcessIsRestartedWithBackoff checks that a process that ends by itself is started again: at once if it drained,
+// otherwise after a growing wait. Without the wait, a program that crashes at its start would be started in a tight loop.
 func TestCrashedProcessIsRestartedWithBackoff(t *testing.T) {
 	machine := newFakeMachine(t, testConfig(1, 1))
 	machine.runHealthy(2 * time.Second)
@@ -308,7 +310,8 @@
 	}
 }
 
-// TestProcessThatDoesNotTerminateIsKilled: a replaced process that does not end in time is killed, once.
+// TestProcessThatDoesNotTerminateIsKilled checks that a replaced process that does not end within TerminateTimeout is killed,
+// and only once, however many ticks follow.
 func TestProcessThatDoesNotTerminateIsKilled(t *testing.T) {
 	machine := newFakeMachine(t, testConfig(2, 1))
 	machine.runHealthy(2 * time.Second)
@@ -323,8 +326,8 @@
 	}
 }
 
-// TestHungProcessIsReplacedWhileHalted: a process that has reported and reports no more is replaced at once, also while replacing
-// is halted, and killed if it does not terminate.
+// TestHungProcessIsReplacedWhileHalted guards against an instance that stays out of service because its process hangs while
+// replacing is halted. A process that stopped sending reports must be replaced at once, and killed if it does not terminate.
 func TestHungProcessIsReplacedWhileHalted(t *testing.T) {
 	machine := newFakeMachine(t, testConfig(2, 1))
 	machine.runHealthy(2 * time.Second)
@@ -337,7 +340,7 @@
 	}
 	successor := machine.core.lastProcess
 	if machine.logged[LogHung] != 1 || successor == hung {
-		t.Fatalf("%d hang and the last process is %d, want one, and a successor of %d", machine.logged[LogHung], successor, hung)
+		t.Fatalf("%d processes hang and the last process is %d, want one, and a successor of %d", machine.logged[LogHung], successor, hung)
 	}
 	if machine.alive[hung].isTerminating {
 		t.Fatalf("process %d was told to terminate before its successor serves", hung)
@@ -354,7 +357,8 @@
 	}
 }
 
-// TestPauseOfTheSupervisorReplacesNothing: while the supervisor does not run it reads no report, so that time counts against no process.
+// TestPauseOfTheSupervisorReplacesNothing guards against healthy processes that are replaced or killed after a pause of the
+// supervisor. While it does not run it reads no reports, so that time must not count towards any process's timeouts.
 func TestPauseOfTheSupervisorReplacesNothing(t *testing.T) {
 	machine := newFakeMachine(t, testConfig(4, 2))
 	machine.runHealthy(2 * time.Second)
@@ -366,16 +370,16 @@
 	machine.step(Tick{})
 	machine.runHealthy(time.Second)
 	if hung, late := machine.logged[LogHung], machine.logged[LogNotReady]; hung != 0 || late != 0 {
-		t.Errorf("%d processes hang and %d are not ready in time, want none", hung, late)
+		t.Errorf("after the pause %d processes hang and %d are not ready in time, want none", hung, late)
 	}
 	if after := machine.allCurrent(); !slices.Equal(before[1:], after[1:]) {
 		t.Errorf("processes %v serve after the pause, want %v", after[1:], before[1:])
 	}
 }
 
-// TestInstancesServeUnderAnyEvents: whatever processes and operators do, in any order, no process that serves is told to terminate
-// before another one of its instance does, no more than MaxConcurrent instances are replaced at once, and all serve once every
-// process behaves.
+// TestInstancesServeUnderAnyEvents checks the invariants under random events of processes and operators, in any order. No process
+// that serves is told to terminate before another one of its instance serves. At most MaxConcurrent instances are replaced at the
+// same time. All instances serve again once every process behaves well.
 func TestInstancesServeUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 4).Draw(t, "instances")
@@ -385,22 +389,22 @@
 		}
 		machine.step(ResumeRequested{})
 		machine.runHealthy(time.Minute)
-		machine.step(ResumeRequested{}) // a start that failed at the end may have halted replacing
+		machine.step(ResumeRequested{}) // a start that failed in the last random step may have halted replacing
 		machine.runHealthy(time.Minute)
 		for i := range instances {
 			if in := &machine.core.instances[i]; machine.current(i) == 0 || in.replaceRequested || len(in.ending) > 0 {
-				t.Fatalf("instance %d in the end: %+v, want it to serve with nothing left to do", i, in)
+				t.Fatalf("instance %d is %+v in the end, want it to serve with nothing left to do", i, in)
 			}
 		}
 		machine.step(StopRequested{})
 		machine.runHealthy(10 * time.Second)
 		if !machine.isStopped {
-			t.Fatalf("it does not stop")
+			t.Fatalf("the core does not report that it has stopped")
 		}
 	})
 }
 
-// stepAny lets time pass and has a process or an operator do anything.
+// stepAny lets a random time pass and then sends a random event of a process or an operator.
 func (m *fakeMachine) stepAny(t *rapid.T, instances int) {
 	m.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 	var numbers []int
--- a/internal/supervisor/event.go
+++ b/internal/supervisor/event.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Event is an input of the core: one of the types below.
+// Event is an input of the core, one of the types below.
 type Event interface{ event() }
 
 type (
-	// Tick lets the core act on time that has passed.
+	// Tick reports nothing but that time has passed, so that the core handles expired timeouts.
 	Tick struct{}
-	// Ready reports that a process serves.
+	// Ready reports that a process is ready: it accepts connections.
 	Ready struct{ Process int }
-	// ResponseCounts counts the responses of a process since its last such event, and the failures among them.
+	// ResponseCounts reports the number of responses of a process since its previous report, and of the failed ones among them.
 	ResponseCounts struct{ Process, Responses, Failed int }
-	// Exited reports that a process has ended or could not be started. Clean: it ended by itself with exit code 0.
+	// Exited reports that a process has ended or could not be started. Clean means that it ended with exit code 0.
 	Exited struct {
 		Process int
 		Clean   bool
 	}
-	// ReplaceRequested asks for the processes of one instance to be replaced.
+	// ReplaceRequested asks for the process of one instance to be replaced.
 	ReplaceRequested struct{ Instance int }
-	// ReplaceAllRequested asks for all instances to be replaced in turn.
+	// ReplaceAllRequested asks for the processes of all instances to be replaced, MaxConcurrent instances at a time.
 	ReplaceAllRequested struct{}
-	// HaltRequested stops replacing; a replacement that is in progress is finished.
+	// HaltRequested asks that no further replacement is started. A replacement that is in progress is finished.
 	HaltRequested struct{}
-	// ResumeRequested continues replacing after a halt.
+	// ResumeRequested asks that replacing continues after a halt.
 	ResumeRequested struct{}
-	// StopRequested terminates all processes.
+	// StopRequested asks that all processes are terminated and none is started again.
 	StopRequested struct{}
 )
 
@@ -39,26 +39,26 @@
 func (ResumeRequested) event()     {}
 func (StopRequested) event()       {}
 
-// Effect is an output of the core: one of the types below.
+// Effect is what the core asks its shell to do, one of the types below.
 type Effect interface{ effect() }
 
 type (
-	// Start starts a process of an instance. Process numbers it from 1; a number is not used again.
+	// Start starts a process of an instance. Process is its number; processes are numbered from 1 and no number is used twice.
 	Start struct{ Instance, Process int }
-	// Terminate tells a process to shut down. Replaced: its successor serves new connections from now on.
+	// Terminate tells a process to shut down. Replaced means that its successor accepts all new connections from now on.
 	Terminate struct {
 		Process  int
 		Replaced bool
 	}
-	// Kill ends a process at once.
+	// Kill ends a process at once, without a graceful shutdown.
 	Kill struct{ Process int }
-	// Stopped says that the last process has ended after StopRequested.
+	// Stopped tells the shell that the last process has ended after StopRequested.
 	Stopped struct{}
-	// LogEvent is written to the log.
+	// LogEvent asks for a record in the log.
 	LogEvent struct {
 		Kind              LogEventKind
-		Instance, Process int           // Instance is noInstance, -1, if the event is about none in particular
-		Wait              time.Duration // LogBackoff: before the next start
+		Instance, Process int           // Instance is noInstance, -1, if the event is not about a single instance
+		Wait              time.Duration // only for LogBackoff: the wait before the next start
 	}
 )
 
@@ -68,35 +68,35 @@
 func (Stopped) effect()   {}
 func (LogEvent) effect()  {}
 
-// noInstance and noProcess stand in log events that are about none in particular.
+// noInstance and noProcess are used in log events that are not about a single instance or process.
 const (
 	noInstance = -1
 	noProcess  = 0
 )
 
-// LogEventKind is what a LogEvent reports.
+// LogEventKind says what a LogEvent reports.
 type LogEventKind int
 
 // The kinds of log events.
 const (
 	LogStarted          LogEventKind = iota // a process was started
 	LogServing                              // a process is ready
-	LogReplaced                             // a process was told to terminate, as its successor is ready
-	LogEnded                                // a process ended as it was told
-	LogDrained                              // a process ended by itself with 0: it drained by agreement of the fleet, and is started again
-	LogCrashed                              // a process ended by itself in any other way
-	LogNotReady                             // a process was not ready in time and is killed
-	LogTerminateTimeout                     // a process did not end in time and is killed
-	LogBackoff                              // the next start waits
-	LogHalted                               // replacing halts, as a successor failed or an operator asked for it
+	LogReplaced                             // a process was told to terminate because its successor is ready
+	LogEnded                                // a process ended after it was told to terminate
+	LogDrained                              // a process ended by itself with exit code 0: the fleet let it drain; it is started again
+	LogCrashed                              // a process ended by itself in any other way, or could not be started
+	LogNotReady                             // a process was not ready within ReadyTimeout and is killed
+	LogTerminateTimeout                     // a process did not end within TerminateTimeout and is killed
+	LogBackoff                              // the next start of an instance waits for the backoff
+	LogHalted                               // replacing halts because a successor failed or an operator asked for it
 	LogResumed                              // an operator resumed replacing
 	LogAllReplaced                          // every requested replacement is done
-	LogUnhealthy                            // an observed process fails more often than the others
+	LogUnhealthy                            // an observed process has a higher failure rate than the others
 	LogHung                                 // a process stopped reporting and is replaced at once
 	LogEventKinds                           // the number of kinds
 )
 
-// String returns the name that the kind has in the log, where it is part of an event's name and does not change.
+// String returns the name of the kind in the log. Operators' tools read it as part of an event's name, so it must not change.
 func (k LogEventKind) String() string {
 	return [...]string{
 		LogStarted:          "started",
--- a/internal/supervisor/health.go
+++ b/internal/supervisor/health.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// handleResponseCounts records what a process reports, and halts replacing if it is observed and unhealthy.
+// handleResponseCounts records the responses that a process reports. It halts replacing if the process is observed and its
+// failure rate is too high.
 func (c *Core) handleResponseCounts(now Time, e ResponseCounts) {
-	i, p := c.find(e.Process)
+	i, p := c.findProcess(e.Process)
 	if p == nil {
 		return
 	}
 	p.responses += float64(e.Responses)
 	p.failed += float64(e.Failed)
-	p.lastReportAt = max(now, 1) // 0 means never
+	p.lastReportAt = max(now, 1) // 0 would mean that there was no report
 	in := &c.instances[i]
 	if in.current != p || !in.isObserved || !c.hasEnoughSamples(p) {
 		return
 	}
-	if p.failureRate() > c.usualFailureRate(i)+c.cfg.MaxFailureRate {
+	if p.failureRate() > c.baselineFailureRate(i)+c.cfg.MaxFailureRate {
 		in.isObserved = false
 		c.log(LogUnhealthy, i, p.number)
 		c.halt(i, p.number)
@@ -27,9 +28,9 @@
 	return p.responses >= float64(max(1, c.cfg.MinSamples))
 }
 
-// usualFailureRate is the lower median of the failure rates of the other instances whose processes are not being observed, and
-// 0 if there are none.
-func (c *Core) usualFailureRate(except int) float64 {
+// baselineFailureRate returns the lower median of the failure rates of all instances but one. It leaves out instances that are
+// being observed or have too few samples. Without any other instance it returns 0.
+func (c *Core) baselineFailureRate(except int) float64 {
 	var rates []float64
 	for i := range c.instances {
 		in := &c.instances[i]
@@ -44,7 +45,8 @@
 	return rates[(len(rates)-1)/2]
 }
 
-// endObservation trusts a current process that has served for the observation period.
+// endObservation ends the observation of an instance's current process once the process has served for ObservationPeriod. The
+// instance's count of failed starts is reset then.
 func (c *Core) endObservation(now Time, i int) {
 	in := &c.instances[i]
 	if in.current != nil && now-in.current.readyAt >= c.cfg.ObservationPeriod {
@@ -52,7 +54,8 @@
 	}
 }
 
-// checkHang marks a current process that stopped reporting as hung. It is replaced at once, even while replacing is halted.
+// checkHang marks a current process that stopped sending reports as hung. Such a process is replaced at once, even while
+// replacing is halted.
 func (c *Core) checkHang(now Time, i int) {
 	p := c.instances[i].current
 	if c.cfg.HangTimeout <= 0 || p == nil || p.isHung || p.lastReportAt == 0 {
--- a/internal/supervisor/instance.go
+++ b/internal/supervisor/instance.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// process is one process, from its start to its end.
+// process is the state of one process from its start to its end.
 type process struct {
 	number           int
 	startedAt        Time
@@ -14,13 +14,14 @@
 	isTerminating    bool // it was told to terminate
 	terminatingSince Time
 	isKilled         bool
-	responses        float64 // that it reported
-	failed           float64 // of its responses
-	lastReportAt     Time    // 0: it never reported
+	responses        float64 // number of responses that it reported
+	failed           float64 // number of its responses that failed
+	lastReportAt     Time    // time of its last report; 0: it has sent none
 	isHung           bool
 }
 
-// excludePause moves the process's waits on by the length of a pause of the supervisor.
+// excludePause extends the process's timeouts by the length of a pause of the supervisor, by moving the times that they count
+// from.
 func (p *process) excludePause(length time.Duration) {
 	p.startedAt += length
 	p.readyAt += length
@@ -30,19 +31,19 @@
 	}
 }
 
-// failureRate is the fraction of a process's responses that failed. It has reported some.
+// failureRate returns the fraction of the process's responses that failed. The process must have reported at least one.
 func (p *process) failureRate() float64 { return p.failed / p.responses }
 
-// instance is one of the places at which a process serves.
+// instance is the state of one of the instances of the program, each of which has one serving process at a time.
 type instance struct {
-	current          *process   // serves
-	successor        *process   // starts; if there is no current process it is the first one or a restart
-	ending           []*process // were replaced and told to terminate
-	failedStarts     int        // in a row
-	startAfter       Time       // the end of the backoff
+	current          *process   // the process that serves; nil: none
+	successor        *process   // the process that is not ready yet: current's replacement, or a start while there is no current
+	ending           []*process // processes that were replaced and told to terminate
+	failedStarts     int        // number of failed starts in a row
+	startAfter       Time       // end of the backoff: no process is started before this
 	replaceRequested bool
 	isObserved       bool // the current process replaced another one and is within its observation period
-	isBeingReplaced  bool // from the start of the successor until it is trusted and its predecessor has ended
+	isBeingReplaced  bool // from the start of the successor until its observation period is over and its predecessor has ended
 }
 
 // processes returns the processes of an instance that have not ended.
@@ -54,7 +55,7 @@
 // isServing reports whether the instance has a process that is ready and does not hang.
 func (in *instance) isServing() bool { return in.current != nil && !in.current.isHung }
 
-// start starts a process of an instance.
+// start starts a process of instance i.
 func (c *Core) start(now Time, i int) {
 	c.lastProcess++
 	c.instances[i].successor = &process{number: c.lastProcess, startedAt: now}
@@ -62,7 +63,7 @@
 	c.log(LogStarted, i, c.lastProcess)
 }
 
-// terminate tells a process, if there is one, to terminate, once.
+// terminate tells a process to terminate, unless it is nil or was told before.
 func (c *Core) terminate(now Time, p *process, isReplaced bool) {
 	if p != nil && !p.isTerminating {
 		p.isTerminating, p.terminatingSince = true, now
@@ -70,7 +71,7 @@
 	}
 }
 
-// kill ends a process at once, once.
+// kill ends a process at once, unless it was killed before.
 func (c *Core) kill(p *process) {
 	if !p.isKilled {
 		p.isKilled = true
@@ -78,9 +79,9 @@
 	}
 }
 
-// handleReady makes a process that became ready its instance's current one.
+// handleReady makes a process that became ready the current process of its instance and tells its predecessor to terminate.
 func (c *Core) handleReady(now Time, e Ready) {
-	i, p := c.find(e.Process)
+	i, p := c.findProcess(e.Process)
 	if p == nil || p.isReady || p.isKilled || p.isTerminating {
 		return
 	}
@@ -96,9 +97,9 @@
 	in.current, in.successor = p, nil
 }
 
-// handleExited removes a process that ended from its instance.
+// handleExited removes a process that has ended from its instance.
 func (c *Core) handleExited(now Time, e Exited) {
-	i, p := c.find(e.Process)
+	i, p := c.findProcess(e.Process)
 	if p == nil {
 		return
 	}
@@ -114,18 +115,18 @@
 	}
 }
 
-// successorExited handles the end of a process that never served.
+// successorExited handles the end of a process that never became ready.
 func (c *Core) successorExited(now Time, i int, p *process) {
 	in := &c.instances[i]
 	in.successor = nil
 	c.startFailed(now, i, p)
-	if in.isBeingReplaced { // the predecessor serves on
+	if in.isBeingReplaced { // the predecessor continues to serve
 		in.isBeingReplaced = false
 		c.halt(i, p.number)
 	}
 }
 
-// currentExited handles the end of a process that served.
+// currentExited handles the end of an instance's current process.
 func (c *Core) currentExited(now Time, i int, p *process, isClean bool) {
 	in := &c.instances[i]
 	in.current = nil
@@ -148,9 +149,9 @@
 	in.isObserved = false
 }
 
-// startFailed counts a failed start of an instance and draws the backoff before the next one.
+// startFailed counts a failed start of instance i and draws the random backoff before the next start.
 func (c *Core) startFailed(now Time, i int, p *process) {
-	const maxDoublings = 30 // further ones would overflow, and MaxBackoff is reached long before
+	const maxDoublings = 30 // more doublings would overflow, and MaxBackoff is reached long before
 	in := &c.instances[i]
 	if !p.isKilled {
 		c.log(LogCrashed, i, p.number)
--- a/internal/supervisor/replacement.go
+++ b/internal/supervisor/replacement.go
@@ -1,13 +1,13 @@
 package supervisor
 
-// requestReplacement asks for one instance to be replaced.
+// requestReplacement records the request to replace the process of instance i.
 func (c *Core) requestReplacement(i int) {
 	if i >= 0 && i < len(c.instances) && !c.isStopping {
 		c.instances[i].replaceRequested, c.isReplacing = true, true
 	}
 }
 
-// requestAllReplacements asks for every instance to be replaced.
+// requestAllReplacements records the request to replace the process of every instance.
 func (c *Core) requestAllReplacements() {
 	for i := range c.instances {
 		c.instances[i].replaceRequested = !c.isStopping
@@ -15,7 +15,8 @@
 	c.isReplacing = !c.isStopping
 }
 
-// halt stops replacing on account of a process, or of an operator. The requests stay.
+// halt prevents further replacements from starting, because of a failed process or on an operator's request. Requests for
+// replacements are kept.
 func (c *Core) halt(instance, process int) {
 	if !c.isHalted && !c.isStopping {
 		c.isHalted = true
@@ -31,7 +32,7 @@
 	}
 }
 
-// startSuccessors starts replacing instances for which this was requested, as long as fewer than MaxConcurrent are unavailable.
+// startSuccessors starts the requested replacements as long as fewer than MaxConcurrent instances are unavailable.
 func (c *Core) startSuccessors(now Time, unavailable int) {
 	for i := range c.instances {
 		in := &c.instances[i]
@@ -44,12 +45,12 @@
 	}
 }
 
-// mayReplace reports whether a successor of an instance's process may be started now, as far as that instance is concerned.
+// mayReplace reports whether a requested replacement of an instance's process may start now. It does not check MaxConcurrent.
 func (c *Core) mayReplace(now Time, in *instance) bool {
 	return in.replaceRequested && in.isServing() && in.successor == nil && !in.isBeingReplaced && !c.isHalted && now >= in.startAfter
 }
 
-// finishReplacement ends a replacement once the successor is trusted and its predecessors have ended.
+// finishReplacement ends the replacement of instance i once the successor's observation is over and its predecessors have ended.
 func (c *Core) finishReplacement(i int) {
 	in := &c.instances[i]
 	if in.successor == nil && !in.isObserved && len(in.ending) == 0 {
@@ -57,7 +58,7 @@
 	}
 }
 
-// reportAllReplaced says, once, that every requested replacement is done.
+// reportAllReplaced logs, once, that every requested replacement is done.
 func (c *Core) reportAllReplaced() {
 	if c.isReplacing && !c.isHalted && !c.isAnyReplacementOpen() {
 		c.isReplacing = false
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -5,15 +5,15 @@
 // Status is the state of one instance as operators see it.
 type Status struct {
 	Instance         int           `json:"instance"`
-	Process          int           `json:"process"` // the number of the process that serves; 0: none
+	Process          int           `json:"process"` // number of the process that serves; 0: none
 	State            string        `json:"state"`   // serves, replaced, hangs, starts or waits
-	ServingFor       time.Duration `json:"for_ns"`  // since the process became ready
+	ServingFor       time.Duration `json:"for_ns"`  // time since the process became ready
 	ReplaceRequested bool          `json:"to_be_replaced"`
-	FailedStarts     int           `json:"failed_starts"` // in a row
-	Ending           int           `json:"ending"`        // processes that were replaced and have not ended
+	FailedStarts     int           `json:"failed_starts"` // number of failed starts in a row
+	Ending           int           `json:"ending"`        // number of processes that were replaced and have not ended
 }
 
-// Statuses returns the state of each instance, and whether replacing is halted.
+// Statuses returns the state of each instance and whether replacing is halted.
 func (c *Core) Statuses(now Time) (all []Status, halted bool) {
 	for i := range c.instances {
 		in := &c.instances[i]
@@ -26,7 +26,7 @@
 	return all, c.isHalted
 }
 
-// state is the word for an instance's state in Status.
+// state returns the name of the instance's state for Status.
 func (in *instance) state() string {
 	switch {
 	case in.current != nil && in.current.isHung:
