--- a/internal/supervisor/agent/agent.go
+++ b/internal/supervisor/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs the processes of a supervisor: it carries out the effects of the core in internal/supervisor and reports
-// the processes' notifications and ends to it. It makes no decisions.
+// Package agent runs the processes of a supervisor: it carries out the effects of the core in internal/supervisor, and reports
+// the processes' notifications and exits to the core. All decisions are the core's.
 package agent
 
 import (
@@ -15,30 +15,30 @@
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// Options configure an agent. Command and Listen are called with the number of an instance, from 0.
+// Options configure an Agent. Command and Listen are called with the number of an instance, counted from 0.
 type Options struct {
 	Config  supervisor.Config
-	Command func(instance int) (program string, args, env []string) // called at each start of a process
-	Listen  func(instance int) string                               // host and port of the instance's listening socket
+	Command func(instance int) (program string, args, env []string) // returns how to start a process; called at each start
+	Listen  func(instance int) string                               // returns host and port of an instance's listening socket
 	Log     *slog.Logger
 }
 
-// Agent is a supervisor with its processes. The goroutine in Serve owns the core and the table of processes; all methods may be
-// called from any goroutine.
+// Agent is a supervisor with its processes. The goroutine in Serve owns the core and the table of running processes. The
+// exported methods, except Step, may be called from any goroutine.
 type Agent struct {
 	*eventloop.Loop[supervisor.Event, supervisor.Effect]
 	opt     Options
 	core    *supervisor.Core
-	sockets []*os.File          // by instance; they outlive all processes
-	running map[int]*os.Process // by the core's number
-	stopped chan struct{}       // closed by the core's loop once all processes have ended after StopRequested
+	sockets []*os.File          // listening sockets, by instance; they outlive all processes
+	running map[int]*os.Process // by the number that the core gave the process
+	stopped chan struct{}       // closed by the event loop once all processes have ended after StopRequested
 }
 
-// tickInterval is how often the core acts on time that has passed, and how long an event that must not be lost waits before it is
-// posted again to a loop that is busy.
+// tickInterval is the time between two ticks of the core. If the event loop is busy, an event that must not be lost is posted again
+// after the same time.
 const tickInterval = 50 * time.Millisecond
 
-// New opens the instances' listening sockets. Serve starts the processes.
+// New returns an agent and opens the instances' listening sockets. The processes are started by Serve.
 func New(opt Options) (*Agent, error) {
 	core, err := supervisor.New(opt.Config)
 	if err != nil {
@@ -59,7 +59,7 @@
 // Serve keeps the processes running until all of them have ended after supervisor.StopRequested.
 func (a *Agent) Serve() {
 	tick := func() { a.Step(supervisor.Tick{}) }
-	a.Submit(tick) // the first processes start without waiting for the ticker
+	a.Submit(tick) // starts the first processes without waiting for the ticker
 	a.Run(a.stopped, tickInterval, tick)
 }
 
@@ -72,7 +72,7 @@
 	})
 }
 
-// postUntilTaken posts an event that must not be lost, however busy the loop is.
+// postUntilTaken posts an event that must not be lost: while the loop's queue is full it tries again, until the agent has stopped.
 func (a *Agent) postUntilTaken(ev supervisor.Event) {
 	for !a.Post(ev) {
 		select {
@@ -103,14 +103,15 @@
 	}
 }
 
-// signal sends a signal to a process, if there is one. A process that has ended needs none: its end is reported by its watcher.
+// signal sends a signal to a process, unless it is nil. Errors are ignored: they mean that the process has ended, which its watch
+// goroutine reports.
 func (a *Agent) signal(process *os.Process, sig os.Signal) {
 	if process != nil {
 		_ = process.Signal(sig)
 	}
 }
 
-// log writes an event of the core to the log.
+// log writes a log event of the core to the log.
 func (a *Agent) log(e supervisor.LogEvent) {
 	attrs := []slog.Attr{slog.String(logs.Event, "instance_"+e.Kind.String())}
 	if e.Instance >= 0 {
@@ -119,10 +120,10 @@
 	if e.Kind == supervisor.LogBackoff {
 		attrs = append(attrs, slog.Duration("wait", e.Wait))
 	}
-	a.opt.Log.LogAttrs(context.Background(), level(e.Kind), "supervised processes", attrs...)
+	a.opt.Log.LogAttrs(context.Background(), level(e.Kind), "process supervision event", attrs...)
 }
 
-// level is the log level of an event of the core.
+// level returns the log level of a kind of log event.
 func level(kind supervisor.LogEventKind) slog.Level {
 	switch kind {
 	case supervisor.LogCrashed, supervisor.LogNotReady, supervisor.LogTerminateTimeout, supervisor.LogHalted,
--- a/internal/supervisor/agent/calls.go
+++ b/internal/supervisor/agent/calls.go
@@ -9,21 +9,21 @@
 	"shelfproxy/internal/supervisor"
 )
 
-// Overview is the state of all instances, as the control socket writes it.
+// Overview is the state of all instances, as JSON for the control socket.
 type Overview struct {
 	Halted    bool       `json:"halted"`
 	Instances []Instance `json:"instances"`
 }
 
-// Instance is the state of one instance with the process ID of the process that serves.
+// Instance is the state of one instance, the process ID of its serving process (0: none) and its listening address.
 type Instance struct {
 	supervisor.Status
 	PID    int    `json:"pid"`
 	Listen string `json:"listen"`
 }
 
-// RegisterCalls registers the operators' calls: instances, replace (with instance=N, or all), halt, resume and stop. A command
-// is answered with the overview after it.
+// RegisterCalls registers the operators' calls: the query instances and the commands replace, halt, resume and stop. The command
+// replace takes instance=N, or is for all instances. Commands return the overview after the command.
 func (a *Agent) RegisterCalls(server *control.Server) {
 	server.HandleQuery("instances", a.overview)
 	handle := func(name string, parse func(url.Values) (supervisor.Event, error)) {
@@ -47,7 +47,7 @@
 	handle("replace", a.parseReplace)
 }
 
-// overview answers the call "instances".
+// overview handles the call "instances".
 func (a *Agent) overview(url.Values) (any, error) {
 	var overview Overview
 	err := a.Call(func() {
@@ -67,7 +67,7 @@
 	return overview, nil
 }
 
-// parseReplace reads which instance the call "replace" is about.
+// parseReplace returns the event for the call "replace": for one instance if the query names one, otherwise for all.
 func (a *Agent) parseReplace(query url.Values) (supervisor.Event, error) {
 	if !query.Has("instance") {
 		return supervisor.ReplaceAllRequested{}, nil
--- a/internal/supervisor/agent/process.go
+++ b/internal/supervisor/agent/process.go
@@ -13,11 +13,11 @@
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// pipeCloseTimeout bounds how long the end of a process waits for its last notifications: a child that it started may hold the
-// pipe open.
+// pipeCloseTimeout bounds how long the report of a process's end waits for the process's last notifications. A child that the
+// process started may keep the pipe open.
 const pipeCloseTimeout = time.Second
 
-// start starts a process. One that can't be started counts as ended.
+// start starts a process. If that fails, it reports to the core that the process has ended.
 func (a *Agent) start(e supervisor.Start) {
 	cmd, child, err := a.command(e.Instance)
 	if err == nil {
@@ -25,30 +25,30 @@
 		child.CloseInherited()
 		if err == nil {
 			a.running[e.Process] = cmd.Process
-			go a.watch(e, cmd, child) // ends when the process has
+			go a.watch(e, cmd, child) // this goroutine ends after the process
 			return
 		}
 		child.Discard()
 	}
-	a.opt.Log.Error("a process cannot be started", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
-	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the loop must not wait for itself; ends once it took the event
+	a.opt.Log.Error("failed to start a process", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
+	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the loop must not wait for its own queue; ends once the event is queued
 }
 
-// command prepares the start of a process of an instance.
+// command returns the command that starts a process of an instance, and what the process inherits.
 func (a *Agent) command(instance int) (*exec.Cmd, *handover.Child, error) {
 	program, args, env := a.opt.Command(instance)
 	child, err := handover.NewChild(a.sockets[instance])
 	if err != nil {
 		return nil, nil, err
 	}
-	cmd := exec.CommandContext(context.Background(), program, args...) // only the core ends processes
+	cmd := exec.CommandContext(context.Background(), program, args...) // never cancelled: only the core ends processes
 	cmd.Env, cmd.ExtraFiles = append(env, child.Env...), child.Files
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a ^C in the terminal goes to the supervisor alone
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // Ctrl-C in the terminal sends SIGINT to the supervisor only
 	return cmd, child, nil
 }
 
-// watch reports a process's notifications and its end to the core.
+// watch reports the notifications and the end of a process to the core.
 func (a *Agent) watch(e supervisor.Start, cmd *exec.Cmd, child *handover.Child) {
 	pipeClosed := make(chan struct{}) // closed by readNotifications
 	go a.readNotifications(e, child, pipeClosed)
@@ -63,7 +63,8 @@
 	a.postUntilTaken(supervisor.Exited{Process: e.Process, Clean: err == nil})
 }
 
-// readNotifications reports a process's notifications until its pipe is closed. Counts may be lost while the loop is busy.
+// readNotifications reports a process's notifications to the core until its pipe is closed. Response counts may be lost while the
+// loop is busy.
 func (a *Agent) readNotifications(e supervisor.Start, child *handover.Child, pipeClosed chan<- struct{}) {
 	defer close(pipeClosed)
 	err := child.ReadNotifications(
--- a/internal/supervisor/handover/child.go
+++ b/internal/supervisor/handover/child.go
@@ -13,21 +13,21 @@
 	"syscall"
 )
 
-// maxNotificationBytes bounds one notification.
+// maxNotificationBytes is the maximum length of one notification.
 const maxNotificationBytes = 128
 
-// ErrMalformedNotification is returned by ReadNotifications if the process wrote anything but notifications.
+// ErrMalformedNotification is returned by ReadNotifications if the process wrote anything other than notifications.
 var ErrMalformedNotification = errors.New("handover: malformed notification")
 
-// Child is what a process that is about to be started inherits, and the supervisor's end of its pipe.
+// Child holds what a process that is about to be started inherits, and the supervisor's end of the notification pipe.
 type Child struct {
-	Files []*os.File // the process's descriptors from 3 on
+	Files []*os.File // inherited as the process's descriptors from 3 on
 	Env   []string   // to be added to the process's environment
-	read  *os.File
+	read  *os.File   // the supervisor's end of the pipe
 }
 
-// NewChild opens the pipe of a process that will inherit listener. The caller calls CloseInherited once the process was started
-// or could not be, and then either ReadNotifications or Discard.
+// NewChild opens the notification pipe of a process that will inherit listener. After the start of the process, or after its
+// failure, the caller must call CloseInherited, and then either ReadNotifications or Discard.
 func NewChild(listener *os.File) (*Child, error) {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -35,19 +35,19 @@
 	}
 	return &Child{Files: []*os.File{listener, write}, read: read, Env: []string{
 		listenFDsVariable + "=1",
-		listenPIDVariable + "=", // unknown before the start
+		listenPIDVariable + "=", // empty, because the process ID is unknown before the start
 		notifyFDVariable + "=" + strconv.Itoa(notifyFD),
 	}}, nil
 }
 
-// CloseInherited closes this process's copy of what belongs to the child alone: the pipe ends when the child does.
-func (c *Child) CloseInherited() { _ = c.Files[1].Close() } // nothing was written to it here
+// CloseInherited closes the supervisor's copy of the pipe's write end. The pipe then ends when the child process does.
+func (c *Child) CloseInherited() { _ = c.Files[1].Close() } // no error can lose data: the supervisor wrote nothing to it
 
-// Discard closes the pipe without reading it.
-func (c *Child) Discard() { _ = c.read.Close() } // only read
+// Discard closes the supervisor's end of the pipe.
+func (c *Child) Discard() { _ = c.read.Close() } // no error can lose data: it is only read
 
-// ReadNotifications calls ready and served for each notification until the process ends or writes anything else, in which case
-// it returns ErrMalformedNotification. It closes the pipe.
+// ReadNotifications calls ready or served for each notification until the process ends. It returns ErrMalformedNotification if the
+// process writes anything else. It closes the supervisor's end of the pipe.
 func (c *Child) ReadNotifications(ready func(), served func(responses, failed int)) error {
 	defer c.Discard()
 	return readNotifications(c.read, ready, served)
@@ -77,31 +77,31 @@
 // parseServed parses the two numbers of a "served" notification.
 func parseServed(responsesField, failedField string) (responses, failed int, err error) {
 	const base, bits = 10, 31
-	all, err := strconv.ParseUint(responsesField, base, bits)
+	total, err := strconv.ParseUint(responsesField, base, bits)
 	if err != nil {
 		return 0, 0, ErrMalformedNotification
 	}
-	part, err := strconv.ParseUint(failedField, base, bits)
-	if err != nil || part > all {
+	failures, err := strconv.ParseUint(failedField, base, bits)
+	if err != nil || failures > total {
 		return 0, 0, ErrMalformedNotification
 	}
-	return int(all), int(part), nil
+	return int(total), int(failures), nil
 }
 
-// ListenFile opens a listening TCP socket for processes to inherit. Its descriptor stays in blocking mode for good: the mode
-// belongs to the open file, which the processes that serve it share.
+// ListenFile opens a listening TCP socket for processes to inherit. Its descriptor always stays in blocking mode. The mode belongs
+// to the open file description, which all processes that inherit the socket share.
 func ListenFile(addr string) (*os.File, error) {
-	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr) // returns at once
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr) // needs no cancellation: it returns at once
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = listener.Close() }() // the duplicate stays open
+	defer func() { _ = listener.Close() }() // the duplicate from File stays open
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	fd, err := syscall.Dup(int(file.Fd())) // Fd sets blocking mode, before any process inherits the socket
+	fd, err := syscall.Dup(int(file.Fd())) // Fd sets blocking mode; no process has inherited the socket yet
 	if err != nil {
 		return nil, fmt.Errorf("dup: %w", err)
 	}
--- a/internal/supervisor/handover/child_test.go
+++ b/internal/supervisor/handover/child_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestReadNotificationsStopsAtWhatIsNone: what a process may write, and what ends the reading.
-func TestReadNotificationsStopsAtWhatIsNone(t *testing.T) {
+// TestReadNotificationsStopsAtMalformedInput checks which notifications a process may write, and that reading stops with an error at
+// the first line that is not a valid notification.
+func TestReadNotificationsStopsAtMalformedInput(t *testing.T) {
 	malformed := ErrMalformedNotification.Error()
 	for written, want := range map[string]string{
 		"":                                  "[] <nil>",
--- a/internal/supervisor/handover/golden_test.go
+++ b/internal/supervisor/handover/golden_test.go
@@ -11,8 +11,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenHandover: a process of one release and a supervisor of another understand each other: the variables that a
-// child inherits, the signal, and the notifications that it writes.
+// TestGoldenHandover guards against a release whose processes and supervisor no longer work with those of another release. It
+// compares the environment variables that a child inherits, the signal, and the notifications that the child writes.
 func TestGoldenHandover(t *testing.T) {
 	child, err := NewChild(nil)
 	if err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestInheritRejectsTwoSocketsAndUnsetsVariables: a process takes one listening socket, and passes the variables to no child of
-// its own.
+// TestInheritRejectsTwoSocketsAndUnsetsVariables checks that a process accepts only one listening socket, and that it unsets the
+// environment variables. Otherwise a child of the process would take the descriptors for its own.
 func TestInheritRejectsTwoSocketsAndUnsetsVariables(t *testing.T) {
 	t.Setenv("LISTEN_FDS", "2")
 	t.Setenv("LISTEN_PID", "")
--- a/internal/supervisor/handover/handover.go
+++ b/internal/supervisor/handover/handover.go
@@ -1,28 +1,28 @@
-// Package handover is the interface between a supervisor and a process that it starts: a listening socket that outlives the
-// process, passed by the protocol of systemd's socket activation (sd_listen_fds(3)), and a pipe on which the process notifies
-// the supervisor of its state. Parent is the process's side, Child the supervisor's.
+// Package handover is the interface between a supervisor and a process that it starts. The process inherits a listening socket that
+// outlives it, passed by the protocol of systemd's socket activation (sd_listen_fds(3)). It also inherits a pipe on which it
+// notifies the supervisor of its state. The process uses Parent, the supervisor uses Child.
 package handover
 
 import "syscall"
 
-// The environment variables that tell a process what it inherits. The first two are systemd's.
+// The environment variables that tell a process which descriptors it inherits. The first two are defined by systemd.
 const (
 	listenFDsVariable = "LISTEN_FDS"
 	listenPIDVariable = "LISTEN_PID"
 	notifyFDVariable  = "SHELFPROXY_NOTIFY_FD"
 )
 
-// The descriptors that a process inherits.
+// The numbers of the descriptors that a process inherits.
 const (
 	listenFD = 3 // systemd's SD_LISTEN_FDS_START
 	notifyFD = listenFD + 1
 )
 
-// ReplacedSignal tells a process to shut down because its successor accepts connections at its socket from now on.
+// ReplacedSignal tells a process to shut down because its successor accepts the connections at their shared socket from now on.
 const ReplacedSignal = syscall.SIGUSR2
 
-// The notifications that a process writes, one a line: "ready", and "served RESPONSES FAILED" for the responses since the last
-// such line.
+// The notifications that a process writes to the pipe, one per line: "ready", and "served RESPONSES FAILED" with the numbers of
+// responses and failures since the previous "served" line.
 const (
 	readyNotification  = "ready"
 	servedNotification = "served"
--- a/internal/supervisor/handover/parent.go
+++ b/internal/supervisor/handover/parent.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// notifyTimeout bounds how long a notification waits for space in the pipe of a supervisor that does not read.
+// notifyTimeout bounds how long a notification waits for space in the pipe if the supervisor does not read it.
 const notifyTimeout = 2 * time.Millisecond
 
 // Parent is a process's view of the supervisor that started it. It is not safe for concurrent use.
 type Parent struct {
 	Listener net.Listener // inherited; nil if there is none
-	notify   *os.File     // nil without a supervisor that wants notifications
+	notify   *os.File     // write end of the pipe; nil without a supervisor that reads notifications
 }
 
-// Inherit takes over the descriptors that this process was started with, and removes the variables that name them, so that no
-// child of this process takes them for its own. If there are none it returns a Parent that has nothing.
+// Inherit takes over the descriptors that this process was started with. It unsets the environment variables that name them, so
+// that no child of this process takes the descriptors for its own. Without such descriptors it returns an empty Parent.
 func Inherit() (*Parent, error) {
 	parent := &Parent{}
 	listenFDs, listenPID, notify := os.Getenv(listenFDsVariable), os.Getenv(listenPIDVariable), os.Getenv(notifyFDVariable)
 	for _, variable := range []string{listenFDsVariable, listenPIDVariable, notifyFDVariable} {
-		_ = os.Unsetenv(variable) // fails only for names that are malformed
+		_ = os.Unsetenv(variable) // can't fail: it rejects only malformed names
 	}
 	if notify != "" {
 		file, err := inheritPipe(notify)
@@ -45,12 +45,12 @@
 	return parent, nil
 }
 
-// inheritPipe opens the pipe for notifications. Writes to it never block, so that a supervisor that hangs can't stall this
+// inheritPipe opens the inherited pipe for notifications in non-blocking mode, so that a supervisor that hangs can't stall this
 // process.
 func inheritPipe(number string) (*os.File, error) {
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd < listenFD {
-		return nil, fmt.Errorf("%q is no descriptor", number)
+		return nil, fmt.Errorf("%q is not the number of an inherited descriptor", number)
 	}
 	syscall.CloseOnExec(fd)
 	if err := syscall.SetNonblock(fd, true); err != nil {
@@ -59,10 +59,10 @@
 	return os.NewFile(uintptr(fd), "notify"), nil
 }
 
-// inheritListener opens the listening socket.
+// inheritListener opens the inherited listening socket. count is the value of LISTEN_FDS, which must be 1.
 func inheritListener(count string) (net.Listener, error) {
 	if n, err := strconv.Atoi(count); err != nil || n != 1 {
-		return nil, fmt.Errorf("%q, want one socket", count)
+		return nil, fmt.Errorf("%q sockets are passed, want one", count)
 	}
 	file := os.NewFile(listenFD, "listen")
 	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
@@ -81,12 +81,13 @@
 	return p.send(servedNotification + " " + strconv.Itoa(responses) + " " + strconv.Itoa(failed))
 }
 
-// send writes a notification. It goes into the pipe in one piece or not at all: if there is no space for it, it is lost.
+// send writes a notification to the pipe, completely or not at all. If there is no space for it within notifyTimeout, the
+// notification is dropped without an error.
 func (p *Parent) send(notification string) error {
 	if p.notify == nil {
 		return nil
 	}
-	_ = p.notify.SetWriteDeadline(time.Now().Add(notifyTimeout)) // if it fails so does the write
+	_ = p.notify.SetWriteDeadline(time.Now().Add(notifyTimeout)) // if this fails, the write fails too
 	_, err := p.notify.WriteString(notification + "\n")
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil
