--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// callTimeout bounds an operator's call: the process answers from its own state and waits for no other.
+	// callTimeout bounds an operator's call. The called process answers from its own state and does not wait for other nodes.
 	callTimeout = 5 * time.Second
-	// maxAnswerBytes bounds the answer that a client reads.
+	// maxAnswerBytes is the maximum length of the answer that a client reads.
 	maxAnswerBytes = 1 << 20
 )
 
-// Query makes a call that changes nothing at the socket at path and returns the answer's JSON. If the process rejects the call
-// the error is its message.
+// Query makes a read-only call at the control socket at path and returns the JSON of the answer. If the called process rejects the
+// call, the error is the message that it answers with.
 func Query(ctx context.Context, path, name string, query url.Values) (string, error) {
 	return call(ctx, path, http.MethodGet, name, query)
 }
 
-// Command makes a call that changes something. Otherwise it is like Query.
+// Command makes a call that changes the state of the called process. Otherwise it is like Query.
 func Command(ctx context.Context, path, name string, query url.Values) (string, error) {
 	return call(ctx, path, http.MethodPost, name, query)
 }
@@ -45,7 +45,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // only read
+	defer func() { _ = response.Body.Close() }() // no error can lose data: it is only read
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
 		return "", errors.New(strings.TrimSpace(string(answer)))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control serves the operators' calls to a running process on a Unix socket: HTTP with one path for each call, answered
-// in JSON. The parts of the process that are switched on register their calls. The permissions of the socket's directory decide
-// who may call.
+// Package control serves operators' calls to a running process on a Unix socket, the control socket. A call is an HTTP request;
+// each call has its own path, and answers are JSON. The parts of the process that are switched on register their calls. The
+// permissions of the socket's directory decide which users may make calls.
 package control
 
 import (
@@ -15,42 +15,42 @@
 	"time"
 )
 
-// Bounds of one call.
+// Limits of one call.
 const (
 	maxHeaderBytes = 4 << 10
 	readTimeout    = time.Second
 	writeTimeout   = 2 * time.Second
 )
 
-// Handler carries out one call and returns the value that is written as JSON. It must not wait for other nodes.
+// Handler handles one call and returns the value that is written as JSON. It must not wait for other nodes.
 type Handler func(query url.Values) (any, error)
 
-// ErrInUse is returned by Serve if another process answers at the path. It may be a predecessor that is about to end.
+// ErrInUse is returned by Serve if another process serves the socket. That process may be a predecessor that is about to end.
 var ErrInUse = errors.New("another process answers there")
 
-// ErrBusy is returned by a Handler whose part of the process is overloaded. The call was not carried out.
+// ErrBusy is returned by a Handler if its part of the process is overloaded. The call was not carried out.
 var ErrBusy = errors.New("busy")
 
-// Server is a control socket with its calls.
+// Server serves the registered calls on a control socket.
 type Server struct {
 	path     string
 	queries  map[string]Handler // by URL path
 	commands map[string]Handler // by URL path
 }
 
-// New returns a server for a socket at path. With an empty path Serve does nothing.
+// New returns a server for a socket at path. If path is empty, Serve does nothing.
 func New(path string) *Server {
 	return &Server{path: path, queries: map[string]Handler{}, commands: map[string]Handler{}}
 }
 
-// HandleQuery registers a call that changes nothing (GET). It must not be called after Serve.
+// HandleQuery registers a read-only call (GET). It must not be called after Serve.
 func (s *Server) HandleQuery(name string, handler Handler) { s.queries["/"+name] = handler }
 
-// HandleCommand registers a call that changes something (POST). It must not be called after Serve.
+// HandleCommand registers a call that changes the state of the process (POST). It must not be called after Serve.
 func (s *Server) HandleCommand(name string, handler Handler) { s.commands["/"+name] = handler }
 
-// Serve opens the socket and serves calls until stop is closed. A socket file that a dead process left behind is replaced.
-// Serve returns ErrInUse if another process answers at the path, and nil at once if there is no path or no call.
+// Serve opens the socket and serves calls until stop is closed. It replaces a socket file that a dead process left behind. Serve
+// returns ErrInUse if another process serves the socket. It returns nil at once if there is no path or no call.
 func (s *Server) Serve(stop <-chan struct{}) error {
 	if s.path == "" || len(s.queries)+len(s.commands) == 0 {
 		return nil
@@ -60,9 +60,9 @@
 		return fmt.Errorf("control: %w", err)
 	}
 	server := &http.Server{ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes, Handler: s}
-	go func() { // ends with stop, after which Serve returns
+	go func() { // this goroutine ends when stop is closed; Serve returns after that
 		<-stop
-		_ = server.Close() // the socket goes away in any case
+		_ = server.Close() // an error changes nothing: the socket is closed in any case
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -70,15 +70,15 @@
 	return nil
 }
 
-// listen opens the socket unless another process answers there.
+// listen opens the socket, or returns ErrInUse if another process serves it.
 func (s *Server) listen() (net.Listener, error) {
-	// Both calls are local and return at once, so there is nothing to cancel.
+	// Dial and Listen on a Unix socket return at once, so they need no context that can be cancelled.
 	conn, err := new(net.Dialer).DialContext(context.Background(), "unix", s.path)
 	if err == nil {
-		_ = conn.Close() // nothing was written
+		_ = conn.Close() // no error can lose data: nothing was written
 		return nil, fmt.Errorf("%s: %w", s.path, ErrInUse)
 	}
-	_ = os.Remove(s.path) // left by a dead process; if it cannot be removed Listen says why
+	_ = os.Remove(s.path) // a dead process left the file; if it can't be removed, Listen returns the reason
 	return new(net.ListenConfig).Listen(context.Background(), "unix", s.path)
 }
 
@@ -97,7 +97,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(answer) // fails only if the caller is gone
+		_ = json.NewEncoder(w).Encode(answer) // fails only if the caller has closed the connection
 	}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -12,7 +12,7 @@
 // answerTimeout bounds how long a test waits for a server in this process.
 const answerTimeout = 5 * time.Second
 
-// startServer serves a query and two commands at path until the test ends or stop is called, which waits for the server's end.
+// startServer serves a query and two commands at path. The caller must call stop, which waits until Serve has returned.
 func startServer(t *testing.T, path string) (stop func()) {
 	t.Helper()
 	server := New(path)
@@ -20,7 +20,7 @@
 	server.HandleCommand("drain", func(url.Values) (any, error) { return nil, ErrBusy })
 	server.HandleCommand("roll", func(url.Values) (any, error) { return nil, errors.New("to: which release?") })
 	stopServer, served := make(chan struct{}), make(chan error, 1)
-	go func() { served <- server.Serve(stopServer) }() // stop waits for its end
+	go func() { served <- server.Serve(stopServer) }() // stop waits for this goroutine
 	stop = func() {
 		t.Helper()
 		close(stopServer)
@@ -32,7 +32,7 @@
 	return stop
 }
 
-// awaitAnswer calls status until it is answered.
+// awaitAnswer makes the call status until it is answered, and fails the test after answerTimeout.
 func awaitAnswer(t *testing.T, path string) {
 	t.Helper()
 	retry, deadline := time.NewTicker(time.Millisecond), time.After(answerTimeout)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestSocketOfRunningServerIsNotReplaced: a successor learns that its predecessor still answers, and does not take the socket
-// away from it; a file that nobody answers at is replaced.
+// TestSocketOfRunningServerIsNotReplaced guards against a successor that takes the control socket away from a predecessor that
+// still serves it: Serve must return ErrInUse. A file at the path that no process serves must be replaced.
 func TestSocketOfRunningServerIsNotReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -63,7 +63,7 @@
 	if err := successor.Serve(t.Context().Done()); !errors.Is(err, ErrInUse) {
 		t.Errorf("Serve at a path in use = %v, want %v", err, ErrInUse)
 	}
-	awaitAnswer(t, path) // from the first server, still
+	awaitAnswer(t, path) // the first server still serves the socket
 	stop()
 }
 
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -10,7 +10,7 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenCalls: the HTTP answers that shelfproxy ctl of another release gets.
+// TestGoldenCalls guards against changed HTTP answers, which "shelfproxy ctl" of another release would not understand.
 func TestGoldenCalls(t *testing.T) {
 	server := New("")
 	server.HandleQuery("status", func(query url.Values) (any, error) {
--- a/internal/exit/exit.go
+++ b/internal/exit/exit.go
@@ -1,10 +1,10 @@
-// Package exit attaches process exit codes to errors, so that scripts can tell the ways in which a program fails apart.
-// The codes themselves are each program's own.
+// Package exit attaches process exit codes to errors, so that scripts can distinguish the ways in which a program fails. Each
+// program defines its own codes.
 package exit
 
 import "errors"
 
-// codedError is an error with the exit code that the process ends with if the error reaches main.
+// codedError is an error with an exit code, which the process exits with if the error reaches main.
 type codedError struct {
 	error
 	code int
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what the program writes with files that an earlier release wrote. The files under testdata stand
-// for the outside of the program: bytes on the wire, files that are read again, answers to operators. They are written
-// once and do not change afterwards; a test that differs from its file has found a change in behaviour.
+// Package golden compares what the program writes with golden files that an earlier release wrote. The golden files under testdata
+// hold what others see of the program: bytes on the wire, files that are read again, answers to operators. They are written once
+// and never change. A test whose result differs from its golden file has found a change in behaviour.
 package golden
 
 import (
@@ -13,10 +13,11 @@
 	"testing"
 )
 
-// createVariable lets Check write a file that does not exist yet. A file that exists is never written again.
+// createVariable is the environment variable that, if it is set, lets Check create a golden file that does not exist. An existing
+// file is never overwritten.
 const createVariable = "GOLDEN_CREATE"
 
-// Check compares got with the file testdata/name of the package under test.
+// Check fails the test if got differs from the golden file testdata/name of the package under test.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,7 +34,7 @@
 	}
 }
 
-// Read returns the golden file testdata/name, to be fed to the code that reads it.
+// Read returns the content of the golden file testdata/name, as input for the code that reads such data.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
@@ -43,21 +44,21 @@
 	return content
 }
 
-// Lines collects named records, one a line, as the text of a golden file.
+// Lines collects named records, one per line, as the text of a golden file.
 type Lines struct{ text strings.Builder }
 
-// Text adds a record whose content is readable.
+// Text adds a record with printable content.
 func (l *Lines) Text(name, content string) {
 	l.text.WriteString(name + ": " + content + "\n")
 }
 
-// Hex adds a record of binary content.
+// Hex adds a record with binary content, in hexadecimal.
 func (l *Lines) Hex(name string, content []byte) { l.Text(name, hex.EncodeToString(content)) }
 
-// Bytes is the text collected so far.
+// Bytes returns the text collected so far.
 func (l *Lines) Bytes() []byte { return []byte(l.text.String()) }
 
-// Hex reads back the record of that name from the text of a golden file.
+// Hex returns the binary content of a record that Lines.Hex wrote, given the text of a golden file and the record's name.
 func Hex(t *testing.T, file []byte, name string) []byte {
 	t.Helper()
 	for line := range strings.Lines(string(file)) {
@@ -86,16 +87,16 @@
 	t.Logf("%s created", path)
 }
 
-// firstDifference names the first line in which two texts differ.
+// firstDifference describes the first line in which two texts differ.
 func firstDifference(got, want string) string {
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
 	for i, line := range gotLines {
 		if i >= len(wantLines) {
-			return "got the further line " + line
+			return "got the additional line " + line
 		}
 		if line != wantLines[i] {
 			return "got line " + line + ", want " + wantLines[i]
 		}
 	}
-	return "want the further line " + wantLines[len(gotLines)]
+	return "want the additional line " + wantLines[len(gotLines)]
 }
--- a/internal/supervisor/settings/golden_test.go
+++ b/internal/supervisor/settings/golden_test.go
@@ -10,7 +10,7 @@
 	"shelfproxy/internal/golden"
 )
 
-// everyKey is a supervisor's file with every key.
+// everyKey is the text of a supervisor's file that sets every key.
 const everyKey = `[fleet]
 instances = 2
 at_once = 2
@@ -32,7 +32,8 @@
 first_port = 7000
 `
 
-// TestGoldenFleetFile: every key of a supervisor's file is read, and an invalid file is reported in one line that names the field.
+// TestGoldenFleetFile guards against operators' files that a new release no longer reads as before. It checks that every key of a
+// supervisor's file is read, and that the error for an invalid file names the file and the line.
 func TestGoldenFleetFile(t *testing.T) {
 	var lines golden.Lines
 	for _, text := range []string{
--- a/internal/supervisor/settings/settings.go
+++ b/internal/supervisor/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the supervisor's file, which says which processes shelfproxy fleet runs. docs/supervise.md lists its keys.
+// Package settings reads the supervisor's file, which describes the processes that "shelfproxy fleet" runs. docs/supervise.md lists
+// the keys of the file.
 package settings
 
 import (
@@ -12,17 +13,17 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// File is a supervisor's file. In the texts of Instance {i} stands for an instance's number, from 0, and {port} for first_port
-// plus that number.
+// File is the content of a supervisor's file. In the strings of Instance, {i} stands for an instance's number, counted from 0, and
+// {port} stands for first_port plus that number.
 type File struct {
 	Fleet    Fleet    `toml:"fleet"`
 	Instance Instance `toml:"instance"`
 }
 
-// Fleet says how processes are started, observed and replaced; supervisor.Config describes the fields in detail.
+// Fleet configures how processes are started, observed and replaced. supervisor.Config describes the fields in detail.
 type Fleet struct {
 	Instances         int               `toml:"instances"`
-	MaxConcurrent     int               `toml:"at_once"` // replaced at the same time
+	MaxConcurrent     int               `toml:"at_once"` // maximum number of instances replaced at the same time
 	ReadyTimeout      tomlfile.Duration `toml:"ready_within"`
 	ObservationPeriod tomlfile.Duration `toml:"watch"`
 	TerminateTimeout  tomlfile.Duration `toml:"end_within"`
@@ -35,16 +36,16 @@
 	LogFormat         string            `toml:"log"`     // auto, text or json
 }
 
-// Instance says how the processes of an instance are run.
+// Instance describes how the processes of each instance are run.
 type Instance struct {
-	Program   string   `toml:"program"` // empty: the supervisor's own
+	Program   string   `toml:"program"` // path of the program; empty: the supervisor's own program
 	Args      []string `toml:"args"`
-	Env       []string `toml:"env"`    // NAME=VALUE, added to the supervisor's own environment
-	Listen    string   `toml:"listen"` // host and port for clients
+	Env       []string `toml:"env"`    // NAME=VALUE each, added to the supervisor's own environment
+	Listen    string   `toml:"listen"` // host and port at which the instance serves clients
 	FirstPort int      `toml:"first_port"`
 }
 
-// defaults are the values of keys that a file does not have.
+// defaults returns a File with the default values, which apply to keys that a file does not have.
 func defaults() *File {
 	return &File{Fleet: Fleet{
 		Instances:         1,
@@ -61,7 +62,7 @@
 	}}
 }
 
-// Read reads and validates a supervisor's file. An error names the file, the line and the field.
+// Read reads and validates the supervisor's file at path. Errors name the file, the line and the field.
 func Read(path string) (*File, error) {
 	settings := defaults()
 	file, err := tomlfile.Read(path, settings)
@@ -80,7 +81,7 @@
 	return settings, nil
 }
 
-// validateListen checks that each instance has an address of its own.
+// validateListen checks that each instance's listening address is valid and differs from the others'.
 func (f *File) validateListen(file *tomlfile.File) error {
 	const field = "instance.listen"
 	isUsed := map[string]bool{}
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// validateEnv checks that each environment variable has a name.
+// validateEnv checks that each environment variable has the form NAME=VALUE with a name that is not empty.
 func (f *File) validateEnv(file *tomlfile.File) error {
 	for _, variable := range f.Instance.Env {
 		if name, _, hasValue := strings.Cut(variable, "="); !hasValue || name == "" {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// CoreConfig returns the configuration of the supervisor's core; seed is that of the backoff's jitter.
+// CoreConfig returns the configuration of the supervisor's core. seed is the seed of the backoff's jitter.
 func (f *File) CoreConfig(seed uint64) supervisor.Config {
 	fleet := f.Fleet
 	return supervisor.Config{
@@ -131,20 +132,20 @@
 // Args returns the command-line arguments of an instance's processes.
 func (f *File) Args(instance int) []string { return f.expandAll(f.Instance.Args, instance) }
 
-// Env returns the environment of an instance's processes: the supervisor's own and the file's.
+// Env returns the environment of an instance's processes: the supervisor's own environment and the variables of the file.
 func (f *File) Env(instance int) []string {
 	return append(os.Environ(), f.expandAll(f.Instance.Env, instance)...)
 }
 
-// Program returns the path of an instance's program, given that of the supervisor's own.
-func (f *File) Program(instance int, own string) string {
+// Program returns the path of an instance's program. ownPath is the path of the supervisor's own program, the default.
+func (f *File) Program(instance int, ownPath string) string {
 	if f.Instance.Program == "" {
-		return f.expand(own, instance)
+		return f.expand(ownPath, instance)
 	}
 	return f.expand(f.Instance.Program, instance)
 }
 
-// expand replaces {i} and {port} in a text.
+// expand replaces {i} and {port} in a string by their values for an instance.
 func (f *File) expand(text string, instance int) string {
 	port := f.Instance.FirstPort + instance
 	return strings.NewReplacer("{i}", strconv.Itoa(instance), "{port}", strconv.Itoa(port)).Replace(text)
