--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// createRolloutAgent creates this node's part in the agreement on which nodes may drain.
+// createRolloutAgent creates the agent that takes part in the agreement on which nodes may drain.
 func (d *Daemon) createRolloutAgent() (err error) {
 	settings := d.cfg.Operator.Rollout
 	if settings.NodesOut <= 0 {
@@ -38,7 +38,7 @@
 	}
 	log := logs.Component(d.rootLog, "rollout")
 	if d.fleet.socket == nil {
-		log.Warn("nodes may not exchange messages here: each drains when it is told to terminate", logs.Event, "rollout_off")
+		log.Warn("no socket to other nodes: each node drains when it is told to terminate", logs.Event, "rollout_off")
 		return nil
 	}
 	countEvent := registerEvents(d.counters, "rollout_", rollout.NumLogEventKinds)
@@ -46,7 +46,7 @@
 	d.fleet.rollout, err = rolloutagent.New(rolloutagent.Options{
 		Config:         core,
 		Send:           d.fleet.socket.SendTo,
-		DrainGranted:   func() { d.drainGranted <- struct{}{} }, // never waits: it is called once
+		DrainGranted:   func() { d.drainGranted <- struct{}{} }, // never blocks: it is called once, and the channel holds one value
 		ResponseCounts: d.responseCounts,
 		CountEvent:     countEvent,
 		Log:            log,
@@ -54,7 +54,7 @@
 	return err
 }
 
-// createLeaseAgent creates this node's part in the agreement on which node holds the leases.
+// createLeaseAgent creates the agent that takes part in the agreement on which node holds each lease.
 func (d *Daemon) createLeaseAgent() (err error) {
 	settings := d.cfg.Operator.Leases
 	if len(settings.Resources) == 0 {
@@ -62,7 +62,7 @@
 	}
 	log := logs.Component(d.rootLog, "duties")
 	if d.fleet.socket == nil {
-		log.Warn("nodes may not exchange messages here: each acts for itself", logs.Event, "duties_off")
+		log.Warn("no socket to other nodes: each node does all jobs for itself", logs.Event, "duties_off")
 		return nil
 	}
 	countEvent := registerEvents(d.counters, "duty_", lease.NumLogEventKinds)
@@ -80,12 +80,12 @@
 	return err
 }
 
-// roleOf returns the role that the lease of a resource gives.
+// roleOf returns the role of the node that holds the lease of a resource.
 func roleOf(resource string) policy.Role {
 	return policy.Role(slices.Index(policy.RoleNames[:], resource))
 }
 
-// responsibilityOf returns what the holder of a lease means for this node.
+// responsibilityOf returns who is responsible for a role from this node's view, given the holder of the role's lease.
 func responsibilityOf(holder int) policy.Responsibility {
 	switch holder {
 	case lease.NoNode:
@@ -97,7 +97,7 @@
 	}
 }
 
-// createMembershipAgent creates this node's part in detecting which nodes are alive.
+// createMembershipAgent creates the agent that detects, together with those of other nodes, which nodes are alive.
 func (d *Daemon) createMembershipAgent() (err error) {
 	settings := d.cfg.Operator.Membership
 	if !settings.Enabled {
@@ -105,7 +105,7 @@
 	}
 	log := logs.Component(d.rootLog, "members")
 	if d.fleet.socket == nil {
-		log.Warn("nodes may not exchange messages here: none detects which others are alive", logs.Event, "members_off")
+		log.Warn("no socket to other nodes: this node does not detect which other nodes are alive", logs.Event, "members_off")
 		return nil
 	}
 	countEvent := registerEvents(d.counters, "member_", membershipagent.EventKinds)
@@ -121,16 +121,16 @@
 	return err
 }
 
-// newIncarnation returns a number that is greater for each start of a node: the time in milliseconds.
+// newIncarnation returns the incarnation of a starting node: the Unix time in milliseconds, which is greater at each later start.
 func newIncarnation() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// eventKind is the kind of an agent's log event: a number with a name.
+// eventKind is a type for the kinds of an agent's log events: integers that have names.
 type eventKind interface {
 	~int
 	String() string
 }
 
-// registerEvents registers a counter for each kind of an agent's log events and returns the function that counts them.
+// registerEvents registers a counter for each kind of an agent's log events. It returns a function that counts an event of a kind.
 func registerEvents[Kind eventKind](registry *counters.Counters, prefix string, kinds Kind) func(Kind) {
 	counts := make([]*atomic.Int64, kinds)
 	for kind := range kinds {
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -24,8 +24,8 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// assemble creates the node's parts and opens its sockets. The order matters: the policy needs to know whether there is a socket to
-// the other nodes, the agents need the node, and clients can connect only once all the rest is there.
+// assemble creates the node's parts and opens its sockets. The order matters. The policy has to know whether there is a socket to
+// the other nodes. The agents need the node. Clients must not be able to connect before all other parts exist.
 func assemble(cfg *config.Config, operatorFile string, parent *handover.Parent, terminate <-chan os.Signal) (*Daemon, error) {
 	daemon := newDaemon(cfg, operatorFile, parent)
 	daemon.limitRuntime()
@@ -47,9 +47,9 @@
 	return daemon, nil
 }
 
-// newDaemon returns a daemon with its log and channels.
+// newDaemon returns a daemon that has its configuration, log and channels, but no parts of the node yet.
 func newDaemon(cfg *config.Config, operatorFile string, parent *handover.Parent) *Daemon {
-	level, _ := logs.Level(cfg.Operator.Log.Level) // was validated when the configuration was read
+	level, _ := logs.Level(cfg.Operator.Log.Level) // can't fail: the level was validated when the configuration was read
 	rootLog := logs.New(os.Stderr, logs.Options{Level: level, Format: cfg.Operator.Log.Format})
 	return &Daemon{
 		cfg:          cfg,
@@ -64,7 +64,7 @@
 	}
 }
 
-// limitRuntime keeps the Go runtime within the node's processor and memory.
+// limitRuntime limits the Go runtime to the node's share of processor cores and memory.
 func (d *Daemon) limitRuntime() {
 	if d.cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(d.cfg.Cores))))
@@ -72,7 +72,7 @@
 	debug.SetMemoryLimit(int64(megabytes(d.cfg.MemoryMB)) * collectorMemoryTenths / 10)
 }
 
-// newCounters returns counters for the configured classes.
+// newCounters returns counters for the configured classes, all kinds of responses and all outcomes.
 func newCounters(cfg *config.Config) *counters.Counters {
 	outcomes := make([]string, upstream.NumOutcomes())
 	for i := range outcomes {
@@ -97,8 +97,8 @@
 	return names
 }
 
-// openPeerSocket opens the socket to the other nodes if the deployment allows messages and names their addresses. Without it the
-// node serves all the same, on its own judgement; the only error is errTerminated.
+// openPeerSocket opens the socket to the other nodes if the deployment allows messages and names their addresses. Without the socket
+// the node still serves, but decides by its own observations alone. The only error that openPeerSocket returns is errTerminated.
 func (d *Daemon) openPeerSocket(terminate <-chan os.Signal) error {
 	if !d.cfg.MayGossip() {
 		return nil
@@ -108,15 +108,15 @@
 		return err
 	}
 	if err != nil {
-		logs.Component(d.rootLog, "peers").Error("no messages are exchanged with other nodes", logs.Event, "peers_unavailable",
-			"error", err.Error())
+		logs.Component(d.rootLog, "peers").Error("failed to open the socket to other nodes: no messages are exchanged with them",
+			logs.Event, "peers_unavailable", "error", err.Error())
 	}
 	d.fleet.socket = socket
 	return nil
 }
 
-// bindPeerSocket opens the socket to the other nodes at once, or, beside a predecessor that still uses the address, once that one
-// releases it.
+// bindPeerSocket opens the socket to the other nodes. If this process replaces a predecessor, which still uses the address, the
+// socket is opened later, when the predecessor releases the address.
 func (d *Daemon) bindPeerSocket(terminate <-chan os.Signal) (*peers.Socket, error) {
 	if d.parent.Listener != nil {
 		return peers.OpenLater(d.cfg.Peers)
@@ -142,7 +142,7 @@
 		Source:           discoverySource(d.cfg),
 		NewUpstream:      d.upstreamFactory(),
 		Gossip:           gossip,
-		Announce: func(role policy.Role) { // called while the node runs, when the agents have been created
+		Announce: func(role policy.Role) { // called only while the node runs, after the agents were created
 			if d.fleet.leases != nil {
 				d.fleet.leases.Announce(policy.RoleNames[role])
 			}
@@ -151,11 +151,11 @@
 		Log:      logs.Component(d.rootLog, "node"),
 	})
 	d.node = created
-	d.updateConfig(func(cfg *config.Config) { cfg.InitialList = discovery.List{} }) // the node has it
+	d.updateConfig(func(cfg *config.Config) { cfg.InitialList = discovery.List{} }) // only the node keeps the list
 	return err
 }
 
-// upstreamFactory returns a function that creates the connection pool of a cache server or the origin.
+// upstreamFactory returns a function that creates the connection pool to a cache server or to the origin.
 func (d *Daemon) upstreamFactory() func(discovery.Server, bool, func(*upstream.Attempt, upstream.Response)) node.Upstream {
 	memory := newResponseMemory(d.cfg)
 	toCacheServer, toOrigin := cacheServerLimits(d.cfg), originLimits(d.cfg)
@@ -170,7 +170,8 @@
 	}
 }
 
-// discoverySource is the discovery service, or the agent on this machine that endpoint lists are pushed to.
+// discoverySource returns a client for the configured source of endpoint lists: the discovery service itself, or an agent on this
+// machine, to which the lists are pushed.
 func discoverySource(cfg *config.Config) *discovery.Client {
 	client := &discovery.Client{Addr: cfg.Discovery}
 	if !cfg.Policy.MustPoll {
@@ -179,7 +180,7 @@
 	return client
 }
 
-// openListener opens the socket for clients. They are served once the listener's goroutine is started.
+// openListener opens the socket for clients. Clients are served only after the listener's goroutine was started.
 func (d *Daemon) openListener(terminate <-chan os.Signal) error {
 	socket, err := d.listen(terminate)
 	if err != nil {
--- a/internal/daemon/bind_test.go
+++ b/internal/daemon/bind_test.go
@@ -14,7 +14,7 @@
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// testDaemon returns a daemon that has a log and a configured address for clients, and nothing else.
+// testDaemon returns a daemon that has only a log, which is written to out, and a configured address for clients.
 func testDaemon(out *bytes.Buffer, listen string) *Daemon {
 	d := &Daemon{cfg: &config.Config{}, parent: &handover.Parent{}, log: logs.New(out, logs.Options{})}
 	d.cfg.Listen = listen
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -9,11 +9,12 @@
 	"shelfproxy/internal/logs"
 )
 
-// controlRetryInterval is how often a control socket that a predecessor serves is tried again.
+// controlRetryInterval is the time between two attempts to open a control socket that a predecessor still serves.
 const controlRetryInterval = 50 * time.Millisecond
 
-// serveControl serves operators' calls at a path until stop is closed. If a predecessor serves them it waits for its end. Without
-// the socket the node serves on, as operators have signals as well. It reads no state of the daemon that changes.
+// serveControl serves operators' calls at the control socket at path until stop is closed. If a predecessor still serves the socket,
+// it waits until that process ends. If the socket can't be opened, the node continues without it, because operators can use signals
+// as well. serveControl runs in its own goroutine and reads no field of Daemon that changes.
 func (d *Daemon) serveControl(path string, stop <-chan struct{}) {
 	server := control.New(path)
 	server.HandleQuery("explain", d.explain)
@@ -31,11 +32,11 @@
 		}
 	}
 	if err != nil {
-		d.log.Error("the control socket is not served", logs.Event, "control_failed", "error", err.Error())
+		d.log.Error("failed to serve the control socket", logs.Event, "control_failed", "error", err.Error())
 	}
 }
 
-// explain answers the call explain with where a key is routed at this moment, and why.
+// explain handles the call "explain": it returns where a key is routed at this moment, and why.
 func (d *Daemon) explain(query url.Values) (any, error) {
 	explanation, ok := d.node.Explain(query.Get("key"))
 	if !ok {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
-// Package daemon runs a node as a process: it creates the node's parts in order, handles the process's signals, reloads the
-// configuration, supervises memory and descriptors, serves the operators' control socket, takes part in the fleet's agreements and
+// Package daemon runs a node as a process. It creates the node's parts in order, handles signals, reloads the configuration and
+// supervises memory and descriptors. It also serves the control socket for operators, takes part in the fleet's agreements and
 // shuts the node down gracefully. docs/operating.md describes what operators see of it.
 //
-// The goroutine in Run owns the configuration in force and everything else in Daemon that changes after the start. The other
-// goroutines, which start names, reach their parts only.
+// The goroutine that calls Run owns the configuration in force and everything else in Daemon that changes after the start. The
+// other goroutines, most of which the method start creates, access only their own parts of the node.
 package daemon
 
 import (
@@ -22,14 +22,14 @@
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// Daemon is a node with the process around it.
+// Daemon is a node together with the process that it runs in.
 type Daemon struct {
-	cfg          *config.Config // in force; a reload replaces it and never changes the value
-	operatorFile string         // path of the operator's file, for reloads; empty: none was named
+	cfg          *config.Config // configuration in force; a reload replaces the pointer and never changes the Config itself
+	operatorFile string         // path of the operator's file, which a reload reads again; empty: there is none
 	rootLog      *slog.Logger
-	log          *slog.Logger // of the component "daemon"
+	log          *slog.Logger // log of the component "daemon"
 	counters     *counters.Counters
-	parent       *handover.Parent // the supervisor, if one started this process
+	parent       *handover.Parent // handover from the supervisor; empty if none started this process
 
 	node        *node.Node
 	listener    *listener.Listener
@@ -37,19 +37,20 @@
 	descriptors *descriptors
 	memory      memoryMonitor
 
-	drainGranted chan struct{}          // the fleet lets this node drain; sent to once
-	lastReport   rollout.ResponseCounts // to the supervisor
+	drainGranted chan struct{}          // receives one value, when the fleet allows this node to drain
+	lastReport   rollout.ResponseCounts // counts at the last report to the supervisor
 
-	stopNode     chan struct{}   // closed by stop
-	nodeEnded    chan struct{}   // closed by the node's goroutine
-	agents       sync.WaitGroup  // the goroutines of the fleet's agents
-	shutdownOver <-chan struct{} // closed once the shutdown may end; nil until it has begun
+	stopNode     chan struct{}   // closed by the method stop, to end the node
+	nodeEnded    chan struct{}   // closed by the node's goroutine when the node has ended
+	agents       sync.WaitGroup  // waits for the goroutines of the fleet's agents
+	shutdownOver <-chan struct{} // closed when the shutdown is complete; nil while none has begun
 }
 
-// Run runs a node until it was shut down. The configuration was loaded with operatorFile, which is read again at each reload. It
-// returns nil as well if the process is told to terminate before the node is up, as it has accepted nothing then.
+// Run runs a node until it has shut down. operatorFile is the path of the operator's file from which cfg was loaded; each reload
+// reads it again. Run also returns nil if the process is told to terminate before the node is up, because the node has accepted no
+// connections by then.
 func Run(cfg *config.Config, operatorFile string) error {
-	signals := registerSignals() // first of all: a signal that is not registered would end the process
+	signals := registerSignals() // registered first, because a signal that is not registered would end the process
 	parent, err := handover.Inherit()
 	if err != nil {
 		return err
@@ -69,22 +70,22 @@
 
 // start starts the goroutines of the node's parts and reports that the node is up.
 func (d *Daemon) start() {
-	go func() { // stop waits for it
+	go func() { // the method stop waits for this goroutine
 		defer close(d.nodeEnded)
 		d.node.Run(d.stopNode)
 	}()
-	go func() { // ends when the shutdown closes the listener
-		_ = d.listener.Serve() // the error that it was closed
+	go func() { // this goroutine ends when the shutdown closes the listener
+		_ = d.listener.Serve() // always returns the error that the listener was closed
 	}()
-	d.fleet.serve(&d.agents, d.nodeEnded)                          // stop waits for them
-	go d.serveControl(d.cfg.Operator.Rollout.Control, d.nodeEnded) // ends with the node
+	d.fleet.serve(&d.agents, d.nodeEnded)                          // the method stop waits for the agents
+	go d.serveControl(d.cfg.Operator.Rollout.Control, d.nodeEnded) // this goroutine ends when the node has ended
 	d.log.Info("the node is up", logs.Event, "started", "name", d.cfg.Name, "listen", d.cfg.Listen, "cores", d.cfg.Cores,
 		"memory_mb", d.cfg.MemoryMB, "sockets", d.cfg.Sockets)
-	_ = d.parent.ReportReady() // a supervisor that is gone is noticed at the next report
-	d.reportToSupervisor()     // from the first report on, a node that reports nothing hangs
+	_ = d.parent.ReportReady() // an error means that the supervisor has ended, which the next report notices
+	d.reportToSupervisor()     // after its first report, a node that sends no reports counts as hung
 }
 
-// handleEvents handles signals, the periodic supervision and the fleet's decisions until the node's shutdown is over.
+// handleEvents handles signals, the fleet's decisions and the periodic supervision of the node until its shutdown is complete.
 func (d *Daemon) handleEvents(signals signals) {
 	started := time.Now()
 	supervision := time.NewTicker(supervisionInterval)
@@ -97,26 +98,26 @@
 			d.rebalanceDescriptors(time.Since(started))
 			d.observeMemory(time.Since(started))
 			if !d.reportToSupervisor() {
-				d.beginShutdown("the supervisor, which would restart this node, is gone", "supervisor_gone")
+				d.beginShutdown("shutting down: the supervisor, which would restart this node, has ended", "supervisor_gone")
 			}
 		case <-signals.logCounters:
 			d.logCounters()
 		case <-d.drainGranted:
-			d.beginShutdown("the node drains by agreement of the fleet", "rollout_leaves")
+			d.beginShutdown("shutting down: the fleet allows this node to drain", "rollout_leaves")
 		case <-signals.replaced:
-			if d.parent.Listener != nil { // new connections are the successor's; open ones go on for the grace period
+			if d.parent.Listener != nil { // the successor accepts new connections; open ones are served for the grace period
 				d.listener.StopAccepting()
 			}
-			d.beginShutdown("a successor has replaced this process", "replaced")
+			d.beginShutdown("shutting down: a successor has replaced this process", "replaced")
 		case <-signals.terminate:
-			d.beginShutdown("the node shuts down", "stopping")
+			d.beginShutdown("shutting down: the process was told to terminate", "stopping")
 		case <-d.shutdownOver:
 			return
 		}
 	}
 }
 
-// logCounters writes all counters to the log, as one record.
+// logCounters writes the values of all counters to the log, as one record.
 func (d *Daemon) logCounters() {
 	attrs := []slog.Attr{slog.String(logs.Event, "counters")}
 	d.counters.Each(func(name string, count int64) { attrs = append(attrs, slog.Int64(name, count)) })
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -19,17 +19,17 @@
 	"shelfproxy/internal/logs"
 )
 
-// fleetAgents are this node's part in the fleet: its socket to the other nodes and the agents of the agreements that the operator
-// switched on. Each may be nil; without a socket there are no agents.
+// fleetAgents holds the node's socket to the other nodes and its agents for the agreements that the operator switched on. Each field
+// may be nil. Without a socket there are no agents.
 type fleetAgents struct {
 	socket     *peers.Socket
-	rollout    *rolloutagent.Agent    // who may drain; nil: a node drains when it is told to terminate
-	leases     *leaseagent.Agent      // which node does a job for all; nil: each node does it for itself
-	membership *membershipagent.Agent // which nodes are alive; nil: as many as are configured
+	rollout    *rolloutagent.Agent    // decides which nodes may drain; nil: this node drains when it is told to terminate
+	leases     *leaseagent.Agent      // decides which node does a job for all nodes; nil: each node does the job for itself
+	membership *membershipagent.Agent // detects which nodes are alive; nil: all configured nodes count as alive
 }
 
-// receiveDatagrams starts receiving from the other nodes, if there is a socket. The goroutine ends when the socket is closed, or
-// else with the process.
+// receiveDatagrams starts a goroutine that receives datagrams from the other nodes, if there is a socket. The goroutine ends when
+// the socket is closed; if it never is, it runs until the process ends.
 func (d *Daemon) receiveDatagrams() {
 	if d.fleet.socket == nil {
 		return
@@ -42,22 +42,22 @@
 	go receiveAll(d.fleet.socket, receive, d.counters, logs.Component(d.rootLog, "peers"))
 }
 
-// receiveAll receives datagrams until the socket is closed. Those of unknown senders are counted, and the first is logged.
+// receiveAll receives datagrams until the socket is closed. It counts the datagrams of unknown senders and logs the first of them.
 func receiveAll(socket *peers.Socket, receive func(from int, data []byte), registry *counters.Counters, log *slog.Logger) {
 	var firstForeign sync.Once
 	err := socket.Receive(receive, func(from netip.AddrPort) {
 		registry.GossipForeign.Add(1)
 		firstForeign.Do(func() {
-			log.Warn("a datagram came from an address that is no node's", logs.Event, "peer_foreign", "from", from.String())
+			log.Warn("received a datagram from an address that belongs to no node", logs.Event, "peer_foreign", "from", from.String())
 		})
 	})
 	if errors.Is(err, net.ErrClosed) {
-		return // by this node, which shuts down
+		return // this node has closed the socket, because it shuts down
 	}
 	log.Error("receiving from other nodes failed", logs.Event, "peers_ended", "error", err.Error())
 }
 
-// receive passes a datagram to the agent that its first byte names, and returns false if there is none.
+// receive passes a datagram to the agent that the datagram's first byte stands for. It returns false if there is no such agent.
 func (f *fleetAgents) receive(from int, data []byte) bool {
 	if len(data) == 0 {
 		return false
@@ -75,7 +75,7 @@
 	return true
 }
 
-// serve starts the agents' goroutines, which end when stop is closed, and tells the fleet that this node serves.
+// serve starts the agents' goroutines and tells the fleet that this node serves. The goroutines end when stop is closed.
 func (f *fleetAgents) serve(running *sync.WaitGroup, stop <-chan struct{}) {
 	if f.rollout != nil {
 		running.Go(func() { f.rollout.Serve(stop) })
@@ -89,7 +89,7 @@
 	}
 }
 
-// registerCalls registers the agents' calls at the control socket.
+// registerCalls registers the agents' calls with the server of the control socket.
 func (f *fleetAgents) registerCalls(server *control.Server) {
 	if f.rollout != nil {
 		f.rollout.RegisterCalls(server)
@@ -102,7 +102,7 @@
 	}
 }
 
-// announceShutdown tells the other nodes that this one shuts down, and releases its leases.
+// announceShutdown tells the other nodes that this node shuts down, and releases its leases.
 func (f *fleetAgents) announceShutdown() {
 	if f.rollout != nil {
 		f.rollout.Post(rollout.ShutdownStarted{})
@@ -115,23 +115,23 @@
 	}
 }
 
-// releaseSocket closes the socket once the agents have sent what was posted to them before. It does not wait: the goroutine ends
-// after one more turn of each agent's loop, or when the loops do.
+// releaseSocket closes the socket once the agents have handled the events that were posted to them before, and have sent the
+// resulting messages. It does not wait: its goroutine ends after one call to each agent's loop, or when the loops have ended.
 func (f *fleetAgents) releaseSocket() {
 	if f.socket == nil {
 		return
 	}
 	go func() {
-		sent := func() {} // the loops are first in, first out
+		flush := func() {} // a loop calls this after all events that were posted before
 		if f.rollout != nil {
-			_ = f.rollout.Call(sent) // a loop that is busy or has ended loses messages, as the network may
+			_ = f.rollout.Call(flush) // fails if the loop is busy or has ended; lost messages are tolerated, as on the network
 		}
 		if f.leases != nil {
-			_ = f.leases.Call(sent)
+			_ = f.leases.Call(flush)
 		}
 		if f.membership != nil {
-			_ = f.membership.Call(sent)
+			_ = f.membership.Call(flush)
 		}
-		_ = f.socket.Close() // the successor takes the address, or logs why it can't
+		_ = f.socket.Close() // an error is ignored: the successor logs why it can't take the address
 	}()
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,13 +10,14 @@
 	"shelfproxy/internal/logs"
 )
 
-// reload reads the configuration again and applies what may change while the node runs: the rollout budget, the list of peers and
-// the address of discovery. Other changes are logged and wait for the next start. An invalid configuration changes nothing.
+// reload reads the configuration again and applies the settings that may change while the node runs: the rollout budget, the list of
+// peers and the address of discovery. Changes of other settings are logged and take effect at the next start. An invalid
+// configuration changes nothing.
 func (d *Daemon) reload() {
 	loaded, err := config.Load(os.Getenv, d.operatorFile)
 	if err != nil {
 		d.counters.ReloadsFailed.Add(1)
-		d.log.Error("reload: the configuration in force stays", logs.Event, "reload_refused", "error", err.Error())
+		d.log.Error("reload failed: the configuration in force stays unchanged", logs.Event, "reload_refused", "error", err.Error())
 		return
 	}
 	d.counters.Reloads.Add(1)
@@ -28,7 +29,7 @@
 	d.reloadDiscovery(loaded)
 }
 
-// updateConfig puts a changed copy of the configuration in force.
+// updateConfig replaces the configuration in force by a copy that change has modified.
 func (d *Daemon) updateConfig(change func(cfg *config.Config)) {
 	updated, operator := *d.cfg, *d.cfg.Operator
 	updated.Operator = &operator
@@ -36,7 +37,7 @@
 	d.cfg = &updated
 }
 
-// reloadRolloutBudget applies another budget of nodes that may be out of service.
+// reloadRolloutBudget applies a changed rollout budget, the number of nodes that may be out of service at the same time.
 func (d *Daemon) reloadRolloutBudget(loaded *config.Config) {
 	budget := loaded.Operator.Rollout
 	if d.fleet.rollout == nil || budget == d.cfg.Operator.Rollout {
@@ -47,7 +48,7 @@
 	d.updateConfig(func(cfg *config.Config) { cfg.Operator.Rollout = budget })
 }
 
-// reloadPeers applies another list of peers if that is safe.
+// reloadPeers applies a changed list of peers, if the change is safe while the fleet's agreements run.
 func (d *Daemon) reloadPeers(loaded *config.Config) {
 	changed := d.cfg.Peers.CountChanges(loaded.Peers)
 	isSame := changed == 0 && d.cfg.Operator.Leases.PeerListName == loaded.Operator.Leases.PeerListName
@@ -61,7 +62,7 @@
 		}
 	}
 	if reason != "" {
-		d.log.Warn("reload: the list of peers in force stays", logs.Event, "reload_waits", "field", "peers", "reason", reason)
+		d.log.Warn("reload: the list of peers in force stays unchanged", logs.Event, "reload_waits", "field", "peers", "reason", reason)
 		return
 	}
 	d.log.Info("reload: the list of peers changes", logs.Event, "peers_moved", "nodes", len(loaded.Peers.Peers), "changed", changed)
@@ -79,8 +80,9 @@
 	})
 }
 
-// peersConflict returns the reason why another list of peers is not safe with the agreements that run, or "". Leases are handed over
-// between majorities of the list before and of the list after, which overlap only if these differ by one node.
+// peersConflict returns the reason why a changed list of peers is not safe while the fleet's agreements run, or "" if it is safe.
+// Leases are handed over from a majority of the old list to a majority of the new list. The two majorities overlap only if the
+// lists differ by one node.
 func (d *Daemon) peersConflict(loaded *config.Config, changed int) (reason string) {
 	switch {
 	case d.fleet.rollout != nil:
@@ -93,12 +95,12 @@
 	return ""
 }
 
-// reloadDiscovery follows discovery at another address.
+// reloadDiscovery has the node watch discovery at its new address, if the address has changed.
 func (d *Daemon) reloadDiscovery(loaded *config.Config) {
 	if d.cfg.Discovery == loaded.Discovery {
 		return
 	}
-	d.log.Info("reload: discovery moves", logs.Event, "discovery_moved", "from", d.cfg.Discovery, "to", loaded.Discovery)
+	d.log.Info("reload: discovery's address changes", logs.Event, "discovery_moved", "from", d.cfg.Discovery, "to", loaded.Discovery)
 	d.node.FollowDiscovery(discoverySource(loaded))
 	d.updateConfig(func(cfg *config.Config) { cfg.Discovery = loaded.Discovery })
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -46,7 +46,7 @@
 	before := d.cfg
 	d.reload()
 	if d.cfg != before {
-		t.Errorf("the configuration in force is %+v, want that of before", d.cfg)
+		t.Errorf("the configuration in force is %+v, want the previous one", d.cfg)
 	}
 	if failed, done := d.counters.ReloadsFailed.Load(), d.counters.Reloads.Load(); failed != 1 || done != 0 {
 		t.Errorf("%d reloads failed and %d were done, want 1 and 0", failed, done)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestUpdateConfigLeavesTheConfigurationBeforeAsItWas(t *testing.T) {
+func TestUpdateConfigDoesNotModifyThePreviousConfiguration(t *testing.T) {
 	before := &config.Config{Operator: &config.Operator{}}
 	d := &Daemon{cfg: before}
 	d.updateConfig(func(cfg *config.Config) {
@@ -64,7 +64,7 @@
 		cfg.Operator.Rollout.NodesOut = 2
 	})
 	if before.Discovery != "" || before.Operator.Rollout.NodesOut != 0 {
-		t.Errorf("the configuration before became %+v, %+v", before, before.Operator.Rollout)
+		t.Errorf("the previous configuration was modified to %+v, %+v", before, before.Operator.Rollout)
 	}
 	if d.cfg.Discovery != "127.0.0.1:9" || d.cfg.Operator.Rollout.NodesOut != 2 {
 		t.Errorf("in force are discovery %q and %d nodes out, want 127.0.0.1:9 and 2", d.cfg.Discovery, d.cfg.Operator.Rollout.NodesOut)
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -10,10 +10,10 @@
 	"shelfproxy/internal/upstream"
 )
 
-// supervisionInterval is how often memory and descriptors are checked and the supervisor gets a report.
+// supervisionInterval is the time between two checks of memory and descriptors, and between two reports to the supervisor.
 const supervisionInterval = 250 * time.Millisecond
 
-// descriptors divides the process's descriptors among clients, cache servers and the origin.
+// descriptors divides the process's file descriptors among clients, cache servers and the origin.
 type descriptors struct {
 	split        *admission.DescriptorSplit // owned by the daemon's goroutine
 	cacheServers *upstream.DescriptorBudget
@@ -29,7 +29,8 @@
 	}
 }
 
-// rebalanceDescriptors moves descriptors to the side that needs them; now counts from the start.
+// rebalanceDescriptors moves descriptors to the side that needs them: clients, cache servers or the origin. The argument now is the
+// time since the start.
 func (d *Daemon) rebalanceDescriptors(now time.Duration) {
 	var usage [admission.NumSides]admission.SideUsage
 	usage[admission.Clients].InUse, usage[admission.Clients].Exhausted = d.listener.Usage()
@@ -47,17 +48,18 @@
 		"targets", limits[admission.CacheServers], "origin", limits[admission.Origin])
 }
 
-// memoryMonitor follows how near the process is to its memory limit.
+// memoryMonitor observes how close the process is to its memory limit.
 type memoryMonitor struct {
 	pressure  admission.MemoryPressure
-	lastLevel float64 // as the node was told
+	lastLevel float64 // the level that the node was last told
 }
 
 func newMemoryMonitor(cfg *config.Config) memoryMonitor {
 	return memoryMonitor{pressure: admission.MemoryPressure{Limit: int64(megabytes(cfg.MemoryMB))}}
 }
 
-// observeMemory tells the node when the memory pressure changes; now counts from the start.
+// observeMemory measures the memory in use and tells the node if the memory pressure has changed. The argument now is the time since
+// the start.
 func (d *Daemon) observeMemory(now time.Duration) {
 	level := d.memory.pressure.Observe(now, memoryInUse())
 	if level == d.memory.lastLevel {
@@ -71,7 +73,7 @@
 	d.node.SetMemoryPressure(level)
 }
 
-// memoryInUse returns the bytes that the runtime holds and has not given back to the system.
+// memoryInUse returns the number of bytes that the Go runtime has obtained from the operating system and not released.
 func memoryInUse() int64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -6,30 +6,32 @@
 	"shelfproxy/internal/logs"
 )
 
-// flushTimeout bounds how long after the deadline of all answers clients may take to receive them.
+// flushTimeout bounds how long clients may take to receive their answers after the deadline by which the node gives all answers.
 const flushTimeout = 200 * time.Millisecond
 
-// beginShutdown begins the graceful shutdown, unless it has begun before: the fleet is told, leases are released, and after the
-// grace period the node drains. Until it is over the event loop goes on. The message and the event name the cause in the log.
+// beginShutdown begins the graceful shutdown, unless it has begun before. It tells the fleet and releases the leases. After the
+// grace period the node drains. The event loop continues until the shutdown is complete. The message and the event name the cause
+// in the log.
 func (d *Daemon) beginShutdown(message, event string) {
 	if d.shutdownOver != nil {
 		return
 	}
 	d.log.Info(message, logs.Event, event)
 	d.fleet.announceShutdown()
-	if d.parent.Listener != nil { // a successor waits for the address
+	if d.parent.Listener != nil { // a successor may wait for the address of the socket
 		d.fleet.releaseSocket()
 	}
 	d.shutdownOver = d.drain()
 }
 
-// drain lets the node serve on for the grace period, in which clients that have not heard of the shutdown still come, then closes
-// the listener and answers what was accepted. The channel is closed when all is answered, or when the time for it is over.
+// drain lets the node serve for the grace period, during which clients that do not know of the shutdown yet still connect. Then it
+// closes the listener and answers the requests that were accepted. The channel that it returns is closed when all requests are
+// answered or the time for that is over.
 func (d *Daemon) drain() <-chan struct{} {
 	grace, total := d.cfg.ShutdownTimes()
 	deadline := time.Now().Add(total)
 	over := make(chan struct{})
-	go func() { // the event loop waits for its end
+	go func() { // the event loop waits for this goroutine
 		defer close(over)
 		time.Sleep(grace)
 		d.listener.Close()
@@ -41,8 +43,8 @@
 	return over
 }
 
-// answerAll answers what the node has accepted by a deadline. The channel is closed once the last client has its answers. A client
-// that does not read may keep it open, until the process ends.
+// answerAll answers the requests that the node has accepted, by a deadline. The channel that it returns is closed once all clients
+// have received their answers. A client that does not read may keep the channel open until the process ends.
 func (d *Daemon) answerAll(deadline time.Time) <-chan struct{} {
 	answered := make(chan struct{})
 	go func() {
@@ -53,7 +55,7 @@
 	return answered
 }
 
-// stop ends the node and its agents after the shutdown and logs the last counters.
+// stop ends the node and its agents after the shutdown and logs the final values of the counters.
 func (d *Daemon) stop() {
 	close(d.stopNode)
 	<-d.nodeEnded
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -8,12 +8,12 @@
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// signals are the signals that a node handles, each on a channel of its own.
+// signals holds a channel for each kind of signal that a node handles.
 type signals struct {
 	reload      <-chan os.Signal
 	terminate   <-chan os.Signal
 	logCounters <-chan os.Signal
-	replaced    <-chan os.Signal // by a successor that serves at the same socket
+	replaced    <-chan os.Signal // sent because a successor now serves the same socket
 }
 
 func registerSignals() signals {
@@ -25,7 +25,8 @@
 	}
 }
 
-// notify registers signals. One that arrives while another of its channel waits is merged with it.
+// notify returns a channel that receives the given signals. A signal that arrives while another one is pending on the channel is
+// dropped, as the pending one has the same effect.
 func notify(sigs ...os.Signal) <-chan os.Signal {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, sigs...)
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -9,51 +9,54 @@
 	"shelfproxy/internal/upstream"
 )
 
-// Divisors of the node's memory: each use below may take one part in so many.
+// Divisors of the node's memory. Each use below may take the node's memory divided by its divisor.
 const (
-	requestMemoryDivisor  = 4  // requests that are not answered
-	unsentMemoryDivisor   = 6  // responses on their way to clients
-	responseMemoryDivisor = 8  // long responses on their way in from servers
-	maxResponseDivisor    = 32 // one response, so that a length of 3 GB from a faulty server is not believed
+	requestMemoryDivisor  = 4  // requests that are not answered yet
+	unsentMemoryDivisor   = 6  // responses that are being sent to clients
+	responseMemoryDivisor = 8  // long responses that are being received from servers
+	maxResponseDivisor    = 32 // one response; longer ones are refused, such as a length of 3 GB from a faulty server
 )
 
-// Values are 64 KiB at most by the protocol's page, and 400 KB on days that were played.
+// Limits of values. The protocol's page bounds values to 64 KiB, but values of 400 KB occurred in test runs.
 const (
-	maxValueBytes    = 64 << 10 // of a client's write
-	minResponseBytes = 64 << 10 // that a node of any size accepts from a server
+	maxValueBytes    = 64 << 10 // maximum length of the value that a client writes
+	minResponseBytes = 64 << 10 // length of a server's response that even the smallest node accepts
 )
 
-// Clients may pipeline one command on each connection for every memoryMBPerPipelined of memory, within the operator's bound: each
-// may hold 64 KiB of a value or an answer, and there are dozens of connections.
+// A client may pipeline one command on each connection for every memoryMBPerPipelined MB of the node's memory, at least minPipelined
+// commands and at most the operator's bound. Each command may hold 64 KiB of a value or an answer, and there are dozens of
+// connections.
 const (
 	memoryMBPerPipelined = 2
 	minPipelined         = 8
 )
 
-// The garbage collector keeps the process below these tenths of the memory limit, at which the process is killed.
+// collectorMemoryTenths is the limit below which the garbage collector keeps the process, in tenths of the node's memory. The
+// process is killed when it uses all of the node's memory.
 const collectorMemoryTenths = 6
 
-// Idle upstream connections are closed after these tenths of the time after which servers close them.
-const idleTenths = 8
+// idleTimeoutTenths is the time after which the node closes idle upstream connections, in tenths of the time after which the servers
+// close them.
+const idleTimeoutTenths = 8
 
-// maxPipelineAge is the age up to which an attempt may be followed by another on its connection: past it the server is slow, and
-// the attempt behind it would be, too. A hit takes 30 to 100 ms on the machines that the deployment names, and the shortest
-// latency objective is 520 ms.
+// maxPipelineAge is the age of an attempt up to which another one may be pipelined behind it on its connection. If the attempt in
+// front is older, the server is slow, and the one behind it would be slow too. A hit takes 30 to 100 ms on the machines that the
+// deployment names, and the shortest latency objective is 520 ms.
 const maxPipelineAge = 100 * time.Millisecond
 
-// Bounds of the descriptor split.
+// Parameters of the split of descriptors among the sides: clients, cache servers and the origin.
 const (
-	reservedDescriptors    = 32 // for discovery, the log and the runtime
-	descriptorStepDivisor  = 48 // one part in so many is moved at a time
-	descriptorFloorFifths  = 2  // of what a side has at the start, which it always keeps
-	descriptorHoldTime     = 2 * time.Second
-	descriptorPeakFadeTime = 5 * time.Second
+	reservedDescriptors    = 32              // descriptors kept for discovery, the log and the runtime
+	descriptorStepDivisor  = 48              // all descriptors divided by this are moved at a time
+	descriptorFloorFifths  = 2               // fifths of its descriptors at the start that a side always keeps
+	descriptorHoldTime     = 2 * time.Second // for this long a side that gained descriptors gives none away
+	descriptorPeakFadeTime = 5 * time.Second // after this time a peak of use counts 1/e
 )
 
 // megabytes converts a memory size of the configuration to bytes.
 func megabytes(mb int) int { return mb << 20 }
 
-// descriptorSplitPolicy divides the descriptors by the operator's fractions at the start.
+// descriptorSplitPolicy returns the policy for splitting descriptors. At the start they are split by the operator's fractions.
 func descriptorSplitPolicy(cfg *config.Config) admission.DescriptorSplitPolicy {
 	available := float64(cfg.Sockets - reservedDescriptors)
 	policy := admission.DescriptorSplitPolicy{
@@ -72,11 +75,11 @@
 	return policy
 }
 
-// cacheServerLimits bound the connections to one cache server.
+// cacheServerLimits returns the limits of the connections to one cache server.
 func cacheServerLimits(cfg *config.Config) upstream.Limits {
 	limits := upstream.Limits{
 		ConnectTimeout: cfg.Node.ConnectTimeout,
-		IdleTimeout:    cfg.Node.ConnectionIdle * idleTenths / 10,
+		IdleTimeout:    cfg.Node.ConnectionIdle * idleTimeoutTenths / 10,
 		MaxStreams:     cfg.Node.MaxStreams,
 		MaxConnections: cfg.Operator.Pools.MaxConnections,
 		MaxQueued:      cfg.Operator.Pools.MaxQueued,
@@ -87,21 +90,21 @@
 	return limits
 }
 
-// originLimits bound the connections to the origin, which takes one request at a time on each; their number is bounded by the
-// origin's descriptor budget.
+// originLimits returns the limits of the connections to the origin, which takes one request at a time on each connection. The
+// origin's descriptor budget bounds the number of connections.
 func originLimits(cfg *config.Config) upstream.Limits {
 	limits := cacheServerLimits(cfg)
 	limits.MaxStreams, limits.MaxConnections = 1, cfg.Sockets
 	return limits
 }
 
-// newResponseMemory returns the budget for long responses of servers.
+// newResponseMemory returns the memory budget for long responses of servers.
 func newResponseMemory(cfg *config.Config) *upstream.ResponseMemory {
 	memory := megabytes(cfg.MemoryMB)
 	return upstream.NewResponseMemory(memory/responseMemoryDivisor, max(minResponseBytes, memory/maxResponseDivisor))
 }
 
-// listenerLimits bound the connections of clients, of which there may be maxConnections at the start.
+// listenerLimits returns the limits of the connections of clients. maxConnections is the maximum number of connections at the start.
 func listenerLimits(cfg *config.Config, maxConnections int) listener.Limits {
 	operator := cfg.Operator.Listener
 	return listener.Limits{
--- a/internal/daemon/sizing_test.go
+++ b/internal/daemon/sizing_test.go
@@ -8,7 +8,8 @@
 	"shelfproxy/internal/config"
 )
 
-// sizedConfig returns a configuration with 1024 descriptors and the operator's defaults for what sizes depend on.
+// sizedConfig returns a configuration with the given memory, 1024 descriptors and the defaults of the operator's settings that
+// limits depend on.
 func sizedConfig(memoryMB int) *config.Config {
 	cfg := &config.Config{MemoryMB: memoryMB, Sockets: 1024, Operator: &config.Operator{}}
 	cfg.Node.ConnectionIdle = 10 * time.Second
--- a/internal/daemon/supervised.go
+++ b/internal/daemon/supervised.go
@@ -5,14 +5,14 @@
 	"shelfproxy/internal/request"
 )
 
-// responseCounts returns the responses that the node has given since its start.
+// responseCounts returns how many responses the node has given since its start, and how many of them failed or came late.
 func (d *Daemon) responseCounts() rollout.ResponseCounts {
 	responses, failed := d.counters.Total(int(request.Failed))
 	return rollout.ResponseCounts{Responses: responses, Failed: failed, Slow: int(d.counters.ServedLate.Load())}
 }
 
-// reportToSupervisor reports the responses since the last report. It returns false if a supervisor started this process and is
-// gone.
+// reportToSupervisor reports the responses since the last report to the supervisor. It returns false if the supervisor that started
+// this process has ended. Without a supervisor it does nothing and returns true.
 func (d *Daemon) reportToSupervisor() bool {
 	if !d.parent.IsSupervised() {
 		return true
