--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // no error can lose data: it is only read
+	defer func() { _ = response.Body.Close() }() // an error is ignored: the body was only read
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
 		return "", errors.New(strings.TrimSpace(string(answer)))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -34,8 +34,8 @@
 // Server serves the registered calls on a control socket.
 type Server struct {
 	path     string
-	queries  map[string]Handler // by URL path
-	commands map[string]Handler // by URL path
+	queries  map[string]Handler // handlers of read-only calls, by URL path
+	commands map[string]Handler // handlers of calls that change something, by URL path
 }
 
 // New returns a server for a socket at path. If path is empty, Serve does nothing.
@@ -62,7 +62,7 @@
 	server := &http.Server{ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes, Handler: s}
 	go func() { // this goroutine ends when stop is closed; Serve returns after that
 		<-stop
-		_ = server.Close() // an error changes nothing: the socket is closed in any case
+		_ = server.Close() // an error is ignored: the socket is closed in any case
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -75,7 +75,7 @@
 	// Dial and Listen on a Unix socket return at once, so they need no context that can be cancelled.
 	conn, err := new(net.Dialer).DialContext(context.Background(), "unix", s.path)
 	if err == nil {
-		_ = conn.Close() // no error can lose data: nothing was written
+		_ = conn.Close() // an error is ignored: nothing was written
 		return nil, fmt.Errorf("%s: %w", s.path, ErrInUse)
 	}
 	_ = os.Remove(s.path) // a dead process left the file; if it can't be removed, Listen returns the reason
@@ -97,7 +97,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(answer) // fails only if the caller has closed the connection
+		_ = json.NewEncoder(w).Encode(answer) // an error is ignored: the caller has closed the connection
 	}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,7 +32,7 @@
 	return stop
 }
 
-// awaitAnswer makes the call status until it is answered, and fails the test after answerTimeout.
+// awaitAnswer repeats the call "status" until it is answered, and fails the test after answerTimeout.
 func awaitAnswer(t *testing.T, path string) {
 	t.Helper()
 	retry, deadline := time.NewTicker(time.Millisecond), time.After(answerTimeout)
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -151,7 +151,7 @@
 		Log:      logs.Component(d.rootLog, "node"),
 	})
 	d.node = created
-	d.updateConfig(func(cfg *config.Config) { cfg.InitialList = discovery.List{} }) // only the node keeps the list
+	d.updateConfig(func(cfg *config.Config) { cfg.InitialList = discovery.List{} }) // the list now belongs to the node
 	return err
 }
 
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -15,7 +15,7 @@
 
 // descriptors divides the process's file descriptors among clients, cache servers and the origin.
 type descriptors struct {
-	split        *admission.DescriptorSplit // owned by the daemon's goroutine
+	split        *admission.DescriptorSplit // used only by the goroutine that calls Run
 	cacheServers *upstream.DescriptorBudget
 	origin       *upstream.DescriptorBudget
 }
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -48,9 +48,9 @@
 const (
 	reservedDescriptors    = 32              // descriptors kept for discovery, the log and the runtime
 	descriptorStepDivisor  = 48              // all descriptors divided by this are moved at a time
-	descriptorFloorFifths  = 2               // fifths of its descriptors at the start that a side always keeps
-	descriptorHoldTime     = 2 * time.Second // for this long a side that gained descriptors gives none away
-	descriptorPeakFadeTime = 5 * time.Second // after this time a peak of use counts 1/e
+	descriptorFloorFifths  = 2               // a side always keeps this many fifths of its descriptors at the start
+	descriptorHoldTime     = 2 * time.Second // a side that gained descriptors gives none away for this long
+	descriptorPeakFadeTime = 5 * time.Second // a past peak of use counts 1/e after this time
 )
 
 // megabytes converts a memory size of the configuration to bytes.
--- a/internal/supervisor/agent/agent.go
+++ b/internal/supervisor/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent runs the processes of a supervisor: it carries out the effects of the core in internal/supervisor, and reports
-// the processes' notifications and exits to the core. All decisions are the core's.
+// the processes' notifications and exits to the core. It decides nothing itself.
 package agent
 
 import (
@@ -30,7 +30,7 @@
 	opt     Options
 	core    *supervisor.Core
 	sockets []*os.File          // listening sockets, by instance; they outlive all processes
-	running map[int]*os.Process // by the number that the core gave the process
+	running map[int]*os.Process // running processes, by the number that the core gave each
 	stopped chan struct{}       // closed by the event loop once all processes have ended after StopRequested
 }
 
--- a/internal/supervisor/agent/process.go
+++ b/internal/supervisor/agent/process.go
@@ -31,7 +31,7 @@
 		child.Discard()
 	}
 	a.opt.Log.Error("failed to start a process", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
-	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the loop must not wait for its own queue; ends once the event is queued
+	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the event loop must not wait for its own queue; ends once queued
 }
 
 // command returns the command that starts a process of an instance, and what the process inherits.
@@ -50,7 +50,7 @@
 
 // watch reports the notifications and the end of a process to the core.
 func (a *Agent) watch(e supervisor.Start, cmd *exec.Cmd, child *handover.Child) {
-	pipeClosed := make(chan struct{}) // closed by readNotifications
+	pipeClosed := make(chan struct{}) // closed when readNotifications returns
 	go a.readNotifications(e, child, pipeClosed)
 	err := cmd.Wait()
 	select {
--- a/internal/supervisor/agent/run.go
+++ b/internal/supervisor/agent/run.go
@@ -55,16 +55,16 @@
 	return os.Executable()
 }
 
-// notify returns a channel that receives the given signals. A signal that arrives while
-// another one is pending on the channel is dropped, as the pending one has the same effect.
+// notify returns a channel that receives the given signals. A signal that arrives while another one is pending on the channel is
+// dropped, as the pending one has the same effect.
 func notify(signals ...os.Signal) <-chan os.Signal {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, signals...)
 	return received
 }
 
-// serveControl serves operators' calls until stop is closed. If the control socket can't be served, the processes run on without
-// it.
+// serveControl serves operators' calls until stop is closed. If that fails, the processes run on without the control
+// socket.
 func (a *Agent) serveControl(path string, stop <-chan struct{}) {
 	server := control.New(path)
 	a.RegisterCalls(server)
--- a/internal/supervisor/core.go
+++ b/internal/supervisor/core.go
@@ -15,7 +15,7 @@
 // Time is a time on the supervisor's clock, counted from its start.
 type Time = time.Duration
 
-// minPause is how far apart two steps must be for the supervisor to have been paused. Ticks come twenty times a second.
+// minPause is the shortest time between two steps that counts as a pause of the supervisor. Ticks come twenty times a second.
 const minPause = time.Second
 
 // Core decides when the processes of all instances are started, replaced and killed. It is not safe for concurrent use.
@@ -32,8 +32,8 @@
 	effects       []Effect // effects of the current step
 }
 
-// New returns a core, or an error if cfg is invalid. The core starts a process of each instance when it handles its
-// first event.
+// New returns a core, or an error if cfg is invalid. The core starts a process of each instance when it handles its first
+// event.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
--- a/internal/supervisor/handover/child.go
+++ b/internal/supervisor/handover/child.go
@@ -41,10 +41,10 @@
 }
 
 // CloseInherited closes the supervisor's copy of the pipe's write end. The pipe then ends when the child process does.
-func (c *Child) CloseInherited() { _ = c.Files[1].Close() } // no error can lose data: the supervisor wrote nothing to it
+func (c *Child) CloseInherited() { _ = c.Files[1].Close() } // an error is ignored: the supervisor wrote nothing to it
 
 // Discard closes the supervisor's end of the pipe.
-func (c *Child) Discard() { _ = c.read.Close() } // no error can lose data: it is only read
+func (c *Child) Discard() { _ = c.read.Close() } // an error is ignored: this end is only read
 
 // ReadNotifications calls ready or served for each notification until the process ends. It returns ErrMalformedNotification if the
 // process writes anything else. It closes the supervisor's end of the pipe.
--- a/internal/supervisor/handover/parent.go
+++ b/internal/supervisor/handover/parent.go
@@ -15,7 +15,7 @@
 
 // Parent is a process's view of the supervisor that started it. It is not safe for concurrent use.
 type Parent struct {
-	Listener net.Listener // inherited; nil if there is none
+	Listener net.Listener // inherited listening socket; nil if there is none
 	notify   *os.File     // write end of the pipe; nil without a supervisor that reads notifications
 }
 
@@ -72,11 +72,11 @@
 // IsSupervised reports whether a supervisor reads this process's notifications.
 func (p *Parent) IsSupervised() bool { return p.notify != nil }
 
-// ReportReady notifies the supervisor that this process serves. An error means that the supervisor is gone.
+// ReportReady notifies the supervisor that this process serves. An error means that the supervisor has ended.
 func (p *Parent) ReportReady() error { return p.send(readyNotification) }
 
 // ReportResponses notifies the supervisor of the responses that this process gave since its last report, and how many of them
-// were failures. An error means that the supervisor is gone.
+// failed. An error means that the supervisor has ended.
 func (p *Parent) ReportResponses(responses, failed int) error {
 	return p.send(servedNotification + " " + strconv.Itoa(responses) + " " + strconv.Itoa(failed))
 }
--- a/internal/supervisor/health.go
+++ b/internal/supervisor/health.go
@@ -29,7 +29,7 @@
 }
 
 // baselineFailureRate returns the lower median of the failure rates of all instances but one. It leaves out instances that are
-// being observed or have too few samples. Without any other instance it returns 0.
+// being observed or have too few samples. If no instance is left, it returns 0.
 func (c *Core) baselineFailureRate(except int) float64 {
 	var rates []float64
 	for i := range c.instances {
--- a/internal/supervisor/instance.go
+++ b/internal/supervisor/instance.go
@@ -20,8 +20,7 @@
 	isHung           bool
 }
 
-// excludePause extends the process's timeouts by the length of a pause of the supervisor, by moving the times that they count
-// from.
+// excludePause moves the times from which the process's timeouts count, so that a pause of the supervisor does not count.
 func (p *process) excludePause(length time.Duration) {
 	p.startedAt += length
 	p.readyAt += length
@@ -43,7 +42,7 @@
 	startAfter       Time       // end of the backoff: no process is started before this
 	replaceRequested bool
 	isObserved       bool // the current process replaced another one and is within its observation period
-	isBeingReplaced  bool // from the start of the successor until its observation period is over and its predecessor has ended
+	isBeingReplaced  bool // from the start of the successor until its observation is over and its predecessor has ended
 }
 
 // processes returns the processes of an instance that have not ended.
--- a/internal/supervisor/replacement.go
+++ b/internal/supervisor/replacement.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// resume continues replacing after a halt.
+// resume lets further replacements start after a halt.
 func (c *Core) resume() {
 	if c.isHalted {
 		c.isHalted = false
--- a/internal/supervisor/settings/settings.go
+++ b/internal/supervisor/settings/settings.go
@@ -27,7 +27,7 @@
 	ReadyTimeout      tomlfile.Duration `toml:"ready_within"`
 	ObservationPeriod tomlfile.Duration `toml:"watch"`
 	TerminateTimeout  tomlfile.Duration `toml:"end_within"`
-	HangTimeout       tomlfile.Duration `toml:"silent"` // 0: no check
+	HangTimeout       tomlfile.Duration `toml:"silent"` // 0: processes are not checked for hanging
 	MinBackoff        tomlfile.Duration `toml:"backoff_least"`
 	MaxBackoff        tomlfile.Duration `toml:"backoff_most"`
 	MaxFailureRate    float64           `toml:"max_failed"`
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -6,7 +6,7 @@
 type Status struct {
 	Instance         int           `json:"instance"`
 	Process          int           `json:"process"` // number of the process that serves; 0: none
-	State            string        `json:"state"`   // serves, replaced, hangs, starts or waits
+	State            string        `json:"state"`   // one of serves, replaced, hangs, starts and waits
 	ServingFor       time.Duration `json:"for_ns"`  // time since the process became ready
 	ReplaceRequested bool          `json:"to_be_replaced"`
 	FailedStarts     int           `json:"failed_starts"` // number of failed starts in a row
