--- a/tests/baseline/main.go
+++ b/tests/baseline/main.go
@@ -1,13 +1,13 @@
-// Command baseline is a node that is broken on purpose, to show that the testbed's invariants find faults. It uses the first
-// cache server of the list, opens a connection for each request, and keeps the invariants only as far as BASELINE, a variable
-// of the environment, lets it.
+// Command baseline is a node that is broken on purpose, to show that the testbed's invariants find faults. It sends all reads to
+// the first cache server of the list that is up, and opens a new connection for each request. The environment variable BASELINE
+// selects the fault:
 //
-//	keep      keeps them, badly but well enough for a calm day
+//	keep      no fault: keeps the invariants under low load
 //	resend    sends at-most-once requests a second time
-//	drain     never looks at the list again
-//	lose      closes the connection in place of every tenth answer
-//	swap      serves every tenth read with the value of the one before it
-//	late      answers every tenth request past its deadline
+//	drain     ignores all changes of the list after its start
+//	lose      closes the connection instead of answering every tenth request
+//	swap      answers every tenth request, if it is a read, with the value of the read before it
+//	late      answers every tenth request after its deadline
 package main
 
 import (
@@ -30,10 +30,10 @@
 	"shelfproxy/internal/testbed/respcmd"
 )
 
-// mode is the way in which the node is broken.
+// mode selects the fault of the node.
 type mode string
 
-// Modes, as BASELINE names them.
+// Values of BASELINE for the modes with a fault.
 const (
 	resend mode = "resend"
 	drain  mode = "drain"
@@ -43,10 +43,10 @@
 )
 
 const (
-	faultEvery     = 10                     // requests, of which the last meets the fault of the mode
-	lateBy         = 150 * time.Millisecond // how far past the deadline a late answer comes
+	faultEvery     = 10                     // the fault of the modes lose, swap and late hits every tenth request
+	lateBy         = 150 * time.Millisecond // time from a request's deadline to its late answer, at least
 	connectTimeout = 250 * time.Millisecond
-	shutdownGrace  = 300 * time.Millisecond // between SIGTERM and the end
+	shutdownGrace  = 300 * time.Millisecond // time between SIGTERM and the exit
 	originID       = "origin"
 	lifecycleUp    = "up"
 )
@@ -63,9 +63,9 @@
 	requests atomic.Int64
 
 	mu        sync.Mutex
-	addresses map[string]string // by id; empty for what is not up
-	order     []string          // ids, in the order in which they became known
-	lastValue string            // of a read
+	addresses map[string]string // addresses of instances by id; empty for an instance that is not up
+	order     []string          // ids of instances, in the order in which they became known
+	lastValue string            // value of the last read
 }
 
 func main() {
@@ -90,15 +90,15 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	n := &node{mode: mode(os.Getenv("BASELINE")), addresses: map[string]string{}}
-	n.learn(config.Known)
+	n.updateAddresses(config.Known)
 	if n.mode != drain {
-		go n.watch(config.Discovery, config.Known.Version) // ends with the program
+		go n.watch(config.Discovery, config.Known.Version) // returns when the watch or the program ends
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", config.Listen)
 	if err != nil {
 		return err
 	}
-	go n.accept(listener) // ends with the program
+	go n.accept(listener) // runs until the program exits
 	<-ctx.Done()
 	time.Sleep(shutdownGrace)
 	return nil
@@ -114,8 +114,8 @@
 	}
 }
 
-// learn takes a list or a change.
-func (n *node) learn(known list) {
+// updateAddresses updates the known addresses by a list or a change of one.
+func (n *node) updateAddresses(known list) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, instance := range known.Instances {
@@ -129,7 +129,7 @@
 	}
 }
 
-// watch follows discovery until the watch ends.
+// watch opens a watch at discovery and applies the changes that it sends, until the watch ends. It does not open another one.
 func (n *node) watch(discovery string, after int64) {
 	response, err := get(context.Background(), fmt.Sprintf("http://%s/discovery/hosts?watch=1&after=%d", discovery, after))
 	if err != nil {
@@ -139,7 +139,7 @@
 	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 		var change list
 		if json.Unmarshal(lines.Bytes(), &change) == nil {
-			n.learn(change)
+			n.updateAddresses(change)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 // command is a request of a client.
 type command struct {
 	verb, key, id, extras string
-	value                 string // of a write
+	value                 string // value of a write; empty for a read
 	isWrite               bool
 }
 
@@ -178,7 +178,7 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// attemptTimeout returns how long the node waits for a server.
+// attemptTimeout returns how long the node waits for a server: three quarters of the client's timeout.
 func (c command) attemptTimeout() time.Duration { return c.timeout() * 3 / 4 }
 
 // handle answers a command of a client.
@@ -201,7 +201,7 @@
 	return fmt.Sprintf("$%d\r\n%s\r\n", len(value), value), true
 }
 
-// swapValue returns the value for a read: that of the read before, if the mode is to swap them.
+// swapValue returns the value to answer a read with. In mode swap a faulty read gets the value of the read before it.
 func (n *node) swapValue(value string, isFaulty bool) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -212,22 +212,23 @@
 	return value
 }
 
-// serve sends a request to the first cache server, if it is a read, and else or if that has no value to the origin.
+// serve sends a read to the first cache server that is up. It sends writes, and reads that the cache server has no value for, to
+// the origin.
 func (n *node) serve(request command) (value string, ok bool) {
-	cacheServer, origin := n.pick()
+	cacheServer, origin := n.pickServers()
 	if !request.isWrite && cacheServer != "" {
 		if value, ok := requestCacheServer(cacheServer, request); ok {
 			return value, true
 		}
 	}
 	if n.mode == resend && strings.Contains(request.extras, "c=issue-cert") {
-		go requestOrigin(origin, request) // ends by its timeout
+		go requestOrigin(origin, request) // returns within the attempt timeout
 	}
 	return requestOrigin(origin, request)
 }
 
-// pick returns the addresses of the first cache server that is up, which may be none, and of the origin.
-func (n *node) pick() (cacheServer, origin string) {
+// pickServers returns the addresses of the first cache server that is up and of the origin. An address is empty if there is none.
+func (n *node) pickServers() (cacheServer, origin string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, id := range n.order {
@@ -238,7 +239,7 @@
 	return "", n.addresses[originID]
 }
 
-// requestCacheServer returns the value that a cache server has; false for a miss or a failure.
+// requestCacheServer returns the value that a cache server has; ok is false for a miss or a failure.
 func requestCacheServer(address string, request command) (value string, ok bool) {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
@@ -255,7 +256,7 @@
 	return readHit(bufio.NewReader(conn))
 }
 
-// readHit reads the value of an answer of three elements.
+// readHit reads the value of a hit, which is the first of the answer's three elements. ok is false for any other answer.
 func readHit(reader *bufio.Reader) (value string, ok bool) {
 	if array, err := reader.ReadString('\n'); err != nil || !strings.HasPrefix(array, "*3") {
 		return "", false
@@ -273,7 +274,7 @@
 	return string(content), err == nil
 }
 
-// requestOrigin returns the origin's answer; false for a failure.
+// requestOrigin returns the origin's answer; ok is false for a failure or a status other than 200.
 func requestOrigin(address string, request command) (value string, ok bool) {
 	method := http.MethodGet
 	if request.isWrite {
