--- a/tests/harness/cacheserver.go
+++ b/tests/harness/cacheserver.go
@@ -10,26 +10,26 @@
 	"shelfproxy/internal/testbed/respcmd"
 )
 
-// Replies of a Handler.
+// Replies that a Handler may return.
 const (
 	Miss            = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 	Busy            = "-BUSY\r\n"
-	CloseConnection = "close" // ends the connection in place of a reply
+	CloseConnection = "close" // closes the connection instead of replying
 )
 
-// Handler returns the bytes that a cache server replies to a command: its verb, key, id, extras and value. It is called in
-// the order of the commands of a connection.
+// Handler returns the bytes that a cache server replies to a command. The words of the command are its verb, key, id, extras and,
+// for a write, value. A connection's commands are handled in their order.
 type Handler func(command []string) string
 
-// Hit replies with a value that names the request.
+// Hit is a Handler that replies with a value made of "value-" and the request's id.
 func Hit(command []string) string { return HitWith("value-" + command[2]) }
 
-// HitWith replies with a value.
+// HitWith returns the reply for a hit with the given value.
 func HitWith(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 }
 
-// HitOnly replies with a value that names the request for one key, and with a miss for all others.
+// HitOnly returns a Handler that replies as Hit does for one key and with a miss for every other key.
 func HitOnly(key string) Handler {
 	return func(command []string) string {
 		if command[1] == key {
@@ -39,7 +39,7 @@
 	}
 }
 
-// CacheServer is a cache server that answers as its handler does.
+// CacheServer is a fake cache server that answers commands with the replies of its handler. It answers health checks itself.
 type CacheServer struct {
 	Address string
 
@@ -64,8 +64,8 @@
 // StuckKey is the key that the server of NewStuckCacheServer does not answer.
 const StuckKey = "stuck"
 
-// NewStuckCacheServer starts a cache server that answers nothing for StuckKey, nor what comes behind it on the same
-// connection, until release is called. It may be called again; the end of the test calls it, too.
+// NewStuckCacheServer starts a cache server that does not answer commands for StuckKey, nor later commands on the same
+// connection, until release is called. release may be called more than once; the cleanup of the test calls it too.
 func NewStuckCacheServer(t testing.TB) (server *CacheServer, release func()) {
 	t.Helper()
 	released := make(chan struct{})
@@ -95,7 +95,7 @@
 	})
 }
 
-// healthCheck returns the reply to a health check, empty where none is given.
+// healthCheck returns the reply to a health check; it is empty if the server ignores health checks.
 func (s *CacheServer) healthCheck() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	return respcmd.Pong
 }
 
-// IgnoreHealthChecks leaves health checks without a reply from now on.
+// IgnoreHealthChecks makes the server send no replies to health checks from now on.
 func (s *CacheServer) IgnoreHealthChecks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +118,7 @@
 	s.connections += by
 }
 
-// StopAccepting takes no more connections.
+// StopAccepting closes the listener, so that new connections are refused.
 func (s *CacheServer) StopAccepting(t testing.TB) {
 	t.Helper()
 	if err := s.listener.Close(); err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Commands returns the commands so far, without health checks.
+// Commands returns the commands that the server has received so far, without health checks.
 func (s *CacheServer) Commands() [][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tests/harness/client.go
+++ b/tests/harness/client.go
@@ -13,17 +13,17 @@
 	"shelfproxy/internal/testbed/respcmd"
 )
 
-// Closed is what Client.Answer returns at the end of the connection.
+// Closed is what Client.Answer returns when the connection has ended or the read failed.
 const Closed = "closed"
 
-// Client is one connection of a client to a node.
+// Client is a client of a node, with one connection.
 type Client struct {
 	net.Conn
 	Reader *bufio.Reader
 	t      testing.TB
 }
 
-// Send writes a command. A connection that the node has closed shows in the next answer.
+// Send writes a command. It ignores errors: if the node has closed the connection, the next call of Answer returns Closed.
 func (c *Client) Send(words ...string) *Client {
 	_, _ = c.Write(respcmd.Append(nil, words...))
 	return c
@@ -32,13 +32,13 @@
 // Get sends a read with ReadExtras.
 func (c *Client) Get(key, id string) *Client { return c.Send("CACHE.GET", key, id, ReadExtras) }
 
-// ReadExtras are the extras of a read whose client waits for nearly as long as its class allows.
+// ReadExtras are the extras of a read whose client waits for 2.9 s, nearly the 3 s that its class allows.
 const ReadExtras = "c=read,d=2900"
 
-// GetCommand returns the bytes of a read.
+// GetCommand returns the bytes of the command that Client.Get sends.
 func GetCommand(key, id string) []byte { return respcmd.Append(nil, "CACHE.GET", key, id, ReadExtras) }
 
-// Answer reads one answer: its line, or the value of a bulk string; Closed at the end of the connection.
+// Answer reads one answer and returns its line, or the value of a bulk string. It returns Closed if the connection has ended.
 func (c *Client) Answer() string {
 	answer, err := ReadAnswer(c.Reader)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return answer
 }
 
-// ReadAnswer reads one answer: its line, or the value of a bulk string.
+// ReadAnswer reads one answer and returns its line, or the value of a bulk string.
 func ReadAnswer(reader *bufio.Reader) (string, error) {
 	header, err := reader.ReadString('\n')
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	size, err := strconv.Atoi(length)
 	if err != nil {
-		return "", fmt.Errorf("length of a value: %w", err)
+		return "", fmt.Errorf("parse the length of a value: %w", err)
 	}
 	value := make([]byte, size+len("\r\n"))
 	if _, err := io.ReadFull(reader, value); err != nil {
@@ -80,13 +80,13 @@
 // Info returns the node's counters as text.
 func (c *Client) Info() string { return c.Send("INFO").Answer() }
 
-// Counter returns a counter of the node; 0 if it is not there.
+// Counter returns the value of a counter of the node; 0 if the node has no such counter yet.
 func (c *Client) Counter(name string) int {
 	c.t.Helper()
 	return counterIn(c.t, c.Info(), name)
 }
 
-// counterIn finds a counter in the text of all.
+// counterIn returns the value of a counter in the text that INFO returns; 0 if the text does not have it.
 func counterIn(t testing.TB, info, name string) int {
 	t.Helper()
 	for line := range strings.Lines(info) {
@@ -111,14 +111,14 @@
 	}
 }
 
-// IsRead reports whether the node has read all that the client has written: its end of the connection holds nothing.
+// IsRead reports whether the node has read all that the client has written: the receive queue of the node's socket is empty.
 func (c *Client) IsRead() bool {
 	c.t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		c.t.Fatalf("read the table of sockets: %v", err)
 	}
-	local, remote := procAddress(c.RemoteAddr()), procAddress(c.LocalAddr()) // as the node sees them
+	local, remote := procAddress(c.RemoteAddr()), procAddress(c.LocalAddr()) // local and remote from the node's point of view
 	for line := range strings.Lines(string(table)) {
 		fields := strings.Fields(line)
 		if len(fields) > 4 && fields[1] == local && fields[2] == remote {
--- a/tests/harness/config.go
+++ b/tests/harness/config.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// InitialVersion is the version of the endpoint list that nodes know from their start.
+// InitialVersion is the version of the endpoint list in the configuration of nodes.
 const InitialVersion = 41
 
 // Lifecycles and kinds of instances in a list.
@@ -50,7 +50,7 @@
 	StartedAt int64   `json:"startedAtMs"`
 }
 
-// Limits are what a node may use.
+// Limits are the resources that a node may use.
 type Limits struct {
 	Cores    float64 `json:"cores,omitempty"`
 	MemoryMB int     `json:"memory_mb,omitempty"`
@@ -83,7 +83,7 @@
 	DedupWindow      int     `json:"window"`
 }
 
-// Family says how the cache servers and the origin work together.
+// Family describes how the cache servers and the origin work together.
 type Family struct {
 	Mode       string `json:"mode"`
 	OriginKind int    `json:"origin_kind"`
@@ -103,7 +103,7 @@
 	MaxRetryAfter  int  `json:"max_retry_after,omitempty"`
 }
 
-// Tolerances are what servers bear. Times are in microseconds.
+// Tolerances describe how much load cache servers can take. Times are in microseconds.
 type Tolerances struct {
 	SlowStartFloor    float64 `json:"cold_from"`
 	SlowStartDuration int     `json:"warm_after"`
@@ -116,20 +116,21 @@
 	Quota int    `json:"quota_per_s"` // requests a second
 }
 
-// NewList makes a list, or a change of one where it is not full.
+// NewList returns an endpoint list, or a change of one if isFull is false.
 func NewList(version int, isFull bool, instances ...Instance) List {
 	return List{Version: version, IsFull: isFull, Instances: instances}
 }
 
-// NewInstance makes an endpoint of zone a.
+// NewInstance returns an endpoint in zone a with weight 1.
 func NewInstance(id, address, kind, lifecycle string) Instance {
 	return Instance{ID: id, Address: address, Zone: "a", Kind: kind, Lifecycle: lifecycle, Weight: 1}
 }
 
-// FewDescriptors returns limits with which requests have to share the connections to a server.
+// FewDescriptors returns limits with so few descriptors that requests have to share the connections to a server.
 func FewDescriptors() Limits { return Limits{Sockets: 128} }
 
-// defaultConfig is a node with three classes: idempotent reads, deduplicated puts and certificates, at most once.
+// defaultConfig returns the configuration of a node with three classes: idempotent "read", deduplicated "put" and at-most-once
+// "cert".
 func defaultConfig() Config {
 	class := func(name, semantics string, weight float64) Class {
 		return Class{Name: name, Semantics: semantics, KeyScope: "all", PriorityWeight: weight, LatencyObjective: 1500000,
@@ -145,7 +146,8 @@
 			Tolerances: Tolerances{SlowStartFloor: 0.13, SlowStartDuration: 23000000, OverloadFactor: 3}}}
 }
 
-// ConfigEdit changes the JSON of a configuration, as Config cannot: to what it has no field for or what is invalid.
+// ConfigEdit changes the decoded JSON of a configuration. It allows for what Config cannot express: unknown fields and invalid
+// values.
 type ConfigEdit func(config map[string]any)
 
 // encode returns the JSON of the configuration after the edits.
--- a/tests/harness/discovery.go
+++ b/tests/harness/discovery.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	watchHeartbeat = time.Second // between the empty lines of a watch
-	breakWatch     = "break"     // in place of a line: the watch ends
-	maxUnsent      = 8
+	watchHeartbeat = time.Second // interval between the empty lines of a watch
+	breakWatch     = "break"     // queued instead of a line; ends the watch that takes it
+	maxUnsent      = 8           // lines that are queued for the watches
 )
 
-// Discovery is a discovery service. Each watch begins with an empty change of the initial list; what is published goes to
-// one of the watches that are open.
+// Discovery is a fake discovery service. Each watch begins with an empty change of the initial list. A published list or change
+// is sent to only one of the open watches.
 type Discovery struct {
 	Address string
 
 	t     testing.TB
-	texts chan string // for the watches; never closed
+	texts chan string // lines to send to the watches; never closed
 
 	mu      sync.Mutex
-	queries []string // of the watches that NextWatch has not returned yet
-	open    int      // watches that are open
+	queries []string // queries of the watches that NextWatch has not returned yet
+	open    int      // number of open watches
 }
 
 // NewDiscovery starts a discovery service.
@@ -36,7 +36,7 @@
 	return d
 }
 
-// startHTTP starts an HTTP server and returns its address.
+// startHTTP starts an HTTP server, which the cleanup of the test stops, and returns its address.
 func startHTTP(t testing.TB, handler http.Handler) (address string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -84,13 +84,13 @@
 	d.open--
 }
 
-// Publish sends a list or a change to a watch.
+// Publish sends a list or a change to one of the open watches.
 func (d *Discovery) Publish(list List) {
 	d.t.Helper()
 	d.PublishText(EncodeJSON(d.t, list))
 }
 
-// PublishText sends a line of any text to a watch.
+// PublishText sends any text as a line to one of the open watches.
 func (d *Discovery) PublishText(text string) {
 	d.t.Helper()
 	select {
@@ -100,20 +100,20 @@
 	}
 }
 
-// BreakWatch ends a watch.
+// BreakWatch ends one of the open watches.
 func (d *Discovery) BreakWatch() {
 	d.t.Helper()
 	d.PublishText(breakWatch)
 }
 
-// OpenWatches returns the number of watches that are open.
+// OpenWatches returns the number of open watches.
 func (d *Discovery) OpenWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.open
 }
 
-// UnseenWatches returns the number of watches that were opened and that NextWatch has not returned yet.
+// UnseenWatches returns the number of watches, open or ended, that NextWatch has not returned yet.
 func (d *Discovery) UnseenWatches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/tests/harness/faultydiscovery.go
+++ b/tests/harness/faultydiscovery.go
@@ -12,34 +12,34 @@
 // DiscoveryFault is a way in which a FaultyDiscovery fails.
 type DiscoveryFault string
 
-// Faults of discovery.
+// Faults that a FaultyDiscovery can have.
 const (
 	NoFault           DiscoveryFault = ""
-	Unresponsive      DiscoveryFault = "silent"      // open watches fall silent; calls from then on are answered
-	Reset             DiscoveryFault = "reset"       // open watches and calls are reset
-	ResetInMessage    DiscoveryFault = "half a line" // open watches are reset in the middle of a message, calls at once
-	ServiceError      DiscoveryFault = "503"         // calls are answered 503; open watches end
-	Hang              DiscoveryFault = "hang"        // calls are accepted and not answered; open watches end
-	ConnectionRefused DiscoveryFault = "refuse"      // nothing listens; open watches end
+	Unresponsive      DiscoveryFault = "silent"      // open watches stay open without data; new calls get a watch
+	Reset             DiscoveryFault = "reset"       // open watches and new calls are reset
+	ResetInMessage    DiscoveryFault = "half a line" // open watches are reset in the middle of a message, new calls at once
+	ServiceError      DiscoveryFault = "503"         // new calls get status 503; open watches end
+	Hang              DiscoveryFault = "hang"        // new calls are accepted and not answered; open watches end
+	ConnectionRefused DiscoveryFault = "refuse"      // new connections are refused; open watches end
 )
 
-// FaultyDiscovery is a discovery service that fails in one way after another. A watch is one chunked answer.
+// FaultyDiscovery is a fake discovery service with faults that SetFault chooses. A watch is a single chunked HTTP response.
 type FaultyDiscovery struct {
 	Address string
 
 	t testing.TB
 
 	mu       sync.Mutex
-	changed  *sync.Cond // the fault has changed, or a caller has hung up
+	changed  *sync.Cond // signalled when the fault has changed or a caller has disconnected
 	listener net.Listener
 	fault    DiscoveryFault
 	epoch    int    // number of changes of the fault
 	list     string // the line with which a watch begins
-	calls    int    // since the last change of the fault
-	watches  int    // calls among them that were answered with a watch
+	calls    int    // number of calls since the last change of the fault
+	watches  int    // how many of these calls were answered with a watch
 }
 
-// NewFaultyDiscovery starts a discovery service without a fault, whose watches begin with a list.
+// NewFaultyDiscovery starts a discovery service without a fault. Its watches begin with the given line, a list as JSON.
 func NewFaultyDiscovery(t testing.TB, list string) *FaultyDiscovery {
 	t.Helper()
 	d := &FaultyDiscovery{t: t, list: list}
@@ -56,7 +56,7 @@
 	ServeConnections(listener, d.serve)
 }
 
-// SetFault changes how calls and open watches fare from now on, and the line with which a watch begins.
+// SetFault sets the fault of calls and open watches, and the line with which a watch begins, from now on.
 func (d *FaultyDiscovery) SetFault(fault DiscoveryFault, list string) {
 	d.t.Helper()
 	d.mu.Lock()
@@ -66,7 +66,7 @@
 	d.calls, d.watches = 0, 0
 	switch {
 	case fault == ConnectionRefused && d.listener != nil:
-		_ = d.listener.Close() // the end of the test may have closed it
+		_ = d.listener.Close() // the cleanup of the test may already have closed the listener
 		d.listener = nil
 	case fault != ConnectionRefused && d.listener == nil:
 		d.listen(Listen(d.t, d.Address))
@@ -81,18 +81,18 @@
 	return d.calls, d.watches
 }
 
-// watch is a call and what it met when it began.
+// watch is a call of a node, with the fault and the list at the time of the call.
 type watch struct {
-	conn   net.Conn
-	fault  DiscoveryFault
-	epoch  int
-	list   string
-	hungUp chan struct{} // closed when the caller has hung up
+	conn         net.Conn
+	fault        DiscoveryFault
+	epoch        int
+	list         string
+	disconnected chan struct{} // closed when the caller has disconnected
 }
 
-// serve answers a call, and keeps it as a watch for as long as the fault allows.
+// serve handles one call. A call that becomes a watch or hangs is kept open until the caller disconnects or a new fault ends it.
 func (d *FaultyDiscovery) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the caller may have hung up
+	defer func() { _ = conn.Close() }() // the caller may already have disconnected
 	reader := bufio.NewReader(conn)
 	if !skipRequest(reader) {
 		return
@@ -111,17 +111,17 @@
 		defer close(ended)
 		go d.sendHeartbeats(call, ended)
 	}
-	go func() { // ends with the connection
-		_, _ = reader.ReadByte() // fails once the caller has hung up
+	go func() { // returns when the connection ends
+		_, _ = reader.ReadByte() // fails once the caller has disconnected
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		close(call.hungUp)
+		close(call.disconnected)
 		d.changed.Broadcast()
 	}()
 	d.waitForEnd(call)
 }
 
-// skipRequest reads the header of a request; false if the caller has hung up.
+// skipRequest reads the header of a request. It returns false if the caller disconnects before its end.
 func skipRequest(reader *bufio.Reader) bool {
 	for {
 		header, err := reader.ReadString('\n')
@@ -134,14 +134,14 @@
 	}
 }
 
-// beginCall counts a call and returns what it meets.
+// beginCall counts a call and returns it with the current fault and list.
 func (d *FaultyDiscovery) beginCall(conn net.Conn) *watch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
-	w := &watch{conn: conn, fault: d.fault, epoch: d.epoch, list: d.list, hungUp: make(chan struct{})}
+	w := &watch{conn: conn, fault: d.fault, epoch: d.epoch, list: d.list, disconnected: make(chan struct{})}
 	if w.fault == Unresponsive {
-		w.fault = NoFault // only what was open is unresponsive
+		w.fault = NoFault // this fault hits only the watches that were already open
 	}
 	if w.fault == NoFault {
 		d.watches++
@@ -149,7 +149,8 @@
 	return w
 }
 
-// sendHeartbeats writes an empty line now and then while the fault stays as it is, until the watch has ended.
+// sendHeartbeats writes an empty line at every watchHeartbeat until the watch has ended. It writes nothing after the fault has
+// changed.
 func (d *FaultyDiscovery) sendHeartbeats(w *watch, ended <-chan struct{}) {
 	ticker := time.NewTicker(watchHeartbeat)
 	defer ticker.Stop()
@@ -167,13 +168,13 @@
 	}
 }
 
-// waitForEnd returns when the caller has hung up or a change of the fault ends the call.
+// waitForEnd waits until the caller has disconnected or a change of the fault ends the call.
 func (d *FaultyDiscovery) waitForEnd(w *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for d.staysOpen(w) {
 		select {
-		case <-w.hungUp:
+		case <-w.disconnected:
 			return
 		default:
 		}
@@ -188,25 +189,25 @@
 	}
 }
 
-// staysOpen reports whether a call stays open under the present fault.
+// staysOpen reports whether a call stays open under the current fault.
 func (d *FaultyDiscovery) staysOpen(w *watch) bool {
 	switch {
 	case d.epoch == w.epoch:
 		return true
 	case d.fault == Unresponsive && w.epoch == d.epoch-1:
 		return true
-	case d.fault == NoFault && w.fault == Hang: // it goes on hanging
+	case d.fault == NoFault && w.fault == Hang: // a call that hangs gets no answer even after the fault is over
 		return true
 	}
 	return false
 }
 
-// write writes to a caller, who may have hung up.
+// write writes to the caller. It ignores errors, as the caller may have disconnected.
 func (w *watch) write(text string) { _, _ = fmt.Fprint(w.conn, text) }
 
-// resetOnClose has the connection reset instead of closed in order.
+// resetOnClose makes a later Close reset the connection instead of ending it in order.
 func (w *watch) resetOnClose() {
-	_ = w.conn.(*net.TCPConn).SetLinger(0) // the caller may have hung up
+	_ = w.conn.(*net.TCPConn).SetLinger(0) // the caller may already have disconnected
 }
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
--- a/tests/harness/fleet.go
+++ b/tests/harness/fleet.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	datagramDelay   = 20 * time.Millisecond // of the datagrams between the nodes of a fleet
-	superviseEvery  = 3 * time.Millisecond  // between two looks at the nodes of a fleet
-	controlTimeout  = time.Second           // of a query to a node's control socket
-	loggedInFailure = 4000                  // bytes of each node's log that the message of a failure has
+	datagramDelay     = 20 * time.Millisecond // upper bound of the random delay of datagrams between the nodes of a fleet
+	superviseInterval = 3 * time.Millisecond  // interval between two checks of all nodes by the supervisor of a fleet
+	controlTimeout    = time.Second           // timeout of a query to a node's control socket
+	failureLogBytes   = 4000                  // bytes of each node's log that a failure message includes
 )
 
-// FleetOptions describe a fleet.
+// FleetOptions are the options of NewFleet.
 type FleetOptions struct {
 	Nodes  int
-	Budget int // nodes that may be out of service at once; 0 is no rollout
-	// FaultyPart is the part of the datagrams between nodes that is dropped, the part that is duplicated, and the part that
-	// is corrupted.
+	Budget int // nodes that may be out of service at once; 0 means no rollout
+	// FaultyPart is the fraction of the datagrams between nodes that is dropped. The same fraction is duplicated, and the same
+	// fraction corrupted.
 	FaultyPart   float64
-	OperatorFile string // what the operators' file has beside the times of the rollout
+	OperatorFile string // text that is appended to the operator file of every node
 }
 
-// Fleet is nodes that talk to each other through a proxy, and a simple supervisor that starts those again that ended. All
-// know the same cache server, origin and discovery. Its methods are safe for concurrent use.
+// Fleet is a set of nodes that exchange datagrams through a proxy, with a simple supervisor that restarts nodes that have ended.
+// All nodes use the same cache server, origin and discovery service. Its methods are safe for concurrent use.
 type Fleet struct {
 	Proxy *faultproxy.Proxy
 
 	t        testing.TB
-	template *Node // whose configuration the nodes have, but for their addresses
+	template *Node // the nodes have its configuration, except for addresses and peers
 	options  FleetOptions
 
 	mu      sync.Mutex
 	members []*member
-	release string // that nodes are started with
+	release string // release that nodes are started with
 	peakOut int    // highest number of nodes out of service by agreement at once
 	stopped chan struct{}
-	ended   sync.WaitGroup // the supervisor
+	ended   sync.WaitGroup // waits for the goroutine of the supervisor
 }
 
 // member is a node of a fleet.
@@ -57,12 +57,12 @@
 	process     *Process
 	log         *Log
 	budget      int
-	release     string // that its process was started with
-	isDown      bool   // it is not started again
-	isOut       bool   // an earlier process went out by agreement, and the one now is not ready yet
+	release     string // release that its process was started with
+	isDown      bool   // the supervisor does not restart the node when it ends
+	isOut       bool   // the node left service by agreement, and no process of it has been ready since
 }
 
-// NewFleet starts a fleet.
+// NewFleet starts a fleet, which the cleanup of the test stops.
 func NewFleet(t testing.TB, options FleetOptions) *Fleet {
 	t.Helper()
 	f := &Fleet{t: t, template: NewNode(t, NewCacheServer(t, Hit)), options: options, release: "v1", stopped: make(chan struct{})}
@@ -90,7 +90,7 @@
 	return proxy
 }
 
-// writeFleetConfig writes the configuration of a node of a fleet, of which the first peers nodes are its peers.
+// writeFleetConfig writes the configuration of a node of a fleet. Its list of peers has the first peers nodes of the fleet.
 func writeFleetConfig(template *Node, path, listen string, proxy *faultproxy.Proxy, node, nodes, peers int) {
 	config := template.Config
 	settings := *config.Settings
@@ -105,14 +105,14 @@
 func (m *member) operatorPath() string  { return filepath.Join(m.dir, "op.toml") }
 func (m *member) controlSocket() string { return filepath.Join(m.dir, "ctl") }
 
-// SetPeers writes to a node's configuration that the first peers nodes are its peers.
+// SetPeers rewrites a node's configuration so that its list of peers has the first peers nodes of the fleet.
 func (f *Fleet) SetPeers(node, peers int) {
 	f.t.Helper()
 	m := f.member(node)
 	writeFleetConfig(f.template, m.configPath(), m.listen, f.Proxy, node, f.options.Nodes, peers)
 }
 
-// SetBudget writes a budget of nodes out of service to a node's operators' file.
+// SetBudget writes to a node's operator file how many nodes may be out of service at once.
 func (f *Fleet) SetBudget(node, budget int) {
 	f.t.Helper()
 	f.mu.Lock()
@@ -145,7 +145,7 @@
 	WriteFile(f.t, m.operatorPath(), fmt.Sprintf(fleetOperatorFile, m.budget, f.release, m.controlSocket(), f.options.OperatorFile))
 }
 
-// start starts a node's process. The caller holds the lock, or is alone.
+// start starts a node's process. The caller holds the lock, unless the supervisor does not run yet.
 func (f *Fleet) start(node int) {
 	m := f.members[node]
 	m.release, m.log = f.release, &Log{}
@@ -154,22 +154,22 @@
 	m.process = StartProcess(f.t, cmd)
 }
 
-// supervise starts nodes that ended and counts how many are out of service at once, until the fleet is stopped.
+// supervise restarts nodes that have ended and counts how many are out of service at once, until the fleet is stopped.
 func (f *Fleet) supervise() {
-	ticker := time.NewTicker(superviseEvery)
+	ticker := time.NewTicker(superviseInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-f.stopped:
 			return
 		case <-ticker.C:
-			f.look()
+			f.checkNodes()
 		}
 	}
 }
 
-// look is one look of the supervisor at all nodes.
-func (f *Fleet) look() {
+// checkNodes checks all nodes once: it updates which are out of service and restarts those that have ended.
+func (f *Fleet) checkNodes() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := 0
@@ -190,8 +190,8 @@
 	f.peakOut = max(f.peakOut, out)
 }
 
-// updateOut finds in the log whether the node is out of service by agreement: from when it drains until its next process is
-// ready.
+// updateOut finds out from the log whether the node is out of service by agreement. It is so from when it drains until its next
+// process is ready.
 func (m *member) updateOut(node int) {
 	switch {
 	case m.log.Contains(`"rollout_leaves"`):
@@ -221,7 +221,7 @@
 // Len returns the number of nodes.
 func (f *Fleet) Len() int { return f.options.Nodes }
 
-// Log returns what the present process of a node has logged.
+// Log returns the log of a node's current process.
 func (f *Fleet) Log(node int) *Log {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -233,18 +233,18 @@
 	var text strings.Builder
 	for i := range f.Len() {
 		log := f.Log(i).String()
-		fmt.Fprintf(&text, "\nnode %d: %s", i, log[max(0, len(log)-loggedInFailure):])
+		fmt.Fprintf(&text, "\nnode %d: %s", i, log[max(0, len(log)-failureLogBytes):])
 	}
 	return text.String()
 }
 
-// WaitFor waits for a condition; the logs of the nodes go into the message of a failure.
+// WaitFor waits for a condition. A failure message includes the end of every node's log.
 func (f *Fleet) WaitFor(what string, condition func() bool) {
 	f.t.Helper()
 	WaitFor(f.t, what, condition, f)
 }
 
-// WaitForLog waits until the present process of a node has logged a text.
+// WaitForLog waits until the current process of a node has logged a text.
 func (f *Fleet) WaitForLog(node int, text string) {
 	f.t.Helper()
 	f.WaitFor(fmt.Sprintf("node %d logs %s", node, text), func() bool { return f.Log(node).Contains(text) })
@@ -258,7 +258,7 @@
 	f.members[node].process.Signal(signal)
 }
 
-// SetDown says whether a node that ends stays down, or is started again.
+// SetDown sets whether a node that ends stays down or is restarted.
 func (f *Fleet) SetDown(node int, isDown bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -272,7 +272,7 @@
 	f.release = release
 }
 
-// Query returns the answer of a node's control socket, with its header; empty if the node does not answer.
+// Query returns the answer of a node's control socket, including the HTTP header. It is empty if the node does not answer.
 func (f *Fleet) Query(node int, path string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
@@ -280,27 +280,27 @@
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = conn.Close() }() // it was only read
+	defer func() { _ = conn.Close() }() // the answer has been read, so an error of Close doesn't matter
 	if err := conn.SetDeadline(time.Now().Add(controlTimeout)); err != nil {
 		return ""
 	}
 	if _, err := fmt.Fprintf(conn, "GET /%s HTTP/1.0\r\n\r\n", path); err != nil {
 		return ""
 	}
-	answer, _ := io.ReadAll(conn) // a node that ends answers in part
+	answer, _ := io.ReadAll(conn) // a node that exits meanwhile gives only part of an answer
 	return string(answer)
 }
 
-// QueryJSON decodes the answer of a node's control socket. It is false if the node does not answer.
+// QueryJSON decodes the answer of a node's control socket into value. It returns false if the node gives no valid answer.
 func (f *Fleet) QueryJSON(node int, path string, value any) bool {
 	_, body, _ := strings.Cut(f.Query(node, path), "\r\n\r\n")
 	return json.Unmarshal([]byte(body), value) == nil
 }
 
-// Status returns what a node says of the rollout.
+// Status returns the status of the rollout as a node reports it.
 func (f *Fleet) Status(node int) string { return f.Query(node, "status") }
 
-// Ctl runs the verb ctl at a node and returns what it prints, behind "error: " if it fails.
+// Ctl runs the verb ctl against a node and returns its output. If it fails, the output is prefixed with "error: ".
 func (f *Fleet) Ctl(node int, words ...string) string {
 	output, err := ctl(f.t, f.member(node).controlSocket(), words...).CombinedOutput()
 	if err != nil {
@@ -313,7 +313,7 @@
 	return exec.CommandContext(t.Context(), NodeProgram, append([]string{"ctl", "--control", controlSocket}, words...)...)
 }
 
-// ReadyNodes returns how many nodes run a release, are in service and see all nodes ready.
+// ReadyNodes returns how many nodes run a release, are in service and report that all nodes are ready.
 func (f *Fleet) ReadyNodes(release string) (ready int) {
 	for i := range f.Len() {
 		if f.runs(i, release) && strings.Contains(f.Status(i), fmt.Sprintf(`"fit":%d,`, f.Len())) {
@@ -323,7 +323,7 @@
 	return ready
 }
 
-// runs reports whether a node runs a release and is in service.
+// runs reports whether a node runs the given release and is in service.
 func (f *Fleet) runs(node int, release string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -331,7 +331,7 @@
 	return m.release == release && !m.isOut
 }
 
-// WaitReady waits until all nodes run a release and are ready.
+// WaitReady waits until all nodes run the given release and are ready.
 func (f *Fleet) WaitReady(release string) {
 	f.t.Helper()
 	f.WaitFor("all nodes are ready on "+release, func() bool { return f.ReadyNodes(release) == f.Len() })
@@ -344,7 +344,7 @@
 	return f.peakOut
 }
 
-// NodeOut returns a node that is out of service by agreement; -1 if none is.
+// NodeOut returns the number of a node that is out of service by agreement; -1 if there is none.
 func (f *Fleet) NodeOut() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -356,7 +356,7 @@
 	return -1
 }
 
-// WaitNodeOut waits until a node is out of service by agreement, and returns it.
+// WaitNodeOut waits until a node is out of service by agreement, and returns its number.
 func (f *Fleet) WaitNodeOut() int {
 	f.t.Helper()
 	f.WaitFor("a node is out of service", func() bool { return f.NodeOut() >= 0 })
--- a/tests/harness/harness.go
+++ b/tests/harness/harness.go
@@ -1,7 +1,7 @@
-// Package harness starts the real programs as processes and plays what they talk to: clients, cache servers, the origin and
+// Package harness starts the real programs as processes and fakes what they talk to: clients, cache servers, the origin and
 // discovery. Everything that it starts is stopped when its test ends, and every wait has a deadline.
 //
-// Methods that take no error return fail the test of the handle they belong to.
+// Functions and methods that return no error fail the test instead.
 package harness
 
 import (
@@ -18,10 +18,10 @@
 	"time"
 )
 
-// Timeout bounds every wait. It is generous, as it only bounds how long a failing test takes.
+// Timeout bounds every wait. It is generous, because only failing tests wait that long.
 const Timeout = 20 * time.Second
 
-const pollInterval = 2 * time.Millisecond // between two checks of a condition
+const pollInterval = 2 * time.Millisecond // interval between two checks of a condition
 
 // Paths of the programs that Main has built.
 var (
@@ -29,7 +29,7 @@
 	TestbedProgram string
 )
 
-// Main builds the programs, with the race detector if the tests have it, runs the tests and ends the process.
+// Main builds the programs, runs the tests and exits. The programs are built with the race detector if the tests are.
 func Main(m *testing.M) {
 	code, err := buildAndRun(m)
 	if err != nil {
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-// UninstrumentedNodeProgram builds the node's program without the race detector, which multiplies what a node needs, for tests of
-// just that.
+// UninstrumentedNodeProgram returns the path of the node's program, built without the race detector. The race detector multiplies
+// the memory and the CPU time that a node needs, so tests of these needs use this program.
 func UninstrumentedNodeProgram(t testing.TB) string {
 	t.Helper()
 	if !RaceEnabled {
@@ -53,13 +53,13 @@
 	return path
 }
 
-// buildUninstrumented builds the program once, beside the instrumented one.
+// buildUninstrumented builds the node's program without the race detector, once, in the same directory as the instrumented one.
 var buildUninstrumented = sync.OnceValues(func() (path string, err error) {
 	path = NodeProgram + "-uninstrumented"
 	return path, build("-o", path, "shelfproxy/cmd/shelfproxy")
 })
 
-// build calls go build.
+// build runs go build with the given arguments.
 func build(args ...string) error {
 	command := exec.CommandContext(context.Background(), "go", append([]string{"build", "-buildvcs=false"}, args...)...)
 	if output, err := command.CombinedOutput(); err != nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a directory that stays does no harm
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that remains does no harm
 	NodeProgram, TestbedProgram = filepath.Join(dir, "shelfproxy"), filepath.Join(dir, "testbed")
 	args := []string{"-o", dir + "/"}
 	if RaceEnabled {
@@ -85,7 +85,8 @@
 	return m.Run(), nil
 }
 
-// WaitFor waits until the condition holds. If it does not by the deadline, the test fails with the texts of the logs.
+// WaitFor waits until the condition holds. If the condition does not hold within Timeout, the test fails; its message includes
+// what and the logs.
 func WaitFor(t testing.TB, what string, condition func() bool, logs ...fmt.Stringer) {
 	t.Helper()
 	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
@@ -99,8 +100,8 @@
 	}
 }
 
-// LoopbackAddress returns an address, with port 0, that no other test listens on or dials from: an address that is given up
-// is not taken by them.
+// LoopbackAddress returns a random loopback address with port 0. Other tests hardly ever listen on or dial from the same address,
+// so they do not take an address that this test has released.
 func LoopbackAddress() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
@@ -112,7 +113,7 @@
 	if err != nil {
 		t.Fatalf("listen at %s: %v", address, err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = listener.Close() }) // the test may already have closed the listener
 	return listener
 }
 
@@ -129,7 +130,7 @@
 	}()
 }
 
-// WriteFile writes a file that only its owner may read.
+// WriteFile writes a file that only its owner may read or write.
 func WriteFile(t testing.TB, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
--- a/tests/harness/log.go
+++ b/tests/harness/log.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Log collects what a process writes. It is safe for concurrent use.
+// Log collects the output of a process. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
 	content bytes.Buffer
@@ -19,15 +19,15 @@
 	return l.content.Write(text)
 }
 
-// String returns all that was written.
+// String returns all output so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.content.String()
 }
 
-// Contains reports whether a text was written.
+// Contains reports whether the output so far contains a text.
 func (l *Log) Contains(text string) bool { return strings.Contains(l.String(), text) }
 
-// Count returns how often a text was written.
+// Count returns how many times the output so far contains a text.
 func (l *Log) Count(text string) int { return strings.Count(l.String(), text) }
--- a/tests/harness/machine.go
+++ b/tests/harness/machine.go
@@ -13,16 +13,16 @@
 	"shelfproxy/internal/testbed/faultproxy"
 )
 
-// firstPort is the port of the first instance of a machine; each machine has an address of its own.
+// firstPort is the port of the first instance of every machine. Machines do not conflict, as each has its own IP address.
 const firstPort = 20000
 
-// Machine is a supervisor with its instances.
+// Machine is a supervisor process with the node instances that it runs, as on one machine of a fleet.
 type Machine struct {
 	Supervisor *Process
-	Log        *Log // of the supervisor and its instances
+	Log        *Log // output of the supervisor and its instances
 
 	t         testing.TB
-	template  *Node // whose configuration the instances have, but for their addresses
+	template  *Node // the instances have its configuration, except for addresses and peers
 	proxy     *faultproxy.Proxy
 	dir, ip   string
 	instances int
@@ -34,7 +34,7 @@
 	Instances []InstanceStatus
 }
 
-// InstanceStatus is what the supervisor says of an instance.
+// InstanceStatus is the status of an instance as the supervisor reports it.
 type InstanceStatus struct {
 	State         string
 	Process       int
@@ -87,7 +87,7 @@
 	machine.template.ChooseAddress()
 	ip, _, err := net.SplitHostPort(machine.template.Config.Listen)
 	if err != nil {
-		t.Fatalf("the machine's address: %v", err)
+		t.Fatalf("split the machine's address: %v", err)
 	}
 	machine.ip = ip
 	for i := range instances {
@@ -110,19 +110,19 @@
 
 func (m *Machine) instanceControl(instance int) string { return m.path("n%d.ctl", instance) }
 
-// start starts the supervisor, which the end of the test ends.
+// start starts the supervisor. The cleanup of the test terminates it.
 func (m *Machine) start() {
 	m.t.Helper()
 	cmd := exec.CommandContext(context.Background(), NodeProgram, "fleet", m.path("fleet.toml"))
 	cmd.Stdout, cmd.Stderr = m.Log, m.Log
 	m.Supervisor = StartProcess(m.t, cmd)
-	m.t.Cleanup(func() { _ = m.Supervisor.Terminate() }) // a test may have killed it
+	m.t.Cleanup(func() { _ = m.Supervisor.Terminate() }) // the error is ignored: a test may have killed the supervisor
 }
 
 // Address returns the address of an instance.
 func (m *Machine) Address(instance int) string { return fmt.Sprintf("%s:%d", m.ip, firstPort+instance) }
 
-// Install replaces the program that instances are started with.
+// Install replaces the program that instances are started with, atomically.
 func (m *Machine) Install(program string) {
 	m.t.Helper()
 	next := m.path("new")
@@ -134,7 +134,8 @@
 	}
 }
 
-// Ctl runs the verb ctl at the supervisor; its status is empty where the supervisor refuses or does not answer.
+// Ctl runs the verb ctl against the supervisor and returns the status that it prints. The status is empty if the supervisor
+// rejects the command or does not answer.
 func (m *Machine) Ctl(words ...string) (status MachineStatus) {
 	output, err := ctl(m.t, m.control(), words...).Output()
 	if err != nil || json.Unmarshal(output, &status) != nil {
@@ -143,13 +144,15 @@
 	return status
 }
 
-// InstanceCtl runs the verb ctl at an instance and decodes what it prints. It is false where the instance does not answer.
+// InstanceCtl runs the verb ctl against an instance and decodes its output into answer. It returns false if the instance gives no
+// valid answer.
 func (m *Machine) InstanceCtl(instance int, answer any, words ...string) bool {
 	output, err := ctl(m.t, m.instanceControl(instance), words...).Output()
 	return err == nil && json.Unmarshal(output, answer) == nil
 }
 
-// WaitServing waits until every instance serves and nothing is under way, and returns the status.
+// WaitServing waits until every instance serves, and no replacement is under way or the replacement is halted. It returns the
+// status.
 func (m *Machine) WaitServing(when string) (status MachineStatus) {
 	m.t.Helper()
 	m.WaitFor("all instances serve "+when, func() bool {
@@ -171,13 +174,13 @@
 	return true
 }
 
-// WaitFor waits for a condition; the log goes into the message of a failure.
+// WaitFor waits for a condition. A failure message includes the log.
 func (m *Machine) WaitFor(what string, condition func() bool) {
 	m.t.Helper()
 	WaitFor(m.t, what, condition, m.Log)
 }
 
-// WaitForLog waits until a text was logged count times.
+// WaitForLog waits until a text was logged at least count times.
 func (m *Machine) WaitForLog(text string, count int) {
 	m.t.Helper()
 	m.WaitFor(fmt.Sprintf("the log has %s %d times", text, count), func() bool { return m.Log.Count(text) >= count })
--- a/tests/harness/node.go
+++ b/tests/harness/node.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// Node is a node and all that it talks to. Its fields may be changed until it is started.
+// Node is a node with its own discovery service and origin. Its fields may be changed until the node is started.
 type Node struct {
 	Config    Config
 	Edits     []ConfigEdit // applied to the configuration when it is written
-	Operator  string       // text of the operators' file; empty for none
+	Operator  string       // text of the operator file; empty for no file
 	Discovery *Discovery
 	Origin    *Origin
 	Log       *Log
@@ -29,7 +29,8 @@
 	configPath string
 }
 
-// NewNode prepares a node that knows an origin and these cache servers, named s0, s1 and so on.
+// NewNode prepares a node whose list has an origin and the given cache servers, with the ids s0, s1 and so on. It does not start
+// it.
 func NewNode(t testing.TB, servers ...*CacheServer) *Node {
 	t.Helper()
 	n := &Node{Config: defaultConfig(), Discovery: NewDiscovery(t), Origin: NewOrigin(t), Log: &Log{}, t: t,
@@ -51,35 +52,35 @@
 	}
 }
 
-// ConfigText returns the configuration as the file of the node has it.
+// ConfigText returns the text of the node's configuration file.
 func (n *Node) ConfigText() string {
 	n.t.Helper()
 	return ReadFile(n.t, n.configPath)
 }
 
-// ConfigPath returns the path of the file of the configuration.
+// ConfigPath returns the path of the node's configuration file.
 func (n *Node) ConfigPath() string { return n.configPath }
 
-// WriteConfig writes the configuration to its file.
+// WriteConfig writes the configuration, after the edits, to the node's configuration file.
 func (n *Node) WriteConfig() {
 	n.t.Helper()
 	n.WriteConfigText(n.Config.encode(n.t, n.Edits...))
 }
 
-// WriteConfigText writes another text to the file of the configuration.
+// WriteConfigText replaces the text of the node's configuration file.
 func (n *Node) WriteConfigText(text string) {
 	n.t.Helper()
 	WriteFile(n.t, n.configPath, text)
 }
 
-// Command returns the node's program, ready to run with the present configuration.
+// Command writes the configuration and returns a command that runs the node's program with it.
 func (n *Node) Command(args ...string) *exec.Cmd {
 	n.t.Helper()
 	n.WriteConfig()
 	return programWithConfig(n.configPath, args...)
 }
 
-// programWithConfig returns the node's program. No context ends it: its user does, in order.
+// programWithConfig returns a command that runs the node's program. No context ends the program; the caller has to.
 func programWithConfig(configPath string, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(context.Background(), NodeProgram, args...)
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+configPath)
@@ -100,7 +101,7 @@
 func (n *Node) ChooseAddress() {
 	n.t.Helper()
 	if err := n.OccupyAddress().Close(); err != nil {
-		n.t.Fatalf("give up the node's address: %v", err)
+		n.t.Fatalf("release the node's address: %v", err)
 	}
 }
 
@@ -112,7 +113,8 @@
 	return listener
 }
 
-// Launch starts the program and does not wait. At its end the test fails unless the node, told to end, ends as it should.
+// Launch starts the node's program without waiting until it serves. The cleanup of the test sends SIGTERM, and the test fails if
+// the node then exits with an error.
 func (n *Node) Launch() {
 	n.t.Helper()
 	cmd := n.Command()
@@ -130,14 +132,14 @@
 	})
 }
 
-// Reload writes the configuration and tells the node to read it.
+// Reload writes the configuration and sends SIGHUP, so that the node reads it.
 func (n *Node) Reload() {
 	n.t.Helper()
 	n.WriteConfig()
 	n.Process.Signal(syscall.SIGHUP)
 }
 
-// WaitExit waits until the node has ended, and fails the test unless it ended as it should.
+// WaitExit waits until the node has ended, and fails the test if the node exited with an error.
 func (n *Node) WaitExit() {
 	n.t.Helper()
 	if err := n.Process.Wait(); err != nil {
@@ -145,7 +147,7 @@
 	}
 }
 
-// WaitFor waits for a condition; the node's log goes into the message of a failure.
+// WaitFor waits for a condition. A failure message includes the node's log.
 func (n *Node) WaitFor(what string, condition func() bool) {
 	n.t.Helper()
 	WaitFor(n.t, what, condition, n.Log)
@@ -157,7 +159,7 @@
 	n.WaitFor("the log has "+text, func() bool { return n.Log.Contains(text) })
 }
 
-// WaitForCounter waits until a counter has a value.
+// WaitForCounter waits until a counter has exactly the given value.
 func (n *Node) WaitForCounter(name string, value int) {
 	n.t.Helper()
 	observer := n.NewObserver()
@@ -165,8 +167,8 @@
 	n.WaitFor(fmt.Sprintf("%s is %d", name, value), func() bool { return observer.Counter(name) == value })
 }
 
-// Observer reads counters of a node that may close the connection between two reads, as one with few descriptors does with idle
-// connections.
+// Observer reads counters of a node that may close the Observer's connection between two reads. A node with few descriptors
+// closes idle connections.
 type Observer struct {
 	node   *Node
 	client *Client
@@ -178,7 +180,8 @@
 	return &Observer{node: n, client: n.Dial()}
 }
 
-// Counter returns a counter; 0 if it is not there. It opens another connection if the node has closed the last one.
+// Counter returns the value of a counter; 0 if the node has no such counter yet. It opens a new connection if the node has closed
+// the last one.
 func (o *Observer) Counter(name string) int {
 	o.node.t.Helper()
 	info := o.client.Info()
@@ -191,44 +194,45 @@
 }
 
 // Close closes the connection.
-func (o *Observer) Close() { _ = o.client.Close() } // the node may have closed it
+func (o *Observer) Close() { _ = o.client.Close() } // the node may already have closed the connection
 
-// WaitListening waits until the node takes connections.
+// WaitListening waits until the node accepts connections.
 func (n *Node) WaitListening() {
 	n.t.Helper()
 	n.WaitFor("the node listens", func() bool {
 		conn, err := (&net.Dialer{}).DialContext(n.t.Context(), "tcp", n.Config.Listen)
 		if err == nil {
-			_ = conn.Close() // it is only tried
+			_ = conn.Close() // nothing was sent on this connection
 		}
 		return err == nil
 	})
 }
 
-// Dial opens a client's connection, which the end of the test closes.
+// Dial opens a client's connection, which the cleanup of the test closes. Reads fail once Timeout has passed since Dial.
 func (n *Node) Dial() *Client {
 	n.t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(n.t.Context(), "tcp", n.Config.Listen)
 	if err != nil {
 		n.t.Fatalf("dial the node: %v", err)
 	}
-	n.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	n.t.Cleanup(func() { _ = conn.Close() }) // the test may already have closed the connection
 	if err := conn.SetReadDeadline(time.Now().Add(Timeout)); err != nil {
 		n.t.Fatalf("set the read deadline of a client: %v", err)
 	}
 	return &Client{Conn: conn, Reader: bufio.NewReader(conn), t: n.t}
 }
 
-// TryDial opens a connection without a deadline; nil where the node takes none just now. The end of the test closes it.
+// TryDial opens a connection without read or write deadlines. It returns nil if no connection is established within a second. The
+// cleanup of the test closes the connection.
 func (n *Node) TryDial() net.Conn {
 	conn := n.TryDialWithin(time.Second)
 	if conn != nil {
-		n.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+		n.t.Cleanup(func() { _ = conn.Close() }) // the test may already have closed the connection
 	}
 	return conn
 }
 
-// TryDialWithin opens a connection, whose user closes it; nil where the node does not take it within the timeout.
+// TryDialWithin opens a connection, which the caller closes. It returns nil if no connection is established within the timeout.
 func (n *Node) TryDialWithin(timeout time.Duration) net.Conn {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", n.Config.Listen)
@@ -238,10 +242,11 @@
 	return conn
 }
 
-// raceMemoryFactor is how much more memory a build with the race detector may take.
+// raceMemoryFactor is how many times as much memory a build with the race detector may use.
 const raceMemoryFactor = 4
 
-// MemoryLimit returns a memory limit, in MB, for the build that is tested.
+// MemoryLimit returns the memory limit, in MB, to configure for a node: the given one, or raceMemoryFactor times as much if the
+// build has the race detector.
 func MemoryLimit(megabytes int) int {
 	if RaceEnabled {
 		return raceMemoryFactor * megabytes
@@ -249,8 +254,8 @@
 	return megabytes
 }
 
-// CheckPeakMemory fails the test if the node ever held more memory, in MB, as far as the system tells. It checks nothing with
-// the race detector.
+// CheckPeakMemory fails the test if the node's peak resident memory was above the given number of MB. It checks nothing with the
+// race detector, or if /proc does not have the figure.
 func (n *Node) CheckPeakMemory(megabytes int) {
 	n.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.Process.PID()))
@@ -261,9 +266,9 @@
 	}
 	kilobytes, err := strconv.Atoi(fields[0])
 	if err != nil {
-		n.t.Fatalf("the node's peak memory: %v", err)
+		n.t.Fatalf("parse the node's peak memory: %v", err)
 	}
 	if kilobytes > megabytes<<10 {
-		n.t.Errorf("the node held %d MB, %d are allowed", kilobytes>>10, megabytes)
+		n.t.Errorf("the node's peak memory was %d MB, want at most %d MB", kilobytes>>10, megabytes)
 	}
 }
--- a/tests/harness/norace.go
+++ b/tests/harness/norace.go
@@ -2,5 +2,5 @@
 
 package harness
 
-// RaceEnabled says whether the tests, and with them the programs, have the race detector.
+// RaceEnabled is true if the tests are built with the race detector. The programs are then built with it too.
 const RaceEnabled = false
--- a/tests/harness/origin.go
+++ b/tests/harness/origin.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Origin is an origin that answers with a value that names the request, or as its handler does.
+// Origin is a fake origin. It answers with "from-origin-" and the request's id, unless Handle has replaced its handler.
 type Origin struct {
 	Address string
 
@@ -15,7 +15,7 @@
 	mu       sync.Mutex
 	handler  http.HandlerFunc
 	requests []*http.Request
-	returned int // requests that NextRequest has returned
+	returned int // number of requests that NextRequest has returned
 }
 
 // NewOrigin starts an origin.
@@ -31,7 +31,7 @@
 // RequestID returns the id of a node's request to the origin.
 func RequestID(request *http.Request) string { return request.Header.Get("X-Request-Id") }
 
-// Handle replaces the handler.
+// Handle replaces the handler of all requests from now on, health checks included.
 func (o *Origin) Handle(handler http.HandlerFunc) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,7 +52,7 @@
 	handler(w, request)
 }
 
-// Requests returns the number of requests so far, without health checks.
+// Requests returns the number of requests that the origin has received so far, without health checks.
 func (o *Origin) Requests() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,7 +62,7 @@
 // NextRequest waits for the next request, in the order in which they came. Its body may have been read and closed.
 func (o *Origin) NextRequest() *http.Request {
 	o.t.Helper()
-	WaitFor(o.t, "the origin is sent a request", func() bool { return o.Requests() > o.returned })
+	WaitFor(o.t, "the origin receives a request", func() bool { return o.Requests() > o.returned })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.returned++
--- a/tests/harness/process.go
+++ b/tests/harness/process.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Process is a program that was started.
+// Process is a started program.
 type Process struct {
 	t       testing.TB
 	cmd     *exec.Cmd
@@ -19,14 +19,14 @@
 	exitErr error         // valid once exited is closed
 }
 
-// StartProcess starts a program. Its user ends it.
+// StartProcess starts a program. The caller has to end it.
 func StartProcess(t testing.TB, cmd *exec.Cmd) *Process {
 	t.Helper()
 	p := &Process{t: t, cmd: cmd, exited: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		t.Fatalf("start %s: %v", cmd.Path, err)
 	}
-	go func() { // ends with the process
+	go func() { // returns when the process has ended
 		p.exitErr = cmd.Wait()
 		close(p.exited)
 	}()
@@ -36,7 +36,7 @@
 // PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal; a process that has ended already is left alone.
+// Signal sends a signal to the process. It does nothing if the process has already ended.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -44,17 +44,17 @@
 	}
 }
 
-// Pause stops the process until Resume, and waits until it stands still.
+// Pause stops the process with SIGSTOP until Resume is called, and waits until the kernel reports it as stopped.
 func (p *Process) Pause() {
 	p.t.Helper()
 	p.Signal(syscall.SIGSTOP)
-	WaitFor(p.t, "the process stands still", func() bool {
+	WaitFor(p.t, "the process is stopped", func() bool {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 		return err == nil && bytes.Contains(stat, []byte(") T "))
 	})
 }
 
-// Resume lets a process that was stopped run again.
+// Resume continues a stopped process with SIGCONT.
 func (p *Process) Resume() {
 	p.t.Helper()
 	p.Signal(syscall.SIGCONT)
@@ -63,11 +63,11 @@
 // Exited returns a channel that is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitCode returns the code that the process ended with; -1 if a signal ended it. The process must have ended.
+// ExitCode returns the exit code of the process; -1 if a signal ended it. The process must have ended.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Wait waits until the process ends and returns the error that it ends with. A process that does not end in time is killed,
-// and the test fails.
+// Wait waits until the process has ended and returns its error, as exec.Cmd.Wait does. A process that does not end within Timeout
+// is killed, and the test fails.
 func (p *Process) Wait() error {
 	p.t.Helper()
 	select {
@@ -80,14 +80,14 @@
 	return p.exitErr
 }
 
-// Terminate sends SIGTERM and waits until the process ends.
+// Terminate sends SIGTERM and then waits as Wait does.
 func (p *Process) Terminate() error {
 	p.t.Helper()
 	p.Signal(syscall.SIGTERM)
 	return p.Wait()
 }
 
-// Kill ends the process at once, also one that was stopped.
+// Kill ends the process with SIGKILL, which works on a stopped process too, and waits until it has ended.
 func (p *Process) Kill() {
 	p.t.Helper()
 	p.Signal(syscall.SIGKILL)
--- a/tests/harness/scenario.go
+++ b/tests/harness/scenario.go
@@ -10,10 +10,11 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// scenarioSeed draws the ranges of the scenarios that tests play.
+// scenarioSeed is the seed that draws values from the ranges in scenarios, the same for all tests.
 const scenarioSeed = 5
 
-// Play plays a scenario with a program as its nodes. The options may have restarts or a rollout; the others are set here.
+// Play runs a scenario with the given program as its nodes. The caller may set the options Restarts, Rollout and Disturb; Play
+// sets the others.
 func Play(t testing.TB, program, scenarioText string, options demo.Options) *demo.Result {
 	t.Helper()
 	parsed, err := scenario.Parse("test.toml", []byte(scenarioText))
@@ -34,8 +35,9 @@
 	return result
 }
 
-// CheckServed fails the test unless the run is clean, had enough requests and served a part of them.
-func CheckServed(t testing.TB, result *demo.Result, minRequests int, minServedPart float64) {
+// CheckServed fails the test unless the run is clean (see CheckClean), had at least minRequests requests and served at least the
+// fraction minServedFraction of them.
+func CheckServed(t testing.TB, result *demo.Result, minRequests int, minServedFraction float64) {
 	t.Helper()
 	CheckClean(t, result)
 	served := int64(0)
@@ -43,8 +45,8 @@
 		served += class.Served
 	}
 	counts := result.Summary.Counts
-	if counts.Requests < minRequests || float64(served) < minServedPart*float64(counts.Requests) {
-		t.Errorf("%d of %d requests were served, want %.0f%% of %d at least: %+v", served, counts.Requests, 100*minServedPart, minRequests, counts)
+	if counts.Requests < minRequests || float64(served) < minServedFraction*float64(counts.Requests) {
+		t.Errorf("%d of %d requests were served, want at least %.0f%% of at least %d: %+v", served, counts.Requests, 100*minServedFraction, minRequests, counts)
 	}
 }
 
