--- a/tests/abusive_clients_test.go
+++ b/tests/abusive_clients_test.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// abuseInterval is between two rounds of an abusive client: without it they would send as fast as this machine can, and the
-	// figures would measure the machine.
+	// abuseInterval is the time between two rounds of an abusive client. Without it these clients would send as fast as this
+	// machine can, and the figures would measure the machine.
 	abuseInterval = 20 * time.Millisecond
-	// abusiveConnection bounds what an abusive client does with one connection.
-	abusiveConnection = time.Second
+	// abuseTimeout bounds the time that an abusive client spends on one connection.
+	abuseTimeout = time.Second
 )
 
-// abuse is what other clients do to a node while usual ones send requests; it goes on until stop is closed.
+// abuse is a pattern of harmful client behaviour that a node is exposed to while ordinary clients send requests. It runs until
+// stop is closed.
 type abuse struct {
 	name        string
 	descriptors int
@@ -29,7 +30,8 @@
 	run         func(node *harness.Node, stop <-chan struct{})
 }
 
-// repeat calls act from each of some clients again and again until stop is closed, and waits for the last calls.
+// repeat calls act in a loop for each client, with abuseInterval between two calls, until stop is closed. It waits for the last
+// calls to return.
 func repeat(clients int, stop <-chan struct{}, act func(client, round int)) {
 	var running sync.WaitGroup
 	for client := range clients {
@@ -47,18 +49,19 @@
 	running.Wait()
 }
 
-// useBriefly opens a connection, if the node takes it, and closes it after use. Its errors are part of the abuse.
+// useBriefly opens a connection, calls use and closes the connection. It does nothing if the node doesn't accept the connection.
+// Errors are ignored: they are expected of abusive clients.
 func useBriefly(node *harness.Node, use func(net.Conn)) {
-	conn := node.TryDialWithin(abusiveConnection)
+	conn := node.TryDialWithin(abuseTimeout)
 	if conn == nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(abusiveConnection))
+	_ = conn.SetDeadline(time.Now().Add(abuseTimeout))
 	use(conn)
 }
 
-// writeAbusively writes what the node may not read. It is false once the connection has failed.
+// writeAbusively writes bytes that the node possibly never reads. It reports whether the write succeeded.
 func writeAbusively(conn io.Writer, bytes []byte) bool {
 	_, err := conn.Write(bytes)
 	return err == nil
@@ -148,7 +151,7 @@
 		}
 	}
 	for _, conn := range connections {
-		_ = conn.Close() // the node may have closed it
+		_ = conn.Close() // the node may already have closed the connection
 	}
 	repeat(16, stop, func(client, round int) {
 		useBriefly(node, func(conn net.Conn) {
@@ -157,8 +160,9 @@
 	})
 }
 
-// Whatever other clients do, usual ones are served: eight of them, each on a new connection for every request. The parts are
-// logged; docs/admission.md has them as a table.
+// Guards against abusive clients that starve ordinary ones of connections, memory or CPU time. Beside each kind of abuse eight
+// ordinary clients, which open a new connection for every request, must get nine tenths of their requests served. The share that
+// was served is logged; docs/admission.md has these figures as a table.
 func TestClientsAreServedBesideAbusiveOnes(t *testing.T) {
 	for _, abuse := range abuses {
 		t.Run(abuse.name, func(t *testing.T) {
@@ -167,20 +171,20 @@
 			node.Start()
 			stop, ended := make(chan struct{}), make(chan struct{})
 			go func() { abuse.run(node, stop); close(ended) }()
-			sent, served := sendUsualRequests(node)
+			sent, served := sendOrdinaryRequests(node)
 			close(stop)
 			<-ended
 			t.Logf("served %.1f%% of %d beside: %s", 100*float64(served)/float64(sent), sent, abuse.name)
 			if served < sent*9/10 {
-				t.Errorf("%d of %d usual requests were served, want nine tenths", served, sent)
+				t.Errorf("%d of %d ordinary requests were served, want nine tenths", served, sent)
 			}
 			node.CheckPeakMemory(abuse.memoryMB)
 		})
 	}
 }
 
-// sendUsualRequests sends the requests of eight clients, each on a new connection.
-func sendUsualRequests(node *harness.Node) (sent, served int64) {
+// sendOrdinaryRequests sends the requests of eight ordinary clients, each request on a new connection.
+func sendOrdinaryRequests(node *harness.Node) (sent, served int64) {
 	const clients, requests, timeout, interval = 8, 40, 3 * time.Second, 10 * time.Millisecond
 	var servedSoFar atomic.Int64
 	var running sync.WaitGroup
@@ -190,7 +194,7 @@
 				if requestOnNewConnection(node, fmt.Sprintf("u%02d%03d", client, i), timeout, timeout) {
 					servedSoFar.Add(1)
 				}
-				time.Sleep(interval) // the rate of a usual client, not a wait for anything
+				time.Sleep(interval) // paces the client; this waits for no event
 			}
 		})
 	}
--- a/tests/admission_test.go
+++ b/tests/admission_test.go
@@ -14,10 +14,10 @@
 	"shelfproxy/tests/harness"
 )
 
-// bigKey is the key for which bigValueServer has a value of 60 KB.
+// bigKey is the key for which bigValueServer returns a value of 60 KB.
 const bigKey = "big"
 
-// bigValueServer starts a cache server with a large value for bigKey and a short one for all others.
+// bigValueServer starts a cache server that returns a large value for bigKey and a short value for every other key.
 func bigValueServer(t *testing.T) *harness.CacheServer {
 	t.Helper()
 	big := harness.HitWith(strings.Repeat("x", 60<<10))
@@ -29,13 +29,13 @@
 	})
 }
 
-// requestOnNewConnection sends a read on a connection of its own, and reports whether it was served in time.
+// requestOnNewConnection sends a read on a new connection and reports whether it was served in time.
 func requestOnNewConnection(node *harness.Node, id string, connectTimeout, timeout time.Duration) (served bool) {
 	conn := node.TryDialWithin(connectTimeout)
 	if conn == nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the node may have closed it
+	defer func() { _ = conn.Close() }() // the node may already have closed the connection
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return false
 	}
@@ -48,33 +48,35 @@
 	return err == nil && strings.HasSuffix(string(answer), id)
 }
 
-// Clients that request large values and read none of them are cut off at 32 MB of memory; usual ones are served.
+// Guards against answers that pile up in memory because clients request large values and read none of them. A node with 32 MB
+// disconnects these clients and keeps serving ordinary ones.
 func TestClientsThatReadNothingAreCutOff(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, bigValueServer(t))
 	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: harness.MemoryLimit(32), Sockets: 256}
 	node.Start()
-	usual := node.Dial()
+	ordinary := node.Dial()
 	for i := range 8 {
 		conn := node.TryDial()
 		if conn == nil {
 			continue
 		}
 		if err := conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
-			t.Fatalf("shorten a read buffer: %v", err)
+			t.Fatalf("set the size of a read buffer: %v", err)
 		}
 		for j := range 200 {
-			_, _ = conn.Write(harness.GetCommand(bigKey, fmt.Sprintf("%04d%04d", i, j))) // fails once it is cut off
+			_, _ = conn.Write(harness.GetCommand(bigKey, fmt.Sprintf("%04d%04d", i, j))) // fails once the node has closed the connection
 		}
-		usual.Get("k", fmt.Sprint("u", i)).Want("value-u")
+		ordinary.Get("k", fmt.Sprint("u", i)).Want("value-u")
 	}
-	node.WaitFor("clients that read nothing are cut off", func() bool { return usual.Counter("listener_closed_stuck") > 0 })
-	usual.Get("k", "last").Want("value-last")
+	node.WaitFor("clients that read nothing are cut off", func() bool { return ordinary.Counter("listener_closed_stuck") > 0 })
+	ordinary.Get("k", "last").Want("value-last")
 	node.CheckPeakMemory(32)
 }
 
-// With 256 descriptors, connections that send nothing by the hundreds and clients that send one request and stay do not keep
-// usual clients out, nor one that sends a request regularly.
+// Guards against idle connections that use up the descriptors. The node has 256 of them. Hundreds of clients that send nothing,
+// and hundreds that send one request and keep their connection, keep out neither ordinary clients nor one that sends a request
+// regularly.
 func TestIdleConnectionsDoNotKeepClientsOut(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
@@ -90,12 +92,12 @@
 	others.Go(func() {
 		for i := range 300 {
 			if conn := node.TryDial(); conn != nil {
-				_, _ = conn.Write(harness.GetCommand("k", fmt.Sprintf("x%04d", i))) // the node may have closed it
+				_, _ = conn.Write(harness.GetCommand("k", fmt.Sprintf("x%04d", i))) // the node may already have closed the connection
 			}
 		}
 	})
 	var sent, served atomic.Int64
-	for worker := range 8 { // usual clients, each request on a new connection
+	for worker := range 8 { // ordinary clients, which send each request on a new connection
 		others.Go(func() {
 			for i := range 20 {
 				sent.Add(1)
@@ -109,19 +111,19 @@
 	go func() { others.Wait(); close(othersEnded) }()
 	sendRegularly(t, node, regular, othersEnded)
 	if served.Load() < sent.Load()*9/10 {
-		t.Errorf("%d of %d usual requests were served, want nine tenths", served.Load(), sent.Load())
+		t.Errorf("%d of %d ordinary requests were served, want nine tenths", served.Load(), sent.Load())
 	}
 	if accepted := node.Dial().Counter("listener_accepted"); accepted < 500 {
-		t.Errorf("%d connections were accepted, want 500 at least", accepted)
+		t.Errorf("%d connections were accepted, want at least 500", accepted)
 	}
 }
 
-// regularInterval is between two requests of a client that sends them regularly.
+// regularInterval is the time between two requests of sendRegularly.
 const regularInterval = 20 * time.Millisecond
 
-// sendRegularly sends requests until done is closed, each of which has to be served. A machine that stands still for a moment
-// breaks the rhythm, and with it the claim to a place in the node; that a rhythm keeps its place is shown in virtual time. Here
-// no request on it may be dropped.
+// sendRegularly sends a request at every regularInterval until done is closed; each request has to be served. A machine that
+// stalls for a moment makes requests late, and the node may then close the connection as idle, so a closed connection is
+// replaced. Tests in virtual time show that a client that keeps the interval keeps its connection.
 func sendRegularly(t *testing.T, node *harness.Node, client *harness.Client, done <-chan struct{}) {
 	t.Helper()
 	ticker := time.NewTicker(regularInterval)
@@ -143,8 +145,8 @@
 	}
 }
 
-// Writes whose values fill the node while the origin stalls are rejected before the memory is full, reads of usual clients
-// before them, and the node is not killed: with 32 MB, clients push several times that.
+// Guards against a node that is killed for lack of memory. While the origin stalls, the values of pending writes pile up: clients
+// send 60 MB to a node with 32 MB. The node rejects writes before its memory is full, and reads of ordinary clients even earlier.
 func TestWritesAreRejectedBeforeMemoryIsFull(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
@@ -158,9 +160,9 @@
 	})
 	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: harness.MemoryLimit(32), Sockets: 256}
 	node.Start()
-	usual := node.Dial()
-	usual.Get("k", "before").Want("value-")
-	const writers, writes = 10, 100 // 60 MB in all
+	ordinary := node.Dial()
+	ordinary.Get("k", "before").Want("value-")
+	const writers, writes = 10, 100 // 60 MB in total
 	value := strings.Repeat("x", 60<<10)
 	answers := make(chan string, writers*writes)
 	var writing sync.WaitGroup
@@ -181,7 +183,7 @@
 			}
 		})
 	}
-	node.WaitFor("some writes are rejected", func() bool { return usual.Counter("flows_without_memory") > 0 })
+	node.WaitFor("some writes are rejected", func() bool { return ordinary.Counter("flows_without_memory") > 0 })
 	close(release)
 	writing.Wait()
 	close(answers)
@@ -193,15 +195,15 @@
 		t.Errorf("answers %v, want some stored, some rejected, no connection closed", count)
 	}
 	attempt := 0
-	node.WaitFor("usual clients are served again", func() bool { // the pressure falls once the memory has been released
+	node.WaitFor("ordinary clients are served again", func() bool { // reads are admitted again once the memory has been released
 		attempt++
-		return strings.HasPrefix(usual.Get("k", fmt.Sprint("after", attempt)).Answer(), "value-")
+		return strings.HasPrefix(ordinary.Get("k", fmt.Sprint("after", attempt)).Answer(), "value-")
 	})
 	node.CheckPeakMemory(32)
 }
 
-// A request counts against the quota of the tenant that its client names. A full server's reads within a quota are retried, and
-// what lies beyond it is rejected at once.
+// A request counts against the quota of the tenant that its client names. A read that a busy server rejects is retried if the
+// tenant is within its quota, and rejected at once otherwise.
 func TestRequestsBeyondATenantsQuotaAreRejected(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -221,7 +223,7 @@
 	read := func(id, tenant string) *harness.Client {
 		return client.Send("CACHE.GET", "k", id, harness.ReadExtras+",t="+tenant)
 	}
-	for i := range 4 { // what a tenant without a quota may send by chance
+	for i := range 4 { // the burst of four requests that a tenant may send at once above its quota
 		read(fmt.Sprint("chance", i), "beyond").Want("value-")
 	}
 	read("in", "within").Want("value-in")
--- a/tests/ci_test.go
+++ b/tests/ci_test.go
@@ -21,19 +21,19 @@
 func TestGreen(t *testing.T) {}
 `
 
-// Entries of the list.
+// Entries of the list of tests that are known to fail.
 const (
 	redEntry   = "TestRed | go test -run TestRed -seed 3 | it fails as ever | issue 1\n"
 	greenEntry = "TestGreen | go test -run TestGreen -seed 3 | it failed | issue 1\n"
 )
 
-// CI passes over the tests that are listed as known to fail, says how each ended, and takes no list that is too long or names
-// what is no test.
+// CI excludes the tests that are listed as known to fail, runs them separately and prints how each ended. It rejects a list that
+// has more than three entries, a malformed entry or the name of a test that doesn't exist.
 func TestCIReportsKnownFailures(t *testing.T) {
 	t.Parallel()
 	script, err := filepath.Abs("../.ci/known-red")
 	if err != nil {
-		t.Fatalf("the path of the script: %v", err)
+		t.Fatalf("get the absolute path of the script: %v", err)
 	}
 	dir := t.TempDir()
 	harness.WriteFile(t, filepath.Join(dir, "go.mod"), "module red\n\ngo 1.26\n")
@@ -46,7 +46,7 @@
 	}
 	for name, test := range map[string]struct {
 		list            string
-		pattern, report string // what the verbs print, or the start of why they fail
+		pattern, report string // texts that the output of the verbs pattern and run must contain; pattern is an error text if fails
 		fails           bool
 	}{
 		"none":       {"", "", "", false},
--- a/tests/discovery_test.go
+++ b/tests/discovery_test.go
@@ -10,11 +10,11 @@
 	"shelfproxy/tests/harness"
 )
 
-// notifyWithin is when a node has to know what discovery has, once discovery can be reached.
+// notifyWithin bounds the time from when discovery can be reached until a node knows the current list.
 const notifyWithin = 6 * time.Second
 
-// Discovery fails in each of its ways, for some calls in a row. Once it can be reached, what it has is known in time, also if that
-// came in the gap, and though the backoff between calls has grown.
+// Guards against a node that misses a change of the list, or learns of it late, after an outage of discovery. The change is
+// published during the outage, and failed calls have made the backoff between calls longer. The test runs once for each fault.
 func TestListIsKnownSoonAfterDiscoveryRecovers(t *testing.T) {
 	t.Parallel()
 	for fault, failedCalls := range map[harness.DiscoveryFault]int{harness.Unresponsive: 0, harness.Reset: 5, harness.ResetInMessage: 5,
@@ -46,13 +46,13 @@
 			}
 			node.WaitFor("the drain is known", func() bool { return draining.Connections() == 0 })
 			if took := time.Since(recovered); took > notifyWithin {
-				t.Errorf("known %v after discovery could be reached, want %v at most", took, notifyWithin)
+				t.Errorf("the change was known %v after discovery could be reached, want at most %v", took, notifyWithin)
 			}
 		})
 	}
 }
 
-// indentedDrain returns the next version of a list, in which the server s0 drains, as JSON on several lines.
+// indentedDrain returns the version of a list after the initial one as JSON on several lines; in it the server s0 drains.
 func indentedDrain(t *testing.T, known harness.List, address string) string {
 	t.Helper()
 	instances := slices.Clone(known.Instances)
@@ -65,22 +65,22 @@
 	return strings.NewReplacer(`,"`, ",\n  \"", `}]`, "}\n]").Replace(text)
 }
 
-// Idle clients take all descriptors that are for clients. The watch breaks just then: a new one, a cache server and the origin
-// still have theirs.
+// Guards against idle clients that use the descriptors reserved for discovery and servers. The watch breaks while clients hold
+// every descriptor that they may have. The node must still be able to connect to discovery, a cache server and the origin.
 func TestIdleClientsDoNotTakeDescriptorsOfDiscoveryAndServers(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.HitOnly("there")))
 	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: 64, Sockets: 128}
 	node.Start()
 	node.Discovery.NextWatch()
-	for range 200 { // more than there are descriptors, and all stay
+	for range 200 { // more than there are descriptors; no client disconnects
 		node.Dial()
 	}
 	broken := time.Now()
 	node.Discovery.BreakWatch()
 	node.Discovery.NextWatch()
 	if took := time.Since(broken); took > notifyWithin {
-		t.Errorf("a watch is opened %v after the last one broke, while clients fill the descriptors; want %v at most: %s", took, notifyWithin, node.Log)
+		t.Errorf("a watch was opened %v after the last one broke, while clients held all descriptors; want at most %v: %s", took, notifyWithin, node.Log)
 	}
 	client := node.Dial()
 	client.Get("there", "id1").Want("value-id1")
--- a/tests/growth_test.go
+++ b/tests/growth_test.go
@@ -8,8 +8,8 @@
 	"shelfproxy/tests/harness"
 )
 
-// growthScenario is one node: one key is popular, and a quarter of the cache servers die and come back cold, as the list says in
-// batches, or one by one where the time between batches is 0.
+// growthScenario has one node and one popular key. A quarter of the cache servers die and come back cold. The list reports these
+// changes in batches, or one by one if the time between batches is 0.
 const growthScenario = `
 length = "12s"
 [nodes]
@@ -43,8 +43,8 @@
 share = 0.25
 `
 
-// impatientClasses are a class of each effect, whose clients wait for little longer than answers usually take: those of reads for a time
-// in milliseconds.
+// impatientClasses are three classes, one of each effect. Their clients wait for little longer than answers usually take. The
+// operand is the deadline of reads in milliseconds.
 const impatientClasses = `
 [[class]]
 name = "view"
@@ -80,47 +80,48 @@
 bytes = 500
 `
 
-// Numbers of cache servers: the usual one, and sixteen times as many, which is the most.
+// Numbers of cache servers: the usual number, and sixteen times as many, the largest number that is tested.
 const (
 	usualServers = 200
-	mostServers  = 3200
+	maxServers   = 3200
 )
 
-// batched is the time between two batches of changes of the list.
-const batched = "200ms"
+// batchInterval is the time between two batches of changes to the list.
+const batchInterval = "200ms"
 
-// widePlays holds an element for each play in front of many servers that runs: each takes thousands of descriptors.
-var widePlays = make(chan struct{}, 2)
+// largeRuns is a semaphore: at most two scenarios with many servers run at once, as each needs thousands of descriptors.
+var largeRuns = make(chan struct{}, 2)
 
-// beginWidePlay waits until one more may run. It ends with the function that is returned.
-func beginWidePlay() (end func()) {
-	widePlays <- struct{}{}
-	return func() { <-widePlays }
+// beginLargeRun waits until another scenario with many servers may run. The caller calls end once the scenario has ended.
+func beginLargeRun() (end func()) {
+	largeRuns <- struct{}{}
+	return func() { <-largeRuns }
 }
 
-// playGrowth plays growthScenario. cpuShare is the share of a processor that the node may use; 0 is as much as there is.
+// playGrowth plays growthScenario. cpuShare is the share of a processor that the node may use; 0 means no limit.
 func playGrowth(t *testing.T, cpuShare float64, servers int, batch string, ratePerSecond int) *demo.Result {
 	t.Helper()
-	defer beginWidePlay()()
+	defer beginLargeRun()()
 	const readTimeout = 900 // ms
 	scenario := fmt.Sprintf(growthScenario+impatientClasses, cpuShare, servers, batch, ratePerSecond, readTimeout)
 	return harness.Play(t, harness.UninstrumentedNodeProgram(t), scenario, demo.Options{})
 }
 
-// Report 7e0653: a node with part of a core in front of thousands of cache servers answers every request in time.
+// Guards against the fault of report 7e0653: a node with part of a core in front of thousands of cache servers has to answer
+// every request in time, while a quarter of the servers die and come back.
 func TestRequestsAreAnsweredInFrontOfThousandsOfServers(t *testing.T) {
 	t.Parallel()
-	for name, batch := range map[string]string{"listed in batches": batched, "listed one by one": "0s"} {
+	for name, batch := range map[string]string{"listed in batches": batchInterval, "listed one by one": "0s"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const partOfACore, ratePerSecond = 0.29, 100
-			harness.CheckServed(t, playGrowth(t, partOfACore, mostServers, batch, ratePerSecond), 1000, 0)
+			harness.CheckServed(t, playGrowth(t, partOfACore, maxServers, batch, ratePerSecond), 1000, 0)
 		})
 	}
 }
 
-// growthLimit is how much of something a node may need in front of mostServers: a multiple of what it needs in front of
-// usualServers, an amount beside, and one for each thousand servers.
+// growthLimit bounds how much of a resource a node may need in front of maxServers. The bound is the sum of a multiple of what
+// the node needs in front of usualServers, a fixed amount and an amount for each thousand servers.
 type growthLimit struct {
 	what                         string
 	multiple, fixed, perThousand float64
@@ -128,16 +129,17 @@
 }
 
 func (l growthLimit) allowed() float64 {
-	return l.multiple*l.usual + l.fixed + l.perThousand*mostServers/1000
+	return l.multiple*l.usual + l.fixed + l.perThousand*maxServers/1000
 }
 
-// What a node needs grows no more with the number of cache servers than the operators allow, and the share that it serves does not
-// fall under 0.85 of the usual.
+// Guards against a node whose needs grow too fast with the number of cache servers. CPU time, memory, descriptors, connections
+// and bytes of lists stay within the growth that the operators allow. The share of requests that is served in front of maxServers
+// is at least 0.85 of the share in front of usualServers.
 func TestWhatANodeNeedsInFrontOfThousandsOfServers(t *testing.T) {
 	t.Parallel()
-	const ratePerSecond = 20 // a node's part of the traffic of a fleet of hundreds
-	usual := playGrowth(t, 0, usualServers, batched, ratePerSecond)
-	most := playGrowth(t, 0, mostServers, batched, ratePerSecond)
+	const ratePerSecond = 20 // one node's share of the traffic in a fleet of hundreds of nodes
+	usual := playGrowth(t, 0, usualServers, batchInterval, ratePerSecond)
+	most := playGrowth(t, 0, maxServers, batchInterval, ratePerSecond)
 	harness.CheckServed(t, usual, 200, 0)
 	harness.CheckServed(t, most, 200, 0)
 	const megabyte = 1 << 20
@@ -149,15 +151,15 @@
 		{"KB of lists", 2, 64, 500, float64(usual.Summary.ListBytes) / 1000, float64(most.Summary.ListBytes) / 1000},
 	} {
 		t.Logf("%s: %.2f in front of %d servers, %.2f in front of %d, %.2f allowed", limit.what, limit.usual, usualServers, limit.most,
-			mostServers, limit.allowed())
+			maxServers, limit.allowed())
 		if limit.most > limit.allowed() {
-			t.Errorf("%.2f %s in front of %d servers, %.2f in front of %d, want at most %.2f", limit.most, limit.what, mostServers,
+			t.Errorf("%.2f %s in front of %d servers, %.2f in front of %d, want at most %.2f", limit.most, limit.what, maxServers,
 				limit.usual, usualServers, limit.allowed())
 		}
 	}
 	const leastServed = 0.85
 	if got, want := servedShare(most), leastServed*servedShare(usual); got < want {
-		t.Errorf("%.3f were served in front of %d servers, want at least %.3f", got, mostServers, want)
+		t.Errorf("%.3f were served in front of %d servers, want at least %.3f", got, maxServers, want)
 	}
 }
 
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -10,22 +10,22 @@
 	"shelfproxy/tests/harness"
 )
 
-var fleetNodes = flag.Int("fleet.nodes", 5, "processes of the tests of leases")
+var fleetNodes = flag.Int("fleet.nodes", 5, "number of nodes in TestLeaseIsTakenOverFromALostHolder")
 
 const leaseLength = time.Second
 
-// Resources of leases, as the control socket names them.
+// Resources that leases are for, as the control socket names them.
 const (
 	healthChecker   = "prober"
 	discoveryPoller = "caller"
 )
 
-// leaseOptions has every node take part in the leases of both resources.
+// leaseOptions is the part of the operator file that has every node compete for the leases of both resources.
 var leaseOptions = fmt.Sprintf("[duties]\nhold = [\"prober\", \"caller\"]\nlease = %q\ndrift = 0.05", leaseLength)
 
-const noNode = -1 // in place of a node
+const noNode = -1 // in place of a node's number: there is no such node
 
-// leaseStatus is what a node says of a lease.
+// leaseStatus is the state of a lease as one node reports it.
 type leaseStatus struct {
 	Resource     string `json:"duty"`
 	Holder       int
@@ -33,18 +33,18 @@
 	IsMine       bool   `json:"mine"`
 }
 
-// leaseFleet is a fleet whose nodes take part in leases.
+// leaseFleet is a fleet whose nodes compete for leases.
 type leaseFleet struct {
 	*harness.Fleet
 	t *testing.T
 }
 
-func newLeaseFleet(t *testing.T, nodes int, faultyPart float64) *leaseFleet {
+func newLeaseFleet(t *testing.T, nodes int, faultyFraction float64) *leaseFleet {
 	t.Helper()
-	return &leaseFleet{Fleet: harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, FaultyPart: faultyPart, OperatorFile: leaseOptions}), t: t}
+	return &leaseFleet{Fleet: harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, FaultyPart: faultyFraction, OperatorFile: leaseOptions}), t: t}
 }
 
-// lease returns what a node says of the lease of a resource.
+// lease returns the state of a resource's lease as a node reports it; its holder is noNode if the node does not answer.
 func (f *leaseFleet) lease(node int, resource string) leaseStatus {
 	var leases []leaseStatus
 	if f.QueryJSON(node, "duties", &leases) {
@@ -57,8 +57,9 @@
 	return leaseStatus{Holder: noNode}
 }
 
-// holder returns the node, other than except, that says it holds a lease, and its fencing token. Two that say so at once fail
-// the test: a holder may only say so while it may act, so the first is asked again after the second.
+// holder returns the node, other than except, that reports that it holds a lease, and its fencing token. Two holders at once fail
+// the test. A node may report that it holds a lease only while it may act on it. So the first node is asked again after the
+// second, to exclude that the lease merely changed hands in between.
 func (f *leaseFleet) holder(resource string, except int) (holder int, token uint64) {
 	f.t.Helper()
 	holder = noNode
@@ -88,15 +89,16 @@
 	return holder, token
 }
 
-// Real nodes, a tenth of whose datagrams is dropped, duplicated and corrupted, take a lease over from a holder that stalls, one
-// that is cut off, one that is killed and one that is told to end. Each successor has a greater fencing token, and a holder that
-// wakes or comes back knows that it holds the lease no more.
+// Guards against a lease that stays with a lost holder, or that a former holder still believes to hold. A tenth of the datagrams
+// is dropped, a tenth duplicated and a tenth corrupted. The holder is stopped, isolated from the network, killed and told to end
+// in turn. Each time another process takes the lease over with a greater fencing token, and a holder that returns knows that it
+// has lost the lease.
 func TestLeaseIsTakenOverFromALostHolder(t *testing.T) {
 	fleet := newLeaseFleet(t, *fleetNodes, 0.1)
 	holder, token := fleet.waitForHolder("a node holds the lease", healthChecker)
 	for _, loss := range []struct {
 		what       string
-		isReplaced bool // another process, which may be the successor, comes in the holder's place
+		isReplaced bool // the node is started again; its new process may become the successor
 		begin, end func(node int)
 	}{
 		{"stalled", false, func(node int) { fleet.Signal(node, syscall.SIGSTOP) }, func(node int) { fleet.Signal(node, syscall.SIGCONT) }},
@@ -114,7 +116,7 @@
 			successor, greater = fleet.holder(healthChecker, except)
 			return successor != noNode && greater > token
 		})
-		t.Logf("%s: node %d holds the lease after %v, %.1f leases", loss.what, successor, time.Since(began).Round(time.Millisecond),
+		t.Logf("%s: node %d holds the lease after %v, %.1f lease lengths", loss.what, successor, time.Since(began).Round(time.Millisecond),
 			time.Since(began).Seconds()/leaseLength.Seconds())
 		loss.end(holder)
 		fleet.WaitFor(fmt.Sprintf("node %d, which %s, knows of its successor", holder, loss.what), func() bool {
@@ -141,7 +143,8 @@
 	f.waitForHolder("a node holds the lease again", discoveryPoller)
 }
 
-// The fourth node joins by SIGHUP of the others, one after the other; a change by two nodes at once is rejected.
+// The set of peers changes by SIGHUP to one node after another. A change by two peers at once is rejected. A change from five to
+// four peers is applied, and the four agree on a holder without the fifth.
 func TestPeersChangeByReloadOneAtATime(t *testing.T) {
 	f := newLeaseFleet(t, 5, 0)
 	reload := func(node, peers int, logged string) {
@@ -150,13 +153,13 @@
 		f.WaitForLog(node, logged)
 	}
 	_, token := f.waitForHolder("a node holds the lease", healthChecker)
-	reload(0, 3, `"reload_waits"`) // two fewer
+	reload(0, 3, `"reload_waits"`) // two peers fewer at once
 	for node := range 4 {
 		reload(node, 4, `"peers_moved"`)
 	}
 	f.SetDown(4, true)
 	f.Signal(4, syscall.SIGKILL)
-	f.WaitFor("the four have a holder of their own", func() bool {
+	f.WaitFor("one of the four remaining nodes holds the lease", func() bool {
 		holder, next := f.holder(healthChecker, 4)
 		return holder != noNode && next > token && f.lease((holder+1)%4, healthChecker).Holder == holder
 	})
--- a/tests/lifecycle_test.go
+++ b/tests/lifecycle_test.go
@@ -12,12 +12,13 @@
 	"shelfproxy/tests/harness"
 )
 
-// After SIGTERM the node goes on for the grace, answers what it owes and exits with 0.
+// Guards against requests that get lost at a shutdown. After SIGTERM the node keeps serving for the grace period, answers every
+// pending request and exits with code 0.
 func TestShutdownAnswersWhatIsOwedAndExitsCleanly(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, func(command []string) string {
 		if command[1] == "slow" {
-			time.Sleep(time.Second) // the service time
+			time.Sleep(time.Second) // the service time of the cache server
 		}
 		return harness.Hit(command)
 	})).Start()
@@ -26,20 +27,20 @@
 	idle.Send("PING").Want("+PONG")
 	node.WaitFor("the request is in flight", func() bool { return idle.Counter(readAttempts) == 1 })
 	node.Process.Signal(syscall.SIGTERM)
-	node.Process.Signal(syscall.SIGHUP) // a reload, just then, ends nothing
-	node.WaitForLog("stopping")         // the grace has begun
+	node.Process.Signal(syscall.SIGHUP) // a reload during the shutdown must not cut it short
+	node.WaitForLog("stopping")         // the grace period has begun
 	node.Dial().Get("k", "id2").Want("value-id2")
 	idle.Want(harness.Closed)
 	owed.Want("value-id1")
 	owed.Want(harness.Closed)
 	node.WaitExit()
 	if !node.Log.Contains(`"flows_answered{class=\"read\",answer=\"served\"}":2`) {
-		t.Errorf("the log has not two requests that were served: %s", node.Log)
+		t.Errorf("the log does not count two served requests: %s", node.Log)
 	}
 }
 
-// A reload moves the watch and nothing else: what the old discovery still sends is ignored, an invalid configuration changes
-// nothing, and what cannot change while the node runs is named in the log.
+// A reload moves the watch to another discovery service and changes nothing else. The node closes the watch of the old one. An
+// invalid configuration changes nothing. The log names each changed field that takes effect only at the next start.
 func TestReloadMovesTheWatchAlone(t *testing.T) {
 	t.Parallel()
 	server := harness.NewCacheServer(t, harness.Hit)
@@ -57,7 +58,7 @@
 		node.Reload()
 	}
 	if query := next.NextWatch(); !strings.Contains(query, "after=41") {
-		t.Errorf("the new watch has the query %q, want what came after 41", query)
+		t.Errorf("the new watch has the query %q, want changes after version 41", query)
 	}
 	node.WaitFor("the old watch is closed", func() bool { return node.Discovery.OpenWatches() == 0 })
 	node.WaitForLog(`"event":"reload_waits","field":"limits.sockets"`)
@@ -94,16 +95,17 @@
 	wantOneLineError(t, cmd, "LB_CONFIG: not set")
 }
 
-// wantOneLineError fails the test unless the command fails and prints one line, with a text.
+// wantOneLineError fails the test unless the command fails and prints a single line that contains want.
 func wantOneLineError(t *testing.T, cmd *exec.Cmd, want string) {
 	t.Helper()
 	output, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), want) || strings.Count(string(output), "\n") != 1 {
-		t.Errorf("ended with %v and %q, want one line with %q", err, output, want)
+		t.Errorf("ended with %v and printed %q, want an error and one line with %q", err, output, want)
 	}
 }
 
-// The node's verbs say whether its files are valid, which build it is, and where each value came from.
+// The verbs of the node's program print whether its files are valid, which build it is and where each configured value comes
+// from.
 func TestNodeVerbs(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t)
@@ -119,7 +121,7 @@
 	output, err := run("config", "show", "-f", file).Output()
 	shown := string(output)
 	if err != nil || !strings.Contains(shown, file+":2") || !strings.Contains(shown, "LB_CONFIG") && !strings.Contains(shown, node.ConfigPath()) {
-		t.Errorf("where values come from: %v, %s", err, shown)
+		t.Errorf("config show does not name the source of each value: %v, %s", err, shown)
 	}
 	harness.WriteFile(t, file, "[listener]\nidle = \"9\"\n")
 	cmd := run("--file", file)
--- a/tests/lists_test.go
+++ b/tests/lists_test.go
@@ -10,7 +10,7 @@
 	"shelfproxy/tests/harness"
 )
 
-// waitForAnswer waits until a read of a key is answered so.
+// waitForAnswer repeats a read until its answer starts with prefix.
 func waitForAnswer(node *harness.Node, client *harness.Client, what, prefix string) {
 	attempt := 0
 	node.WaitFor(what, func() bool {
@@ -19,8 +19,8 @@
 	})
 }
 
-// A list that is empty, cut short, malformed or older than the present one is counted and logged with its cause. The node goes on
-// with the present list, polls again, and takes the next valid one.
+// Guards against an invalid list that replaces a good one. A list that is empty, cut short, malformed or older than the current
+// one is counted and logged with its cause. The node keeps the current list, polls again and applies the next valid list.
 func TestInvalidListChangesNothing(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ text, counter, cause string }{
@@ -40,19 +40,19 @@
 			for i := range 5 {
 				client.Get(fmt.Sprint("k", i), fmt.Sprint("id", i)).Want("value-")
 			}
-			node.Discovery.NextWatch() // the first
+			node.Discovery.NextWatch() // the watch of the start
 			if query := node.Discovery.NextWatch(); !strings.Contains(query, "after=41") {
-				t.Errorf("polled again with %q, want the present version, 41", query)
+				t.Errorf("polled again with %q, want the current version, 41", query)
 			}
 			drain(node, 43, server.Address)
-			node.WaitForCounter("discovery_lists", 3) // the first one of each watch, and the drain
+			node.WaitForCounter("discovery_lists", 3) // the first list of each of the two watches, and the change with the drain
 			client.Get("k", "last").Want("from-origin-")
 		})
 	}
 }
 
-// A node that has no list, or one of servers that do not exist any more, starts, answers at once, and serves from the first list
-// that discovery sends.
+// A node starts without a list, or with a list of servers that no longer exist. It answers requests with an error at once, and
+// serves them as soon as discovery has sent the first list.
 func TestNodeStartsWithoutAUsableList(t *testing.T) {
 	t.Parallel()
 	outOfDate := harness.NewList(1, true, harness.NewInstance("gone", "127.0.0.1:1", harness.KindCacheServer, harness.Up))
@@ -70,14 +70,14 @@
 	}
 }
 
-// A node whose predecessor has not given up its address waits for it; one that cannot have the socket to the other nodes serves
-// without it.
+// A node whose listening address is still taken by its predecessor waits until the address is free. A node that cannot open the
+// socket for gossip with its peers serves without gossip.
 func TestNodeWaitsForATakenAddress(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
 	taken, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("take the socket to the other nodes: %v", err)
+		t.Fatalf("occupy the address of the gossip socket: %v", err)
 	}
 	t.Cleanup(func() { _ = taken.Close() })
 	peerAddress := taken.LocalAddr().String()
@@ -88,14 +88,15 @@
 	node.WaitForLog("peers_unavailable")
 	node.WaitForLog(`"address":"` + node.Config.Listen)
 	if err := occupied.Close(); err != nil {
-		t.Fatalf("give up the node's address: %v", err)
+		t.Fatalf("release the node's address: %v", err)
 	}
 	node.WaitListening()
 	node.Discovery.NextWatch()
 	node.Dial().Get("k", "id").Want("value-")
 }
 
-// Nothing listens yet where discovery moves to. The present list serves, and the node polls there again until it is answered.
+// A reload names the address of a discovery service that does not run yet. The node serves with the list that it has, and polls
+// the new address until a watch is opened.
 func TestReloadToADiscoveryThatComesLater(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit)).Start()
@@ -103,7 +104,7 @@
 	reserved := harness.Listen(t, harness.LoopbackAddress())
 	node.Config.Discovery = reserved.Addr().String()
 	if err := reserved.Close(); err != nil {
-		t.Fatalf("give up the address of discovery: %v", err)
+		t.Fatalf("release the address of discovery: %v", err)
 	}
 	node.Reload()
 	node.WaitForLog(`"event":"watch_ended"`)
@@ -111,14 +112,14 @@
 	client.Get("k", "meanwhile").Want("value-")
 	server := &http.Server{Handler: next}
 	listener := harness.Listen(t, node.Config.Discovery)
-	go func() { _ = server.Serve(listener) }() // ends when the server is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	t.Cleanup(func() { _ = server.Close() })
 	node.WaitFor("the new discovery is watched", func() bool { return next.UnseenWatches() == 1 && next.OpenWatches() == 1 })
 	client.Get("k", "after").Want("value-")
 }
 
-// Where lists are pushed, the node follows the agent on its machine from its start, though the policy polls nothing. It takes the
-// updates, and follows again after the agent was away.
+// In the mode in which an agent on the node's machine pushes lists, the policy starts no polls. The node still has to watch the
+// agent from its start, apply the changes that the agent sends, and open a new watch after the old one broke.
 func TestPushedListsAreFollowed(t *testing.T) {
 	t.Parallel()
 	server := harness.NewCacheServer(t, harness.Hit)
--- a/tests/main_test.go
+++ b/tests/main_test.go
@@ -1,5 +1,5 @@
 // Package tests runs the real programs as processes and talks to them as clients, cache servers, the origin and discovery
-// would. Package harness has the handles that the tests share.
+// would. Package harness has the helpers that the tests share.
 package tests
 
 import (
--- a/tests/pauses_test.go
+++ b/tests/pauses_test.go
@@ -10,9 +10,10 @@
 	"shelfproxy/tests/harness"
 )
 
-// Tests of a node that does not run for a moment: what came meanwhile has come, though the node has not read it.
+// Tests of a node whose process is paused: bytes that arrive during the pause wait in its sockets until it runs again.
 
-// Report 7e0653: a node ended connections as idle on which requests waited to be read.
+// Guards against the fault of report 7e0653: after a pause, a node closed connections as idle although requests waited there to
+// be read.
 func TestRequestThatCameDuringAPauseKeepsItsConnection(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
@@ -29,7 +30,7 @@
 	for i, client := range resting {
 		client.Get("k", fmt.Sprint("second", i))
 	}
-	time.Sleep(idle + idle/2) // the time of the idle connections is over
+	time.Sleep(idle + idle/2) // longer than the idle timeout of the connections
 	node.Process.Resume()
 	for i, client := range resting {
 		if got, want := client.Answer(), fmt.Sprint("value-second", i); got != want {
@@ -38,22 +39,23 @@
 	}
 }
 
-// timeoutTold returns the time, in milliseconds, that a command tells a cache server its client waits for.
-func timeoutTold(t *testing.T, command []string) time.Duration {
+// remainingTimeout returns how long the client still waits, as a command to a cache server states it: in milliseconds after "d=".
+func remainingTimeout(t *testing.T, command []string) time.Duration {
 	t.Helper()
 	_, value, _ := strings.Cut(command[3], "d=")
 	milliseconds, err := strconv.Atoi(value)
 	if err != nil {
-		t.Fatalf("the time that %v tells: %v", command, err)
+		t.Fatalf("parse the remaining time in %v: %v", command, err)
 	}
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// A client's time runs while the node does not: the node answers by its end, and tells cache servers no more than what is left. The
-// platform allows 150 ms beyond.
+// Guards against a node that leaves its own pauses out when it computes how much time a client has left. The node has to answer
+// by the client's deadline, and to tell cache servers no more than the time that remains. The platform allows 150 ms beyond the
+// deadline.
 func TestClientsTimeRunsWhileTheNodeDoesNot(t *testing.T) {
 	t.Parallel()
-	for _, order := range [][]string{{"known", "new"}, {"new", "known"}} { // connections that requests come on, a pause for each
+	for _, order := range [][]string{{"known", "new"}, {"new", "known"}} { // one pause each, with a request on that connection
 		t.Run(strings.Join(order, " then "), func(t *testing.T) {
 			t.Parallel()
 			checkClientsTimeAcrossPauses(t, order)
@@ -81,11 +83,11 @@
 		node.Process.Resume()
 		client.Want("-")
 		if late := time.Since(sentAt) - timeout; late > allowed {
-			t.Errorf("%s connection: answered %v after the client's time, want at most %v", name, late, allowed)
+			t.Errorf("%s connection: answered %v after the client's deadline, want at most %v", name, late, allowed)
 		}
 		for _, command := range server.Commands() {
-			if told := timeoutTold(t, command); command[2] == name && told > timeout-pause+allowed {
-				t.Errorf("%s connection: the cache server was told %v of the %v that were left", name, told, timeout-pause)
+			if told := remainingTimeout(t, command); command[2] == name && told > timeout-pause+allowed {
+				t.Errorf("%s connection: the cache server was told that %v remained, but only %v did", name, told, timeout-pause)
 			}
 		}
 	}
--- a/tests/races_test.go
+++ b/tests/races_test.go
@@ -14,22 +14,23 @@
 	"shelfproxy/tests/harness"
 )
 
-// Tests of docs/crossings.md on real sockets. Each forces two events to race by a condition that it waits for, never by time.
+// Tests on real sockets of the races that docs/crossings.md describes. Each test waits for a condition to bring two events into
+// the order that it needs; none relies on timing.
 
-// longDeadline is the longest wait of clients where a busy machine must not change the result.
+// longDeadline is how long clients wait in tests whose result must not depend on how busy the machine is.
 const longDeadline = time.Minute
 
 // longRead are the extras of a read whose client waits for longDeadline.
 const longRead = "c=read,d=60000"
 
-// Counters of reads.
+// Names of the counters of reads that a node has received, and of attempts that it has started for them.
 const (
 	readsReceived = `flows_in{class="read"}`
 	readAttempts  = `forwards_sent{class="read"}`
 )
 
-// startWithUnacceptingServer starts a node whose one cache server accepts no connection yet; the node waits for it as long as
-// its clients do.
+// startWithUnacceptingServer starts a node whose only cache server accepts no connection yet. The node waits for a connection to
+// it for as long as clients wait for an answer.
 func startWithUnacceptingServer(t *testing.T) (*harness.Node, *harness.UnacceptingServer) {
 	t.Helper()
 	server := harness.NewUnacceptingServer(t, harness.Hit)
@@ -39,7 +40,7 @@
 	return node.Start(), server
 }
 
-// checkNotSent fails the test if a request whose id starts so was sent to a cache server.
+// checkNotSent fails the test if a request whose id starts with idPrefix was sent to the cache server.
 func checkNotSent(t *testing.T, server *harness.CacheServer, idPrefix, why string) {
 	t.Helper()
 	for _, command := range server.Commands() {
@@ -49,8 +50,8 @@
 	}
 }
 
-// A client leaves while the connection that its request waits for is not established. Once it is, it carries the next request
-// only.
+// Guards against a request that is sent although its client is gone. The client disconnects while its request waits for a
+// connection to the cache server. Once that connection is established, only the next client's request is sent on it.
 func TestClientLeavesBeforeTheConnectionIsEstablished(t *testing.T) {
 	t.Parallel()
 	node, server := startWithUnacceptingServer(t)
@@ -67,8 +68,9 @@
 	}
 }
 
-// A client sends more commands than may wait for answers, so that the node does not read them all, and leaves. That is seen over
-// the unread bytes, and none of these commands is forwarded.
+// Guards against a disconnect that goes unnoticed because it lies behind unread bytes. A client sends more commands than may wait
+// for answers, so the node stops reading, and then the client disconnects. The node has to notice, and must not forward the
+// commands that it has not read.
 func TestDisconnectIsSeenBehindUnreadCommands(t *testing.T) {
 	t.Parallel()
 	server, release := harness.NewStuckCacheServer(t)
@@ -76,7 +78,7 @@
 	node.Config.Limits = harness.Limits{Cores: 1, MemoryMB: 32, Sockets: 256}
 	node.SetDeadlines(longDeadline)
 	node.Start()
-	const maxOpen = 16 // requests that one connection may have open at this memory
+	const maxOpen = 16 // requests that one connection may have open at this limit of memory
 	disconnecting := node.Dial()
 	for i := range 2 * maxOpen {
 		disconnecting.Send("CACHE.GET", harness.StuckKey, fmt.Sprint(i), longRead)
@@ -92,17 +94,18 @@
 	}
 }
 
-// Clients send many requests and leave while the node does not run. As it runs again it finds both, and forwards nothing: not
-// even the first ones, while the end still lies behind the others.
+// Guards against requests that are forwarded although their client has disconnected. Clients send many requests and disconnect
+// while the node is paused. When the node runs again it finds the requests and, behind them, the end of the connection. It must
+// forward none of them, not even the first ones, which it reads before the end.
 func TestRequestsOfClientsThatLeftDuringAPauseAreNotForwarded(t *testing.T) {
 	t.Parallel()
 	server := harness.NewCacheServer(t, harness.Hit)
 	node := harness.NewNode(t, server)
-	node.Config.Limits = harness.Limits{Cores: 4, MemoryMB: 192, Sockets: 1024} // its parts run in parallel
+	node.Config.Limits = harness.Limits{Cores: 4, MemoryMB: 192, Sockets: 1024} // 4 cores: the node's goroutines run in parallel
 	node.Start()
 	accepted := node.Dial()
 	accepted.Get("k", "before").Want("value-before")
-	disconnecting := []*harness.Client{accepted, node.Dial()} // on an accepted connection, and on one that is not accepted yet
+	disconnecting := []*harness.Client{accepted, node.Dial()} // one that the node has accepted, and one that it possibly has not
 	node.Process.Pause()
 	for _, client := range disconnecting {
 		for i := range 80 {
@@ -115,13 +118,13 @@
 	checkNotSent(t, server, "left", "after its client had left")
 }
 
-// A client whose framing is broken sends on and on. The node's error reaches it, and then an orderly end: no reset over the bytes
-// that noNode read.
+// Guards against a protocol error that the client never gets. A client with broken framing keeps sending, and closing a socket
+// with unread bytes resets the connection. The node's error and then an orderly end of the connection have to reach the client.
 func TestProtocolErrorIsDeliveredOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	client := harness.NewNode(t).Start().Dial()
-	go func() { // ends with the connection
-		_, _ = client.Write(append([]byte("nonsense\r\n"), make([]byte, 64<<10)...)) // the node ends the connection meanwhile
+	go func() { // returns when the connection ends
+		_, _ = client.Write(append([]byte("nonsense\r\n"), make([]byte, 64<<10)...)) // fails if the node closes the connection first
 	}()
 	client.Want("-ERR")
 	if _, err := client.Reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -129,8 +132,9 @@
 	}
 }
 
-// SIGTERM, and what each client has just then: a partial command that is completed is answered; so are a request in flight and
-// those behind it; on a connection that the node has closed nothing more is read and forwarded, however it ends.
+// Guards against requests that a shutdown loses. A partial command that its client completes after SIGTERM is answered. So are a
+// request in flight and the request behind it. On a connection that the node has closed, no further request is read and
+// forwarded.
 func TestShutdownAnswersCommandsThatWereBegun(t *testing.T) {
 	t.Parallel()
 	server, release := harness.NewStuckCacheServer(t)
@@ -138,17 +142,17 @@
 	command := harness.GetCommand("k", "partial")
 	partial, busy, idle := node.Dial(), node.Dial(), node.Dial()
 	idle.Get("k", "first").Want("value-first")
-	partial.Send("PING").Want("+PONG") // the node has accepted it
+	partial.Send("PING").Want("+PONG") // the answer shows that the node has accepted the connection
 	busy.Get(harness.StuckKey, "in-flight").Get("k", "behind")
 	node.WaitFor("the requests are in flight", func() bool { return len(server.Commands()) >= 2 })
-	const begun = 30 // bytes of the command
+	const begun = 30 // bytes of the command that are sent before SIGTERM
 	write(t, partial, command[:begun])
 	node.WaitFor("the partial command is read", partial.IsRead)
 	node.Process.Signal(syscall.SIGTERM)
 	node.WaitForLog("stopping")
 	write(t, partial, command[begun:])
 	partial.Want("value-partial")
-	if answer := idle.Answer(); answer != harness.Closed { // it is idle until the node ends it
+	if answer := idle.Answer(); answer != harness.Closed { // waits until the node closes the idle connection
 		t.Fatalf("answer %q on an idle connection, want it closed", answer)
 	}
 	idle.Get("k", "late")
@@ -171,7 +175,7 @@
 	}
 }
 
-// SIGTERM while the address is still taken: the node ends at once and in order.
+// A node that gets SIGTERM while its address is still taken ends at once and without an error.
 func TestShutdownWhileTheAddressIsTaken(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t)
@@ -181,17 +185,17 @@
 	node.Process.Signal(syscall.SIGTERM)
 	node.WaitExit()
 	if node.Log.Contains("in use") {
-		t.Errorf("it ended with an error: %s", node.Log)
+		t.Errorf("the node ended with the error that its address is in use: %s", node.Log)
 	}
 }
 
-// resettingListener accepts connections for a cache server and can reset all of them.
+// resettingListener accepts connections on behalf of a cache server and can reset all of them.
 type resettingListener struct {
 	mu          sync.Mutex
 	connections []net.Conn
 }
 
-// listen accepts connections for the server, whose address becomes that of the listener.
+// listen accepts connections for the server at a new address, which it sets as the server's address.
 func (l *resettingListener) listen(t *testing.T, server *harness.CacheServer) {
 	t.Helper()
 	listener := harness.Listen(t, harness.LoopbackAddress())
@@ -213,14 +217,15 @@
 		if err == nil {
 			err = conn.Close()
 		}
-		if err != nil && !errors.Is(err, net.ErrClosed) { // the node may have closed one
+		if err != nil && !errors.Is(err, net.ErrClosed) { // ErrClosed: the server has closed the connection already
 			t.Fatalf("reset a connection: %v", err)
 		}
 	}
 }
 
-// A server closes an idle connection just as a request comes, while the node does not run. As it runs again it finds both: the
-// request is not written to the closed connection, where it would be lost.
+// Guards against a request that is lost because the node writes it to a connection that the server has closed. While the node is
+// paused, the server closes an idle connection and a request arrives. When the node runs again it finds both, and has to send the
+// request on another connection.
 func TestRequestIsNotWrittenToAConnectionThatTheServerClosed(t *testing.T) {
 	t.Parallel()
 	server := harness.NewCacheServer(t, harness.Hit)
@@ -235,12 +240,12 @@
 	node.Process.Resume()
 	client.Want("value-second")
 	if broken := client.Counter(`forwards_ended{class="read",end="broken"}`); broken > 0 {
-		t.Errorf("%d attempts were written to a connection that had ended, want none", broken)
+		t.Errorf("%d attempts were written to a closed connection, want none", broken)
 	}
 }
 
-// A server begins to drain while a request waits for the connection to it. The request goes elsewhere, and nothing to the server,
-// though the connection is established.
+// Guards against a request that is sent to a draining server. The server begins to drain while the request waits for a connection
+// to it. The request goes to the origin instead, and the server gets nothing even after the connection is established.
 func TestServerThatDrainsBeforeItsConnectionIsEstablishedGetsNothing(t *testing.T) {
 	t.Parallel()
 	node, server := startWithUnacceptingServer(t)
@@ -251,7 +256,7 @@
 	server.Accept(t)
 	client.Send("CACHE.GET", "k", "next", longRead).Want("from-origin-next")
 	if commands := server.Commands(); len(commands) > 0 {
-		t.Errorf("%v were sent to a server that drains, want none", commands)
+		t.Errorf("%v were sent to a draining server, want none", commands)
 	}
 }
 
@@ -264,7 +269,8 @@
 	return harness.NewInstance("s0", address, harness.KindCacheServer, harness.Draining)
 }
 
-// SIGTERM comes twice, and a reload just before: what is in flight is answered, and the node ends in order.
+// SIGTERM arrives several times, right after a SIGHUP that reloads the configuration. The request in flight is answered, and the
+// node exits without an error.
 func TestRepeatedShutdownDuringAReloadAnswersWhatIsInFlight(t *testing.T) {
 	t.Parallel()
 	server, release := harness.NewStuckCacheServer(t)
@@ -275,7 +281,7 @@
 	for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
 		node.Process.Signal(signal)
 	}
-	if answer := node.Dial().Send("PING").Answer(); answer != "+PONG" { // it goes on accepting for the grace
+	if answer := node.Dial().Send("PING").Answer(); answer != "+PONG" { // the node accepts connections during the grace period
 		t.Errorf("answer %q to PING after SIGTERM, want +PONG", answer)
 	}
 	node.Process.Signal(syscall.SIGTERM)
@@ -284,8 +290,8 @@
 	node.WaitExit()
 }
 
-// Ten nodes start at once, with discovery down and their addresses taken for a moment by those before: all answer PING within
-// 10 s.
+// Ten nodes start at once while discovery is down and their predecessors still hold their addresses for a moment. All of them
+// answer PING within 10 s.
 func TestTenNodesStartWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	const nodes, startTimeout = 10, 10 * time.Second
@@ -304,7 +310,7 @@
 	for i, node := range started {
 		node.WaitForLog("address_taken")
 		if err := occupied[i].Close(); err != nil {
-			t.Fatalf("give up the address of node %d: %v", i, err)
+			t.Fatalf("release the address of node %d: %v", i, err)
 		}
 	}
 	for _, node := range started {
@@ -312,13 +318,14 @@
 		node.Dial().Send("PING").Want("+PONG")
 	}
 	if took := time.Since(began); took > startTimeout {
-		t.Errorf("ready after %v, want %v at most", took, startTimeout)
+		t.Errorf("ready after %v, want at most %v", took, startTimeout)
 	}
-	started[0].Dial().Get("k", "id").Want("value-id") // by the list that it knows from its start
+	started[0].Dial().Get("k", "id").Want("value-id") // served with the list in the node's configuration
 }
 
-// A server begins to drain while it is at work, and stops in the middle of an answer. What it had begun is waited for, and nothing
-// else is sent there; a partial answer that never ends reaches noNode, and its client is answered in its time.
+// A server begins to drain while it works on two requests. The node waits for both and sends the server nothing else. The server
+// answers the first request late, and the client gets that answer. It stops in the middle of the second answer: no client gets
+// the partial answer, and the client of the second request gets an error by its deadline.
 func TestDrainingServerFinishesItsWork(t *testing.T) {
 	t.Parallel()
 	released := make(chan struct{})
@@ -337,7 +344,7 @@
 	partial := node.Dial().Send("CACHE.GET", "partial", "partial", "c=read,d=900")
 	node.WaitFor("the other request is in flight", func() bool { return len(server.Commands()) == 2 })
 	drain(node, 43, server.Address)
-	node.WaitForCounter("discovery_lists", 2) // the first one of the watch, and the drain
+	node.WaitForCounter("discovery_lists", 2) // the first list of the watch, and the change with the drain
 	next := node.Dial()
 	next.Get("k", "next").Want("from-origin-next")
 	partial.Want("-")
@@ -345,6 +352,6 @@
 	slow.Want("value-slow")
 	next.Get("partial", "retried").Want("from-origin-retried")
 	if commands := server.Commands(); len(commands) != 2 {
-		t.Errorf("%d requests were sent to a server that drains, want the first two", len(commands))
+		t.Errorf("%d requests were sent to a draining server, want the first two only", len(commands))
 	}
 }
--- a/tests/requests_test.go
+++ b/tests/requests_test.go
@@ -12,8 +12,8 @@
 	"shelfproxy/tests/harness"
 )
 
-// remainingOf900 are the extras that the origin gets of a request whose client waits for 900 ms: all as they came, but for the
-// time that remains.
+// remainingOf900 matches the extras that the origin gets for a request whose client waits for 900 ms. They are the client's
+// extras, but with the time that remains as d.
 var remainingOf900 = regexp.MustCompile(`^c=read,d=[1-8]?[0-9]{1,2},r=1$`)
 
 func TestRequestsAreServedByCacheServersAndTheOrigin(t *testing.T) {
@@ -52,7 +52,7 @@
 	t.Parallel()
 	server := harness.NewCacheServer(t, func(command []string) string {
 		if command[1] == "slow" {
-			time.Sleep(100 * time.Millisecond) // the service time
+			time.Sleep(100 * time.Millisecond) // the service time of the cache server
 		}
 		return harness.Hit(command)
 	})
@@ -63,7 +63,7 @@
 	client.Want("+PONG")
 }
 
-// Malformed commands get an error and are counted; none of them stops the node or the connection.
+// Malformed commands get an error and are counted. None of them ends the node or the connection.
 func TestMalformedCommandsGetAnError(t *testing.T) {
 	t.Parallel()
 	client := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit)).Start().Dial()
@@ -83,7 +83,9 @@
 	}
 }
 
-// redcon's reader loops on a count, and panics on a length, near the largest integer; the guard is before it.
+// Guards against framing that breaks redcon's reader: it loops on an element count near the largest integer and panics on such a
+// length. The node checks the framing before it calls redcon. It answers the commands before the broken one, then sends an error
+// and closes the connection.
 func TestBrokenFramingClosesAfterOwedAnswers(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit)).Start()
@@ -102,7 +104,7 @@
 func TestDuplicateIDIsRejectedWhileInUse(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, func(command []string) string {
-		time.Sleep(150 * time.Millisecond) // the service time
+		time.Sleep(150 * time.Millisecond) // the service time of the cache server
 		return harness.Hit(command)
 	})).Start()
 	first, other := node.Dial(), node.Dial()
@@ -112,7 +114,8 @@
 	other.Get("k", "same").Want("value-same")
 }
 
-// A cache server that never answers costs the client its wait and no more, and its late answer reaches noNode.
+// Guards against a client that waits beyond its deadline for a cache server that does not answer. The client gets an error by its
+// deadline, here 300 ms, and the server's late answer is given to no request.
 func TestAnswerComesByTheDeadline(t *testing.T) {
 	t.Parallel()
 	server, release := harness.NewStuckCacheServer(t)
@@ -126,12 +129,12 @@
 	client.Get("k", "id2").Want("value-id2")
 }
 
-// A rejection tells the client when to retry, where the settings let clients follow it.
+// A rejection tells the client after what time to retry, if the settings say that clients use this value.
 func TestRejectionHasARetryAfterWhereClientsFollowIt(t *testing.T) {
 	t.Parallel()
 	for follow, want := range map[bool]string{true: "-BUSY 2000", false: "-BUSY"} {
 		node := harness.NewNode(t)
-		node.Config.Known.Instances = nil // no origin: nothing of the write can have been executed
+		node.Config.Known.Instances = nil // without an origin the write is certain not to have been executed
 		node.Config.Settings.Limits.RetryAfter = follow
 		node.Config.Settings.Limits.MaxRetryAfter = 2000000
 		client := node.Start().Dial()
@@ -153,34 +156,35 @@
 	node.WaitFor("the disconnect is counted", func() bool { return client.Counter("flows_client_left") == 1 })
 }
 
-// Clients that send nothing, or half a command, are closed, however few there are; one that made a request may stay. A wait that
-// no class allows is cut to the longest.
+// Connections of clients that send nothing, or only half a command, are closed even if there are few connections. A client that
+// has made a request may stay. A client's wait that is longer than any class allows is shortened to the longest wait of a class.
 func TestClientsThatSendNothingAreClosed(t *testing.T) {
 	t.Parallel()
 	server, _ := harness.NewStuckCacheServer(t)
 	node := harness.NewNode(t, server).Start()
 	const limit = 10 * time.Second
 	began := time.Now()
-	usual, idle, partial, patient := node.Dial(), node.Dial(), node.Dial(), node.Dial()
-	usual.Get("k", "id1").Want("value-id1")
+	ordinary, idle, partial, patient := node.Dial(), node.Dial(), node.Dial(), node.Dial()
+	ordinary.Get("k", "id1").Want("value-id1")
 	patient.Send("CACHE.GET", harness.StuckKey, "id2", "c=read,d=3600000")
 	partial.Get("k", "id3").Want("value-id3")
 	write(t, partial, []byte("*4\r\n$9\r\nCACHE"))
 	idle.Want(harness.Closed)
 	partial.Want(harness.Closed)
 	if took := time.Since(began); took > limit {
-		t.Errorf("closed after %v, want %v at most", took, limit)
+		t.Errorf("closed after %v, want at most %v", took, limit)
 	}
-	if closed := usual.Counter("listener_closed_silent"); closed != 2 {
-		t.Errorf("%d clients were closed as they sent nothing, want 2", closed)
+	if closed := ordinary.Counter("listener_closed_silent"); closed != 2 {
+		t.Errorf("%d connections were closed because their client sent nothing, want 2", closed)
 	}
 	patient.Want("-")
 	if took := time.Since(began); took > limit {
-		t.Errorf("answered after %v, want no longer than the longest wait of a class", took)
+		t.Errorf("answered after %v, want at most the longest wait of a class", took)
 	}
 }
 
-// More clients than there are descriptors for: the connection that was idle for longest makes room, the others stay.
+// When more clients connect than there are descriptors for, the node closes the connection that has been idle for the longest
+// time and keeps the others.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
--- a/tests/rollout_test.go
+++ b/tests/rollout_test.go
@@ -9,14 +9,15 @@
 	"shelfproxy/tests/harness"
 )
 
-// Releases of the tests.
+// Names of the releases that the tests roll between.
 const (
 	releaseBefore = "v1"
 	releaseAfter  = "v2"
 )
 
-// Real nodes roll to another release while a tenth of their datagrams is dropped, duplicated or corrupted, one node stalls and
-// goes on, and the fleet is partitioned into halves, neither of which may let a node drain.
+// Guards against more nodes out of service at once than the budget allows. The fleet rolls to another release while a tenth of
+// its datagrams is dropped, a tenth duplicated and a tenth corrupted. Meanwhile one node is stopped and continued, and the fleet
+// is partitioned into halves, neither of which may let a node drain.
 func TestRolloutStaysWithinItsBudget(t *testing.T) {
 	const nodes, budget = 6, 2
 	fleet := harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, Budget: budget, FaultyPart: 0.1})
@@ -28,7 +29,7 @@
 	stalled := (fleet.WaitNodeOut() + 1) % nodes
 	fleet.Signal(stalled, syscall.SIGSTOP)
 	fleet.Proxy.Split(nodes / 2)
-	fleet.WaitFor("both halves know that they are alone", func() bool {
+	fleet.WaitFor("the nodes of each half report the other half as silent", func() bool {
 		alone := 0
 		for node := range nodes {
 			if node != stalled && strings.Count(fleet.Status(node), `"silent"`) >= nodes/2 {
@@ -40,7 +41,7 @@
 	fleet.Proxy.Split(0)
 	fleet.Signal(stalled, syscall.SIGCONT)
 	fleet.WaitFor("all nodes are ready on the next release", func() bool {
-		if strings.Contains(fleet.Status(0), `"halted"`) { // the partition may have held a node up for longer than a release allows
+		if strings.Contains(fleet.Status(0), `"halted"`) { // the partition may have delayed a node for longer than a rollout allows
 			fleet.Ctl(0, "resume")
 		}
 		return fleet.ReadyNodes(releaseAfter) == nodes
@@ -50,21 +51,22 @@
 	}
 }
 
-// A node that drained for the release does not come back. No other drains; the operators see why, and roll back.
+// Guards against a rollout of a broken release that takes down one node after another. The first node that drains does not come
+// back. The rollout halts, no other node drains, the status names the node that is missing, and the operators can roll back.
 func TestRolloutHaltsAndIsRolledBack(t *testing.T) {
 	const nodes = 4
 	fleet := harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, Budget: 1})
 	fleet.WaitReady(releaseBefore)
 	fleet.SetRelease(releaseAfter)
-	for node := range nodes { // the next release does not start
+	for node := range nodes { // a node that drains for the next release stays down, as if the release did not start
 		fleet.SetDown(node, true)
 	}
 	fleet.Ctl(0, "roll", releaseAfter)
 	missing := fleet.WaitNodeOut()
 	observer := (missing + 1) % nodes
-	fleet.WaitFor("the release halts", func() bool { return strings.Contains(fleet.Status(observer), `"halted":"not_returned"`) })
+	fleet.WaitFor("the rollout halts", func() bool { return strings.Contains(fleet.Status(observer), `"halted":"not_returned"`) })
 	if status := fleet.Ctl(observer, "status"); !strings.Contains(status, fmt.Sprintf(`"halted_by":%d`, missing)) {
-		t.Errorf("node %d did not return, status says %s", missing, status)
+		t.Errorf("node %d did not return, but the status is %s", missing, status)
 	}
 	fleet.SetRelease(releaseBefore)
 	for node := range nodes {
@@ -77,7 +79,7 @@
 	}
 }
 
-// SIGHUP changes the budget of a running node, and an invalid one changes nothing.
+// SIGHUP changes the rollout budget of a running node. An invalid budget changes nothing.
 func TestBudgetChangesByReload(t *testing.T) {
 	fleet := harness.NewFleet(t, harness.FleetOptions{Nodes: 2, Budget: 1})
 	fleet.WaitReady(releaseBefore)
--- a/tests/slowstart_test.go
+++ b/tests/slowstart_test.go
@@ -7,8 +7,9 @@
 	"shelfproxy/tests/harness"
 )
 
-// warmingServers has cache servers that bear little while they warm up, a key that draws half of all requests, and thirty nodes,
-// each of which has less than one request for a warming server in the time over which its budget counts. They do not gossip.
+// warmingServers is a scenario with cache servers of low capacity during their warm-up and one key that gets half of all
+// requests. It has thirty nodes without gossip. Each node has less than one request for a warming server in the window of its
+// slow-start budget.
 const warmingServers = `
 length = "9s"
 [nodes]
@@ -64,8 +65,9 @@
 drain_for = "500ms"
 `
 
-// Servers are replaced by new ones that warm up, and all thirty nodes learn of it in the same moment. What they send together
-// stays within what a warming server bears, with no more than chance adds to it.
+// Guards against a fleet that overloads a warming server although each node sends it little. Servers are replaced by new ones
+// that have to warm up, and all thirty nodes learn of them at the same moment. The requests of all nodes together have to stay
+// within the capacity of a warming server, apart from random variation.
 func TestThirtyNodesDoNotOverloadAWarmingServer(t *testing.T) {
 	result := harness.Play(t, harness.NodeProgram, warmingServers, demo.Options{})
 	harness.CheckServed(t, result, 200, 0.5)
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -16,10 +16,11 @@
 	"shelfproxy/tests/harness"
 )
 
-// The soak plays real processes under faults that a seed draws. By hand: go test ./tests -run TestSoak -soak.seeds 50 -timeout 30m
+// Flags of TestSoak, which runs real processes under faults that are drawn from a seed. A longer run by hand:
+// go test ./tests -run TestSoak -soak.seeds 50 -timeout 30m
 var (
-	soakSeeds = flag.Int("soak.seeds", 4, "how many seeds the soak plays")
-	soakFirst = flag.Uint64("soak.first", 1, "the first of them")
+	soakSeeds = flag.Int("soak.seeds", 4, "number of seeds that TestSoak runs")
+	soakFirst = flag.Uint64("soak.first", 1, "first seed that TestSoak runs")
 )
 
 const soakScenario = `
@@ -50,7 +51,7 @@
 for = "8s"
 `
 
-// soakFaults are faults of cache servers, discovery and the origin, without their times.
+// soakFaults are the faults of cache servers, discovery and the origin that a seed chooses from. drawSoak adds their times.
 var soakFaults = []string{
 	"kind = \"kill\"\nshare = 0.25",
 	"kind = \"kill\"\nzone = \"room-b\"",
@@ -67,19 +68,19 @@
 	"kind = \"origin-slow\"\nfactor = 2",
 }
 
-// soak is what a seed draws.
+// soak is the plan of one run of the soak test, drawn from a seed.
 type soak struct {
 	scenario   string
 	servers    int
-	hasShare   bool // processes may use a part of a processor only
+	hasShare   bool // processes may use only a share of a processor
 	restarts   int
-	pauseEvery time.Duration // 0: no pauses
+	pauseEvery time.Duration // mean time between two pauses; 0 means no pauses
 	reloads    bool
 	crowd      int // connections that send nothing
 	rng        *rand.Rand
 }
 
-// drawSoak draws the plan of a seed.
+// drawSoak draws a plan from a seed.
 func drawSoak(seed uint64) *soak {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	plan := &soak{rng: rng, servers: oneOf(rng, 12, 40, 200, 800, 3200), restarts: oneOf(rng, 0, 0, 1), reloads: rng.IntN(3) == 0,
@@ -102,7 +103,7 @@
 
 func oneOf[T any](rng *rand.Rand, choices ...T) T { return choices[rng.IntN(len(choices))] }
 
-// String says what the seed drew beside the scenario.
+// String returns the values that were drawn, followed by the scenario.
 func (s *soak) String() string {
 	return fmt.Sprintf("%d servers, %d restarts, a pause every %v, reloads %v, a crowd of %d\n%s", s.servers, s.restarts, s.pauseEvery, s.reloads,
 		s.crowd, strings.TrimSpace(s.scenario))
@@ -110,10 +111,10 @@
 
 const (
 	minSoakPause = 100 * time.Millisecond
-	maxSoakPause = 400 * time.Millisecond // a request whose time ends in a longer one cannot be answered in time
+	maxSoakPause = 400 * time.Millisecond // a request whose deadline falls into a longer pause cannot be answered in time
 )
 
-// disturb pauses and reloads processes, and keeps a crowd of connections open, until the context ends.
+// disturb pauses and reloads processes, and keeps a crowd of idle connections open, until the context ends.
 func (s *soak) disturb(ctx context.Context, running func() []*nodes.Process) {
 	defer s.openCrowd(ctx, running())()
 	tick := s.pauseEvery
@@ -132,7 +133,8 @@
 	}
 }
 
-// disturbProcess reloads a process, a few times in a row, and pauses it. It may just have ended.
+// disturbProcess reloads a process three times in a row and pauses it, as far as the plan says so. It ignores errors of signals,
+// as the process may just have ended.
 func (s *soak) disturbProcess(process *nodes.Process) {
 	if s.reloads {
 		for range 3 {
@@ -146,8 +148,7 @@
 	}
 }
 
-// openCrowd opens connections that send nothing, to all processes, again as the nodes close them. The function that it returns
-// closes them.
+// openCrowd opens s.crowd connections that send nothing, spread over all processes. The function that it returns closes them.
 func (s *soak) openCrowd(ctx context.Context, processes []*nodes.Process) (closeAll func()) {
 	crowd, end := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -156,7 +157,7 @@
 		var open []net.Conn
 		defer func() {
 			for _, conn := range open {
-				_ = conn.Close() // the node may have closed it
+				_ = conn.Close() // the node may already have closed the connection
 			}
 		}()
 		for i := 0; i < s.crowd && crowd.Err() == nil; i++ {
@@ -171,21 +172,22 @@
 	return func() { end(); <-ended }
 }
 
-// Real processes keep every invariant under what each seed draws: many servers, part of a core, little memory, few descriptors,
-// popular keys, servers that die, hang, drain and come back cold, late lists, pauses, reloads, restarts and a crowd.
+// Real processes keep every invariant under conditions that are drawn from a seed. The conditions include many servers, a share
+// of a core, little memory, few descriptors and popular keys; servers that die, hang, drain and come back cold; and delayed
+// lists, pauses, reloads, restarts and a crowd of idle connections.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	for seed := *soakFirst; seed < *soakFirst+uint64(*soakSeeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			plan := drawSoak(seed)
 			if plan.servers > usualServers {
-				defer beginWidePlay()()
+				defer beginLargeRun()()
 			}
 			t.Logf("seed %d: %s", seed, plan)
 			result := harness.Play(t, harness.UninstrumentedNodeProgram(t), plan.scenario, demo.Options{Restarts: plan.restarts, Disturb: plan.disturb})
 			harness.CheckServed(t, result, 100, 0)
 			if open := result.Summary.Counts.Open; open > 0 {
-				t.Errorf("%d requests are open at the end, want none", open)
+				t.Errorf("%d requests are still open at the end, want none", open)
 			}
 		})
 	}
--- a/tests/supervisor_test.go
+++ b/tests/supervisor_test.go
@@ -19,26 +19,26 @@
 	"shelfproxy/tests/harness"
 )
 
-// falseProgram is a program that ends at once, in place of a node that does not start.
+// falseProgram is a program that fails at once. Tests install it in place of the node's program for a node that does not start.
 const falseProgram = "/bin/false"
 
-const clientInterval = time.Millisecond // between two requests of a client
+const clientInterval = time.Millisecond // time between two requests of a client
 
-// machineLoad is clients of the instances of a machine. Each sends one request after another: one on a new connection for each,
-// one on a new connection now and then, and one that keeps its connection.
+// machineLoad runs three clients for each instance of a machine. Each client sends one request after another. The first opens a
+// new connection for every request, the second for every twentieth request, and the third keeps its connection.
 type machineLoad struct {
 	answered atomic.Int64
-	resent   atomic.Int64 // on a new connection, after the node had closed the old one
+	resent   atomic.Int64 // requests sent again on a new connection, after the node had closed the old one
 
 	stopOnce sync.Once
 	stopped  chan struct{}
 	running  sync.WaitGroup
 }
 
-// errRejected is the error of a request that was answered otherwise than with a value.
-var errRejected = errors.New("no value")
+// errRejected is the error of a request whose answer is not a value.
+var errRejected = errors.New("the answer is not a value")
 
-// startLoad starts clients of every instance; an error of any fails the test.
+// startLoad starts the clients of every instance. An error of any client fails the test.
 func startLoad(t *testing.T, machine *harness.Machine, instances int) *machineLoad {
 	t.Helper()
 	load := &machineLoad{stopped: make(chan struct{})}
@@ -65,7 +65,7 @@
 	l.running.Wait()
 }
 
-// run sends requests until the load is stopped; reuse says whether the next request is sent on the same connection.
+// run sends requests until the load is stopped; reuse reports whether the connection of a request is kept for the next one.
 func (l *machineLoad) run(address string, reuse func(request int) bool) error {
 	var conn net.Conn
 	defer func() {
@@ -86,14 +86,14 @@
 			return err
 		}
 		if !reuse(request) {
-			_ = conn.Close() // it has had its answer
+			_ = conn.Close() // the answer has been read, so an error of Close doesn't matter
 			conn = nil
 		}
 	}
 }
 
-// get sends a request, on a connection or, where it is nil, on a new one, and returns the connection. A node may close a
-// connection between two requests: then the request is sent once more, on a new one.
+// get sends a request on conn, or on a new connection if conn is nil, and returns the connection that it used last. A node may
+// close a connection between two requests; then get sends the request once more on a new connection.
 func (l *machineLoad) get(address string, conn net.Conn) (net.Conn, error) {
 	if conn != nil {
 		err := exchange(conn)
@@ -120,10 +120,10 @@
 	return conn, nil
 }
 
-// lastRequest numbers the requests of all loads, whose ids must differ.
+// lastRequest is the number of the last request of all loads. Request ids contain these numbers, as they must be unique.
 var lastRequest atomic.Int64
 
-// exchange sends a request and reads its answer.
+// exchange sends a request and reads its answer, which has to be a value.
 func exchange(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(harness.Timeout)); err != nil {
 		return err
@@ -150,8 +150,9 @@
 	return conn.Close()
 }
 
-// Under load every node is replaced in its turn, none refuses a connection or leaves a request without its answer; then with a
-// program that does not start, which halts the replacement with all still serving; then on.
+// Guards against a gap in service while nodes are replaced under load. First every node is replaced in turn; no node may refuse a
+// connection or leave a request without an answer. Then the installed program does not start: the replacement halts, and the
+// present nodes keep serving. Last, with a working program, the replacement is resumed and completed.
 func TestNodesAreReplacedWithoutAGap(t *testing.T) {
 	const instances = 3
 	machine := harness.NewMachine(t, instances)
@@ -171,22 +172,22 @@
 	machine.Ctl("replace")
 	machine.WaitFor("a successor that does not start halts the replacement", func() bool { return machine.Ctl("instances").IsHalted })
 	if pids := machine.WaitServing("while it is halted").PIDs(); !slices.Equal(pids, after) {
-		t.Errorf("processes %v, want those of before, %v", pids, after)
+		t.Errorf("processes %v, want the same as before, %v", pids, after)
 	}
 	machine.Install(harness.NodeProgram)
 	machine.Ctl("resume")
 	machine.Ctl("replace")
 	machine.WaitForLog(`"instance_rolled"`, 2)
 	answered := load.answered.Load()
-	machine.WaitFor("all serve on", func() bool { return load.answered.Load() > answered+100 })
+	machine.WaitFor("100 more requests are answered", func() bool { return load.answered.Load() > answered+100 })
 	load.stop()
-	t.Logf("%d answered, %d of them on another connection after a close", load.answered.Load(), load.resent.Load())
+	t.Logf("%d requests were answered, %d of them on a new connection after the node had closed the old one", load.answered.Load(), load.resent.Load())
 }
 
-// waitForIncarnations waits until every instance knows that all are alive with an incarnation that began since a time, in
-// milliseconds. It knows this over sockets that were handed over, too.
+// waitForIncarnations waits until every instance reports every instance as alive, with an incarnation that began at since, in
+// milliseconds of Unix time, or later. This shows that gossip works on the sockets that were handed over to the new processes.
 func waitForIncarnations(machine *harness.Machine, instances int, since uint64) {
-	machine.WaitFor("all know each other's present processes", func() bool {
+	machine.WaitFor("all instances know each other's new processes", func() bool {
 		for instance := range instances {
 			var members []memberView
 			if !machine.InstanceCtl(instance, &members, "members") || len(members) != instances {
@@ -202,12 +203,12 @@
 	})
 }
 
-// A node that is killed is started again, and who came meanwhile is answered; one that hangs is killed, with its successor
-// serving; one that does not start is retried later and later.
+// The supervisor starts a killed node again, and a request that a client sent meanwhile is answered. It kills a node that hangs
+// and starts a successor. A node that does not start is retried with a growing backoff.
 func TestKilledAndHungNodesAreReplaced(t *testing.T) {
 	machine := harness.NewMachine(t, 2)
 	first := machine.WaitServing("at first").PIDs()
-	machine.Install(falseProgram) // it does not come back by itself
+	machine.Install(falseProgram) // so that the killed node cannot be started again yet
 	kill(t, first[0], syscall.SIGKILL)
 	machine.WaitFor("starts fail", func() bool {
 		status := machine.Ctl("instances")
@@ -217,20 +218,20 @@
 	go func() { answered <- get(machine.Address(0)) }()
 	machine.Install(harness.NodeProgram)
 	if err := <-answered; err != nil {
-		t.Errorf("a request while the node was away: %v", err)
+		t.Errorf("a request while the node was down: %v", err)
 	}
 	now := machine.WaitServing("after one was killed").PIDs()
 	if now[0] == first[0] || now[1] != first[1] {
 		t.Errorf("processes %v, %v before; want another for the first instance only", now, first)
 	}
 	hung := now[1]
-	kill(t, hung, syscall.SIGSTOP) // noNode asks for it to be replaced
+	kill(t, hung, syscall.SIGSTOP) // the test requests no replacement: the supervisor has to notice by itself
 	machine.WaitForLog(`"instance_overdue"`, 1)
 	if now = machine.WaitServing("after one hung").PIDs(); now[1] == hung {
-		t.Error("the process that hangs is still that of its instance")
+		t.Error("the hung process was not replaced")
 	}
 	if err := get(machine.Address(1)); err != nil {
-		t.Errorf("a request after the node had hung: %v", err)
+		t.Errorf("a request after the hung node was replaced: %v", err)
 	}
 }
 
@@ -241,7 +242,7 @@
 	}
 }
 
-// The nodes of a supervisor that is killed end in order, so that another one finds their addresses free.
+// When a supervisor is killed, its nodes shut down in order, so that a new supervisor finds their addresses free.
 func TestNodesEndInOrderWithTheirSupervisor(t *testing.T) {
 	const instances = 2
 	machine := harness.NewMachine(t, instances)
@@ -251,7 +252,7 @@
 		return !slices.ContainsFunc(pids, func(pid int) bool { return syscall.Kill(pid, 0) == nil })
 	})
 	if count := machine.Log.Count(`"supervisor_gone"`); count != instances {
-		t.Errorf("%d nodes log that their supervisor is gone, want %d", count, instances)
+		t.Errorf("%d nodes logged that their supervisor had gone, want %d", count, instances)
 	}
 }
 
@@ -275,7 +276,8 @@
 	}
 }
 
-// A node that hangs right after its start, before a quarter of a second has passed, is replaced, too.
+// Guards against a hang that the supervisor misses: a node that hangs right after its start, within the first quarter of a
+// second, is replaced too.
 func TestNodeThatHangsAtItsStartIsReplaced(t *testing.T) {
 	t.Parallel()
 	machine := harness.NewMachine(t, 1)
@@ -283,6 +285,6 @@
 	kill(t, hung, syscall.SIGSTOP)
 	machine.WaitForLog(`"instance_hangs"`, 1)
 	if now := machine.WaitServing("after it hung").PIDs()[0]; now == hung {
-		t.Error("the process that hangs is still that of its instance")
+		t.Error("the hung process was not replaced")
 	}
 }
--- a/tests/testbed_test.go
+++ b/tests/testbed_test.go
@@ -19,7 +19,7 @@
 	"shelfproxy/tests/harness"
 )
 
-// roughScenario replaces cache servers, freezes one and corrupts responses.
+// roughScenario has two nodes. Cache servers are replaced, one is frozen for a second, and responses are corrupted.
 const roughScenario = `
 length = "5s"
 [nodes]
@@ -50,14 +50,14 @@
 count = 1
 `
 
-// Real nodes violate no invariant while cache servers are replaced, become unresponsive and send corrupt responses, and while every
-// node is restarted.
+// Real nodes violate no invariant while cache servers are replaced, one of them becomes unresponsive, responses are corrupted and
+// every node is restarted.
 func TestNodesViolateNoInvariantUnderFaults(t *testing.T) {
 	t.Parallel()
 	result := harness.Play(t, harness.NodeProgram, roughScenario, demo.Options{Restarts: 1})
 	harness.CheckServed(t, result, 200, 0.7)
 	if open := result.Summary.Counts.Open; open > 0 {
-		t.Errorf("%d requests are open at the end, want none", open)
+		t.Errorf("%d requests are still open at the end, want none", open)
 	}
 }
 
@@ -73,8 +73,9 @@
 grace = "400ms"
 `
 
-// A fleet goes to another release by its own agreement, under load, while a tenth of its datagrams is dropped or duplicated and the
-// first node that may drain stalls: within the budget, and every request has its one answer.
+// Guards against requests that a rollout loses, and against a rollout beyond its budget. Under load, the nodes of a fleet agree
+// on who may drain and go to another release. A tenth of their datagrams is dropped and a tenth duplicated, and the first node
+// that may drain stalls. Every request has to get exactly one answer.
 func TestRolloutUnderLoadAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
 	result := harness.Play(t, harness.NodeProgram, rolloutScenario, demo.Options{Rollout: &demo.Rollout{Budget: 2, Stall: 500 * time.Millisecond,
@@ -85,7 +86,7 @@
 	}
 }
 
-// calmScenario has one node and one cache server that drains.
+// calmScenario has one node and a low load. Its only fault is that one of four cache servers drains.
 const calmScenario = `
 length = "4s"
 [nodes]
@@ -122,7 +123,8 @@
 boxes = ["box-0"]
 `
 
-// A baseline node, which is broken on purpose, violates the invariant that it breaks, and no other.
+// Guards against invariants that find nothing. Each mode of the baseline node, which is broken on purpose, must violate exactly
+// the invariant that it is meant to break; the mode keep must violate none.
 func TestBaselineNodesAreCaughtByTheirInvariant(t *testing.T) {
 	t.Parallel()
 	baseline := filepath.Join(t.TempDir(), "baseline")
@@ -160,7 +162,7 @@
 		t.Fatalf("list the processes: %v", err)
 	}
 	for _, path := range environments {
-		// One that cannot be read belongs to somebody else or has ended.
+		// A process whose environment cannot be read belongs to another user or has ended.
 		if environment, err := os.ReadFile(path); err == nil && bytes.Contains(environment, []byte("LB_CONFIG="+dir)) {
 			processes = append(processes, path)
 		}
@@ -168,13 +170,14 @@
 	return processes
 }
 
-// Whichever way a demo ends, no node outlives it, and its exit code tells how it ended.
+// Guards against nodes that outlive a demo that is interrupted or killed. Its exit code is 130 after Ctrl-C, and -1 here after
+// SIGKILL.
 func TestDemoLeavesNoNodeBehind(t *testing.T) {
 	t.Parallel()
 	for signal, wantCode := range map[syscall.Signal]int{syscall.SIGINT: 130, syscall.SIGKILL: -1} {
 		dir := t.TempDir()
 		var log harness.Log
-		// No context ends it: the signal does.
+		// The context never ends the program; the signal does.
 		cmd := exec.CommandContext(context.Background(), harness.TestbedProgram, "demo", "calm", "--length", "30s", "--node", harness.NodeProgram,
 			"--dir", dir)
 		cmd.Stdout, cmd.Stderr = &log, &log
@@ -182,7 +185,7 @@
 		t.Cleanup(process.Kill)
 		harness.WaitFor(t, "both nodes run under load", func() bool { return len(nodesOf(t, dir)) == 2 && log.Contains(" due, ") }, &log)
 		process.Signal(signal)
-		_ = process.Wait() // the exit code says how it ended
+		_ = process.Wait() // the exit code, checked below, tells how the demo ended
 		if code := process.ExitCode(); code != wantCode {
 			t.Errorf("%v: exit code %d, want %d: %s", signal, code, wantCode, &log)
 		}
@@ -193,7 +196,8 @@
 	}
 }
 
-// Scripts tell the ways in which the testbed can fail apart by its exit code.
+// The exit codes of the testbed tell scripts what kind of failure it was: 1 for a failed run, 2 for an invalid file or scenario,
+// 64 for wrong usage.
 func TestTestbedExitCodes(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -215,14 +219,15 @@
 		"emulate calm --length 50ms --dir " + dir: {0, "LB_CONFIG="},
 	} {
 		cmd := exec.CommandContext(t.Context(), harness.TestbedProgram, strings.Fields(args)...)
-		output, _ := cmd.CombinedOutput() // the exit code is checked
+		output, _ := cmd.CombinedOutput() // the exit code, checked below, tells whether the command failed
 		if code := cmd.ProcessState.ExitCode(); code != want.code || !strings.Contains(string(output), want.text) {
 			t.Errorf("%s: exit code %d, want %d, and %q in %s", args, code, want.code, want.text, output)
 		}
 	}
 }
 
-// What a node costs is measured against a program that copies bytes, with figures for all three ways.
+// The verb overhead compares three ways from clients to a cache server: directly, through a program that only copies bytes, and
+// through a node. It has to print a rate and a p99 for each of them.
 func TestOverheadHasFiguresForEveryWay(t *testing.T) {
 	t.Parallel()
 	cmd := exec.CommandContext(t.Context(), harness.TestbedProgram, "overhead", "--rounds", "1", "--span", "200ms", "--clients", "4",
@@ -231,7 +236,7 @@
 	if err != nil {
 		t.Fatalf("testbed overhead: %v: %s", err, output)
 	}
-	const rate, p99 = 2, 4 // columns
+	const rate, p99 = 2, 4 // indexes of columns
 	for _, way := range overhead.Ways {
 		row := ""
 		for line := range strings.Lines(string(output)) {
--- a/tests/upstream_test.go
+++ b/tests/upstream_test.go
@@ -12,16 +12,17 @@
 	"shelfproxy/tests/harness"
 )
 
-// With few descriptors attempts share connections. One that is abandoned must not end those beside it.
+// Guards against an abandoned attempt that ends other attempts on the same connection. A node with few descriptors sends several
+// attempts over each connection. Clients of a key that the server doesn't answer give up; the other requests have to be answered.
 func TestAbandonedAttemptLeavesOthersOnItsConnection(t *testing.T) {
 	t.Parallel()
 	server, release := harness.NewStuckCacheServer(t)
 	node := harness.NewNode(t, server)
 	node.Config.Limits = harness.FewDescriptors()
-	node.Config.Settings.Classes[0].PriorityWeight = 10 // such reads are not shed by a node that is behind with its own work
+	node.Config.Settings.Classes[0].PriorityWeight = 10 // a node that lags behind with its own work does not shed reads of this weight
 	node.Start()
 	stuck := node.Dial()
-	const requests = 40 // more than the connections that such a node opens
+	const requests = 40 // more than the connections that a node with few descriptors opens
 	for i := range requests {
 		stuck.Send("CACHE.GET", harness.StuckKey, fmt.Sprint("s", i), "c=read,d=600")
 	}
@@ -39,8 +40,8 @@
 	}
 }
 
-// A connection that breaks with a request on it, or has a corrupt response, may have executed it: an at-most-once write is not
-// retried, a read is, elsewhere.
+// Guards against an at-most-once write that is executed twice. A server may have executed a request whose connection broke or
+// whose response is corrupt. So the node must not retry such a write; it retries a read at another server.
 func TestAtMostOnceWriteIsNotRetriedOnceItMayHaveBeenExecuted(t *testing.T) {
 	t.Parallel()
 	for _, reply := range []string{harness.CloseConnection, "?what\r\n", "$9223372036854775807\r\n", "*99999999\r\n", "+PONG\r\n"} {
@@ -63,18 +64,19 @@
 	}
 }
 
-// writeRaw takes over an HTTP connection, writes a response as it stands and closes the connection.
+// writeRaw takes over an HTTP connection, writes the bytes of response unchanged and closes the connection.
 func writeRaw(t *testing.T, w http.ResponseWriter, response string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		t.Errorf("take over a connection: %v", err)
 		return
 	}
-	_, _ = io.WriteString(conn, response) // the node may have closed it
+	_, _ = io.WriteString(conn, response) // the node may already have closed the connection
 	_ = conn.Close()
 }
 
-// Bytes behind a good response belong to no request, and never pass for the response to the next one.
+// Guards against stray bytes that a node takes for the response to the next request. Cache server and origin send a valid
+// response followed by noise or by a second response. These extra bytes belong to no request and must be discarded.
 func TestBytesBehindAResponseReachNoRequest(t *testing.T) {
 	t.Parallel()
 	var served atomic.Int64
@@ -97,9 +99,9 @@
 			t.Errorf("take over a connection: %v", err)
 			return
 		}
-		_, _ = io.WriteString(conn, header+id+header+"of-another"[:len(id)]) // the node may have closed it
+		_, _ = io.WriteString(conn, header+id+header+"of-another"[:len(id)]) // the node may already have closed the connection
 	})
-	node.Config.Settings.Limits.MaxStreams = 1 // so that attempts wait for a connection to be free
+	node.Config.Settings.Limits.MaxStreams = 1 // one attempt per connection, so that attempts wait for a free connection
 	node.Config.Limits = harness.FewDescriptors()
 	node.Start()
 	var clients []*harness.Client
@@ -110,7 +112,7 @@
 		client.Want(fmt.Sprint("value-id", i))
 		id := fmt.Sprint("o", i)
 		answer := client.Get("absent", id).Answer()
-		if answer == harness.Closed { // idle in a crowded table while the others were looked at; sent once more, as clients do
+		if answer == harness.Closed { // the node was short of descriptors and closed this idle connection; clients send again
 			answer = node.Dial().Get("absent", id).Answer()
 		}
 		if answer != id {
@@ -119,7 +121,7 @@
 	}
 }
 
-// A request whose connection was refused was never executed: it goes on to where it can be served.
+// A request whose connection is refused was never executed, so it is sent to another server. Here this is the origin.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
@@ -127,8 +129,8 @@
 	node.Start().Dial().Get("k", "id").Want("from-origin-id")
 }
 
-// An attempt for which no connection is free does not wait for all the time of its request: the policy learns of it and ends the
-// request in good time.
+// Guards against attempts that wait for a free connection until the request's deadline of one minute. The attempt ends early, and
+// the policy then ends the request with an error well before its deadline.
 func TestAttemptWithoutAFreeConnectionEndsEarly(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t)
@@ -143,7 +145,7 @@
 	})
 	node.Start()
 	const requests = 30            // more than the connections to the origin
-	observer := node.NewObserver() // its idle connection may be closed in favour of the others
+	observer := node.NewObserver() // the node may close an idle connection to make room, so the test needs an Observer
 	var clients []*harness.Client
 	for i := range requests {
 		clients = append(clients, node.Dial().Send("CACHE.SET", "k", fmt.Sprint(i), "c=cert,d=60000", "v"))
@@ -158,13 +160,14 @@
 	release()
 	for i, client := range clients {
 		if answer := client.Answer(); answer != fmt.Sprint(i) && answer != "-ERR failed" && answer != "-BUSY" {
-			t.Errorf("answer %q to request %d, want its value or that it failed or was rejected", answer, i)
+			t.Errorf("answer %q to request %d, want its value, -ERR failed or -BUSY", answer, i)
 		}
 	}
 }
 
-// An idle connection may be closed by the server just as a request is written on it, which then may have been executed. An
-// at-most-once request is not written there; others are.
+// Guards against an at-most-once request that ends with an unknown outcome. A server may close an idle connection just as a
+// request is written to it, and then nobody knows whether the request was executed. So an at-most-once request always gets a new
+// connection; other requests reuse idle ones.
 func TestAtMostOnceWriteUsesANewConnection(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t)
@@ -175,14 +178,15 @@
 		for i := range 3 {
 			from := client.Send("CACHE.SET", "k", fmt.Sprint(class, i), "c="+class+",d=2900", "v").Answer()
 			if i > 0 && (from == last) != reuses {
-				t.Errorf("%s: sent from %s after %s, want the same connection: %v", class, from, last, reuses)
+				t.Errorf("%s: sent from %s after %s, want reuse of the connection: %v", class, from, last, reuses)
 			}
 			last = from
 		}
 	}
 }
 
-// After a change of the list nothing new goes to a server that drains, and a broken watch is opened again.
+// After a change of the list that drains a server, the server gets no new requests and its connections are closed. A watch that
+// broke, or that sent no valid list, is opened again.
 func TestDrainingServerGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	draining, other := harness.NewCacheServer(t, harness.Hit), harness.NewCacheServer(t, harness.Hit)
@@ -195,7 +199,7 @@
 	}
 	read(0, 40)
 	if len(draining.Commands()) == 0 || len(other.Commands()) == 0 {
-		t.Fatalf("%d and %d requests, want both servers in use", len(draining.Commands()), len(other.Commands()))
+		t.Fatalf("the servers got %d and %d requests, want some at both", len(draining.Commands()), len(other.Commands()))
 	}
 	drain(node, 43, draining.Address)
 	node.WaitFor("connections to the draining server are closed", func() bool { return draining.Connections() == 0 })
@@ -207,7 +211,7 @@
 	node.Discovery.NextWatch()
 	node.Discovery.BreakWatch()
 	if query := node.Discovery.NextWatch(); !strings.Contains(query, "after=43") {
-		t.Errorf("the new watch has the query %q, want what came after 43", query)
+		t.Errorf("the new watch has the query %q, want changes after version 43", query)
 	}
 	node.Discovery.PublishText("no JSON")
 	node.Discovery.NextWatch()
@@ -217,8 +221,8 @@
 	}
 }
 
-// Values far longer than the usual one come through complete, from a cache server and from the origin; one that is longer than a
-// node of this memory takes fails at once, and the connection of its client goes on.
+// Guards against long values that are truncated. Values of up to 6 MB arrive complete from a cache server and from the origin. A
+// value of 3 GB is too long for the node's memory: the request fails at once, and its client's connection stays open.
 func TestLongValuesAreServedComplete(t *testing.T) {
 	t.Parallel()
 	sizes := map[string]int{"short": 100, "long": 399_998, "longest": 6<<20 - 100}
@@ -253,6 +257,6 @@
 		t.Errorf("a value of 3 GB: answer %.40q, want an error", answer)
 	}
 	if answer := client.Get("short", "after").Answer(); answer != value("short", "after") {
-		t.Errorf("after it: answer %.40q, want the value", answer)
+		t.Errorf("after a value of 3 GB: answer %.40q, want the value", answer)
 	}
 }
