--- a/tests/harness/fleet.go
+++ b/tests/harness/fleet.go
@@ -28,10 +28,10 @@
 type FleetOptions struct {
 	Nodes  int
 	Budget int // nodes that may be out of service at once; 0 means no rollout
-	// FaultyPart is the fraction of the datagrams between nodes that is dropped. The same fraction is duplicated, and the same
+	// FaultyFraction is the fraction of the datagrams between nodes that is dropped. The same fraction is duplicated, and the same
 	// fraction corrupted.
-	FaultyPart   float64
-	OperatorFile string // text that is appended to the operator file of every node
+	FaultyFraction float64
+	OperatorFile   string // text that is appended to the operator file of every node
 }
 
 // Fleet is a set of nodes that exchange datagrams through a proxy, with a simple supervisor that restarts nodes that have ended.
@@ -66,8 +66,8 @@
 func NewFleet(t testing.TB, options FleetOptions) *Fleet {
 	t.Helper()
 	f := &Fleet{t: t, template: NewNode(t, NewCacheServer(t, Hit)), options: options, release: "v1", stopped: make(chan struct{})}
-	f.Proxy = newFaultProxy(t, options.Nodes, faultproxy.Faults{Dropped: options.FaultyPart, Duplicated: options.FaultyPart,
-		Corrupted: options.FaultyPart, Delay: datagramDelay})
+	f.Proxy = newFaultProxy(t, options.Nodes, faultproxy.Faults{Dropped: options.FaultyFraction, Duplicated: options.FaultyFraction,
+		Corrupted: options.FaultyFraction, Delay: datagramDelay})
 	t.Cleanup(f.stop)
 	for i := range options.Nodes {
 		f.template.ChooseAddress()
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -41,7 +41,7 @@
 
 func newLeaseFleet(t *testing.T, nodes int, faultyFraction float64) *leaseFleet {
 	t.Helper()
-	return &leaseFleet{Fleet: harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, FaultyPart: faultyFraction, OperatorFile: leaseOptions}), t: t}
+	return &leaseFleet{Fleet: harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, FaultyFraction: faultyFraction, OperatorFile: leaseOptions}), t: t}
 }
 
 // lease returns the state of a resource's lease as a node reports it; its holder is noNode if the node does not answer.
--- a/tests/membership_test.go
+++ b/tests/membership_test.go
@@ -71,7 +71,7 @@
 // tenth corrupted. One node is killed and started again, one is stopped and continued, one shuts down and is started again. Last,
 // the fleet is partitioned and the partition heals.
 func TestMembershipFollowsKillsPausesAndPartitions(t *testing.T) {
-	fleet := memberFleet{harness.NewFleet(t, harness.FleetOptions{Nodes: 5, FaultyPart: 0.1,
+	fleet := memberFleet{harness.NewFleet(t, harness.FleetOptions{Nodes: 5, FaultyFraction: 0.1,
 		OperatorFile: "[members]\non = true\nperiod = \"100ms\"\nwait = \"50ms\"\nsuspicion = 3"})}
 	fleet.waitForAll("at the start")
 	fleet.waitForCount(0, 5)
--- a/tests/rollout_test.go
+++ b/tests/rollout_test.go
@@ -20,7 +20,7 @@
 // is partitioned into halves, neither of which may let a node drain.
 func TestRolloutStaysWithinItsBudget(t *testing.T) {
 	const nodes, budget = 6, 2
-	fleet := harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, Budget: budget, FaultyPart: 0.1})
+	fleet := harness.NewFleet(t, harness.FleetOptions{Nodes: nodes, Budget: budget, FaultyFraction: 0.1})
 	fleet.WaitReady(releaseBefore)
 	fleet.SetRelease(releaseAfter)
 	if status := fleet.Ctl(3, "roll", releaseAfter); !strings.Contains(status, `"state":"fit"`) {
