--- a/tests/admission_test.go
+++ b/tests/admission_test.go
@@ -122,8 +122,8 @@
 const regularInterval = 20 * time.Millisecond
 
 // sendRegularly sends a request at every regularInterval until done is closed; each request has to be served. A machine that
-// stalls for a moment makes requests late, and the node may then close the connection as idle, so a closed connection is
-// replaced. Tests in virtual time show that a client that keeps the interval keeps its connection.
+// stalls for a moment makes requests late, and the node may then close the connection as idle. So a request on a closed connection
+// is sent once more, on a new one. Tests in virtual time show that a client that keeps the interval keeps its connection.
 func sendRegularly(t *testing.T, node *harness.Node, client *harness.Client, done <-chan struct{}) {
 	t.Helper()
 	ticker := time.NewTicker(regularInterval)
--- a/tests/lifecycle_test.go
+++ b/tests/lifecycle_test.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// A reload moves the watch to another discovery service and changes nothing else. The node closes the watch of the old one. An
-// invalid configuration changes nothing. The log names each changed field that takes effect only at the next start.
+// A reload moves the watch to another discovery service and changes nothing else. The node closes the old watch and ignores what
+// the old service still sends. An invalid configuration changes nothing. The log names each changed field that takes effect only
+// at the next start.
 func TestReloadMovesTheWatchAlone(t *testing.T) {
 	t.Parallel()
 	server := harness.NewCacheServer(t, harness.Hit)
