--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,41 +13,43 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// AgentCallTimeout bounds a call to a discovery agent. An agent is on the node's own machine and answers at once with what it
-// has. One that does not has to be found quickly, since its recovery counts as the moment at which the node was notified.
+// AgentCallTimeout bounds a call to a discovery agent. An agent runs on the node's own machine and answers at once with the list
+// that it has. An agent that does not answer has to be detected quickly, because its recovery counts as the moment at which the
+// node was notified.
 const AgentCallTimeout = 250 * time.Millisecond
 
 const (
-	readBufferBytes = 16 << 10             // of a watch's response read at once
-	minTimerDelay   = 1 * time.Millisecond // between two checks of a deadline
+	readBufferBytes = 16 << 10             // largest part of a watch's response that is read at once
+	minTimerDelay   = 1 * time.Millisecond // shortest time between two checks of a watch's deadline
 )
 
-// Source is where endpoint lists come from. An implementation for another discovery service can take its place.
+// Source provides endpoint lists. Another discovery service can be supported by another implementation.
 type Source interface {
-	// Watch reports every change after a version, from a goroutine of its own, until stop is called or the watch breaks. Unless
-	// it was stopped its last report is an error. stop does not wait: a report may still be in progress when it returns.
+	// Watch reports every change of the endpoint list after a version, until stop is called or the watch breaks. It calls report
+	// from a goroutine of its own. Unless the watch was stopped, the last report is an error. stop does not wait: a report may
+	// still be in progress when stop returns.
 	Watch(after int64, report func(List, error)) (stop func())
 }
 
-// Client is the Source for the discovery service at Addr. It moves bytes and time for a WatchState. Its fields must not change
-// after the first call of Watch, which is safe for concurrent use.
+// Client is the Source for the discovery service at Addr. It does the I/O and the timing for a WatchState. Its fields must not
+// change after the first call of Watch. Watch is safe for concurrent use.
 type Client struct {
 	Addr        string
-	CallTimeout time.Duration // bound on connecting and on the response's header; 0 means polling.CallTimeout
+	CallTimeout time.Duration // bounds connecting, and the wait for the response's header; 0 means polling.CallTimeout
 
 	initialize sync.Once
 	http       *http.Client
 }
 
-// WatchPath is the request path that opens a watch on the changes after a version.
+// WatchPath returns the request path that opens a watch on the changes after a version of the endpoint list.
 func WatchPath(after int64) string {
 	return "/discovery/hosts?watch=1&after=" + strconv.FormatInt(after, 10)
 }
 
 // Watch opens a watch on a connection of its own. See Source.
 //
-// The watch's goroutine ends when stop is called, when the connection ends or when the watch times out. Nothing waits for it:
-// stop is called from the event loop to which report posts.
+// The watch's goroutine ends when stop is called, when the connection ends or when the watch times out. stop does not wait for
+// the goroutine, because stop is called from the event loop to which report posts.
 func (c *Client) Watch(after int64, report func(List, error)) (stop func()) {
 	c.initialize.Do(c.newHTTPClient)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,15 +73,15 @@
 	}}
 }
 
-// watchCall is one watch of a Client. Its goroutine reads the response; its timer ends the call when the watch times out.
+// watchCall is one watch of a Client. Its goroutine reads the response. Its timer ends the call when the watch times out.
 type watchCall struct {
 	cancel func()
 	report func(List, error)
 	timer  *time.Timer
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	state   *WatchState
-	timeout error // set when the timer ended the call
+	timeout error // error with which the timer ended the call; nil if it did not
 }
 
 func newWatchCall(callTimeout time.Duration, cancel func(), report func(List, error)) *watchCall {
@@ -88,7 +90,8 @@
 	return call
 }
 
-// checkTimeout runs on the timer. To end the call it cancels the context, which interrupts the goroutine's I/O.
+// checkTimeout is called by the timer. If the watch has timed out, it cancels the context, which interrupts the I/O of the
+// watch's goroutine. Otherwise it sets the timer to the new deadline.
 func (c *watchCall) checkTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +109,8 @@
 	return c.timeout != nil
 }
 
-// withState calls step under the lock, unless the call has timed out: then that is the error.
+// withState calls step with the state of the watch, under the lock. If the call has timed out, withState returns the timeout
+// error without calling step.
 func (c *watchCall) withState(step func(state *WatchState, now time.Time) error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +120,7 @@
 	return step(c.state, time.Now())
 }
 
-// run makes the call and reports its lists, and the error that ended it unless it was stopped.
+// run makes the call and reports its lists. Then it reports the error that ended the call, unless the call was stopped.
 func (c *watchCall) run(ctx context.Context, client *http.Client, url string) {
 	err := c.follow(ctx, client, url)
 	if wasStopped := ctx.Err() != nil && !c.hasTimedOut(); !wasStopped {
@@ -124,7 +128,7 @@
 	}
 }
 
-// follow makes the call and reports its lists until an error ends it, which it returns.
+// follow makes the call and reports its lists until an error ends the call. It returns that error.
 func (c *watchCall) follow(ctx context.Context, client *http.Client, url string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -134,7 +138,7 @@
 	if err != nil {
 		return c.withState(func(*WatchState, time.Time) error { return err })
 	}
-	defer func() { _ = response.Body.Close() }() // the watch has already ended with an error that says more
+	defer func() { _ = response.Body.Close() }() // the watch has already ended with a more useful error
 	err = c.withState(func(state *WatchState, now time.Time) error { return state.ResponseReceived(now, response.StatusCode) })
 	if err != nil {
 		return err
@@ -148,7 +152,7 @@
 	}
 }
 
-// bytesRead takes the result of one read of the response's body and reports the lists that it completes.
+// bytesRead processes the result of one read of the response's body and reports the lists that the read completed.
 func (c *watchCall) bytesRead(data []byte, readErr error) error {
 	var lists []List
 	err := c.withState(func(state *WatchState, now time.Time) (err error) {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,7 @@
 	err  error
 }
 
-// startWatch opens a watch on a server with this handler and returns its reports.
+// startWatch opens a watch on a test server with this handler. It returns the reports of the watch and its stop function.
 func startWatch(t *testing.T, callTimeout time.Duration, handler http.HandlerFunc) (reports <-chan watchReport, stop func()) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -28,7 +28,7 @@
 	return all, stop
 }
 
-// nextReport waits for a report of a watch.
+// nextReport waits up to 10 s for the next report of a watch.
 func nextReport(t *testing.T, reports <-chan watchReport) watchReport {
 	t.Helper()
 	select {
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestClientReportsListsThenTheError: a watch reports its lists as they come, and the error that ends it last.
+// TestClientReportsListsThenTheError: a watch reports its lists as they arrive, and then the error that ended the watch.
 func TestClientReportsListsThenTheError(t *testing.T) {
 	reports, _ := startWatch(t, 0, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RequestURI() != WatchPath(42) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestClientFindsUnresponsiveServer: a call that is not answered ends with an error.
+// TestClientFindsUnresponsiveServer: a call that the server does not answer ends with an error.
 func TestClientFindsUnresponsiveServer(t *testing.T) {
 	reports, _ := startWatch(t, 50*time.Millisecond, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	if got := nextReport(t, reports); got.err == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestStoppedWatchReportsNoError: a watch that its owner stops ends its call and reports nothing more.
+// TestStoppedWatchReportsNoError: stop ends the call of a watch. A stopped watch reports nothing more, not even an error.
 func TestStoppedWatchReportsNoError(t *testing.T) {
 	called, ended := make(chan struct{}), make(chan struct{})
 	reports, stop := startWatch(t, 0, func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -7,36 +7,36 @@
 
 // Errors that end a watch.
 var (
-	// ErrMalformed ends a watch that sent something other than endpoint lists.
+	// ErrMalformed ends a watch on which something other than endpoint lists arrived.
 	ErrMalformed = errors.New("discovery: no list")
 	// ErrCallTimeout ends a call that got no response in time.
 	ErrCallTimeout = errors.New("discovery: the call was not answered in time")
-	// ErrWatchTimeout ends a watch that sent nothing for polling.WatchTimeout.
-	ErrWatchTimeout = errors.New("discovery: the watch fell silent")
+	// ErrWatchTimeout ends a watch on which neither a line nor a list was completed for polling.WatchTimeout.
+	ErrWatchTimeout = errors.New("discovery: nothing arrived on the watch in time")
 	// ErrWatchClosed ends a watch that the discovery service closed.
-	ErrWatchClosed = errors.New("discovery: the watch ended")
+	ErrWatchClosed = errors.New("discovery: the service closed the watch")
 )
 
-// Errors of ListValidator. The list in force stays in force.
+// Errors of ListValidator. After each of them the endpoint list in force stays in force.
 var (
-	// ErrEmptyList rejects a full list without servers. It shows that the discovery service has lost its state, not that all
-	// servers are gone: servers that really leave are listed as draining first.
+	// ErrEmptyList rejects a full list without servers. Such a list shows that the discovery service has lost its state, not that
+	// all servers are gone: servers that really leave are listed as draining first.
 	ErrEmptyList = errors.New("discovery: a full list without a server")
 	// ErrStaleList rejects a list that is older than the one in force.
 	ErrStaleList = errors.New("discovery: a list older than the one held")
 )
 
-// The ways in which the framing of a list is broken. All of them are ErrMalformed.
+// Errors about the framing of a list. All of them wrap ErrMalformed.
 var (
-	errTruncated = fmt.Errorf("%w: one that is cut short", ErrMalformed)
-	errTooLong   = fmt.Errorf("%w: one without an end", ErrMalformed)
-	errNoObject  = fmt.Errorf("%w: something that is no object", ErrMalformed)
+	errTruncated = fmt.Errorf("%w: the JSON object is truncated", ErrMalformed)
+	errTooLong   = fmt.Errorf("%w: the JSON object exceeds the size limit", ErrMalformed)
+	errNoObject  = fmt.Errorf("%w: unexpected text outside a JSON object", ErrMalformed)
 )
 
 // StatusError ends a watch whose call was answered with an HTTP status other than 200.
 type StatusError struct{ Status int }
 
-// Error names the status.
+// Error returns a text with the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("discovery: status %d", e.Status) }
 
 // ParseError says which field of a list is missing or invalid.
@@ -45,5 +45,5 @@
 	Problem string
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field and the problem on one line.
 func (e *ParseError) Error() string { return e.Field + ": " + e.Problem }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,7 +8,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenLists: the JSON that discovery sends, how it is read, and the path of the call for it.
+// TestGoldenLists: the JSON of endpoint lists is read, and the request path of a watch is built, as the golden file says. The
+// test guards the protocol of the discovery service against unintended changes.
 func TestGoldenLists(t *testing.T) {
 	var lines golden.Lines
 	lines.Text("path", WatchPath(42))
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,8 +1,7 @@
-// Package discovery reads the endpoint list of cache servers and origins that the discovery service sends, and follows its
-// changes by a watch.
+// Package discovery reads the endpoint list, which is the list of cache servers and origins that the discovery service sends, and
+// follows its changes by a watch.
 //
-// WatchState and ListValidator decide without a clock or I/O of their own. Client is the shell that moves bytes and time for
-// them.
+// WatchState and ListValidator decide without a clock or I/O of their own. Client does the I/O and the timing for WatchState.
 package discovery
 
 // Server is one entry of the endpoint list.
@@ -24,9 +23,9 @@
 	Removed               // no longer exists
 )
 
-// List is an endpoint list as one watch event brings it.
+// List is what one event of a watch brings: a complete endpoint list, or only its changes.
 type List struct {
 	Version int64
-	IsFull  bool // Servers is the complete list; otherwise it holds only the entries that changed
+	IsFull  bool // Servers is the complete list; otherwise Servers holds only the entries that changed
 	Servers []Server
 }
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -13,24 +13,25 @@
 // instancesField is the JSON field that holds the entries of a list.
 const instancesField = "instances"
 
-// statesByName are the values of the JSON field "lifecycle".
+// statesByName maps the values of the JSON field "lifecycle" to states.
 var statesByName = map[string]State{"up": Up, "draining": Draining, "removed": Removed}
 
-// Parser reads endpoint lists from their JSON text. It parses one entry after another, so that it keeps no tree of a list of thousands.
-// The zero value is ready. It is not safe for concurrent use.
+// Parser reads endpoint lists from their JSON text. It parses one entry after another, so that it never holds the JSON tree of a
+// list with thousands of entries. The zero value is ready to use. A Parser is not safe for concurrent use.
 type Parser struct {
 	json  fastjson.Parser
-	names map[string]string // zones and kinds of the list in hand, of which there are few
+	names map[string]string // the few distinct zones and kinds of the list that is being read
 }
 
-// Parse reads a list. Its errors are of type *ParseError where the text is JSON.
+// Parse reads a list. If the text is valid JSON, an error is a *ParseError.
 func (p *Parser) Parse(text []byte) (List, error) {
 	p.names = map[string]string{}
 	list, isSplit, err := p.parseSplit(text)
 	if isSplit {
 		return list, err
 	}
-	// Unusual but valid texts cannot be split, nor can invalid ones, of which this finds what is wrong.
+	// Some valid but unusual texts cannot be split, and invalid ones cannot either. Parsing the whole text reads the valid ones
+	// and finds what is wrong with the others.
 	whole, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return List{}, err
@@ -38,7 +39,8 @@
 	return p.parseTree(whole)
 }
 
-// parseSplit reads a list whose entries can be told apart without parsing all of it; false if they can't.
+// parseSplit reads a list entry by entry, without parsing the text as a whole. isSplit is false if the entries cannot be told
+// apart.
 func (p *Parser) parseSplit(text []byte) (list List, isSplit bool, err error) {
 	start, end, ok := jsonsplit.Member(text, instancesField)
 	if !ok {
@@ -63,7 +65,7 @@
 	return list, isSplit, err
 }
 
-// parseTree reads a list that is parsed as a whole.
+// parseTree reads a list from the JSON tree of its whole text.
 func (p *Parser) parseTree(value *fastjson.Value) (List, error) {
 	list, err := parseHeader(value)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return list, nil
 }
 
-// parseHeader reads what a list has beside its entries.
+// parseHeader reads the fields of a list other than its entries, and checks that the field of the entries is present.
 func parseHeader(value *fastjson.Value) (List, error) {
 	list := List{Version: value.GetInt64("generation"), IsFull: value.GetBool("reset")}
 	if value.Get("generation") == nil || value.Get(instancesField) == nil {
@@ -86,13 +88,13 @@
 	return list, nil
 }
 
-// addServer reads the next entry of a list.
+// addServer reads an entry from its JSON and appends it to the list.
 func (p *Parser) addServer(list *List, instance *fastjson.Value) error {
 	server := Server{
 		ID:        string(instance.GetStringBytes("instanceId")),
 		Addr:      string(instance.GetStringBytes("hostPort")),
-		Zone:      p.name(instance.GetStringBytes("zone")),
-		Kind:      p.name(instance.GetStringBytes("machineType")),
+		Zone:      p.intern(instance.GetStringBytes("zone")),
+		Kind:      p.intern(instance.GetStringBytes("machineType")),
 		Cell:      instance.GetInt("cell"),
 		Weight:    instance.GetFloat64("weight"),
 		StartedMs: instance.GetInt64("startedAtMs"),
@@ -111,8 +113,8 @@
 	return nil
 }
 
-// name returns a name as a string that the entries of a list share.
-func (p *Parser) name(text []byte) string {
+// intern returns a name as a string. All entries of a list with the same name share one string.
+func (p *Parser) intern(text []byte) string {
 	if known, ok := p.names[string(text)]; ok {
 		return known
 	}
--- a/internal/discovery/polling/schedule.go
+++ b/internal/discovery/polling/schedule.go
@@ -1,5 +1,5 @@
-// Package polling decides when a node calls the discovery service for the endpoint list, so that the nodes of a fleet together
-// do not overload it. It has no clock and no I/O: its caller makes the calls and says how they ended.
+// Package polling decides when a node calls the discovery service for the endpoint list, so that the nodes of a fleet together do
+// not overload the service. It has no clock and no I/O: its caller makes the calls and reports how they ended.
 package polling
 
 import "time"
@@ -7,51 +7,52 @@
 // Time is a point on the caller's clock.
 type Time = time.Duration
 
-// Responsibility says which node polls the discovery service while it does not answer.
+// Responsibility says which node polls the discovery service while the service does not answer.
 type Responsibility int
 
 // The values of Responsibility.
 const (
-	Unassigned        Responsibility = iota // each node polls for itself
-	AssignedHere                            // this node polls for all
-	AssignedElsewhere                       // another node polls for this one
+	Unassigned        Responsibility = iota // every node polls on its own
+	AssignedHere                            // this node polls on behalf of all nodes
+	AssignedElsewhere                       // another node polls on behalf of this one
 )
 
 // Timeouts of a watch on the endpoint list.
 const (
-	// WatchTimeout bounds the time between two lines of a watch. The discovery service sends a keep-alive every 2 s; the rest
-	// allows for its way.
+	// WatchTimeout bounds the time between two lines of a watch. The discovery service sends a keep-alive every 2 s; the
+	// remaining 1 s allows for delays on the network.
 	WatchTimeout = 3 * time.Second
-	// CallTimeout bounds the wait for the response to a call. The discovery service itself gives a call up after 2 s and says so.
+	// CallTimeout bounds the wait for the response to a call. The discovery service itself gives up on a call after 2 s and says
+	// so in its response.
 	CallTimeout = 2250 * time.Millisecond
 )
 
 const (
-	assignedInterval  = 1 * time.Second        // between the calls of the node that polls for all
-	minFirstBackoff   = 500 * time.Millisecond // for the wait after the first failure
-	defaultMaxBackoff = 16 * time.Second       // where MaxBackoff is 0
-	unansweredRetry   = 10 * time.Second       // until a call that is never reported as ended is made again
+	assignedInterval  = 1 * time.Second        // time between the calls of the node that polls on behalf of all nodes
+	minFirstBackoff   = 500 * time.Millisecond // least upper bound of the random wait after the first failure
+	defaultMaxBackoff = 16 * time.Second       // used if Schedule.MaxBackoff is 0
+	unansweredRetry   = 10 * time.Second       // time after which a call is repeated if its end is not reported
 )
 
-// Schedule decides when one node polls. Failures back off exponentially with full jitter; the node that polls for all polls at
-// a constant interval instead, and announces the recovery to the others.
+// Schedule decides when one node polls. After failures the node backs off exponentially with full jitter. The node that polls on
+// behalf of all nodes polls at a constant interval instead, and announces to the others that the discovery service has recovered.
 //
-// It is not safe for concurrent use. The first call is planned by Start.
+// A Schedule is not safe for concurrent use. Start plans the first call.
 type Schedule struct {
-	SpreadOver time.Duration // over which all nodes spread the calls that one occurrence causes in all of them
+	SpreadOver time.Duration // time over which all nodes spread the calls that one event causes in all of them
 	StaleAfter time.Duration // a node that has not polled for this long may not use its list; 0: no bound
-	MaxBackoff time.Duration // bound on every wait: the discovery service may recover the moment after a call failed; 0: 16 s
+	MaxBackoff time.Duration // upper bound of every wait, since the discovery service may recover right after a failed call; 0: 16 s
 	Jitter     func(limit time.Duration) time.Duration
 
 	isPolling   bool // a call is planned or in flight
-	nextCall    Time // when to call next, if isPolling
+	nextCall    Time // time of the next call, if isPolling
 	nextBackoff time.Duration
 	responsible Responsibility
-	hasFailed   bool // a call failed since the last list
-	isRecovered bool // the recovery has to be announced
+	hasFailed   bool // a call has failed since the last list
+	isRecovered bool // the discovery service's recovery has yet to be announced to the other nodes
 }
 
-// FirstBackoff is the bound of the wait after the first failure.
+// FirstBackoff returns the upper bound of the random wait after the first failure.
 func (s *Schedule) FirstBackoff() time.Duration {
 	return min(max(minFirstBackoff, s.SpreadOver), s.maxBackoff())
 }
@@ -69,7 +70,8 @@
 	s.nextCall = now + s.Jitter(s.SpreadOver)
 }
 
-// Assign says who polls from now on. A node that no longer has another one to wait for polls soon.
+// Assign sets which node polls from now on. If another node polled on behalf of this one until now, and this node still waits for
+// a list, its next call is brought forward.
 func (s *Schedule) Assign(now Time, responsible Responsibility) {
 	isReleased := s.responsible == AssignedElsewhere && responsible != AssignedElsewhere
 	if s.isPolling && s.hasFailed && isReleased {
@@ -78,7 +80,7 @@
 	s.responsible = responsible
 }
 
-// Failed plans the next call after one that failed or a watch that broke.
+// Failed plans the next call after a call that failed or a watch that broke.
 func (s *Schedule) Failed(now Time) {
 	if s.nextBackoff == 0 {
 		s.nextBackoff = s.FirstBackoff()
@@ -88,9 +90,9 @@
 	s.isPolling, s.hasFailed = true, true
 }
 
-// delayAfterFailure draws the wait before the next call.
+// delayAfterFailure returns the wait before the next call.
 func (s *Schedule) delayAfterFailure() time.Duration {
-	// Drawn in each case, so that the random draws of a run do not depend on who is responsible.
+	// The backoff is drawn in every case, so that the random numbers of a run do not depend on which node is responsible.
 	backoff := s.Jitter(s.nextBackoff)
 	switch {
 	case s.responsible == AssignedHere:
@@ -101,8 +103,8 @@
 	return backoff
 }
 
-// fallbackDelay draws the wait of a node for which another one polls. It polls itself only in case that the other's announcement
-// is lost, but before its list is stale.
+// fallbackDelay returns the wait of a node on whose behalf another node polls. The waiting node polls only in case the other
+// node's announcement is lost, but before its own list becomes stale.
 func (s *Schedule) fallbackDelay() time.Duration {
 	limit := s.maxBackoff()
 	if s.StaleAfter > 0 {
@@ -111,29 +113,31 @@
 	return limit - limit/8 + s.Jitter(limit/8)
 }
 
-// Succeeded ends the polling: the discovery service sent a list.
+// Succeeded ends the polling, because the discovery service sent a list.
 func (s *Schedule) Succeeded() {
 	s.isRecovered = s.responsible == AssignedHere && s.hasFailed
 	s.isPolling, s.hasFailed, s.nextBackoff = false, false, 0
 }
 
-// TakeAnnouncement returns true once after the node that polls for all has seen the discovery service recover: the other nodes
-// have to be told, which then call RecoveryAnnounced.
+// TakeAnnouncement reports whether this node has to announce to the other nodes that the discovery service has recovered. The
+// other nodes then call RecoveryAnnounced. It returns true once for each recovery that the node sees while it polls on behalf of
+// all nodes.
 func (s *Schedule) TakeAnnouncement() bool {
 	isRecovered := s.isRecovered
 	s.isRecovered = false
 	return isRecovered
 }
 
-// RecoveryAnnounced plans a call soon if this node waits for a list: another node says that the discovery service answers again.
+// RecoveryAnnounced processes another node's announcement that the discovery service answers again. If this node waits for a
+// list, its next call is brought forward.
 func (s *Schedule) RecoveryAnnounced(now Time) {
 	if s.isPolling && s.hasFailed {
 		s.nextCall = min(s.nextCall, now+s.Jitter(s.SpreadOver))
 	}
 }
 
-// TakeDueCall returns true if the node has to call now. The caller then makes the call: until it ends, or for 10 s at most, no other is
-// due.
+// TakeDueCall reports whether the node has to call now. If so, the caller makes the call. No other call is due until this call
+// ends, or for 10 s at most.
 func (s *Schedule) TakeDueCall(now Time) bool {
 	if !s.isPolling || now < s.nextCall {
 		return false
--- a/internal/discovery/polling/schedule_test.go
+++ b/internal/discovery/polling/schedule_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// longestJitter draws the longest wait there is, so that tests see its bound.
+// longestJitter is a Jitter that always draws the longest wait, so that tests see the upper bound of each wait.
 func longestJitter(limit time.Duration) time.Duration { return limit }
 
-// failTimes lets calls fail, each at the time at which it is due.
+// failTimes reports that count calls failed, each at the time at which it was due.
 func failTimes(schedule *Schedule, count int) {
 	now := Time(0)
 	for range count {
@@ -73,6 +73,6 @@
 	}
 	schedule.RecoveryAnnounced(0)
 	if schedule.TakeDueCall(time.Hour) {
-		t.Error("an announcement makes a node call that has the list")
+		t.Error("got a call due after an announcement to a node that has the list, want none")
 	}
 }
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -1,15 +1,15 @@
 package discovery
 
-// maxListBytes bounds a list whose end has not been received.
+// maxListBytes bounds the part of a list that is buffered while the end of the list has not been received.
 const maxListBytes = 4 << 20
 
-// objectScanner splits a byte stream into JSON objects with white space between them. An object may take several lines. A line
-// of white space only, or the end of a line within a string, shows that the object it is in was truncated.
+// objectScanner splits a byte stream into JSON objects with white space between them. An object may take several lines. Within an
+// object, a line of white space only, or the end of a line inside a string, shows that the object was truncated.
 //
-// It only tracks brackets and strings; whether an object is valid JSON is for the parser to find.
+// objectScanner only tracks brackets and strings. The parser finds out whether an object is valid JSON.
 type objectScanner struct {
 	object   []byte // received part of the current object
-	depth    int    // open brackets; 0 is between objects
+	depth    int    // number of open brackets; 0 between objects
 	inString bool
 	escaped  bool // the next byte of the string is escaped
 	hasText  bool // the current line has bytes other than white space
@@ -18,17 +18,17 @@
 // scanResult is what one call of objectScanner.next found.
 type scanResult struct {
 	object     []byte // a complete object, valid until the next call; nil if none was completed
-	rest       []byte // unread bytes behind the object
+	rest       []byte // bytes after the object that have not been scanned yet
 	progressed bool   // a line or an object was completed
 }
 
-// next reads data up to the end of the next object. After an error the scanner must not be used any more.
+// next scans data up to the end of the next object. After an error the scanner must not be used any more.
 func (s *objectScanner) next(data []byte) (scanResult, error) {
 	if s.depth == 0 {
 		s.object = s.object[:0]
 	}
 	var result scanResult
-	start := 0 // of the current object's part in data
+	start := 0 // index in data where the current object's part begins
 	for i, char := range data {
 		if char == '\n' {
 			result.progressed = true
@@ -59,7 +59,7 @@
 	return result, nil
 }
 
-// checkTruncation follows the lines of the stream and finds truncated objects.
+// checkTruncation tracks the lines of the stream. It returns an error if char shows that the current object was truncated.
 func (s *objectScanner) checkTruncation(char byte) error {
 	if char != '\n' {
 		s.hasText = s.hasText || !isSpace(char)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// readInObject follows strings and brackets within an object.
+// readInObject tracks the strings and brackets within an object.
 func (s *objectScanner) readInObject(char byte) {
 	switch {
 	case s.escaped:
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -1,7 +1,7 @@
 package discovery
 
-// ListValidator decides whether a list may replace the one in force. It has no clock and no I/O and is not safe for concurrent
-// use. The zero value holds version 0.
+// ListValidator decides whether a received list may replace the one in force. It has no clock and no I/O and is not safe for
+// concurrent use. The zero value holds version 0.
 type ListValidator struct {
 	version     int64
 	lastIsStale bool // the last list was rejected as older than the one in force
@@ -10,12 +10,14 @@
 // SetVersion sets the version of the list that a node starts with.
 func (v *ListValidator) SetVersion(version int64) { v.version = version }
 
-// Version is the version of the list in force.
+// Version returns the version of the list in force.
 func (v *ListValidator) Version() int64 { return v.version }
 
-// Accept returns nil if the list may be used, which is then the one in force, and ErrEmptyList or ErrStaleList otherwise.
+// Accept returns nil if the list may be used; the list is then the one in force. Otherwise Accept returns ErrEmptyList or
+// ErrStaleList.
 //
-// A stale list is rejected once: if the next one is stale too, the discovery service has restarted its numbering.
+// A stale list is rejected once. If the next list is stale too, it is accepted, because the discovery service has restarted its
+// numbering.
 func (v *ListValidator) Accept(list List) error {
 	hasServers := len(list.Servers) > 0
 	isOlder := list.Version < v.version
@@ -23,7 +25,7 @@
 	case list.IsFull && !hasServers:
 		return ErrEmptyList
 	case isOlder && !hasServers:
-		return nil // without changes the version says nothing
+		return nil // the version of a list without changes does not matter
 	case isOlder && !v.lastIsStale:
 		v.lastIsStale = true
 		return ErrStaleList
--- a/internal/discovery/validator_test.go
+++ b/internal/discovery/validator_test.go
@@ -16,13 +16,13 @@
 		want        []error
 		wantVersion int64
 	}{
-		"in order":                       {[]List{change(41), change(42, draining), full(50, up)}, []error{nil, nil, nil}, 50},
-		"empty, each time":               {[]List{full(42), full(43), change(44, draining)}, []error{ErrEmptyList, ErrEmptyList, nil}, 44},
-		"all drain":                      {[]List{full(42, draining)}, []error{nil}, 42},
-		"older, but without a change":    {[]List{change(40), change(42, draining)}, []error{nil, nil}, 42},
-		"no change at all":               {[]List{change(41)}, []error{nil}, 41},
-		"stale once":                     {[]List{full(40, up), change(42, draining)}, []error{ErrStaleList, nil}, 42},
-		"stale twice, which is believed": {[]List{full(3, up), full(3, up), change(4, draining)}, []error{ErrStaleList, nil, nil}, 4},
+		"in order":                    {[]List{change(41), change(42, draining), full(50, up)}, []error{nil, nil, nil}, 50},
+		"empty, each time":            {[]List{full(42), full(43), change(44, draining)}, []error{ErrEmptyList, ErrEmptyList, nil}, 44},
+		"all drain":                   {[]List{full(42, draining)}, []error{nil}, 42},
+		"older, but without a change": {[]List{change(40), change(42, draining)}, []error{nil, nil}, 42},
+		"no change at all":            {[]List{change(41)}, []error{nil}, 41},
+		"stale once":                  {[]List{full(40, up), change(42, draining)}, []error{ErrStaleList, nil}, 42},
+		"stale twice, then accepted":  {[]List{full(3, up), full(3, up), change(4, draining)}, []error{ErrStaleList, nil, nil}, 4},
 	} {
 		var validator ListValidator
 		validator.SetVersion(41)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,37 +8,37 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// watchPhase is the state of a watch.
+// watchPhase says how far a watch has got.
 type watchPhase int
 
 const (
 	phaseCalling   watchPhase = iota // the call has no response yet
-	phaseStreaming                   // the response's body brings lists
-	phaseEnded                       // an error was returned
+	phaseStreaming                   // lists are read from the response's body
+	phaseEnded                       // a method has returned an error, which ended the watch
 )
 
-// WatchState is one watch as a state machine: it extracts the lists from the bytes of the response and decides when the watch
-// has timed out. It has no clock and no I/O and is not safe for concurrent use: its caller moves the bytes and says when they
-// came.
+// WatchState is the state machine of one watch. It extracts the lists from the bytes of the response and decides when the watch
+// has timed out. It has no clock and no I/O: its caller passes the bytes and the time at which they arrived. It is not safe for
+// concurrent use.
 //
 // The first error that a method returns ends the watch. From then on BytesReceived, ConnectionEnded and CheckTimeout return
 // nothing.
 //
-// A list is a JSON object. It may be indented and so take several lines. White space separates lists; an empty line between
-// them is a keep-alive. An empty line within a list shows that the list was truncated.
+// A list is a JSON object. It may be indented and so take several lines. White space separates lists. An empty line between two
+// lists is a keep-alive. An empty line within a list shows that the list was truncated.
 type WatchState struct {
 	phase    watchPhase
-	deadline time.Time // when the watch times out unless something comes before
+	deadline time.Time // time at which the watch times out unless it makes progress before
 	scanner  objectScanner
 	parser   Parser
 }
 
-// NewWatchState begins a watch whose call was just sent and has to be answered within callTimeout.
+// NewWatchState returns the state of a watch whose call was just sent. The call has to be answered within callTimeout.
 func NewWatchState(now time.Time, callTimeout time.Duration) *WatchState {
 	return &WatchState{deadline: now.Add(callTimeout)}
 }
 
-// ResponseReceived takes the HTTP status of the response. It returns a *StatusError for any but 200.
+// ResponseReceived processes the HTTP status of the response. It returns a *StatusError for any status but 200.
 func (w *WatchState) ResponseReceived(now time.Time, status int) error {
 	if status != http.StatusOK {
 		return w.end(&StatusError{status})
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// BytesReceived takes bytes of the response's body and returns the lists that they complete, in order. The lists that come with
-// an error are valid. The error is ErrMalformed.
+// BytesReceived processes bytes of the response's body and returns the lists that they complete, in order. The lists are valid
+// even if an error is returned with them. The error wraps ErrMalformed.
 func (w *WatchState) BytesReceived(now time.Time, data []byte) ([]List, error) {
 	if w.phase == phaseEnded {
 		return nil, nil
@@ -78,8 +78,8 @@
 	return lists, nil
 }
 
-// ConnectionEnded ends the watch: with cause if the connection broke, with ErrWatchClosed if cause is nil and the response's
-// body just ended. A list that is incomplete by then is dropped.
+// ConnectionEnded ends the watch because its connection ended. It returns cause if the connection broke. If cause is nil, the
+// response's body just ended, and ConnectionEnded returns ErrWatchClosed. A list that is incomplete by then is dropped.
 func (w *WatchState) ConnectionEnded(cause error) error {
 	switch {
 	case w.phase == phaseEnded:
@@ -90,7 +90,7 @@
 	return w.end(cause)
 }
 
-// Deadline is the time at which CheckTimeout should be called next. It moves as bytes come in.
+// Deadline returns the time at which CheckTimeout should be called next. The deadline moves as bytes arrive.
 func (w *WatchState) Deadline() time.Time { return w.deadline }
 
 // CheckTimeout ends the watch with ErrCallTimeout or ErrWatchTimeout if its deadline has passed.
--- a/internal/discovery/watch_fuzz_test.go
+++ b/internal/discovery/watch_fuzz_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// FuzzWatchState: whatever discovery sends, and wherever it is split, the lists are those of the same bytes in one piece, and a
-// watch that has ended stays so.
+// FuzzWatchState: whatever bytes discovery sends, a watch reads the same lists from them in pieces as in one piece. A watch that
+// has ended stays ended.
 func FuzzWatchState(f *testing.F) {
 	list := `{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:6379","zone":"a","machineType":"m2","cell":3,"lifecycle":"up","weight":1.0,"startedAtMs":0}]}`
 	for _, text := range []string{
@@ -27,7 +27,7 @@
 	})
 }
 
-// playWatch gives text to a watch in pieces and returns the lists and the error that ended it.
+// playWatch passes text to a watch in pieces of pieceBytes. It returns the lists and the error that ended the watch.
 func playWatch(t *testing.T, text []byte, pieceBytes int, connectionEnds bool) string {
 	t.Helper()
 	start := time.Unix(1000, 0)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,7 +15,7 @@
 	testList  = `{"generation":43,"reset":false,"instances":[` + testEntry + `]}`
 )
 
-// openWatch returns a watch whose call was answered with status 200 at now.
+// openWatch returns a watch whose call was answered with status 200 at the time now.
 func openWatch(t *testing.T, now time.Time) *WatchState {
 	t.Helper()
 	watch := NewWatchState(now, time.Second)
@@ -25,8 +25,8 @@
 	return watch
 }
 
-// TestWatchTakesListsInAnyForm: a list is taken as soon as its last byte has come, on one line or indented over many, wherever it
-// is split; an incomplete one is not taken, however the watch ends.
+// TestWatchTakesListsInAnyForm: a list is returned as soon as its last byte has arrived. The list may be on one line or indented
+// over many lines, and its bytes may be split anywhere. An incomplete list is not returned, however the watch ends.
 func TestWatchTakesListsInAnyForm(t *testing.T) {
 	indented := strings.NewReplacer(`,"`, ",\n  \"", `[`, "[\n\t", `]}`, "\n]\n}").Replace(testList)
 	now := time.Unix(1000, 0)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestWatchFindsTruncatedList: a watch that goes on behind a truncated list ends with the next line at the latest, wherever the
-// list was truncated.
+// TestWatchFindsTruncatedList: a watch that goes on after a truncated list ends with an error at the next line at the latest,
+// wherever the list was truncated. Otherwise the bytes that follow would be read as part of the list.
 func TestWatchFindsTruncatedList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for at := 1; at < len(testList); at++ {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestWatchTimesOut: a watch ends once no line and no list was completed for polling.WatchTimeout, and a call that is not answered
-// ends after its own timeout.
+// TestWatchTimesOut: a watch ends if neither a line nor a list was completed for polling.WatchTimeout. A call that is not
+// answered ends after its own timeout.
 func TestWatchTimesOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	watch := NewWatchState(now, time.Second)
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestWatchReportsStatus: any status but 200 ends the watch with an error that tells it.
+// TestWatchReportsStatus: an HTTP status other than 200 ends the watch with a StatusError that holds the status.
 func TestWatchReportsStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
 	err := NewWatchState(now, time.Second).ResponseReceived(now, http.StatusServiceUnavailable)
