--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
-// Package config reads the configuration of a node: the platform's JSON that LB_CONFIG names, the LB_ variables of the
-// environment, and the operators' own TOML file. The platform goes before the environment, the environment before the
-// operators' file, and this before the defaults. Each value keeps where it came from, for `config show`. What cannot be
-// used is reported as an Error, which names the field, and the line where the operators' file set it.
+// Package config reads the configuration of a node. It has three sources: the platform's JSON file that LB_CONFIG
+// names, the LB_ variables of the environment, and the operators' own TOML file. The platform's file overrides the
+// environment, the environment overrides the operators' file, and the operators' file overrides the defaults. The
+// source of each value is kept for `config show`. A value that cannot be used is reported as an Error. The Error names
+// the field, and also the line if the operators' file set the value.
 package config
 
 import (
@@ -19,26 +20,26 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
-	Cores                   float64 // of the processor; 0 is all that there are
+	Cores                   float64 // processor cores that the node may use; 0: all cores of the machine
 	MemoryMB, Sockets       int
 	InitialList             discovery.List
 	Peers                   peers.Addresses // without a broadcast address the node sends no gossip
 	Settings
 	Operator *Operator
 
-	seedText string            // the seed as it was given, in hex; empty where none was
-	sources  map[string]string // where the value of a field came from; a default has no entry
+	seedText string            // the seed as it was given, in hex; empty if none was given
+	sources  map[string]string // source of the value of each field; a field with its default has no entry
 }
 
-// FileVariable names the environment variable that holds the path of the operators' file where the command line gives
-// none.
+// FileVariable names the environment variable that holds the path of the operators' file. It is used if the command
+// line gives no path.
 const FileVariable = "SHELFPROXY_FILE"
 
 // platformVariable names the environment variable that holds the path of the platform's configuration.
 const platformVariable = "LB_CONFIG"
 
-// Load reads the platform's configuration, the environment, and the operators' file at path or, where path is empty,
-// at the path in FileVariable. It returns an *Error for the first field that cannot be used.
+// Load reads the platform's configuration, the environment and the operators' file. The operators' file is at path or,
+// if path is empty, at the path in FileVariable. Load returns an *Error for the first field that cannot be used.
 func Load(getenv func(string) string, path string) (*Config, error) {
 	if path == "" {
 		path = getenv(FileVariable)
@@ -70,7 +71,7 @@
 	return cfg, nil
 }
 
-// applyOperatorFile takes what the operators' file may set in place of the platform.
+// applyOperatorFile applies the values of the operators' file that the platform and the environment may override.
 func (c *Config) applyOperatorFile() {
 	operator := c.Operator
 	c.Name, c.Listen, c.Discovery, c.seedText = operator.Node.Name, operator.Node.Listen, operator.Node.Discovery, operator.Node.Seed
@@ -90,7 +91,7 @@
 	}
 }
 
-// applyEnvironment takes what the LB_ variables set.
+// applyEnvironment applies the values of the LB_ variables.
 func (c *Config) applyEnvironment(getenv func(string) string) {
 	for _, variable := range []struct {
 		name, field string
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// applySettings takes the settings of the deployment: the platform's or, where platform is nil, those of [service].
+// applySettings applies the settings of the deployment: the platform's or, if platform is nil, those of the [service]
+// table.
 func (c *Config) applySettings(platform *fastjson.Value, platformPath string) error {
 	var err error
 	if platform != nil {
@@ -135,7 +137,8 @@
 	return nil
 }
 
-// validatePeers checks the addresses of the fleet, and that this node is one of those that have to agree.
+// validatePeers checks the addresses of the node's peers. It also checks that this node is one of the peers if a
+// feature is enabled that needs this.
 func (c *Config) validatePeers() error {
 	if !c.MayGossip() {
 		return nil
@@ -160,8 +163,8 @@
 	return nil
 }
 
-// resolveSeed reads the seed, or draws one where neither the platform nor a file gives any: nodes with the same random
-// numbers would all do the same thing at the same moment.
+// resolveSeed reads the seed. It draws one if there is no platform configuration and no seed was given: nodes with the
+// same random numbers would all do the same thing at the same moment.
 func (c *Config) resolveSeed(hasPlatform bool) error {
 	if c.seedText == "" {
 		if !hasPlatform {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,8 +27,8 @@
 group = "all"
 `
 
-// load writes the platform's and the operators' file, each where its text is not empty, and loads them. It returns the
-// directory of the files too.
+// load writes the platform's and the operators' file, each if its text is not empty, and loads the configuration. It
+// also returns the directory of the files.
 func load(t *testing.T, platform, operator string, env map[string]string) (*Config, string, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -54,7 +54,7 @@
 	return cfg, dir, err
 }
 
-// loadLayers loads a configuration of which each layer sets something.
+// loadLayers loads a configuration to which the platform, the environment and the operators' file all contribute.
 func loadLayers(t *testing.T) (cfg *Config, dir string) {
 	t.Helper()
 	operator := "[node]\nname = 'file'\nlisten = '127.0.0.1:1'\n[limits]\nsockets = 256\nmemory_mb = 64\n[listener]\nidle = '9s'\n"
@@ -65,7 +65,8 @@
 	return cfg, dir
 }
 
-// LB_CONFIG goes before the variables, these before the operators' file, and this before the defaults.
+// The platform's file (LB_CONFIG) overrides the LB_ variables, the variables override the operators' file, and the
+// operators' file overrides the defaults. Show names the source of each value.
 func TestEachLayerOverridesTheNextAndIsNamedAsTheSource(t *testing.T) {
 	cfg, dir := loadLayers(t)
 	got := map[string]string{}
@@ -143,7 +144,7 @@
 func TestErrorHasItsPartsAsFields(t *testing.T) {
 	for _, test := range []struct {
 		name, platform, operator string
-		want                     Error // but its reason
+		want                     Error // every field except Reason
 	}{
 		{"platform", `{"listen":"here"}`, "", Error{Field: "listen"}},
 		{"settings", strings.Replace(platform, `"idempotent"`, `"potent"`, 1), "", Error{Field: "settings"}},
@@ -172,8 +173,9 @@
 	}
 }
 
-// SIGKILL may come the longest deadline, of which 3 s count, and 0.7 s after SIGTERM. The last response is given before,
-// and the requests that were accepted last have some time, whatever the operators say.
+// The platform may send SIGKILL 0.7 s plus the longest deadline after SIGTERM; at most 3 s of that deadline count.
+// Whatever times the operators set, the last response has to be given before SIGKILL, and some time has to remain for
+// the requests that were accepted last.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, deadlineMs := range []time.Duration{200, 520, 1000, 2999, 3000, 6500, 60000} {
 		for _, lastMs := range []time.Duration{500, 3400, 60000} {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -7,7 +7,7 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// defaultOperator returns the defaults that every installation starts from.
+// defaultOperator returns the values that keys have if the operators' file does not set them.
 func defaultOperator() *Operator {
 	operator := &Operator{
 		Listener: Listener{
@@ -49,7 +49,7 @@
 	return operator
 }
 
-// defaultService returns what a [service] table starts from.
+// defaultService returns the values that keys of a [service] table have if the table does not set them.
 func defaultService() *Service {
 	return &Service{
 		Nodes:          1,
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,12 +8,12 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Error is a configuration that a node cannot use. Its text is one line: file:line: field: reason, without the parts
-// that do not apply. Every error of Load is one.
+// Error says why a node cannot use its configuration. The text of the error is one line: file:line: field: reason,
+// without the parts that do not apply. Every error of Load is an *Error.
 type Error struct {
-	Path   string // of the operators' file; empty where the value came from the platform or from the environment
-	Line   int    // of the field, or of the nearest table around it that the file has; 0 without either
-	Field  string // dotted, as it is written in its file, or the name of a variable; empty where Reason names the field
+	Path   string // path of the operators' file; empty if the value came from the platform or from the environment
+	Line   int    // line of the field, or of the nearest table around it that the file has; 0 if it has neither
+	Field  string // dotted, as in its file, or the name of a variable; empty if Reason names the field
 	Reason error
 }
 
@@ -46,7 +46,7 @@
 	return &Error{Path: o.file.Path, Line: o.file.Line(field), Field: field, Reason: fmt.Errorf(format, args...)}
 }
 
-// fileError makes an Error of what tomlfile found wrong with the operators' file.
+// fileError converts an error that tomlfile found in the operators' file to an *Error.
 func fileError(err error) error {
 	var found *tomlfile.Error
 	if !errors.As(err, &found) {
@@ -55,10 +55,10 @@
 	return &Error{Path: found.Path, Line: found.Line, Field: found.Field, Reason: errors.New(found.Text)}
 }
 
-// FieldError is a field of a JSON message whose value is unknown or out of range: of the platform's settings, or of
-// the simulator's messages.
+// FieldError says which field of a JSON message has a value that is unknown or out of range. The message is the
+// platform's settings or a message of the simulator.
 type FieldError struct {
-	Field  string // dotted
+	Field  string // dotted path of the field
 	Reason string
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -24,7 +24,7 @@
 "rules":{"cold_from":0.2,"warm_after":8000000,"overload_factor":3,"must_ask_in":9000000,"drain_grace":2000000},
 "deductions":{"connection":0.1,"handshake":0.2,"cross_zone":0.3},"tick":5000}}`
 
-// everyOperatorKey is an operators' file with every key but those of [service].
+// everyOperatorKey is an operators' file with every key except those of the [service] table.
 const everyOperatorKey = `[node]
 name = "n2"
 listen = "127.0.0.1:1"
@@ -121,7 +121,8 @@
 window = "5s"
 `
 
-// Every key of the platform's and the operators' files is read, and shown as earlier releases did.
+// Every key of the platform's and the operators' files is read. `config show` prints the values as earlier releases
+// did.
 func TestGoldenConfiguration(t *testing.T) {
 	var lines golden.Lines
 	for _, test := range []struct{ name, platform, operator string }{
@@ -142,7 +143,7 @@
 	golden.Check(t, "configuration.golden", lines.Bytes())
 }
 
-// valuesNotShown returns the values that are read and that Show leaves out.
+// valuesNotShown returns the values that are read from the files but not returned by Show.
 func valuesNotShown(cfg *Config) string {
 	rollout, membership := cfg.Operator.Rollout, cfg.Operator.Membership
 	return fmt.Sprint(
@@ -154,7 +155,7 @@
 		cfg.Policy.MaxEjectedFraction)
 }
 
-// A bad configuration is one line that names the field, and the line of the operators' file.
+// An invalid configuration is reported as one line that names the field and, for the operators' file, the line.
 func TestErrorIsOneLineThatNamesTheField(t *testing.T) {
 	platform := func(old, replacement string) string { return strings.Replace(everyPlatformKey, old, replacement, 1) }
 	operator := func(old, replacement string) string { return strings.Replace(everyOperatorKey, old, replacement, 1) }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,15 +14,15 @@
 	"shelfproxy/internal/policy"
 )
 
-// Bounds of the platform's limits.
+// Bounds of the limits on memory and descriptors.
 const (
 	minMemoryMB = 32
 	minSockets  = 128
-	maxInteger  = 1 << 52 // up to which a JSON number is exact
+	maxInteger  = 1 << 52 // a JSON number is exact up to this value
 )
 
-// applyPlatform reads the platform's configuration at path, but for its settings. It returns nil where there is none
-// and the operators' file stands in for it.
+// applyPlatform reads the platform's configuration at path, except its settings. It returns nil if path is empty and
+// the operators' file is used instead.
 func (c *Config) applyPlatform(path string) (*fastjson.Value, error) {
 	operator := c.Operator
 	switch {
@@ -36,7 +36,8 @@
 	return nil, nil
 }
 
-// readPlatform reads the platform's configuration, but for its settings. It overrides what was set before.
+// readPlatform reads the platform's configuration at path, except its settings. Its values override those that were set
+// before.
 func (c *Config) readPlatform(path string) (*fastjson.Value, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,11 +58,11 @@
 	return platform, nil
 }
 
-// knownField is the field of the endpoint list that the platform knew at the node's start.
+// knownField is the JSON field of the endpoint list that the platform knew when the node started.
 const knownField = "known"
 
-// parsePlatform parses the platform's configuration. The endpoint list, which may have thousands of entries, stays text: nil if there is
-// none.
+// parsePlatform parses the platform's configuration. It does not parse the endpoint list, which may have thousands of
+// entries, but returns it as text in known; nil if there is none.
 func parsePlatform(text []byte) (platform *fastjson.Value, known []byte, err error) {
 	if start, end, ok := jsonsplit.Member(text, knownField); ok {
 		known = text[start:end]
@@ -105,9 +106,9 @@
 		c.Cores, c.sources["limits.cores"] = cores, path
 	}
 	for _, limit := range []struct {
-		name  string
-		value *int
-		least int
+		name    string
+		value   *int
+		minimum int
 	}{
 		{"memory_mb", &c.MemoryMB, minMemoryMB},
 		{"sockets", &c.Sockets, minSockets},
@@ -118,8 +119,8 @@
 		}
 		field := "limits." + limit.name
 		number, err := given.Float64()
-		if err != nil || number < float64(limit.least) || number > maxInteger {
-			return invalid(field, "%s is not a number from %d", given.MarshalTo(nil), limit.least)
+		if err != nil || number < float64(limit.minimum) || number > maxInteger {
+			return invalid(field, "%s is not a number from %d", given.MarshalTo(nil), limit.minimum)
 		}
 		*limit.value, c.sources[field] = int(number), path
 	}
@@ -136,7 +137,7 @@
 	}
 }
 
-// applyPlatformList takes the endpoint list that the platform knew at the node's start.
+// applyPlatformList applies the endpoint list that the platform knew when the node started.
 func (c *Config) applyPlatformList(known []byte, path string) error {
 	if known == nil || string(known) == "null" {
 		return nil
@@ -149,10 +150,10 @@
 	return nil
 }
 
-// errMissing is the reason for a field that has to be there.
+// errMissing is the reason that an Error has if a required field is missing.
 var errMissing = errors.New("missing")
 
-// applyPlatformSettings takes the deployment's settings from the platform's configuration.
+// applyPlatformSettings applies the deployment's settings from the platform's configuration.
 func (c *Config) applyPlatformSettings(platform *fastjson.Value, path string) error {
 	given := platform.Get("settings")
 	if given == nil {
@@ -162,7 +163,7 @@
 	if err != nil {
 		return &Error{Field: "settings", Reason: err}
 	}
-	// A reload must not accept what a start would reject.
+	// policy.New is called only for its checks: a reload must not accept settings that a start would reject.
 	if _, err := policy.New(settings.Policy, c.Seed); err != nil {
 		return &Error{Field: "settings", Reason: err}
 	}
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// source returns where the operators' file sets a field, for `config show`.
+// source returns the path and the line at which the operators' file sets a field, for `config show`.
 func (o *Operator) source(field string) string {
 	return fmt.Sprintf("%s:%d", o.file.Path, o.file.Line(field))
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,10 +7,11 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Service is the [service] table: what the nodes of a deployment have in common, where no platform says it.
+// Service is the [service] table: the settings that all nodes of a deployment share. It is used if there is no platform
+// configuration.
 type Service struct {
-	Nodes          int               `toml:"nodes"` // that share the traffic
-	Zone           string            `toml:"zone"`  // of this node
+	Nodes          int               `toml:"nodes"` // number of nodes that share the traffic
+	Zone           string            `toml:"zone"`  // zone of this node
 	Subscribe      bool              `toml:"subscribe"`
 	HealthChecks   bool              `toml:"probes"`
 	Cancel         bool              `toml:"cancel"`
@@ -19,7 +20,7 @@
 	MaxStreams     int               `toml:"streams_per_connection"`
 	ConnectTimeout tomlfile.Duration `toml:"connect_timeout"`
 	ConnectionIdle tomlfile.Duration `toml:"connection_idle"`
-	MaxRetryAfter  tomlfile.Duration `toml:"max_retry_after"` // 0: clients do not follow a Retry-After
+	MaxRetryAfter  tomlfile.Duration `toml:"max_retry_after"` // longest Retry-After that clients follow; 0: they follow none
 	OriginKind     string            `toml:"origin_kind"`
 	SizedWeights   bool              `toml:"sized_weights"`
 	Tick           tomlfile.Duration `toml:"tick"`
@@ -27,14 +28,14 @@
 	Classes        []ServiceClass    `toml:"class"`
 }
 
-// ServiceSlowStart says how a restarted cache server behaves.
+// ServiceSlowStart describes the slow start of a cache server after a restart.
 type ServiceSlowStart struct {
-	Floor          float64           `toml:"from"`       // fraction of its capacity that it starts with, 0 to 1
-	Duration       tomlfile.Duration `toml:"warm_after"` // until it has all of it
-	OverloadFactor float64           `toml:"overload"`   // multiple of its capacity past which it fails
+	Floor          float64           `toml:"from"`       // fraction of its capacity that a server has at its start, 0 to 1
+	Duration       tomlfile.Duration `toml:"warm_after"` // time after its start until a server has its full capacity
+	OverloadFactor float64           `toml:"overload"`   // multiple of its capacity past which a server fails
 }
 
-// ServiceClass is one class of requests.
+// ServiceClass describes one class of requests.
 type ServiceClass struct {
 	Name             string            `toml:"name"`
 	PriorityWeight   float64           `toml:"worth"`
@@ -46,7 +47,7 @@
 	DedupWindow      tomlfile.Duration `toml:"window"`
 }
 
-// settings makes of the [service] table what ParseSettings makes of the platform's settings.
+// settings converts the [service] table to the form in which ParseSettings returns the platform's settings.
 func (o *Operator) settings() (Settings, error) {
 	if err := o.validateService(); err != nil {
 		return Settings{}, err
@@ -66,7 +67,7 @@
 	return settings, nil
 }
 
-// settings translates the table without its classes.
+// settings converts the [service] table, except its classes.
 func (s *Service) settings() Settings {
 	return Settings{
 		Policy: policy.Settings{
@@ -93,7 +94,7 @@
 	}
 }
 
-// validateService checks the table without its classes.
+// validateService checks the [service] table, except its classes.
 func (o *Operator) validateService() error {
 	service := o.Service
 	for _, check := range []struct {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// class checks and translates the class at index.
+// class checks and converts the class at index in the [service] table.
 func (o *Operator) class(index int) (policy.Class, error) {
 	class := o.Service.Classes[index]
 	invalidClass := func(field, format string, args ...any) (policy.Class, error) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/policy/locality"
 )
 
-// Settings are the same at all nodes of a deployment, in the simulator and on sockets.
+// Settings are the settings that all nodes of a deployment share, both in the simulator and on sockets.
 type Settings struct {
 	Policy policy.Settings
 	Node   Node
@@ -20,11 +20,11 @@
 	MaxOpenRequests int
 	MaxStreams      int // attempts in flight on one connection
 	ConnectTimeout  time.Duration
-	ConnectionIdle  time.Duration // after which an endpoint closes an idle connection
-	MaxDeadline     time.Duration // the longest deadline of a class
+	ConnectionIdle  time.Duration // time after which an endpoint closes an idle connection
+	MaxDeadline     time.Duration // longest deadline of all classes
 }
 
-// What Node has where the settings do not say it.
+// Defaults of the fields of Node that the settings do not give.
 const (
 	defaultMaxOpenRequests = 20000
 	defaultMaxStreams      = 1
@@ -32,8 +32,9 @@
 	defaultConnectionIdle  = 30 * time.Second
 )
 
-// setup is the JSON of the settings; keys that neither the policy nor the node uses are skipped. The simulator is sent the
-// texts of encoding/json's errors, and these have the names of types: hence this one's name, and aliases for its parts.
+// setup is the JSON form of the settings. Keys that neither the policy nor the node uses are skipped. This type keeps
+// its name, and its parts are aliases of unnamed types, because the errors of encoding/json contain type names and
+// their texts are sent to the simulator.
 type setup struct {
 	Nodes             int       `json:"replicas_of_me"`
 	Zone              string    `json:"az"`
@@ -47,7 +48,7 @@
 	Limits            limits    `json:"limits"`
 	Behaviour         behaviour `json:"rules"`
 	Costs             costs     `json:"deductions"`
-	Tick              int64     `json:"tick"` // microseconds, as all times here
+	Tick              int64     `json:"tick"` // in microseconds, as are all times in this JSON
 }
 
 type class = struct {
@@ -68,7 +69,7 @@
 
 type family = struct {
 	Mode       string `json:"mode"`
-	OriginKind int    `json:"origin_kind"` // index into the machine types
+	OriginKind int    `json:"origin_kind"` // index into setup.Kinds
 }
 
 type limits = struct {
@@ -112,8 +113,9 @@
 	"cell": policy.SameCell,
 }
 
-// ParseSettings reads the settings from JSON: a node's configuration and the simulator's first message have the same
-// object. It returns a *FieldError for a value that is unknown or out of range, and the errors of encoding/json.
+// ParseSettings reads the settings from JSON. A node's configuration and the simulator's first message contain the same
+// JSON object. ParseSettings returns a *FieldError for a value that is unknown or out of range, and the errors of
+// encoding/json.
 func ParseSettings(raw []byte) (Settings, error) {
 	var given setup
 	if err := json.Unmarshal(raw, &given); err != nil {
@@ -127,7 +129,7 @@
 	return Settings{Policy: policySettings, Node: node}, err
 }
 
-// policy translates what the policy needs.
+// policy converts the settings that the policy needs.
 func (s *setup) policy() (policy.Settings, error) {
 	settings := policy.Settings{
 		Nodes:             s.Nodes,
@@ -172,7 +174,7 @@
 	return settings, nil
 }
 
-// policyClass translates one class.
+// policyClass converts one class of requests.
 func policyClass(given *class) (policy.Class, error) {
 	effect, err := ParseEnum(effects, "lanes.semantics", given.Effect)
 	if err != nil {
@@ -193,7 +195,7 @@
 	}, nil
 }
 
-// node translates what the request path needs.
+// node converts the settings that the request path needs, and checks them.
 func (s *setup) node() (Node, error) {
 	node := Node{
 		MaxOpenRequests: valueOr(s.Limits.MaxOpen, defaultMaxOpenRequests),
@@ -217,7 +219,7 @@
 	return node, nil
 }
 
-// ParseEnum returns the value that a JSON field names, or a *FieldError where it names none.
+// ParseEnum returns the value with this name. If there is none, it returns a *FieldError about the JSON field.
 func ParseEnum[T any](values map[string]T, field, name string) (T, error) {
 	value, ok := values[name]
 	if !ok {
@@ -228,16 +230,16 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func valueOr(given *int, otherwise int) int {
+func valueOr(given *int, defaultValue int) int {
 	if given == nil {
-		return otherwise
+		return defaultValue
 	}
 	return *given
 }
 
-func microsOr(given *int64, otherwise time.Duration) time.Duration {
+func microsOr(given *int64, defaultValue time.Duration) time.Duration {
 	if given == nil {
-		return otherwise
+		return defaultValue
 	}
 	return micros(*given)
 }
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/policy"
 )
 
-// Setting is one value in force and its source: a file (with the line, where it is the operators'), a variable, or
+// Setting is one value in force and its source: a file (with the line, if it is the operators' file), a variable, or
 // "default".
 type Setting struct{ Field, Value, From string }
 
@@ -21,7 +21,8 @@
 	policy.AtMostOnce:   "at_most_once",
 }
 
-// Show lists the values in force, always in the same order: those of the start, the operators', and the deployment's.
+// Show returns the values in force, always in the same order: first the values that a start uses, then those of the
+// operators' file, then the settings of the deployment.
 func (c *Config) Show() []Setting {
 	var shown listing
 	c.showStart(&shown)
@@ -30,7 +31,7 @@
 	return shown
 }
 
-// listing is the settings of Show so far.
+// listing collects the settings for Show.
 type listing []Setting
 
 func (l *listing) add(field string, value any, source string) {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,8 +11,8 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// validate checks all of the operators' file but its [service] table, which counts only where the platform gives no
-// settings. It returns an *Error for the first field that cannot be used.
+// validate checks the operators' file except its [service] table, which is used only if there is no platform
+// configuration. It returns an *Error for the first field that cannot be used.
 func (o *Operator) validate() error {
 	for _, check := range []func() error{
 		o.validateAddresses,
@@ -55,8 +55,8 @@
 
 func (o *Operator) validateNumbers() error {
 	for _, number := range []struct {
-		field             string
-		value, least, top float64
+		field                   string
+		value, minimum, maximum float64
 	}{
 		{"limits.cores", o.Limits.Cores, 0, 1024},
 		{"limits.memory_mb", float64(o.Limits.MemoryMB), minMemoryMB, 1 << 20},
@@ -70,8 +70,8 @@
 		{"zones.leave_owner", o.Zones.AffinityBudget, 0, 1},
 		{"pools.waiting", float64(o.Pools.MaxQueued), 1, 65536},
 	} {
-		if !isBetween(number.value, number.least, number.top) {
-			return o.invalid(number.field, "%v is not from %v to %v", number.value, number.least, number.top)
+		if !isBetween(number.value, number.minimum, number.maximum) {
+			return o.invalid(number.field, "%v is not from %v to %v", number.value, number.minimum, number.maximum)
 		}
 	}
 	if sum := o.Listener.DescriptorFraction + o.Pools.CacheServerFraction + o.Pools.OriginFraction; sum > 1 {
@@ -80,14 +80,14 @@
 	return nil
 }
 
-// isBetween reports whether a number is within bounds; NaN, which TOML can express, is not.
-func isBetween(value, least, top float64) bool { return value >= least && value <= top }
+// isBetween reports whether value is from minimum to maximum. It returns false for NaN, which TOML can express.
+func isBetween(value, minimum, maximum float64) bool { return value >= minimum && value <= maximum }
 
 func (o *Operator) validateDurations() error {
 	for _, duration := range []struct {
-		field      string
-		value      tomlfile.Duration
-		least, top time.Duration
+		field            string
+		value            tomlfile.Duration
+		minimum, maximum time.Duration
 	}{
 		{"listener.write", o.Listener.WriteTimeout, 100 * time.Millisecond, time.Hour},
 		{"listener.silent", o.Listener.FirstCommandTimeout, 100 * time.Millisecond, time.Hour},
@@ -96,15 +96,15 @@
 		{"shutdown.grace", o.Shutdown.Grace, 0, time.Minute},
 		{"shutdown.last", o.Shutdown.LastResponse, 100 * time.Millisecond, 10 * time.Minute},
 	} {
-		if value := duration.value.D(); value < duration.least || value > duration.top {
-			return o.invalid(duration.field, "%s is not from %s to %s", value, duration.least, duration.top)
+		if value := duration.value.D(); value < duration.minimum || value > duration.maximum {
+			return o.invalid(duration.field, "%s is not from %s to %s", value, duration.minimum, duration.maximum)
 		}
 	}
 	return nil
 }
 
-// validateFleet checks what the cores of the rollout, the leases and the membership would reject. The numbers of the
-// nodes are not known yet; any valid ones do.
+// validateFleet checks the values that the cores of the rollout, the leases and the membership would reject. The node's
+// index and the number of nodes are not known yet, so it passes any valid ones to the cores.
 func (o *Operator) validateFleet() error {
 	if o.Rollout.NodesOut != 0 {
 		if err := o.Rollout.CoreConfig(0, 1, "", 0, 0).Validate(); err != nil {
