--- a/cmd/shelfproxy/ctl.go
+++ b/cmd/shelfproxy/ctl.go
@@ -13,13 +13,13 @@
 	"shelfproxy/internal/exit"
 )
 
-// ctlVerb is a verb of ctl, which makes one call at the control socket of a node or a supervisor.
+// ctlVerb is a verb of "shelfproxy ctl". It makes one call to the control socket of a node or a supervisor.
 type ctlVerb struct {
 	use, short string
-	call       string // the call's name
+	call       string // name of the call
 	send       func(ctx context.Context, path, call string, query url.Values) (string, error)
 	args       cobra.PositionalArgs
-	query      func(args []string) url.Values // nil: the call has no parameters
+	query      func(args []string) url.Values // nil if the call has no parameters
 }
 
 var ctlVerbs = []ctlVerb{
@@ -47,7 +47,7 @@
 		call: "replace", send: control.Command, args: cobra.MaximumNArgs(1), query: argument("instance")},
 }
 
-// argument returns a function that passes a verb's argument, if there is one, as a parameter of the call.
+// argument returns a function that passes a verb's argument, if there is one, as this parameter of the call.
 func argument(parameter string) func(args []string) url.Values {
 	return func(args []string) url.Values {
 		if len(args) == 0 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// ctlCommand is the verb for the operators of a running node or supervisor.
+// ctlCommand returns the ctl verb, by which operators query and control a running node or supervisor.
 func ctlCommand(load func() (*config.Config, error)) *cobra.Command {
 	var path string
 	ctl := &cobra.Command{Use: "ctl", Short: "Look at and steer what the nodes of a fleet agree on"}
@@ -80,7 +80,7 @@
 	return ctl
 }
 
-// controlSocket returns the path that a flag gave, or else the one that the configuration names.
+// controlSocket returns the path that the --control flag gives, or else the path in the configuration.
 func controlSocket(flag string, load func() (*config.Config, error)) (string, error) {
 	if flag != "" {
 		return flag, nil
--- a/cmd/shelfproxy/fleet.go
+++ b/cmd/shelfproxy/fleet.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/supervisor/settings"
 )
 
-// fleetCommand runs many nodes under a supervisor.
+// fleetCommand returns the fleet verb, which runs many nodes under a supervisor.
 func fleetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "fleet FILE",
--- a/cmd/shelfproxy/golden_test.go
+++ b/cmd/shelfproxy/golden_test.go
@@ -9,7 +9,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenCommands: the verbs, their arguments and their flags.
+// TestGoldenCommands: the verbs, their arguments and their flags are those of the golden file, so that none of them changes
+// unintentionally.
 func TestGoldenCommands(t *testing.T) {
 	var lines golden.Lines
 	var list func(cmd *cobra.Command)
--- a/cmd/shelfproxy/main.go
+++ b/cmd/shelfproxy/main.go
@@ -1,5 +1,5 @@
-// Command shelfproxy is one node between clients, cache servers and an origin. See the README. This package holds its verbs, flags
-// and printing; internal/daemon runs the node and internal/supervisor/agent the supervisor.
+// Command shelfproxy is one node between clients, cache servers and an origin. See the README. This package defines the verbs and
+// flags and prints their results; internal/daemon runs the node and internal/supervisor/agent the supervisor.
 package main
 
 import (
@@ -15,22 +15,22 @@
 	"shelfproxy/internal/exit"
 )
 
-// Exit codes, for scripts.
+// Exit codes of the program, for scripts.
 const (
-	exitFailed = 1 // the program could not start or go on, or a call failed
-	exitConfig = 2 // the configuration is invalid
-	exitUsage  = 64
+	exitFailed = 1  // the program could not start or go on, or a call failed
+	exitConfig = 2  // the configuration is invalid
+	exitUsage  = 64 // the command line is invalid
 )
 
 func main() {
 	if err := rootCommand().Execute(); err != nil {
-		// One line, whatever went wrong: on the platform the log is all there is to see.
+		// Every error is printed as one line, because on the platform nothing but the log can be seen.
 		fmt.Fprintln(os.Stderr, "shelfproxy:", err)
 		os.Exit(exit.Code(err, exitUsage))
 	}
 }
 
-// rootCommand is the program's command line. Without a verb it runs the node.
+// rootCommand returns the command line of the program. Without a verb the program runs the node.
 func rootCommand() *cobra.Command {
 	var file string
 	load := func() (*config.Config, error) {
@@ -60,7 +60,7 @@
 	return root
 }
 
-// checkCommand validates the configuration.
+// checkCommand returns the check verb, which validates the configuration.
 func checkCommand(load func() (*config.Config, error)) *cobra.Command {
 	return &cobra.Command{Use: "check", Short: "Read the configuration and say whether it is good", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -72,7 +72,7 @@
 		}}
 }
 
-// configCommand prints the values in force and their sources.
+// configCommand returns the config verb. "config show" prints the values in force and their sources.
 func configCommand(load func() (*config.Config, error)) *cobra.Command {
 	show := &cobra.Command{Use: "show", Short: "List every value in force and where it came from", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -92,13 +92,13 @@
 	return parent
 }
 
-// versionCommand prints the build's version.
+// versionCommand returns the version verb, which prints the version of the build.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "shelfproxy", version()) }}
 }
 
-// version is the revision that the program was built from, as far as the build knows it, and the version of Go.
+// version returns the revision that the program was built from, if the build recorded it, and the version of Go.
 func version() string {
 	const shortRevision = 12 // characters
 	info, ok := debug.ReadBuildInfo()
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter runs routers in the simulator: it reads batches of events from standard input and writes a reply with
-// the routers' actions for each to standard output. It ends with the input, or with code 1 and a line on standard error.
+// Command simadapter runs routers in the simulator. It reads batches of events from standard input, and for each batch
+// writes a reply with the routers' actions to standard output. It ends when the input ends, or after an error with exit
+// code 1 and one line on standard error.
 package main
 
 import (
--- a/internal/jsonsplit/jsonsplit.go
+++ b/internal/jsonsplit/jsonsplit.go
@@ -1,11 +1,12 @@
-// Package jsonsplit finds parts of a JSON text without building a tree of all of it. A tree takes about thirty times the memory of
-// its text, which matters where a text of thousands of entries is read by a process with 32 MB.
+// Package jsonsplit finds parts of a JSON text without building a tree of the whole text. A tree takes about thirty times the
+// memory of its text. This matters if a process with 32 MB reads a text with thousands of entries.
 //
-// It follows strings and brackets only. Whatever it returns still has to be parsed, which finds what is invalid in it.
+// The package only tracks strings and brackets. The caller still has to parse the parts, which finds any invalid JSON in them.
 package jsonsplit
 
-// Member returns where the value of an object's member stands: at object[start:end]. It is false if the object cannot be split safely:
-// if it has no such member or several, if a name has an escape, or if its structure is not that of an object.
+// Member returns the position of the value of an object's member: object[start:end]. ok is false if the object cannot be split
+// safely: if it has no such member or several, if the name of a member has an escape, or if the structure is not that of an
+// object.
 func Member(object []byte, name string) (start, end int, ok bool) {
 	position := skipSpace(object, 0)
 	if !isAt(object, position, '{') {
@@ -28,13 +29,13 @@
 	return start, end, end > 0 && isComplete
 }
 
-// member is a member of an object: its name, and where its value stands.
+// member is a member of an object: its name, and the start and end of its value.
 type member struct {
 	name       []byte
 	start, end int
 }
 
-// splitMember reads the member at a position, and returns where the next one or the end of the object is.
+// splitMember reads the member at a position. next is the position of the next member or of the end of the object.
 func splitMember(object []byte, position int) (found member, next int, ok bool) {
 	nameEnd := skipString(object, position)
 	if nameEnd < 0 {
@@ -59,8 +60,8 @@
 	return found, next, ok
 }
 
-// Objects calls visit with each element of an array, until visit returns an error, which it returns. It is false if an element is no
-// object, or if the structure is not that of an array; visit may have been called before.
+// Objects calls visit with each element of an array. If visit returns an error, Objects stops and returns that error. ok is false
+// if an element is not an object, or if the structure is not that of an array; visit may have been called before this is found.
 func Objects(array []byte, visit func(object []byte) error) (ok bool, err error) {
 	position := skipSpace(array, 0)
 	if !isAt(array, position, '[') {
@@ -85,7 +86,8 @@
 	return skipSpace(array, position+1) == len(array), nil
 }
 
-// skipSeparator returns where the next item begins behind the comma that ends an item, or where the closing bracket is.
+// skipSeparator returns the position of the next item, after the comma that ends the item before, or the position of the closing
+// bracket.
 func skipSeparator(text []byte, position int, closing byte) (next int, ok bool) {
 	position = skipSpace(text, position)
 	if isAt(text, position, closing) {
@@ -95,7 +97,7 @@
 		return 0, false
 	}
 	next = skipSpace(text, position+1)
-	return next, !isAt(text, next, closing) // no comma behind the last item
+	return next, !isAt(text, next, closing) // a comma after the last item is invalid JSON
 }
 
 func isAt(text []byte, position int, char byte) bool {
@@ -114,7 +116,7 @@
 	return position
 }
 
-// skipString returns the position behind the string at a position; negative if there is none.
+// skipString returns the position after the string that begins at position, or a negative number if there is no complete string.
 func skipString(text []byte, position int) int {
 	if !isAt(text, position, '"') {
 		return -1
@@ -130,7 +132,7 @@
 	return -1
 }
 
-// skipValue returns the position behind the value at a position; negative if there is none.
+// skipValue returns the position after the value that begins at position, or a negative number if there is no complete value.
 func skipValue(text []byte, position int) int {
 	switch {
 	case isAt(text, position, '"'):
@@ -148,7 +150,7 @@
 	return position
 }
 
-// isDelimiter reports whether a character ends a number or a word.
+// isDelimiter reports whether a character ends a number or one of the words true, false and null.
 func isDelimiter(char byte) bool {
 	switch char {
 	case ',', ']', '}', ':', '"', '{', '[', ' ', '\t', '\r', '\n':
@@ -157,7 +159,7 @@
 	return false
 }
 
-// skipBrackets returns the position behind the bracket that closes the one at a position; negative if there is none.
+// skipBrackets returns the position after the bracket that closes the one at position, or a negative number if there is none.
 func skipBrackets(text []byte, position int) int {
 	depth := 0
 	for position < len(text) {
--- a/internal/jsonsplit/jsonsplit_test.go
+++ b/internal/jsonsplit/jsonsplit_test.go
@@ -15,8 +15,8 @@
 		`{"b":-1.5e3}`:                          `-1.5e3`,
 		`{"c":{"b":1},"b":2} `:                  `2`,
 		`{"c":{"b":1}}`:                         "",
-		`{"b":1,"b":2}`:                         "", // which one is meant?
-		`{"\u0062":1,"b":2}`:                    "", // a name with an escape may be the same
+		`{"b":1,"b":2}`:                         "", // a repeated name is ambiguous
+		`{"\u0062":1,"b":2}`:                    "", // a name with an escape may be equal to the wanted name
 		`{"b":1,}`:                              "",
 		`{"b":1}{}`:                             "",
 		`{"b" 1}`:                               "",
@@ -59,7 +59,8 @@
 	}
 }
 
-// FuzzSplit: what can be split is an object exactly if its parts are valid: the text without the member, and each element.
+// FuzzSplit: a text that can be split is valid JSON if and only if its parts are: the text without the member, and each element
+// of the member's array.
 func FuzzSplit(f *testing.F) {
 	for _, text := range []string{`{"a":1,"b":[{"x":"]}"},{}]}`, `{"b":[{}{}]}`, `{"b":[{]}`, `{"b":[{"a":}]}`, `{"b":[{"a":1 2}],"c":[}`} {
 		f.Add([]byte(text))
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -18,8 +18,9 @@
 	writeBufferSize = 1 << 16 // bytes
 )
 
-// Host runs routers until in ends, and writes one reply line for each batch. Routers share only the lists of servers,
-// which the wire sends once for all of them. An error names the line and the message that it is about.
+// Host runs routers until the input ends. It writes one reply line for each batch. Routers share only the lists of
+// servers, because the simulator sends each list once for all routers. An error names the line and the message that it
+// is about.
 func Host(in io.Reader, out io.Writer) error {
 	reader, writer := bufio.NewReaderSize(in, readBufferSize), bufio.NewWriterSize(out, writeBufferSize)
 	host := host{routers: map[string]*policy.Router{}, banks: map[int][]policy.Server{}}
@@ -50,13 +51,13 @@
 	return writer.Flush()
 }
 
-// host is the routers by name, and the lists of servers by number.
+// host holds the routers by their names, and the lists of servers by their numbers.
 type host struct {
 	routers map[string]*policy.Router
 	banks   map[int][]policy.Server
 }
 
-// handle hands a batch to the routers that it is for, and returns the reply to it.
+// handle passes the messages of a batch to their routers and returns the reply to the batch.
 func (h *host) handle(line []byte) ([]byte, error) {
 	var batch Batch
 	if err := json.Unmarshal(line, &batch); err != nil {
@@ -79,7 +80,8 @@
 	return json.Marshal(reply)
 }
 
-// dispatch hands one message to a router. What no router is there for, and messages of unknown types, are skipped.
+// dispatch passes one message to the router with this name. It skips messages of unknown types, and messages for a
+// router that does not exist.
 func (h *host) dispatch(message *Message, name string, now policy.Time) ([]Output, error) {
 	switch message.Type {
 	case "":
@@ -108,7 +110,7 @@
 	return encodeAll(router.Handle(now, event))
 }
 
-// configure starts a router, or starts it anew.
+// configure starts the router with this name. If the router exists, a new one replaces it.
 func (h *host) configure(message *Message, name string) error {
 	settings, err := config.ParseSettings(message.Setup)
 	if err != nil {
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// FuzzHost feeds arbitrary lines after a start: they are rejected with an error or skipped, and never a panic.
+// FuzzHost: after a router was configured, a line of arbitrary text is rejected with an error or skipped. It never
+// causes a panic.
 func FuzzHost(f *testing.F) {
 	f.Add(batch(requestMessage))
 	f.Add(batch(`{"type":"MESSAGE","src_peer":-1,"bytes":"zz"}`))
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -11,13 +11,13 @@
 	"shelfproxy/internal/policy"
 )
 
-// Batch is one line of input: what happened at one time.
+// Batch is one line of input: the events of one point in time.
 type Batch struct {
-	Now   int64  `json:"now"` // microseconds, as all times of the wire
+	Now   int64  `json:"now"` // in microseconds, as are all times on the wire
 	Parts []Part `json:"parts"`
 }
 
-// Part holds the events of one router, in their order.
+// Part holds the events of one router, in order.
 type Part struct {
 	Router string    `json:"router"`
 	Inbox  []Message `json:"inbox"`
@@ -44,10 +44,10 @@
 	Seed     uint64          `json:"nonce64"`
 	Setup    json.RawMessage `json:"setup"`
 	SrcPeer  int             `json:"src_peer"`
-	Bytes    string          `json:"bytes"` // in hex
+	Bytes    string          `json:"bytes"` // data of a MESSAGE, in hex
 }
 
-// Record is one server of a list.
+// Record is one server in a list of servers.
 type Record struct {
 	Server    string  `json:"server"`
 	Zone      string  `json:"site"`
@@ -71,7 +71,7 @@
 	"dead":      policy.Removed,
 }
 
-// reasons are the outcomes of attempts and health checks, by their numbers on the wire.
+// reasons lists the outcomes of attempts and health checks. The index is the number of the outcome on the wire.
 var reasons = []policy.Reason{
 	policy.Errored,
 	policy.Succeeded,
@@ -84,7 +84,7 @@
 	policy.Miss,
 }
 
-// ParseServers translates the servers of a CATALOG message. It returns an error that names the field of the first record
+// ParseServers converts the servers of a CATALOG message. It returns an error that names the field of the first record
 // that cannot be used.
 func ParseServers(records []Record) ([]policy.Server, error) {
 	servers := make([]policy.Server, len(records))
@@ -109,8 +109,9 @@
 	return servers, nil
 }
 
-// Event translates a message into an event of the policy; banks has the servers of each list by its number. It returns
-// nil for an unknown type, and an error that names the field for a value that cannot be used.
+// Event converts a message into an event of the policy. banks holds the servers of each list by the number of the list.
+// Event returns nil for a message of an unknown type, and an error that names the field for a value that cannot be
+// used.
 func (m *Message) Event(banks map[int][]policy.Server) (policy.Event, error) {
 	switch m.Type {
 	case "ASK":
@@ -141,7 +142,7 @@
 	return nil, nil
 }
 
-// endpointUpdate translates an ANNOUNCE message.
+// endpointUpdate converts an ANNOUNCE message into an event of the policy.
 func (m *Message) endpointUpdate(banks map[int][]policy.Server) (policy.Event, error) {
 	scope, err := config.ParseEnum(scopes, "scope", m.Scope)
 	if err != nil {
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -12,13 +12,14 @@
 	Parts []ReplyPart `json:"parts"`
 }
 
-// ReplyPart holds the actions of one router, in their order.
+// ReplyPart holds the actions of one router, in order.
 type ReplyPart struct {
 	Router string   `json:"router"`
 	Output []Output `json:"output"`
 }
 
-// Output is an action of any type; Type tells which of the fields it uses. The order of the fields is that of the JSON.
+// Output is an action of any type; Type tells which of the fields it uses. The fields have the same order as in the
+// JSON.
 type Output struct {
 	Type       string  `json:"type"`
 	ID         *uint64 `json:"request_id,omitempty"`
@@ -32,7 +33,7 @@
 	ReasonText string  `json:"reason_text,omitempty"`
 }
 
-// Encode translates an action of the policy. It returns an error for one that the wire cannot express.
+// Encode converts an action of the policy. It returns an error for an action that has no form on the wire.
 func Encode(action policy.Action) (Output, error) {
 	switch action := action.(type) {
 	case policy.Send:
@@ -52,7 +53,7 @@
 		return Output{Type: "TIMER", Time: &at, Token: &action.Token}, nil
 	case policy.Subscribe:
 		return Output{Type: "SUBSCRIBE", On: true}, nil
-	case policy.Gossip: // without a peer it goes to all
+	case policy.Gossip: // a SAY message that names no peer goes to all peers
 		return Output{Type: "SAY", Bytes: hex.EncodeToString(action.Data)}, nil
 	case policy.Log:
 		return Output{Type: "RECORD", ReasonText: action.Text}, nil
--- a/internal/tomlfile/errors.go
+++ b/internal/tomlfile/errors.go
@@ -9,16 +9,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is what is wrong with one field of a file.
+// Error says what is wrong with one field of a file, or with the file as a whole.
 type Error struct {
 	Path  string
-	Line  int    // 0 where the field is not in the file
-	Field string // dotted, with the index of an element as in fault[2].kind; empty for the file as a whole
+	Line  int    // 0 if the field is not in the file
+	Field string // dotted path, with the indexes of array elements, as in fault[2].kind; empty for the file as a whole
 	Text  string
-	Err   error // the cause, of which Text is the text; nil where there is no more to it
+	Err   error // the cause, whose text is in Text; nil if there is none
 }
 
-// Error returns the error as one line: path:line: field: text, without the parts that are not known.
+// Error returns the error as one line, path:line: field: text, without the parts that are not known.
 func (e *Error) Error() string {
 	var text strings.Builder
 	text.WriteString(e.Path)
@@ -34,7 +34,7 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Errorf returns an *Error about a field, with its line.
+// Errorf returns an *Error about a field, with the line of the field.
 func (f *File) Errorf(field, format string, args ...any) error {
 	cause := fmt.Errorf(format, args...)
 	found := &Error{Line: f.Line(field), Field: field, Text: cause.Error(), Err: cause}
@@ -44,16 +44,17 @@
 	return found
 }
 
-// ValueError is what an UnmarshalTOML returns for a value that it cannot use; Parse finds its line and field.
+// ValueError is the error that an UnmarshalTOML method returns for a value that it cannot use. Parse finds the line and
+// the field of the value.
 type ValueError struct {
-	Raw  []byte // the value as the file has it
+	Raw  []byte // the value as it is written in the file
 	Text string
 }
 
 // Error returns the reason.
 func (e *ValueError) Error() string { return e.Text }
 
-// decodeError makes an *Error of an error of the TOML library.
+// decodeError converts an error of the TOML library to an *Error.
 func (f *File) decodeError(text []byte, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -78,11 +79,11 @@
 	return &Error{Path: f.Path, Text: withoutLibrary(err), Err: err}
 }
 
-// withoutLibrary returns the text of an error without the name of the library that it begins with.
+// withoutLibrary returns the text of an error without the prefix that names the TOML library.
 func withoutLibrary(err error) string { return strings.TrimPrefix(err.Error(), "toml: ") }
 
-// lineOfValue returns the first line that gives a field this value. The library hands UnmarshalTOML the bytes but not
-// their place, so an earlier field with the same bytes would be named instead.
+// lineOfValue returns the first line that gives a field this value. The TOML library passes the bytes of a value to
+// UnmarshalTOML, but not their position. If an earlier field has the same bytes, its line is returned instead.
 func lineOfValue(text, raw []byte) int {
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
 		_, value, ok := bytes.Cut(line, []byte{'='})
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -7,15 +7,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// indexer notes the line of each key of a TOML text by its dotted name. Elements of arrays are numbered from 0.
+// indexer records the line of each key of a TOML text by the dotted name of the key. Elements of arrays are numbered
+// from 0.
 type indexer struct {
 	parser unstable.Parser
 	lines  map[string]int
-	table  string         // the one that the keys belong to now
-	counts map[string]int // elements so far, by the name of an array of tables
+	table  string         // dotted name of the table to which the current keys belong
+	counts map[string]int // number of elements so far, by the name of an array of tables
 }
 
-// indexLines returns the line of each key. A text with an error is indexed up to it.
+// indexLines returns the line of each key. If the text has a syntax error, the keys before the error are indexed.
 func indexLines(text []byte) map[string]int {
 	index := indexer{lines: map[string]int{}, counts: map[string]int{}}
 	index.parser.Reset(text)
@@ -38,7 +39,7 @@
 	return index.lines
 }
 
-// key returns the parts of a key and the line that it begins on, 0 for none.
+// key returns the parts of a dotted key and the line on which the key begins; the line is 0 if there are no parts.
 func (x *indexer) key(nodes unstable.Iterator) (parts []string, line int) {
 	for nodes.Next() {
 		node := nodes.Node()
@@ -50,8 +51,8 @@
 	return parts, line
 }
 
-// elementPath returns the dotted name of a table. A part that names an array of tables means its last element; the last
-// part does so only where includeLast.
+// elementPath returns the dotted name of a table. A part that names an array of tables stands for the last element of
+// the array. For the last part, this holds only if includeLast is true.
 func (x *indexer) elementPath(parts []string, includeLast bool) string {
 	path := ""
 	for i, part := range parts {
@@ -68,7 +69,7 @@
 	x.lines[name] = line
 }
 
-// addNested notes the fields of inline tables, and of arrays of them.
+// addNested records the lines of the fields of inline tables, including inline tables in arrays.
 func (x *indexer) addNested(name string, value *unstable.Node, line int) {
 	switch value.Kind {
 	case unstable.InlineTable:
