--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -148,7 +148,7 @@
 type Membership struct {
 	Enabled         bool              `toml:"on"`
 	ProbeInterval   tomlfile.Duration `toml:"period"`    // time between two probes that this node sends
-	ProbeTimeout    tomlfile.Duration `toml:"wait"`      // wait for an acknowledgement before indirect probes are sent
+	ProbeTimeout    tomlfile.Duration `toml:"wait"`      // time to wait for an acknowledgement before indirect probes are sent
 	IndirectProbes  int               `toml:"ask"`       // number of nodes that are asked to probe on behalf of this one
 	SuspicionFactor float64           `toml:"suspicion"` // a suspect is dead after this many probe intervals times the logarithm of the fleet's size
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -61,8 +61,8 @@
 // knownField is the JSON field of the endpoint list that the platform knew when the node started.
 const knownField = "known"
 
-// parsePlatform parses the platform's configuration. It does not parse the endpoint list, which may have thousands of
-// entries, but returns it as text in known; nil if there is none.
+// parsePlatform parses the platform's configuration. known is the endpoint list, or nil if there is none. The list
+// stays text, because it may have thousands of entries.
 func parsePlatform(text []byte) (platform *fastjson.Value, known []byte, err error) {
 	if start, end, ok := jsonsplit.Member(text, knownField); ok {
 		known = text[start:end]
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// errMissing is the reason that an Error has if a required field is missing.
+// errMissing is the reason of an Error about a required field that is missing.
 var errMissing = errors.New("missing")
 
 // applyPlatformSettings applies the deployment's settings from the platform's configuration.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/policy/locality"
 )
 
-// Settings are the settings that all nodes of a deployment share, both in the simulator and on sockets.
+// Settings is the part of the configuration that all nodes of a deployment share, both in the simulator and on sockets.
 type Settings struct {
 	Policy policy.Settings
 	Node   Node
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -41,7 +41,7 @@
 
 // ParseError says which field of a list is missing or invalid.
 type ParseError struct {
-	Field   string // as a path, for instance "instances[2].hostPort"
+	Field   string // path of the field, such as "instances[2].hostPort"
 	Problem string
 }
 
--- a/internal/discovery/watch_fuzz_test.go
+++ b/internal/discovery/watch_fuzz_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// FuzzWatchState: whatever bytes discovery sends, a watch reads the same lists from them in pieces as in one piece. A watch that
-// has ended stays ended.
+// FuzzWatchState: whatever bytes discovery sends, splitting them into pieces changes neither the lists that a watch reads nor the
+// error that ends it. A watch that has ended stays ended.
 func FuzzWatchState(f *testing.F) {
 	list := `{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:6379","zone":"a","machineType":"m2","cell":3,"lifecycle":"up","weight":1.0,"startedAtMs":0}]}`
 	for _, text := range []string{
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestWatchFindsTruncatedList: a watch that goes on after a truncated list ends with an error at the next line at the latest,
-// wherever the list was truncated. Otherwise the bytes that follow would be read as part of the list.
+// TestWatchFindsTruncatedList: if more lines follow a truncated list, the watch ends with an error at the next line at the
+// latest, wherever the list was truncated. Otherwise these lines would be read as part of the list.
 func TestWatchFindsTruncatedList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for at := 1; at < len(testList); at++ {
