--- a/internal/testbed/simulation/abusive_client.go
+++ b/internal/testbed/simulation/abusive_client.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// abuseTimeout is how long the protocol gives a node to answer nonsense with an error or a close.
+// abuseTimeout is the time within which the protocol requires a node to answer malformed input with an error or a close.
 const abuseTimeout = 3 * time.Second
 
-// nonsense is what abusive clients send.
-var nonsense = []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$9999999999\r\n", "*-5\r\n", "*99999999999999999999\r\n", "*2\r\n$4\r\nPI", "\x00\xff\r\n",
+// malformedInputs lists the malformed or incomplete inputs that abusive clients send.
+var malformedInputs = []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$9999999999\r\n", "*-5\r\n", "*99999999999999999999\r\n", "*2\r\n$4\r\nPI", "\x00\xff\r\n",
 	"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nxyz\r\n$9\r\nc=nothing\r\n", "*3\r\n$9\r\nCACHE.GET\r\n$0\r\n\r\n$0\r\n\r\n", "*1\r\n$1\r\nx\r\n*1\r\n$"}
 
-// abuse connects a client that sends nonsense, and checks that it gets an error or a close in time.
-func (c *clients) abuse() {
+// connectAbusiveClient connects a client that sends one malformed input, and checks that it gets an error or a close within
+// abuseTimeout.
+func (c *clients) connectAbusiveClient() {
 	world := c.world
 	node := world.rng.IntN(len(world.nodes))
 	stream := world.nodes[node].accept()
@@ -21,7 +22,7 @@
 		return
 	}
 	incarnation, isAnswered := world.nodes[node].incarnation, false
-	text := nonsense[world.rng.IntN(len(nonsense))]
+	text := malformedInputs[world.rng.IntN(len(malformedInputs))]
 	stream.data = func([]byte, Time) { isAnswered = true }
 	stream.ended = func(bool) { isAnswered = true }
 	world.logEvent("rude", strconv.Quote(text))
--- a/internal/testbed/simulation/agreements.go
+++ b/internal/testbed/simulation/agreements.go
@@ -10,8 +10,8 @@
 	"shelfproxy/internal/policy"
 )
 
-// agreements are those that a node takes part in beside its requests: the leases of roles and the membership of the fleet. The node's
-// policy is notified of both.
+// agreements holds the cores of the two protocols that a node runs beside its requests: leases of roles, and membership of the
+// fleet. The node's policy is notified of the results of both.
 type agreements struct {
 	node        *node
 	incarnation int
@@ -20,15 +20,15 @@
 	members     *membership.Core
 }
 
-// Times of the agreements beside requests.
+// Times of the lease and membership cores that run beside requests.
 const (
 	leaseDuration       = 600 * time.Millisecond
-	leaseTicks          = 16 // in a lease
+	leaseTicks          = 16 // ticks of the lease core within one lease duration
 	memberProbeInterval = 100 * time.Millisecond
-	memberTicks         = 4 // in a probe interval
+	memberTicks         = 4 // ticks of the membership core within one probe interval
 )
 
-// newAgreements starts the agreements of a node's current process.
+// newAgreements starts the lease and membership cores of a node's current process.
 func newAgreements(n *node) *agreements {
 	w := n.world
 	a := &agreements{node: n, incarnation: n.incarnation, startedAt: w.now}
@@ -47,7 +47,7 @@
 	return a
 }
 
-// tick runs something periodically, each time a drawn lag late, while the process lives.
+// tick calls run periodically while the process lives. Each call is late by a drawn lag.
 func (a *agreements) tick(every time.Duration, run func()) {
 	a.node.schedule(every+a.node.lag(), func() {
 		run()
@@ -55,10 +55,10 @@
 	})
 }
 
-// clock is the time since the process started.
+// clock returns the time since the process started.
 func (a *agreements) clock() time.Duration { return a.node.world.now - a.startedAt }
 
-// notifyPolicy gives the node's policy an event, as its event loop would: a drawn lag later.
+// notifyPolicy passes an event to the node's policy after a drawn lag, as the node's event loop would.
 func (a *agreements) notifyPolicy(ev policy.Event) {
 	a.node.schedule(a.node.lag(), func() {
 		a.node.core.NotifyPolicy(ev)
@@ -66,7 +66,7 @@
 	})
 }
 
-// roleOf is the role that the lease of a resource stands for.
+// roleOf returns the role that belongs to the lease of a resource.
 func roleOf(resource string) policy.Role {
 	return policy.Role(slices.Index(policy.RoleNames[:], resource))
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// send sends a datagram to a node, or to all others where to is negative.
+// send sends a datagram to one node, or to all other nodes if to is negative.
 func (a *agreements) send(to int, data []byte) {
 	for i := range a.node.world.nodes {
 		if i != a.node.index && (to < 0 || to == i) {
@@ -115,13 +115,13 @@
 	}
 }
 
-// shutDown gives the leases back and announces that the process ends.
+// shutDown releases the node's leases and tells the other members that the process ends.
 func (a *agreements) shutDown() {
 	a.stepLease(lease.Resign{})
 	a.stepMembership(membership.ShutdownStarted{})
 }
 
-// checkLeases checks that no two nodes would act under one lease.
+// checkLeases checks that no two nodes believe at the same time that they hold the same lease.
 func (w *world) checkLeases() {
 	for _, resource := range policy.RoleNames {
 		holder := lease.NoNode
--- a/internal/testbed/simulation/client_conn.go
+++ b/internal/testbed/simulation/client_conn.go
@@ -9,25 +9,25 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// clientConn is a client's connection as the client sees it. It is kept for further requests.
+// clientConn is the client's end of a connection to a node. The connection is reused for further requests.
 type clientConn struct {
 	clients     *clients
 	node        int
 	incarnation int
 	stream      *stream
 	input       []byte
-	unanswered  []*clientRequest // in the order of the commands
+	unanswered  []*clientRequest // requests without a response, in the order of their commands
 	isClosed    bool
 }
 
-// forget takes the connection off the lists of open and idle ones.
+// forget removes the connection from the lists of open and idle connections.
 func (c *clientConn) forget() {
 	c.isClosed = true
 	c.clients.open = removeConn(c.clients.open, c)
 	c.clients.idle[c.node] = removeConn(c.clients.idle[c.node], c)
 }
 
-// removeConn removes a connection from a list, if it is there.
+// removeConn removes a connection from a list, if the list contains it.
 func removeConn(conns []*clientConn, conn *clientConn) []*clientConn {
 	i := slices.Index(conns, conn)
 	if i < 0 {
@@ -36,7 +36,7 @@
 	return append(conns[:i], conns[i+1:]...)
 }
 
-// disconnect closes the connection from the client's side. The client waits for none of the responses any more.
+// disconnect closes the connection at the client's end. The client stops waiting for all outstanding responses.
 func (c *clientConn) disconnect() {
 	if c.isClosed {
 		return
@@ -52,8 +52,8 @@
 	}
 }
 
-// ended handles the end of the connection from the node's side. A request that the node's process did not read, or that ended with the
-// process and may run again, is sent again.
+// ended handles a close or reset of the connection by the node. A request is sent again if the node's process never read it. A
+// read is also sent again if that process has ended, as reads may run twice.
 func (c *clientConn) ended(bool) {
 	if c.isClosed {
 		return
@@ -71,8 +71,8 @@
 			c.clients.finish(request, "lost")
 			continue
 		}
-		world.checker.ClientDisconnected(world.now, request.id) // its node's process is gone, or never read it
-		if request.isRead && request.isWrite {                  // it may have run: the client does not retry it
+		world.checker.ClientDisconnected(world.now, request.id) // no response is owed: the process has ended or never read the request
+		if request.isRead && request.isWrite {                  // the write may have run: the client does not retry it
 			c.clients.history.record(request, "gone", nil, world.now)
 			c.clients.finish(request, "gone")
 			continue
@@ -83,7 +83,7 @@
 	}
 }
 
-// received takes responses, which come in the order of the commands.
+// received handles responses, which come in the order of the commands.
 func (c *clientConn) received(b []byte, _ Time) {
 	if c.isClosed {
 		return
@@ -128,7 +128,7 @@
 	c.clients.finish(request, kind.String())
 }
 
-// parseResponse parses the first response of b and returns its length; 0 where it is not complete.
+// parseResponse parses the first response in b. n is its length in bytes, or 0 if the response is incomplete.
 func parseResponse(b []byte) (kind invariants.Final, value []byte, n int) {
 	eol := bytes.Index(b, []byte("\r\n"))
 	if eol < 0 {
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -11,20 +11,21 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// clients send the requests of the plan's workload to nodes, over connections that they keep, and notify the checker of what they see.
+// clients simulates all clients. It sends the requests of the plan's workload to nodes over reused connections, and reports to
+// the checker what the clients observe.
 type clients struct {
 	world        *world
 	schedule     *workload.Schedule
-	idle         [][]*clientConn // by node; the one used last is at the end
+	idle         [][]*clientConn // idle connections by node index; the most recently used one is last
 	open         []*clientConn
 	byID         map[string]*clientRequest
 	lastID       int
-	lateRequests []*clientRequest // scheduled once all had to be healthy again
+	lateRequests []*clientRequest // requests scheduled from Plan.HealthyFrom on
 	history      history
-	rejected     map[string]bool // ids of rejected requests that may run at most once
+	rejected     map[string]bool // ids of rejected requests of at-most-once classes
 }
 
-// clientRequest is one request, through all its attempts to send it.
+// clientRequest is one request of a client. It may be sent several times, each time with a new id.
 type clientRequest struct {
 	workload.Arrival
 	id       string
@@ -32,18 +33,18 @@
 	isWrite  bool
 	timeout  time.Duration
 	sentAt   Time
-	deadline Time // not before that of the request before it on the connection
-	isRead   bool // by a node
+	deadline Time // not before the deadline of the previous request on the connection, as responses come in order
+	isRead   bool // a node has read the request completely
 	attempts int
-	result   string // how it ended; empty while it is open
+	result   string // how the request ended; empty while it is open
 	conn     *clientConn
 }
 
 // Limits of the clients.
 const (
-	maxSends       = 4                     // of one request
-	reconnectDelay = 50 * time.Millisecond // until a load balancer in front of the nodes would find another node
-	maxPipelined   = 5                     // requests of one connection
+	maxSends       = 4                     // how often one request is sent at most
+	reconnectDelay = 50 * time.Millisecond // time that a load balancer in front of the nodes would take to find another node
+	maxPipelined   = 5                     // unanswered requests on one connection
 )
 
 func newClients(w *world) *clients {
@@ -59,7 +60,7 @@
 func (c *clients) start() {
 	c.scheduleNext()
 	for _, at := range c.world.plan.AbusiveClients {
-		c.world.at(at, c.abuse)
+		c.world.at(at, c.connectAbusiveClient)
 	}
 }
 
@@ -81,7 +82,7 @@
 	})
 }
 
-// send sends a request to the node that it is drawn for, or to the next one that takes connections.
+// send sends a request to the node that the workload drew for it, or to the next node that accepts connections.
 func (c *clients) send(request *clientRequest) {
 	world := c.world
 	request.attempts++
@@ -112,7 +113,7 @@
 	}
 }
 
-// encode is the command that the client sends.
+// encode returns the request as a RESP command.
 func (r *clientRequest) encode() []byte {
 	parameters := fmt.Sprintf("c=%s,d=%d", r.class, r.timeout.Milliseconds())
 	if r.IdempotencyKey != "" {
@@ -133,7 +134,8 @@
 	return command
 }
 
-// scheduleTimeout schedules the moment in which the client gives a request up that has no response.
+// scheduleTimeout makes the client give up and disconnect if the request has no response by its deadline plus the checker's
+// grace.
 func (c *clients) scheduleTimeout(request *clientRequest) {
 	world, id, conn := c.world, request.id, request.conn
 	world.at(request.deadline+world.plan.Invariants.Grace.D()+time.Millisecond, func() {
@@ -146,7 +148,7 @@
 	})
 }
 
-// scheduleDisconnect schedules a moment in which the client disconnects though it has no response yet.
+// scheduleDisconnect makes the client disconnect at a drawn time before its timeout, if the request has no response by then.
 func (c *clients) scheduleDisconnect(request *clientRequest) {
 	world, id, conn := c.world, request.id, request.conn
 	world.after(world.drawBetween(0, request.timeout), func() {
@@ -157,12 +159,13 @@
 	})
 }
 
-// isOpen tells whether the request is still without a result under this id, on this connection: it may have been sent again.
+// isOpen reports whether the request has no result yet and still has this id and connection. If it was sent again, it has others.
 func (r *clientRequest) isOpen(id string, conn *clientConn) bool {
 	return r.id == id && r.result == "" && r.conn == conn
 }
 
-// connection is a connection to a node: an idle one, sometimes one with open requests, or a new one; nil where no node accepts.
+// connection returns a connection to a node: an idle one, sometimes one with unanswered requests, or a new one. It returns nil if
+// no node accepts connections.
 func (c *clients) connection(request *clientRequest) *clientConn {
 	world := c.world
 	for i := range world.nodes {
@@ -190,24 +193,24 @@
 	return nil
 }
 
-// requestRead notes that a node has read a request completely.
+// requestRead records that a node has read a request completely.
 func (c *clients) requestRead(node int, id, class string) {
 	request := c.byID[id]
 	if request == nil {
-		return // of an abusive client
+		return // the request came from an abusive client: such requests are not tracked
 	}
 	request.isRead = true
 	c.world.checker.RequestSent(c.world.now, id, class, node, request.deadline)
 }
 
-// requestArrived checks a request that arrived completely at a server.
+// requestArrived checks that an at-most-once request that arrived completely at a server has not been rejected before.
 func (c *clients) requestArrived(id string) {
 	if c.rejected[id] {
 		c.world.violation(InvariantRejectedNotRun, "%s comes to a server after it was refused", id)
 	}
 }
 
-// finish notes how a request ended.
+// finish records the result of a request.
 func (c *clients) finish(request *clientRequest, result string) {
 	request.result = result
 	delete(c.byID, request.id)
@@ -227,7 +230,8 @@
 	}
 }
 
-// checkLiveness checks that requests are served again some time after the last fault, but for a part of them.
+// checkLiveness checks the history of the clients, and that all but a small share of the requests from Plan.HealthyFrom on were
+// served.
 func (c *clients) checkLiveness() {
 	c.history.check(c.world)
 	unserved, total := 0, 0
@@ -246,10 +250,10 @@
 		}
 	}
 	allowed := 1 + total/20
-	if c.world.plan.ScarceCapacity { // servers in slow start bear less than their part for longer than a run
+	if c.world.plan.ScarceCapacity { // servers in slow start can take less than their share of the load, for longer than a run lasts
 		allowed = 1 + total/6
 	}
-	if c.world.plan.ManyNodes { // each node sends to a server every few seconds, and learns as slowly that it is healthy again
+	if c.world.plan.ManyNodes { // each node sends to a server only every few seconds, and learns as slowly that the server is healthy
 		allowed = 1 + total/3
 	}
 	if unserved > allowed {
--- a/internal/testbed/simulation/discovery_call.go
+++ b/internal/testbed/simulation/discovery_call.go
@@ -13,33 +13,33 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// discoveryCall is a call of a node to discovery, with the real state machine of a watch at the node's end of a stream.
+// discoveryCall is a call of a node to discovery over a simulated stream. The node's end uses the real state machine of a watch.
 type discoveryCall struct {
 	world        *world
 	id           uint64
 	node         *node
 	incarnation  int
-	nodeStream   *stream // the node's end
-	serverStream *stream // discovery's end
+	nodeStream   *stream // the node's end of the stream
+	serverStream *stream // discovery's end of the stream
 	watch        *discovery.WatchState
 	report       func(discovery.List, error)
 	isAnswered   bool
 	isOver       bool
 }
 
-// Delays of a call on its way to discovery and of a refusal on its way back.
+// Bounds of the delay of a call, or of its cancellation, to discovery, and of an error response to the node.
 const (
 	minCallDelay = 100 * time.Microsecond
 	maxCallDelay = time.Millisecond
 )
 
-// discoverySource is discovery as one process of a node reaches it.
+// discoverySource gives one process of a node access to the simulated discovery.
 type discoverySource struct {
 	node        *node
 	incarnation int
 }
 
-// Watch opens a watch for the changes after a version. It implements discovery.Source.
+// Watch opens a watch for the changes after a version of the endpoint list. It implements discovery.Source.
 func (s discoverySource) Watch(after int64, report func(discovery.List, error)) (stop func()) {
 	world := s.node.world
 	world.lastCall++
@@ -77,10 +77,10 @@
 	return call.stop
 }
 
-// errConnectionReset is how the node sees a connection that discovery reset.
+// errConnectionReset is the error that a node gets if discovery resets the connection of a watch.
 var errConnectionReset = errors.New("connection reset by peer")
 
-// armTimer schedules the watch's check for silence.
+// armTimer schedules the check that ends the watch if it has received nothing for too long.
 func (c *discoveryCall) armTimer() {
 	c.world.at(c.node.simTime(c.watch.Deadline()), func() {
 		if c.isOver || c.node.incarnation != c.incarnation {
@@ -94,7 +94,7 @@
 	})
 }
 
-// stop ends the call from the node's side.
+// stop ends the call at the node's end and cancels it at discovery.
 func (c *discoveryCall) stop() {
 	if c.isOver {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// deliver reports lists and the end of the watch to the node.
+// deliver reports received lists to the node, and the end of the watch if err is not nil.
 func (c *discoveryCall) deliver(lists []discovery.List, err error) {
 	if c.isOver || c.node.incarnation != c.incarnation {
 		return
@@ -125,7 +125,7 @@
 	c.node.armTimer()
 }
 
-// received takes bytes from discovery.
+// received handles bytes from discovery.
 func (c *discoveryCall) received(b []byte, _ Time) {
 	if c.isOver || c.node.incarnation != c.incarnation {
 		return
@@ -135,7 +135,7 @@
 	c.deliver(lists, err)
 }
 
-// replyToCall writes a reply of discovery to a call. From then on the node counts as notified of what it holds.
+// replyToCall writes discovery's reply to a call. Once the list in it has arrived, the node counts as notified of that list.
 func (w *world) replyToCall(reply model.DiscoveryReply) {
 	call := w.calls[reply.Call]
 	if call == nil || call.isOver {
@@ -164,10 +164,10 @@
 	}
 }
 
-// isEmptyList tells whether a list says that there are no servers at all, which nodes must not believe.
+// isEmptyList reports whether a list is full and contains no servers. Nodes must not apply such a list.
 func isEmptyList(list *model.List) bool { return list.IsFull && len(list.Entries) == 0 }
 
-// fail ends a call by a reset, or by an error status if it has not been answered yet.
+// fail ends a call with a reset, or with an error status if no status has been sent yet.
 func (c *discoveryCall) fail() {
 	if c.isAnswered {
 		c.serverStream.reset()
@@ -180,7 +180,7 @@
 	})
 }
 
-// answer brings the status of the response to the watch, once.
+// answer delivers HTTP status 200 to the watch when it is called for the first time.
 func (c *discoveryCall) answer() error {
 	if c.isAnswered {
 		return nil
@@ -192,9 +192,9 @@
 	return c.watch.ResponseReceived(c.node.now(), http.StatusOK)
 }
 
-// notified notifies the checker of a list that has arrived at the node.
+// notified reports to the checker that a list has arrived at the node.
 func (c *discoveryCall) notified(list *model.List) {
-	if c.nodeStream.isClosed || c.nodeStream.isUnresponsive { // a reset overtook it
+	if c.nodeStream.isClosed || c.nodeStream.isUnresponsive { // a reset overtook the list, or the stream went silent
 		return
 	}
 	states := map[string]string{}
@@ -208,19 +208,19 @@
 // unixMs converts a time of the run to Unix milliseconds.
 func unixMs(at time.Duration) int64 { return epoch.Add(at).UnixMilli() }
 
-// addressFormat is that of the addresses at which nodes find servers: node, high and low byte of the slot.
+// addressFormat is the format of server addresses: the node's index, then the high and the low byte of the server's slot.
 const addressFormat = "10.%d.%d.%d:6379"
 
-// addressOf is the address at which the node finds the server of a slot.
+// addressOf returns the address at which the node reaches the server of a slot.
 func (n *node) addressOf(slot int) string {
 	return fmt.Sprintf(addressFormat, n.index, slot>>8, slot&255)
 }
 
-// slotOf is the slot of an address.
+// slotOf returns the slot that addressOf has put into an address.
 func slotOf(address string) (slot int) {
 	var node, high, low int
 	if _, err := fmt.Sscanf(address, addressFormat, &node, &high, &low); err != nil {
-		panic(fmt.Sprintf("address %q: %v", address, err)) // the simulation made it
+		panic(fmt.Sprintf("address %q: %v", address, err)) // a bug: addressOf has made every address
 	}
 	return high<<8 | low
 }
--- a/internal/testbed/simulation/draw.go
+++ b/internal/testbed/simulation/draw.go
@@ -9,17 +9,18 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// part is one thing that a seed may switch on. It changes the scenario or the plan; at draws the time of a fault.
+// part is an optional part of a plan, such as a fault, that a seed may switch on. The function on changes the scenario or the
+// plan. Its argument at draws the time of a fault.
 type part struct {
-	name string
-	odds float64
-	on   func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span)
+	name        string
+	probability float64
+	on          func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span)
 }
 
-// fault is the part that adds one of the model's faults, after change has drawn its own figures.
-func fault(kind string, odds float64, change func(r *rand.Rand, f *scenario.Fault)) part {
-	return part{kind, odds, func(r *rand.Rand, s *scenario.Scenario, _ *Plan, at func() scenario.Span) {
-		f := scenario.Fault{Kind: kind, At: at(), For: flat(time.Duration(200+r.IntN(1500)) * time.Millisecond), Count: scenario.Range{Least: 1, Most: 1}}
+// faultPart returns the part that adds a fault of the model. change, if set, draws the parameters of this kind of fault.
+func faultPart(kind string, probability float64, change func(r *rand.Rand, f *scenario.Fault)) part {
+	return part{kind, probability, func(r *rand.Rand, s *scenario.Scenario, _ *Plan, at func() scenario.Span) {
+		f := scenario.Fault{Kind: kind, At: at(), For: fixedSpan(time.Duration(200+r.IntN(1500)) * time.Millisecond), Count: scenario.Range{Least: 1, Most: 1}}
 		if change != nil {
 			change(r, &f)
 		}
@@ -27,87 +28,87 @@
 	}}
 }
 
-// net is the part that changes the network.
-func net(name string, odds float64, change func(r *rand.Rand, n *Network)) part {
-	return part{name, odds, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { change(r, &p.Network) }}
+// networkPart returns the part that changes parameters of the network.
+func networkPart(name string, probability float64, change func(r *rand.Rand, n *Network)) part {
+	return part{name, probability, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { change(r, &p.Network) }}
 }
 
-// nodeFault is the part that adds a fault of a node's process.
-func nodeFault(kind NodeFaultKind, odds float64) part {
-	return part{kind.String(), odds, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, at func() scenario.Span) {
+// nodeFaultPart returns the part that adds a fault of a node's process.
+func nodeFaultPart(kind NodeFaultKind, probability float64) part {
+	return part{kind.String(), probability, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, at func() scenario.Span) {
 		p.NodeFaults = append(p.NodeFaults, NodeFault{Kind: kind, Node: r.IntN(2), At: at().Least, RestartAfter: time.Duration(100+r.IntN(900)) * time.Millisecond})
 	}}
 }
 
-// oneOrTwo is a count of one or two.
+// oneOrTwo is the number of servers that a fault affects: one or two.
 var oneOrTwo = scenario.Range{Least: 1, Most: 2}
 
-// parts are all that can be switched on. A seed draws a subset of them (swarm testing): with everything on, one fault would hide what
-// another one shows.
+// parts lists everything that a seed can switch on. A seed draws a subset (swarm testing): with everything switched on, one fault
+// would hide the effects of another.
 var parts = []part{
-	fault("deploy", 0.3, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("deploy", 0.3, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Share, f.Batch = scenario.Range{}, scenario.Range{Least: 0.4, Most: 0.8}, scenario.Range{Least: 0.2, Most: 0.5}
 		f.DrainFor, f.SameAddr = duration(time.Duration(300+r.IntN(1800))*time.Millisecond), scenario.Range{Least: 0, Most: 1}
 	}),
-	fault("drain", 0.25, func(r *rand.Rand, f *scenario.Fault) { f.Count = oneOrTwo }),
-	fault("kill", 0.25, func(r *rand.Rand, f *scenario.Fault) { f.Count = oneOrTwo }),
-	fault("freeze", 0.2, nil),
-	fault("cut", 0.2, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("drain", 0.25, func(r *rand.Rand, f *scenario.Fault) { f.Count = oneOrTwo }),
+	faultPart("kill", 0.25, func(r *rand.Rand, f *scenario.Fault) { f.Count = oneOrTwo }),
+	faultPart("freeze", 0.2, nil),
+	faultPart("cut", 0.2, func(r *rand.Rand, f *scenario.Fault) {
 		if r.IntN(2) == 0 {
 			f.Nodes = []int{r.IntN(2)}
 		}
 	}),
-	fault("slow", 0.2, func(r *rand.Rand, f *scenario.Fault) { f.Factor = scenario.Range{Least: 0.2, Most: 0.6} }),
-	fault("stall", 0.15, nil),
-	fault("flap", 0.15, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("slow", 0.2, func(r *rand.Rand, f *scenario.Fault) { f.Factor = scenario.Range{Least: 0.2, Most: 0.6} }),
+	faultPart("stall", 0.15, nil),
+	faultPart("flap", 0.15, func(r *rand.Rand, f *scenario.Fault) {
 		f.Period = duration(time.Duration(100+r.IntN(500)) * time.Millisecond)
 	}),
-	fault("spoilt", 0.25, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("spoilt", 0.25, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Answers = scenario.Range{}, scenario.Range{Least: 0.05, Most: 0.4}
 	}),
-	fault("lossy", 0.2, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("lossy", 0.2, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Messages = scenario.Range{}, scenario.Range{Least: 0.02, Most: 0.2}
 	}),
-	fault("roster-lag", 0.2, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("roster-lag", 0.2, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Lag = scenario.Range{}, scenario.Span{Least: 0, Most: time.Second}
 	}),
-	fault("roster-down", 0.15, func(r *rand.Rand, f *scenario.Fault) { f.Count = scenario.Range{} }),
-	fault("roster-empty", 0.1, func(r *rand.Rand, f *scenario.Fault) { f.Count = scenario.Range{} }),
-	fault("origin-slow", 0.2, func(r *rand.Rand, f *scenario.Fault) {
+	faultPart("roster-down", 0.15, func(r *rand.Rand, f *scenario.Fault) { f.Count = scenario.Range{} }),
+	faultPart("roster-empty", 0.1, func(r *rand.Rand, f *scenario.Fault) { f.Count = scenario.Range{} }),
+	faultPart("origin-slow", 0.2, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Factor = scenario.Range{}, scenario.Range{Least: 2, Most: 6}
 	}),
-	fault("origin-fall", 0.1, func(r *rand.Rand, f *scenario.Fault) { f.Count = scenario.Range{} }),
-	nodeFault(KillNode, 0.25),
-	nodeFault(TermNode, 0.3),
-	nodeFault(TermNode, 0.1),
-	nodeFault(ReloadNode, 0.25),
-	net("segments", 0.5, func(r *rand.Rand, n *Network) {
+	faultPart("origin-fall", 0.1, func(r *rand.Rand, f *scenario.Fault) { f.Count = scenario.Range{} }),
+	nodeFaultPart(KillNode, 0.25),
+	nodeFaultPart(TermNode, 0.3),
+	nodeFaultPart(TermNode, 0.1),
+	nodeFaultPart(ReloadNode, 0.25),
+	networkPart("segments", 0.5, func(r *rand.Rand, n *Network) {
 		p := []float64{0.2, 0.6, 0.95}[r.IntN(3)]
-		n.ToServer.segmentOdds, n.FromServer.segmentOdds, n.ToNode.segmentOdds, n.ToClient.segmentOdds, n.Discovery.segmentOdds = p, p, p, p, p
+		n.ToServer.segmentProbability, n.FromServer.segmentProbability, n.ToNode.segmentProbability, n.ToClient.segmentProbability, n.Discovery.segmentProbability = p, p, p, p, p
 	}),
-	net("slow-answers", 0.25, func(r *rand.Rand, n *Network) {
-		n.FromServer.segmentOdds, n.FromServer.lateOdds, n.FromServer.maxLateness = 0.9, 0.1, time.Duration(20+r.IntN(300))*time.Millisecond
+	networkPart("slow-answers", 0.25, func(r *rand.Rand, n *Network) {
+		n.FromServer.segmentProbability, n.FromServer.lateProbability, n.FromServer.maxLateness = 0.9, 0.1, time.Duration(20+r.IntN(300))*time.Millisecond
 	}),
-	net("slow-requests", 0.25, func(r *rand.Rand, n *Network) {
-		n.ToNode.segmentOdds, n.ToNode.lateOdds, n.ToNode.maxLateness = 0.5, 0.05, 2*time.Millisecond
+	networkPart("slow-requests", 0.25, func(r *rand.Rand, n *Network) {
+		n.ToNode.segmentProbability, n.ToNode.lateProbability, n.ToNode.maxLateness = 0.5, 0.05, 2*time.Millisecond
 	}),
-	net("lag", 0.5, func(r *rand.Rand, n *Network) { n.MaxLag = time.Duration(1+r.IntN(2000)) * time.Microsecond }),
-	net("reset-before", 0.2, func(r *rand.Rand, n *Network) { n.ResetBefore = 0.01 + 0.04*r.Float64() }),
-	net("reset-after", 0.25, func(r *rand.Rand, n *Network) { n.ResetAfter = 0.01 + 0.04*r.Float64() }),
-	net("break-write", 0.25, func(r *rand.Rand, n *Network) { n.BreakWrite = 0.01 + 0.04*r.Float64() }),
-	net("close-after", 0.25, func(r *rand.Rand, n *Network) { n.CloseAfter = 0.02 + 0.2*r.Float64() }),
-	net("behind", 0.2, func(r *rand.Rand, n *Network) { n.TrailingBytes = 0.02 + 0.1*r.Float64() }),
-	net("fall-silent", 0.15, func(r *rand.Rand, n *Network) { n.GoSilent = 0.02 + 0.05*r.Float64() }),
-	net("watch-silent", 0.2, func(r *rand.Rand, n *Network) { n.WatchGoesSilent = 0.5 }),
-	net("refuse-new", 0.15, func(r *rand.Rand, n *Network) { n.FailConnect = 0.02 + 0.1*r.Float64() }),
-	net("slow-connect", 0.2, func(r *rand.Rand, n *Network) { n.SlowConnect = 0.05 + 0.2*r.Float64() }),
-	net("datagrams", 0.5, func(r *rand.Rand, n *Network) {
+	networkPart("lag", 0.5, func(r *rand.Rand, n *Network) { n.MaxLag = time.Duration(1+r.IntN(2000)) * time.Microsecond }),
+	networkPart("reset-before", 0.2, func(r *rand.Rand, n *Network) { n.ResetBefore = 0.01 + 0.04*r.Float64() }),
+	networkPart("reset-after", 0.25, func(r *rand.Rand, n *Network) { n.ResetAfter = 0.01 + 0.04*r.Float64() }),
+	networkPart("break-write", 0.25, func(r *rand.Rand, n *Network) { n.BreakWrite = 0.01 + 0.04*r.Float64() }),
+	networkPart("close-after", 0.25, func(r *rand.Rand, n *Network) { n.CloseAfter = 0.02 + 0.2*r.Float64() }),
+	networkPart("behind", 0.2, func(r *rand.Rand, n *Network) { n.TrailingBytes = 0.02 + 0.1*r.Float64() }),
+	networkPart("fall-silent", 0.15, func(r *rand.Rand, n *Network) { n.GoSilent = 0.02 + 0.05*r.Float64() }),
+	networkPart("watch-silent", 0.2, func(r *rand.Rand, n *Network) { n.WatchGoesSilent = 0.5 }),
+	networkPart("refuse-new", 0.15, func(r *rand.Rand, n *Network) { n.FailConnect = 0.02 + 0.1*r.Float64() }),
+	networkPart("slow-connect", 0.2, func(r *rand.Rand, n *Network) { n.SlowConnect = 0.05 + 0.2*r.Float64() }),
+	networkPart("datagrams", 0.5, func(r *rand.Rand, n *Network) {
 		n.Dropped, n.Duplicated, n.Corrupted = 0.5*r.Float64(), 0.2*r.Float64(), 0.2*r.Float64()
 	}),
-	net("leave", 0.3, func(r *rand.Rand, n *Network) { n.ClientDisconnects = 0.02 + 0.1*r.Float64() }),
-	net("pipeline", 0.35, func(r *rand.Rand, n *Network) { n.Pipeline = 0.1 + 0.5*r.Float64() }),
-	net("share", 0.3, func(r *rand.Rand, n *Network) { n.PipelineWithin = 100 * time.Millisecond }),
-	net("skew", 0.2, func(r *rand.Rand, n *Network) { n.MaxClockOffset = time.Duration(r.IntN(3000)) * time.Millisecond }),
+	networkPart("leave", 0.3, func(r *rand.Rand, n *Network) { n.ClientDisconnects = 0.02 + 0.1*r.Float64() }),
+	networkPart("pipeline", 0.35, func(r *rand.Rand, n *Network) { n.Pipeline = 0.1 + 0.5*r.Float64() }),
+	networkPart("share", 0.3, func(r *rand.Rand, n *Network) { n.PipelineWithin = 100 * time.Millisecond }),
+	networkPart("skew", 0.2, func(r *rand.Rand, n *Network) { n.MaxClockOffset = time.Duration(r.IntN(3000)) * time.Millisecond }),
 	{"rude", 0.3, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, at func() scenario.Span) {
 		for range 1 + r.IntN(4) {
 			p.AbusiveClients = append(p.AbusiveClients, at().Least)
@@ -121,16 +122,17 @@
 	{"tight", 0.3, func(r *rand.Rand, s *scenario.Scenario, p *Plan, _ func() scenario.Span) { scarceCapacity(r, s, p) }},
 	{"streams-1", 0.2, func(_ *rand.Rand, s *scenario.Scenario, _ *Plan, _ func() scenario.Span) { s.Nodes.MaxStreams = 1 }},
 	{"many-nodes", 0.06, func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span) {
-		scarceCapacity(r, s, p) // each node's part of what a server in slow start bears is under one request
+		scarceCapacity(r, s, p) // each node's share of the capacity of a server in slow start is below one request
 		s.Nodes.Count, s.Workload.Rate = scenario.Range{Least: 20, Most: 30}, scenario.Range{Least: 30, Most: 40}
 		p.ManyNodes = true
-		// Processes that start again have forgotten what they sent.
+		// A restarted process does not know which requests its predecessor sent.
 		p.NodeFaults = append(p.NodeFaults, NodeFault{KillNode, r.IntN(10), at().Least, 100 * time.Millisecond, r.IntN(10)})
 	}},
 	{"no-messages", 0.1, func(_ *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { p.NoGossip = true }},
 }
 
-// scarceCapacity lets a server in slow start bear less than its part of the load, much of which goes to one key or two.
+// scarceCapacity gives a server in slow start less capacity than its share of the load needs, and puts much of the load on one or
+// two keys.
 func scarceCapacity(r *rand.Rand, s *scenario.Scenario, p *Plan) {
 	p.ScarceCapacity = true
 	for i := range s.Kinds {
@@ -144,13 +146,13 @@
 		At: scenario.Span{Least: 500 * time.Millisecond, Most: 3 * time.Second}, For: scenario.Span{Least: 3 * time.Second, Most: 5 * time.Second}}}
 }
 
-// base is the scenario without anything switched on: small and quick enough that thousands of runs take minutes.
-func base() *scenario.Scenario {
+// baseScenario returns the scenario with no part switched on. It is small and quick enough that thousands of runs take minutes.
+func baseScenario() *scenario.Scenario {
 	result := scenario.Default()
 	ms := func(least, most float64) scenario.Span {
 		return scenario.Span{Least: time.Duration(least * float64(time.Millisecond)), Most: time.Duration(most * float64(time.Millisecond))}
 	}
-	result.Name, result.Length = "simulated", duration(length)
+	result.Name, result.Length = "simulated", duration(workloadLength)
 	result.Nodes.Count, result.Nodes.MemoryMB, result.Nodes.Sockets, result.Nodes.RetryAfter = scenario.Range{Least: 2, Most: 3}, 48, 256, duration(600*time.Millisecond)
 	result.Nodes.ConnectTimeout, result.Nodes.ConnectionIdle = duration(150*time.Millisecond), duration(3*time.Second)
 	result.Zones.Names = []string{"a", "b"}
@@ -177,20 +179,20 @@
 	quick := link{minDelay: 50 * time.Microsecond, maxDelay: 400 * time.Microsecond}
 	plan := &Plan{HealthChecks: true, HealthyFrom: healthyFrom, End: runEnd, Network: Network{ToServer: quick, FromServer: quick, ToNode: quick, ToClient: quick, Discovery: quick,
 		MaxLag: 50 * time.Microsecond}}
-	drawn := base()
-	// A share of the faults comes within a moment of each other, as overlaps are what is rarely tested.
+	drawn := baseScenario()
+	// A drawn share of the faults is within 60 ms of the time centre, because overlapping faults are rarely tested otherwise.
 	centre := faultsFrom + time.Duration(random.Int64N(int64(faultsTo-faultsFrom)))
 	together := random.Float64()
-	heat := 0.4 + 1.2*random.Float64() // some seeds have fewer faults than others
+	probabilityScale := 0.4 + 1.2*random.Float64() // scales all probabilities, so that some seeds have fewer faults than others
 	for i, part := range parts {
 		own := model.RandomStream(seed, fmt.Sprintf("sim/part/%d", i))
-		on := random.Float64() < part.odds*heat
+		on := random.Float64() < part.probability*probabilityScale
 		at := func() scenario.Span {
 			t := faultsFrom + time.Duration(own.Int64N(int64(faultsTo-faultsFrom)))
 			if own.Float64() < together {
 				t = max(faultsFrom, centre+time.Duration(own.Int64N(int64(120*time.Millisecond)))-60*time.Millisecond)
 			}
-			return flat(t)
+			return fixedSpan(t)
 		}
 		if on && !skip[i] {
 			part.on(own, drawn, plan, at)
@@ -201,5 +203,5 @@
 	return plan
 }
 
-// Parts are the numbers of the parts that a seed switches on.
+// Parts returns the numbers of the parts that a seed switches on.
 func Parts(seed uint64) []int { return Draw(seed, nil).drawn }
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -6,28 +6,28 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// maxViolations is how many violations a run collects before it is given up.
+// maxViolations is the number of violations that a run may collect. A run with more is aborted.
 const maxViolations = 20
 
-// fleetResources are the leases of a fleet's run.
+// fleetResources are the names of the resources that nodes lease in a fleet's run.
 var fleetResources = []string{"prober", "caller"}
 
-// fleet is one run of the agreements among nodes: leases, drains and membership, without requests.
+// fleet is one run of the protocols among nodes: leases, drains and membership. It has no requests.
 type fleet struct {
 	timeline
 	plan     *FleetPlan
 	nodes    []*fleetNode
-	blocked  [][]int // by sender and receiver: how many faults drop the datagrams between them
+	blocked  [][]int // by sender and receiver: number of active faults that drop datagrams from one to the other
 	recorded []datagram
-	budget   int // greatest drain budget that any node was given so far
+	budget   int // greatest drain budget that any node has been given so far
 
-	lastHolder      map[string]int    // by lease: who acted last under it
-	lastToken       map[string]uint64 // by lease: the token of lastHolder
-	pendingHalts    int               // halts of operators that are not over
+	lastHolder      map[string]int    // by resource: the node that last held the lease
+	lastToken       map[string]uint64 // by resource: the fencing token of lastHolder
+	pendingHalts    int               // operators' halts that have not ended yet
 	haltedForHealth bool
 }
 
-// RunFleet plays a fleet's plan to its end. A panic of a core is a violation like any other.
+// RunFleet runs a fleet's plan to its end. A panic of a core is reported as a violation.
 func RunFleet(plan *FleetPlan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.describe()}
@@ -42,7 +42,7 @@
 		if reason := recover(); reason != nil {
 			run.violation(InvariantNoPanic, "%v", reason)
 			if opt.Trace != nil {
-				panic(reason) // with its stack: somebody is looking
+				panic(reason) // a traced run is being debugged: show the stack
 			}
 		}
 		report.Hash = run.log.Hash()
@@ -75,7 +75,7 @@
 	}
 }
 
-// run does what is scheduled, in its order, until the end of the run, and checks the invariants after each step.
+// run executes the scheduled work in order until the end of the run, and checks the invariants after each step.
 func (f *fleet) run() {
 	for steps := 0; ; steps++ {
 		next, ok := f.queue.PopUntil(fleetEnd)
--- a/internal/testbed/simulation/fleet_faults.go
+++ b/internal/testbed/simulation/fleet_faults.go
@@ -8,13 +8,13 @@
 	"shelfproxy/internal/fleet/rollout"
 )
 
-// releases are the two releases between which orders move the fleet; the second is the way back.
+// releases are the two releases that operators order. All nodes start with the second one, so an order of it is a rollback.
 var releases = [2]string{"r2", "r1"}
 
-// maxReplayed is how many recorded datagrams one FleetReplay sends again.
+// maxReplayed limits how many recorded datagrams one FleetReplay fault sends again.
 const maxReplayed = 40
 
-// inject lets a fault of the plan happen.
+// inject applies a fault of the plan.
 func (f *fleet) inject(fault FleetFault) {
 	target := f.nodes[fault.Node]
 	f.logEvent("fault", fault.Kind.String(), strconv.Itoa(fault.Node), strconv.Itoa(fault.To), fault.For.String())
@@ -28,7 +28,7 @@
 	}
 }
 
-// injectProcessFault lets something happen to the processes of nodes.
+// injectProcessFault applies a fault that ends, stops or removes processes of nodes.
 func (f *fleet) injectProcessFault(target *fleetNode, fault FleetFault) {
 	switch fault.Kind {
 	case FleetKill:
@@ -44,7 +44,7 @@
 		for _, node := range f.nodes {
 			f.crash(node, f.drawBetween(0, fault.For))
 		}
-	case FleetClockBack: // by less than a lease of another's: that is what tokens allow
+	case FleetClockBack: // tokens stay in order only if the clock goes back by less than a lease of another node
 		target.clockOffset = f.drawBetween(0, fleetLeaseDuration/2)
 		f.crash(target, fault.For)
 	case FleetRemove:
@@ -56,7 +56,7 @@
 	}
 }
 
-// injectNetworkFault lets datagrams be lost between some nodes, or come again.
+// injectNetworkFault applies a fault that drops datagrams between some nodes, or sends old datagrams again.
 func (f *fleet) injectNetworkFault(fault FleetFault) {
 	switch fault.Kind {
 	case FleetOneWayPartition:
@@ -75,23 +75,24 @@
 	}
 }
 
-// forgetHolder keeps one node from hearing the holder of a lease, and restarts all the others, which granted it.
-func (f *fleet) forgetHolder(listener int) {
+// forgetHolder drops the datagrams from the holder of a lease to the node with the index isolated. It restarts all other nodes,
+// which granted the lease.
+func (f *fleet) forgetHolder(isolated int) {
 	holder := f.lastHolder[fleetResources[0]]
-	if holder == listener {
+	if holder == isolated {
 		return
 	}
-	f.partition(4*time.Second, func(from, to int) bool { return from == holder && to == listener })
+	f.partition(4*time.Second, func(from, to int) bool { return from == holder && to == isolated })
 	f.after(f.drawBetween(fleetLeaseDuration, 2*fleetLeaseDuration), func() {
 		for _, node := range f.nodes {
-			if node.index != holder && node.index != listener {
+			if node.index != holder && node.index != isolated {
 				f.crash(node, f.drawBetween(10*time.Millisecond, 100*time.Millisecond))
 			}
 		}
 	})
 }
 
-// injectOrder lets an operator steer the rollout.
+// injectOrder applies an operator's order to the rollout.
 func (f *fleet) injectOrder(target *fleetNode, fault FleetFault) {
 	switch fault.Kind {
 	case FleetDrain:
@@ -101,7 +102,7 @@
 		target.order(rollout.DrainRequested{})
 	case FleetRelease:
 		if !target.isUp || target.isEnding || target.isStopped {
-			return // the operator would see that the order did not come through, and give it elsewhere
+			return // the operator would see that the order failed, and give it to another node
 		}
 		release := releases[fault.To%len(releases)]
 		for _, node := range f.nodes {
@@ -122,7 +123,7 @@
 	}
 }
 
-// endHalt resumes the rollout at every node once the last of several halts is over.
+// endHalt ends one halt. Once no halt is left, it resumes the rollout at every node.
 func (f *fleet) endHalt() {
 	f.pendingHalts--
 	if f.pendingHalts > 0 {
@@ -133,7 +134,7 @@
 	}
 }
 
-// crash kills a node's process, unless it is ending by itself; the next process starts some time later.
+// crash kills a node's process, unless the process is already shutting down. The next process starts after restartAfter.
 func (f *fleet) crash(node *fleetNode, restartAfter time.Duration) {
 	if !node.isUp || node.isEnding {
 		return
@@ -143,7 +144,7 @@
 	f.after(restartAfter, node.start)
 }
 
-// order brings an operator's order to a node. A node that is down does not receive it.
+// order delivers an operator's order to a node. A node that is down or shutting down does not receive it.
 func (n *fleetNode) order(event rollout.Event) {
 	if !n.isUp || n.isEnding {
 		return
--- a/internal/testbed/simulation/fleet_invariants.go
+++ b/internal/testbed/simulation/fleet_invariants.go
@@ -8,25 +8,26 @@
 	"shelfproxy/internal/fleet/rollout"
 )
 
-// The invariants of the fleet's agreements, by the names that reports use.
+// Names of the invariants of leases, drains and membership, as reports print them.
 const (
-	// InvariantOneHolder: at most one node would act under a lease.
+	// InvariantOneHolder means that at any time at most one node believes that it holds a lease.
 	InvariantOneHolder = "two-holders"
-	// InvariantTokenOrder: whoever acts under a lease has a greater fencing token than whoever acted before.
+	// InvariantTokenOrder means that each new holder of a lease has a greater fencing token than the holder before.
 	InvariantTokenOrder = "old-token"
-	// InvariantDrainBudget: no more nodes are out of service by agreement than the budget allows.
+	// InvariantDrainBudget means that no more nodes are out of service by granted drains than the budget allows.
 	InvariantDrainBudget = "over-budget"
-	// InvariantHolderExists: after the faults each lease has a holder again.
+	// InvariantHolderExists means that each lease has a holder again some time after the last fault.
 	InvariantHolderExists = "no-holder"
-	// InvariantAllBack: after the faults all nodes are in service, and those that wanted to drain have done so.
+	// InvariantAllBack means that all nodes are in service some time after the last fault. Nodes that wanted to
+	// drain have done so.
 	InvariantAllBack = "not-back"
-	// InvariantMembership: after the faults all nodes agree on who is a member.
+	// InvariantMembership means that, some time after the last fault, all nodes agree on which nodes are members.
 	InvariantMembership = "wrong-view"
-	// InvariantDatagramSize: a datagram has at most maxDatagram bytes.
+	// InvariantDatagramSize means that a datagram has at most maxDatagram bytes.
 	InvariantDatagramSize = "datagram-256"
 )
 
-// checkAlways checks what has to hold after every step.
+// checkAlways checks the invariants that have to hold after every step.
 func (f *fleet) checkAlways() {
 	out := 0
 	for _, node := range f.nodes {
@@ -42,7 +43,7 @@
 	}
 }
 
-// checkHolder checks that one node at most holds a lease, under a token that is greater than those before.
+// checkHolder checks that at most one node holds a lease, and that a new holder has a greater token than the holder before.
 func (f *fleet) checkHolder(resource string) {
 	holder := lease.NoNode
 	for i, node := range f.nodes {
@@ -64,7 +65,7 @@
 	}
 }
 
-// checkSettled checks what has to hold some time after the last fault.
+// checkSettled checks the invariants that have to hold some time after the last fault.
 func (f *fleet) checkSettled() {
 	removed := 0
 	for _, node := range f.nodes {
@@ -93,7 +94,7 @@
 	}
 }
 
-// checkMembers checks that a node takes those for members that are there.
+// checkMembers checks that a node counts exactly the nodes that were not removed as members.
 func (f *fleet) checkMembers(node *fleetNode) {
 	for i, member := range node.membership.Members(node.clock()) {
 		isMember := member.State == membership.Alive.String() || member.State == membership.Suspect.String()
@@ -103,14 +104,15 @@
 	}
 }
 
-// checkRollout checks that a node is in service and, unless the rollout had a reason to stop, has had its turn.
+// checkRollout checks that a node is in service. Unless the rollout had a reason to stop, it also checks that the node has
+// drained if it wanted to.
 func (f *fleet) checkRollout(node *fleetNode, anyRemoved bool) {
 	status := node.rollout.Status(node.clock())
 	if status.State != rollout.Ready.String() {
 		f.violation(InvariantAllBack, "node %d is %s", node.index, status.State)
 	}
 	if anyRemoved || f.haltedForHealth || status.Halted != "" {
-		return // no other node has to drain
+		return // the rollout had a reason to stop: nodes that still want to drain may wait
 	}
 	if len(status.Out) > 0 {
 		f.violation(InvariantAllBack, "node %d counts out whom it should not: %+v", node.index, status)
--- a/internal/testbed/simulation/fleet_network.go
+++ b/internal/testbed/simulation/fleet_network.go
@@ -9,22 +9,22 @@
 	"shelfproxy/internal/fleet/rollout"
 )
 
-// Limits of a fleet's network.
+// Limits and probabilities of a fleet's network.
 const (
-	maxDatagram     = 256 // bytes, by the platform
-	maxRecorded     = 200 // datagrams kept for FleetReplay
-	recordOdds      = 0.01
-	lossAfterFaults = 0.1 // at most, once the faults are over
-	minDelay        = 200 * time.Microsecond
+	maxDatagram       = 256 // bytes; the limit of the platform
+	maxRecorded       = 200 // datagrams kept for FleetReplay
+	recordProbability = 0.01
+	lossAfterFaults   = 0.1 // greatest share of datagrams that is lost after fleetNetworkFaultsEnd
+	minDelay          = 200 * time.Microsecond
 )
 
-// datagram is one that was sent, kept to be sent again.
+// datagram is a datagram that was sent and is kept, so that a FleetReplay fault can send it again.
 type datagram struct {
 	from, to int
 	data     []byte
 }
 
-// send sends a datagram to a node, or to all others.
+// send sends a datagram to one node, or to all other nodes if to is negative.
 func (n *fleetNode) send(to int, data []byte) {
 	f := n.fleet
 	if len(data) > maxDatagram {
@@ -37,13 +37,13 @@
 		f.deliver(n.index, other, data)
 		if len(f.recorded) < maxRecorded {
 			f.recorded = append(f.recorded, datagram{n.index, other, data})
-		} else if f.chance(recordOdds) {
+		} else if f.chance(recordProbability) {
 			f.recorded[f.rng.IntN(len(f.recorded))] = datagram{n.index, other, data}
 		}
 	}
 }
 
-// deliver carries a datagram to a node: once, twice, corrupted or not at all.
+// deliver schedules the arrival of a datagram at a node. The datagram may be lost, duplicated or corrupted.
 func (f *fleet) deliver(from, to int, data []byte) {
 	hasFaults := f.now < fleetNetworkFaultsEnd
 	loss := f.plan.Dropped
@@ -69,7 +69,7 @@
 	}
 }
 
-// receive takes a datagram as the node's socket does: its first byte tells which agreement it is for.
+// receive handles a datagram that arrived at the node's socket. The first byte tells which core the datagram is for.
 func (n *fleetNode) receive(from int, data []byte) {
 	if !n.isUp || n.isEnding {
 		return
@@ -87,7 +87,7 @@
 	})
 }
 
-// partition drops the datagrams between some nodes for a while.
+// partition drops, for the duration span, the datagrams between those nodes for which isBlocked returns true.
 func (f *fleet) partition(span time.Duration, isBlocked func(from, to int) bool) {
 	change := func(by int) {
 		for from := range f.nodes {
--- a/internal/testbed/simulation/fleet_node.go
+++ b/internal/testbed/simulation/fleet_node.go
@@ -9,40 +9,41 @@
 	"shelfproxy/internal/fleet/rollout"
 )
 
-// Periods and limits of the agreements in a fleet's run.
+// Periods of the rollout, membership and lease cores in a fleet's run.
 const (
 	fleetHeartbeatInterval = 200 * time.Millisecond
 	fleetRolloutTick       = 50 * time.Millisecond
 	fleetMembershipTick    = 25 * time.Millisecond
-	fleetLeaseTicks        = 16 // ticks in a lease
+	fleetLeaseTicks        = 16 // ticks of the lease core within one lease duration
 )
 
-// fleetNode is one node of a fleet: its current process with the cores of the three agreements.
+// fleetNode is one node of a fleet, with the lease, rollout and membership cores of its current process.
 type fleetNode struct {
 	fleet       *fleet
 	index       int
 	incarnation int
 	isUp        bool
-	isRemoved   bool     // it never starts again
-	isStopped   bool     // by SIGSTOP
-	backlog     []func() // work of a stopped process, in the order in which it was scheduled
+	isRemoved   bool     // the node never starts again
+	isStopped   bool     // the process is stopped, as by SIGSTOP
+	backlog     []func() // work that became due while the process was stopped, in that order
 	startedAt   Time
-	clockRate   float64       // of the process's clock against the run's
-	clockOffset time.Duration // of the machine's date
+	clockRate   float64       // rate of the process's clock relative to the run's clock
+	clockOffset time.Duration // offset of the machine's date from the run's date
 	starts      uint64
 
 	lease            *lease.Core
 	rollout          *rollout.Core
 	membership       *membership.Core
-	installedRelease string // that the next process will run
+	installedRelease string // release that the next process will run
 	runningRelease   string
 	budget           int
-	isOut            bool // drained by agreement, until its next process is ready
+	isOut            bool // the node has left service by a granted drain, and its next process is not ready yet
 	wantsDrain       bool // an operator asked for a drain that has not happened yet
 	isEnding         bool
 }
 
-// schedule runs work of the current process after a delay. It is dropped if the process ends before, and held back while it is stopped.
+// schedule runs work of the current process after a delay. The work is dropped if the process has ended by then, and deferred
+// while the process is stopped.
 func (n *fleetNode) schedule(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.fleet.after(delay, func() {
@@ -56,12 +57,13 @@
 	})
 }
 
-// clock is the time on the process's own clock, which may run fast or slow.
+// clock returns the time since the process's start on its own clock, which may run fast or slow.
 func (n *fleetNode) clock() time.Duration {
 	return time.Duration(float64(n.fleet.now-n.startedAt) * n.clockRate)
 }
 
-// must returns a core, and panics where its configuration is refused: the configurations of a run are constants.
+// must returns a core. It panics if the core rejected its configuration, which is a bug: the configurations of a run are
+// constants.
 func must[Core any](core Core, err error) Core {
 	if err != nil {
 		panic(err)
@@ -69,7 +71,7 @@
 	return core
 }
 
-// start starts a process.
+// start starts the node's next process, unless one is running or the node was removed.
 func (n *fleetNode) start() {
 	if n.isUp || n.isRemoved {
 		return
@@ -110,7 +112,7 @@
 	}))
 }
 
-// tick runs something periodically, each time a drawn lag late, while the process lives.
+// tick calls run periodically while the process lives. Each call is late by a drawn lag.
 func (n *fleetNode) tick(every time.Duration, run func()) {
 	n.schedule(every+n.fleet.drawBetween(0, n.fleet.plan.MaxLag), func() {
 		run()
@@ -153,7 +155,7 @@
 			case e.Kind == rollout.LogNodeReady && e.Node == n.index:
 				n.isOut = false
 			case e.Kind == rollout.LogHalted && e.Reason != rollout.ReasonOperator:
-				n.fleet.haltedForHealth = true // nodes may stay out until an operator resumes, who does not in this run
+				n.fleet.haltedForHealth = true // nodes may stay out of service, as no operator resumes the rollout in this run
 			}
 		}
 	}
@@ -171,7 +173,8 @@
 	}
 }
 
-// drain acts on a granted drain: it checks that the grant still holds, shuts down, and comes back with the installed release.
+// drain carries out a granted drain, if the grant is still valid: it shuts the process down. The next process runs the installed
+// release.
 func (n *fleetNode) drain() {
 	if n.isEnding || !n.rollout.MayDrain(n.clock()) {
 		return
@@ -204,7 +207,7 @@
 	n.fleet.logEvent("end", strconv.Itoa(n.index))
 	n.isUp, n.isStopped = false, false
 	n.backlog = nil
-	n.wantsDrain = false // an operator's order to the process ends with it
+	n.wantsDrain = false // an operator's request to drain ends with the process
 	n.incarnation++
 }
 
@@ -225,7 +228,7 @@
 		backlog := n.backlog
 		n.backlog = nil
 		for _, run := range backlog {
-			n.schedule(n.fleet.drawBetween(0, time.Millisecond), run) // timers and datagrams of the meantime, in any order
+			n.schedule(n.fleet.drawBetween(0, time.Millisecond), run) // timers and datagrams that became due meanwhile run in any order
 		}
 	})
 }
--- a/internal/testbed/simulation/fleet_plan.go
+++ b/internal/testbed/simulation/fleet_plan.go
@@ -9,12 +9,12 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// Times of a fleet's run. At its end all has to be settled.
+// Times of a fleet's run. At its end the fleet has to be settled, as checkSettled requires.
 const (
 	fleetFaultsFrom       = 4 * time.Second
 	fleetFaultsTo         = 20 * time.Second
 	fleetNetworkFaultsEnd = 24 * time.Second
-	fleetLossFreeFrom     = 70 * time.Second // no datagram is lost from then on, so that the final checks see a settled fleet
+	fleetLossFreeFrom     = 70 * time.Second // no datagram is lost from this time on, so that the final checks see a settled fleet
 	fleetEnd              = 75 * time.Second
 
 	fleetLeaseDuration = time.Second
@@ -22,26 +22,26 @@
 	fleetProbeInterval = 200 * time.Millisecond
 )
 
-// FleetFaultKind is a kind of fault of a fleet.
+// FleetFaultKind is a kind of fault in a fleet's run.
 type FleetFaultKind int
 
-// The kinds of faults.
+// The kinds of faults in a fleet's run.
 const (
 	FleetKill            FleetFaultKind = iota // a process is killed; another starts some time later
-	FleetTerm                                  // a process is told to end; another starts some time later
+	FleetTerm                                  // a process is shut down gracefully; another starts some time later
 	FleetStop                                  // a process is stopped for a while (SIGSTOP)
 	FleetOneWayPartition                       // datagrams from one node to another are lost for a while
 	FleetIsolate                               // all datagrams to and from a node are lost for a while
 	FleetSplit                                 // the fleet is split in two for a while
 	FleetKillAll                               // all processes are killed, and start again at about the same time
-	FleetClockBack                             // a machine's clock is set back; the next process starts with it
+	FleetClockBack                             // a machine's clock is set back; its next process starts with the new time
 	FleetDrain                                 // an operator asks for a drain of a node
 	FleetRelease                               // an operator orders a release
 	FleetHalt                                  // an operator halts the rollout, and resumes some time later
-	FleetBudget                                // the budget changes at all nodes, one after another
-	FleetReplay                                // old datagrams come again
+	FleetBudget                                // the drain budget changes at all nodes, one after another
+	FleetReplay                                // recorded datagrams are sent again
 	FleetRemove                                // one node of three or more never starts again
-	FleetForgetHolder                          // one node does not hear of a lease holder, and the nodes that granted the lease restart within it
+	FleetForgetHolder                          // datagrams from a lease holder to one node are lost while the nodes that granted the lease restart
 	fleetFaultKinds
 )
 
@@ -50,7 +50,7 @@
 // String is the fault's name in event logs and reports.
 func (k FleetFaultKind) String() string { return fleetFaultNames[k] }
 
-// FleetFault is one fault of a plan. What To means depends on the kind.
+// FleetFault is one fault of a plan. The meaning of To depends on Kind: for example another node, or the number of a release.
 type FleetFault struct {
 	Kind     FleetFaultKind
 	At, For  Time
@@ -61,10 +61,10 @@
 type FleetPlan struct {
 	Seed                           uint64
 	Nodes, Budget                  int
-	Dropped, Duplicated, Corrupted float64       // shares of the datagrams until the network's faults end; some loss stays
-	MaxDelay                       time.Duration // of a datagram
-	MaxLag                         time.Duration // until a process runs that may
-	SuspendAtGrant                 float64       // chance that a process is suspended in the moment of a granted drain
+	Dropped, Duplicated, Corrupted float64       // shares of the datagrams until fleetNetworkFaultsEnd; some loss remains until fleetLossFreeFrom
+	MaxDelay                       time.Duration // longest delay of a datagram
+	MaxLag                         time.Duration // longest time that a runnable process waits until it runs
+	SuspendAtGrant                 float64       // probability that a process is suspended at the moment when its drain is granted
 	Faults                         []FleetFault
 	drawn                          []int // numbers of the faults that are in the plan
 }
@@ -108,8 +108,8 @@
 	return fleetFaultsFrom + time.Duration(random.Int64N(int64(fleetFaultsTo-fleetFaultsFrom)))
 }
 
-// drawFault draws one fault from a stream of its own; nil where it is left out. A share of the faults, clustering, comes within half a
-// second of centre, so that faults overlap.
+// drawFault draws one fault from its own random stream. It returns nil if the fault is left out. With the probability clustering,
+// the fault is within half a second of centre, so that faults overlap.
 func (p *FleetPlan) drawFault(random *rand.Rand, kinds []FleetFaultKind, centre Time, clustering float64, skip bool) *FleetFault {
 	fault := FleetFault{
 		At:   drawFaultTime(random),
@@ -128,7 +128,7 @@
 	return &fault
 }
 
-// describe names what the seed has drawn, for reports.
+// describe returns what the seed has drawn, as reports print it.
 func (p *FleetPlan) describe() []string {
 	names := []string{fmt.Sprintf("nodes=%d budget=%d lost=%.2f", p.Nodes, p.Budget, p.Dropped)}
 	for _, fault := range p.Faults {
--- a/internal/testbed/simulation/history.go
+++ b/internal/testbed/simulation/history.go
@@ -13,17 +13,17 @@
 type operation struct {
 	key     string
 	isWrite bool
-	version int64 // that a read returned
+	version int64 // version that a read returned
 }
 
-// history is what clients saw of the records. A library checks that it is linearizable: that it could have come of records that each
-// applied every write once, in an order that agrees with real time.
+// history holds the reads and writes as the clients saw them. The porcupine library checks that the history is linearizable. This
+// means that each record may have applied every write once, in an order that agrees with real time.
 type history struct{ operations []porcupine.Operation }
 
 // unknownEnd stands for the end of a write whose result is unknown: it may take effect at any time, or never.
 const unknownEnd = time.Hour
 
-// record adds the result of a request.
+// record adds a request and its result to the history.
 func (h *history) record(request *clientRequest, result string, value []byte, now Time) {
 	end := now
 	op := operation{key: request.Key, isWrite: request.isWrite}
@@ -33,18 +33,19 @@
 		if len(parts) < 4 {
 			return
 		}
-		op.version, _ = strconv.ParseInt(strings.TrimPrefix(parts[2], "v"), 10, 64) // 0 where it is no version
+		op.version, _ = strconv.ParseInt(strings.TrimPrefix(parts[2], "v"), 10, 64) // ParseInt returns 0 if the text is not a version
 	case result == "served":
 	case result == "refused" || !op.isWrite:
-		return // it never ran, or shows nothing
+		return // a rejected request never ran, and a read without a value shows nothing
 	default:
 		end = unknownEnd
 	}
 	h.operations = append(h.operations, porcupine.Operation{ClientId: len(h.operations), Input: op, Call: int64(request.sentAt), Output: op, Return: int64(end)})
 }
 
-// records models each key on its own: its state is the number of writes that it has applied.
-var records = porcupine.Model{
+// recordModel is porcupine's model of the records. Each key is modelled on its own; its state is the number of writes that it has
+// applied.
+var recordModel = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		var out [][]porcupine.Operation
 		at := map[string]int{}
@@ -76,16 +77,16 @@
 	},
 }
 
-// checkTimeout bounds the search; a history that takes longer counts as linearizable.
+// checkTimeout bounds porcupine's search. A history whose check takes longer counts as linearizable.
 const checkTimeout = 500 * time.Millisecond
 
-// check checks the history and names one record that does not fit.
+// check checks that the history is linearizable, and reports the first record for which it is not.
 func (h *history) check(w *world) {
-	if porcupine.CheckOperationsTimeout(records, h.operations, checkTimeout) != porcupine.Illegal {
+	if porcupine.CheckOperationsTimeout(recordModel, h.operations, checkTimeout) != porcupine.Illegal {
 		return
 	}
-	for _, part := range records.Partition(h.operations) {
-		if porcupine.CheckOperationsTimeout(records, part, checkTimeout) == porcupine.Illegal {
+	for _, part := range recordModel.Partition(h.operations) {
+		if porcupine.CheckOperationsTimeout(recordModel, part, checkTimeout) == porcupine.Illegal {
 			w.violation(InvariantLinearizable, "what clients saw of %s cannot be: %d operations", part[0].Input.(operation).key, len(part))
 			return
 		}
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -20,34 +20,34 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// node is one node: the cores of its current process, and what stands in for their shells. Every delay that a goroutine could cause is
-// drawn.
+// node is one simulated node: the real cores of its current process, and code that replaces their shells. Every delay that a
+// goroutine could cause is drawn.
 type node struct {
 	world       *world
 	index       int
-	incarnation int // of its process: what an earlier one scheduled does nothing
+	incarnation int // number of the current process; work that an earlier process scheduled is dropped
 	isUp        bool
-	isAccepting bool          // takes new connections
-	clockOffset time.Duration // of its process's clock against the run's
+	isAccepting bool          // the node accepts new connections
+	clockOffset time.Duration // offset of the process's clock from the run's clock
 
 	core              *nodecore.Core
 	listener          *listener.Core
 	pools             []*pool
-	conns             []*listenerConn // open ones, in the order in which they were accepted
+	conns             []*listenerConn // open connections of clients, in the order in which they were accepted
 	responseMemory    *upstream.ResponseMemory
-	timerAt           Time // when the core's timers are handled next; 0 is not scheduled
+	timerAt           Time // when the core's timers are handled next; 0 if no call is scheduled
 	listUpdateAt      Time // when the latest list update is handled
-	lastDiscoveryData Time // when discovery last sent a byte
+	lastDiscoveryData Time // when the node last received a byte from discovery
 	counters          *counters.Counters
-	agreements        *agreements // nil without agreements
+	agreements        *agreements // nil if Plan.Agreements is not set
 }
 
 func newNode(w *world, index int) *node { return &node{world: w, index: index} }
 
-// now is the time on the node's clock.
+// now returns the time on the node's clock.
 func (n *node) now() time.Time { return epoch.Add(n.clockOffset + n.world.now) }
 
-// simTime converts a time of the node's clock to one of the run.
+// simTime converts a time of the node's clock to a time of the run.
 func (n *node) simTime(t time.Time) Time { return t.Sub(epoch) - n.clockOffset }
 
 // lag draws how long a runnable goroutine of the node waits until it runs.
@@ -63,7 +63,7 @@
 	})
 }
 
-// start starts a process.
+// start starts the node's next process.
 func (n *node) start() {
 	w, plan := n.world, n.world.plan
 	n.incarnation++
@@ -73,7 +73,7 @@
 	n.pools, n.conns = nil, nil
 	w.logEvent("start", strconv.Itoa(n.index))
 	w.checker.NodeRestarted(n.index)
-	for _, entry := range w.system.List().Entries { // those of the process's configuration
+	for _, entry := range w.system.List().Entries { // the process has this list in its configuration
 		w.checker.NodeKnowsStart(n.index, entry.ID, entry.Started)
 	}
 	n.responseMemory = upstream.NewResponseMemory(plan.Nodes.MemoryMB<<20/responseMemoryPart, plan.Nodes.MemoryMB<<20/longestResponsePart)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Parts of a node's memory, as cmd/shelfproxy divides it.
+// Divisors of a node's memory, as in cmd/shelfproxy: for example, responses may use 1/8 of it.
 const (
 	responseMemoryPart  = 8
 	longestResponsePart = 32
@@ -96,12 +96,12 @@
 	unsentMemoryPart    = 6
 )
 
-// startCore makes the core of a process that starts now.
+// startCore makes the node core of a process that starts now.
 func (n *node) startCore() {
 	plan := n.world.plan
 	n.counters = counters.New(n.classNames(), request.ResponseKinds(), outcomeNames())
 	core, err := nodecore.NewCore(nodecore.Options{
-		Policy:           plan.Module(n.index),
+		Policy:           plan.PolicySettings(n.index),
 		Seed:             plan.Seed*1000 + uint64(n.index*100+n.incarnation),
 		MaxOpenRequests:  plan.Nodes.MaxOpen,
 		MaxRequestBytes:  plan.Nodes.MemoryMB << 20 / requestMemoryPart,
@@ -117,7 +117,7 @@
 	n.core = must(core, err)
 }
 
-// startListener makes the listener's core of a process that starts now.
+// startListener makes the listener core of a process that starts now.
 func (n *node) startListener() {
 	nodes := n.world.plan.Nodes
 	limits := listener.Limits{
@@ -138,7 +138,8 @@
 	}
 }
 
-// upstreamFactory is how the core makes its connection pools. They belong to the current process and share its descriptors.
+// upstreamFactory returns the function that makes the core's connection pools. The pools belong to the current process and share
+// its descriptor budgets.
 func (n *node) upstreamFactory() func(discovery.Server, bool, func(*upstream.Attempt, upstream.Response)) nodecore.Upstream {
 	plan, incarnation := n.world.plan, n.incarnation
 	cacheServers := upstream.NewDescriptorBudget(plan.Nodes.Sockets / 3)
@@ -168,7 +169,7 @@
 	}
 }
 
-// configuredList is the endpoint list in a process's configuration: what discovery has at its start.
+// configuredList returns the endpoint list in a process's configuration: the list that discovery has when the process starts.
 func (n *node) configuredList() discovery.List {
 	text := wireformat.EncodeList(n.world.system.List(), n.addressOf, unixMs)
 	return must(new(discovery.Parser).Parse(text))
@@ -189,14 +190,14 @@
 	return names
 }
 
-// announce sends the other nodes an announcement of this node under a role's lease.
+// announce sends the other nodes an announcement under the lease of a role.
 func (n *node) announce(role policy.Role) {
 	if n.agreements != nil {
 		n.agreements.stepLease(lease.Announce{Resource: policy.RoleNames[role]})
 	}
 }
 
-// armTimer schedules the core's next timer, if it comes before the one that is scheduled.
+// armTimer schedules the core's next timer, unless a call at that time or earlier is already scheduled.
 func (n *node) armTimer() {
 	nodeTime, ok := n.core.NextTimer()
 	if !ok {
@@ -216,7 +217,7 @@
 	})
 }
 
-// expireIdle closes connections whose time is over, now and whenever the listener's core wants it.
+// expireIdle closes connections whose timeout has passed, now and at each time that the listener core asks for.
 func (n *node) expireIdle() {
 	var effects listener.Effects
 	next := n.listener.ExpireIdle(n.now(), &effects)
@@ -224,7 +225,7 @@
 	n.schedule(next, n.expireIdle)
 }
 
-// attemptEnded brings the outcome of an attempt from a pool to the core, as the event loop would: a drawn lag later.
+// attemptEnded passes the outcome of an attempt from a pool to the core after a drawn lag, as the event loop would.
 func (n *node) attemptEnded(attempt *upstream.Attempt, response upstream.Response) {
 	n.schedule(n.lag(), func() {
 		n.core.AttemptEnded(attempt, response)
@@ -232,7 +233,7 @@
 	})
 }
 
-// postListUpdate runs list updates in the order in which they came, each a drawn lag late.
+// postListUpdate runs list updates in the order in which they came, each after a drawn lag.
 func (n *node) postListUpdate(update func()) {
 	n.listUpdateAt = max(n.listUpdateAt, n.world.now+n.lag())
 	n.schedule(n.listUpdateAt-n.world.now, func() {
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// sendDatagram sends a datagram to a node, where it arrives once, twice, corrupted or not at all.
+// sendDatagram sends a datagram to a node. The datagram may be lost, duplicated or corrupted.
 func (n *node) sendDatagram(to int, data []byte) {
 	w, receiver := n.world, n.world.nodes[to]
 	if w.chance(w.plan.Network.Dropped) {
@@ -270,7 +271,8 @@
 	}
 }
 
-// receiveDatagram takes a datagram as the node's socket does: its first byte tells which agreement it is for; the rest is gossip.
+// receiveDatagram handles a datagram that arrived at the node's socket. The first byte tells whether the datagram is for the
+// lease core or the membership core. All other datagrams are gossip.
 func (n *node) receiveDatagram(from int, data []byte) {
 	switch {
 	case !n.isUp:
--- a/internal/testbed/simulation/node_connections.go
+++ b/internal/testbed/simulation/node_connections.go
@@ -6,7 +6,7 @@
 	"shelfproxy/internal/listener"
 )
 
-// listenerConn is a client's connection at the node.
+// listenerConn is the node's end of a client's connection.
 type listenerConn struct {
 	node        *node
 	incarnation int
@@ -18,7 +18,7 @@
 	isWriting   bool
 }
 
-// accept accepts a client's connection and returns the client's end of the stream; nil where the node does not listen.
+// accept accepts a client's connection and returns the client's end of the stream. It returns nil if the node does not listen.
 func (n *node) accept() *stream {
 	if !n.isUp || !n.isAccepting {
 		return nil
@@ -45,7 +45,7 @@
 	return near
 }
 
-// scheduleRead lets the connection's reader run, a drawn lag later.
+// scheduleRead makes the connection's reader run after a drawn lag.
 func (c *listenerConn) scheduleRead() {
 	if !c.isReading {
 		c.isReading = true
@@ -53,10 +53,10 @@
 	}
 }
 
-// read moves the bytes that arrived to the core.
+// read passes the bytes that arrived to the listener core.
 func (c *listenerConn) read() {
 	c.isReading = false
-	if c.hasEnded { // whatever the client sent before, it waits for no response
+	if c.hasEnded { // the client has disconnected and waits for no response to what it sent
 		c.inbox = nil
 	}
 	for len(c.inbox) > 0 && !c.core.IsClosed() && !c.core.IsPaused() {
@@ -73,14 +73,14 @@
 	}
 }
 
-// checkUnread tells the core whether bytes came that the reader has not read.
+// checkUnread tells the listener core whether the connection has ended or has bytes that the reader has not read.
 func (c *listenerConn) checkUnread() {
 	var effects listener.Effects
 	c.node.listener.UnreadChecked(c.node.now(), c.core, len(c.inbox) > 0 || c.hasEnded, &effects)
 	c.node.execute(effects)
 }
 
-// execute executes effects of the listener's core.
+// execute executes effects of the listener core.
 func (n *node) execute(effects listener.Effects) {
 	for _, e := range effects {
 		switch e.Kind {
@@ -111,8 +111,8 @@
 	}
 }
 
-// halfClose ends a connection from the node's side. On a stream of this network no data is lost by that, and data that comes after
-// it reaches nobody, so that the client's end need not be awaited.
+// halfClose closes the node's end of a connection. A simulated stream loses no data by that, and drops data that arrives later,
+// so the node need not wait until the client closes its end.
 func (n *node) halfClose(c *listenerConn) {
 	c.stream.close()
 	n.schedule(n.lag(), func() {
@@ -122,7 +122,7 @@
 	})
 }
 
-// closeConn closes a connection and forgets it.
+// closeConn closes a connection and removes it from the node's connections.
 func (n *node) closeConn(c *listenerConn) {
 	c.stream.close()
 	if i := slices.Index(n.conns, c); i >= 0 {
@@ -130,7 +130,7 @@
 	}
 }
 
-// write moves responses to the client.
+// write writes the next responses to the client after a drawn lag.
 func (c *listenerConn) write() {
 	if c.isWriting || c.core.IsClosed() {
 		return
--- a/internal/testbed/simulation/node_faults.go
+++ b/internal/testbed/simulation/node_faults.go
@@ -10,11 +10,11 @@
 // NodeFaultKind is a kind of fault of a node's process.
 type NodeFaultKind int
 
-// The kinds of faults.
+// The kinds of faults of a node's process.
 const (
-	KillNode   NodeFaultKind = iota // it is killed; another process starts some time later
-	TermNode                        // it shuts down gracefully; another process starts some time after its end
-	ReloadNode                      // its configuration is reloaded: discovery moves
+	KillNode   NodeFaultKind = iota // the process is killed; another one starts some time later
+	TermNode                        // the process shuts down gracefully; another one starts some time after its end
+	ReloadNode                      // the configuration is reloaded with a new address of discovery
 	numberOfNodeFaults
 )
 
@@ -23,13 +23,13 @@
 // String is the fault's name in event logs and reports.
 func (k NodeFaultKind) String() string { return nodeFaultNames[k] }
 
-// NodeFault is one fault of a plan.
+// NodeFault is one fault of a node's process in a plan.
 type NodeFault struct {
 	Kind         NodeFaultKind
 	Node         int
 	At           Time
-	RestartAfter time.Duration // until the next process
-	More         int           // how many of the following nodes it happens to as well
+	RestartAfter time.Duration // time until the next process starts
+	More         int           // number of following nodes that have the same fault
 }
 
 // Times of a graceful shutdown. They are shorter than the program's defaults, so that runs stay short.
@@ -72,17 +72,18 @@
 	}
 }
 
-// endWhenDrained waits until every request is answered and every connection closed, and ends the process.
-func (n *node) endWhenDrained(latest Time, away time.Duration) {
+// endWhenDrained ends the process once every request is answered and every connection is closed, or at the time latest. The next
+// process starts after restartAfter.
+func (n *node) endWhenDrained(latest Time, restartAfter time.Duration) {
 	if n.core.OpenRequests() == 0 && len(n.conns) == 0 || n.world.now >= latest {
 		n.kill()
-		n.world.after(away, n.start)
+		n.world.after(restartAfter, n.start)
 		return
 	}
-	n.schedule(5*time.Millisecond, func() { n.endWhenDrained(latest, away) })
+	n.schedule(5*time.Millisecond, func() { n.endWhenDrained(latest, restartAfter) })
 }
 
-// kill ends the process: its connections are reset, and what it had scheduled does nothing.
+// kill ends the process: its connections are reset, and the work that it had scheduled is dropped.
 func (n *node) kill() {
 	n.world.logEvent("end", strconv.Itoa(n.index))
 	n.isUp, n.isAccepting = false, false
@@ -95,15 +96,15 @@
 			s.stream.reset()
 		}
 	}
-	n.core.Stop() // the kernel closes the watch's connection
+	n.core.Stop() // stands for the kernel, which closes the connection of the watch
 	n.conns, n.pools = nil, nil
 }
 
-// maxDiscoverySilence is longer than a node may be without a byte from discovery: a silent watch is detected after 3 s, and called anew
-// within the longest backoff.
+// maxDiscoverySilence is longer than a node may be without a byte from discovery: a silent watch is detected after 3 s, and a new
+// call is made within the longest backoff.
 const maxDiscoverySilence = 9 * time.Second
 
-// checkLeaks checks what a process retains long after the last request.
+// checkLeaks checks that a process retains nothing long after the last request, and that it has heard from discovery lately.
 func (n *node) checkLeaks() {
 	if !n.isUp || !n.isAccepting {
 		return
--- a/internal/testbed/simulation/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -10,27 +10,27 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Network is what the network, the machines' schedulers and the clients do in a run. Figures without a unit are probabilities.
+// Network holds the parameters of the network, the machines' schedulers and the clients in a run.
 type Network struct {
 	ToServer, FromServer, ToNode, ToClient, Discovery link
 
-	MaxLag         time.Duration // until a runnable goroutine runs
-	MaxClockOffset time.Duration // of a node's clock, either way
-	PipelineWithin time.Duration // see upstream.Limits
+	MaxLag         time.Duration // longest time until a runnable goroutine runs
+	MaxClockOffset time.Duration // largest offset of a node's clock from the run's clock, in either direction
+	PipelineWithin time.Duration // passed to the pools as upstream.Limits.PipelineWithin
 
-	ResetBefore     float64 // of a segment to a server: its connection is reset before the request has arrived completely
-	ResetAfter      float64 // of a request to a server: its connection is reset right after it has arrived
-	BreakWrite      float64 // of a write: it fails half way
-	CloseAfter      float64 // of a response: the server closes the connection behind it
-	TrailingBytes   float64 // of a response: a copy of it comes behind it
-	GoSilent        float64 // of a connection: it goes silent at some time
-	WatchGoesSilent float64 // of a watch
-	FailConnect     float64 // of a connect
-	SlowConnect     float64 // of a connect: it comes up late, or not in time
+	ResetBefore     float64 // probability per segment to a server that the connection is reset before the request has arrived completely
+	ResetAfter      float64 // probability per request to a server that the connection is reset right after the request has arrived
+	BreakWrite      float64 // probability per write to a server that the write fails after a part of its bytes
+	CloseAfter      float64 // probability per response that the server closes the connection after the response
+	TrailingBytes   float64 // probability per response that a copy of the response follows it
+	GoSilent        float64 // probability per connection to a server that from some time on nothing sent on it arrives
+	WatchGoesSilent float64 // probability per watch that from some time on nothing sent on its connection arrives
+	FailConnect     float64 // probability that a connection attempt to a server fails
+	SlowConnect     float64 // probability that a connection attempt to a server takes long, perhaps longer than its timeout
 
-	Dropped, Duplicated, Corrupted float64 // of a datagram
-	ClientDisconnects              float64 // of a request: its client disconnects before the response
-	Pipeline                       float64 // of a request: it is sent behind another one
+	Dropped, Duplicated, Corrupted float64 // probabilities that a datagram is lost, duplicated or corrupted
+	ClientDisconnects              float64 // probability per request that the client disconnects before the response
+	Pipeline                       float64 // probability per request that it is sent on a connection with unanswered requests
 }
 
 // Plan is what a seed draws for one run.
@@ -38,22 +38,22 @@
 	*scenario.Plan
 	Network        Network
 	NodeFaults     []NodeFault
-	AbusiveClients []Time // when an abusive client connects
+	AbusiveClients []Time // times at which abusive clients connect
 	HealthChecks   bool
 	ScarceCapacity bool // cache servers have next to no spare capacity
-	ManyNodes      bool // each with a small part of the traffic
+	ManyNodes      bool // the fleet has many nodes, each with a small share of the traffic
 	NoGossip       bool
 	Agreements     bool // leases and membership run beside the requests
-	HealthyFrom    Time // from then on requests have to be served again
+	HealthyFrom    Time // time from which requests have to be served again
 	End            Time
 	drawnNames     []string
 	drawn          []int // numbers of the parts that are switched on
 }
 
-// Words are the names of the parts that the seed has switched on.
-func (p *Plan) Words() []string { return p.drawnNames }
+// PartNames returns the names of the parts that the seed has switched on.
+func (p *Plan) PartNames() []string { return p.drawnNames }
 
-// maxDeadline is the longest deadline of a class.
+// maxDeadline returns the longest deadline of all classes.
 func (p *Plan) maxDeadline() (longest time.Duration) {
 	for _, class := range p.Classes {
 		longest = max(longest, class.Deadline.D())
@@ -61,8 +61,9 @@
 	return longest
 }
 
-// notifyWithin is how long after discovery can be reached a node counts as notified of what it has, whether it was or not; 0 is no
-// bound, for a discovery that sends empty lists.
+// notifyWithin returns the time after which a node counts as notified of discovery's list, whether it was notified or not. The
+// time counts only while discovery is reachable. The result 0 means that there is no such time, because discovery sends empty
+// lists.
 func (p *Plan) notifyWithin() time.Duration {
 	for _, f := range p.Spec.Faults {
 		if f.Kind == model.DiscoveryEmpty {
@@ -72,11 +73,11 @@
 	return p.Invariants.NotifyWithin.D()
 }
 
-// effects are the effects of classes by the words of scenario files.
+// effects maps the names of effects in scenario files to the policy's effects.
 var effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}
 
-// Module is the settings of a node's policy.
-func (p *Plan) Module(node int) policy.Settings {
+// PolicySettings returns the settings of a node's policy.
+func (p *Plan) PolicySettings(node int) policy.Settings {
 	settings := policy.Settings{
 		Nodes:           len(p.Spec.Nodes),
 		Zone:            p.Spec.Nodes[node].Zone,
@@ -116,11 +117,11 @@
 	faultsFrom       = 700 * time.Millisecond
 	faultsTo         = 4 * time.Second
 	networkFaultsEnd = 6 * time.Second
-	healthyFrom      = 9500 * time.Millisecond // requests have to be served again
-	length           = 11 * time.Second        // of the workload
+	healthyFrom      = 9500 * time.Millisecond // requests have to be served again from this time on
+	workloadLength   = 11 * time.Second        // no request is scheduled after this time
 	runEnd           = 15 * time.Second
 )
 
 func duration(t time.Duration) tomlfile.Duration { return tomlfile.Duration(t) }
 
-func flat(t time.Duration) scenario.Span { return scenario.Span{Least: t, Most: t} }
+func fixedSpan(t time.Duration) scenario.Span { return scenario.Span{Least: t, Most: t} }
--- a/internal/testbed/simulation/pool.go
+++ b/internal/testbed/simulation/pool.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/upstream"
 )
 
-// pool stands in for the shell of an upstream.Core: the goroutines and sockets between it and one server.
+// pool replaces the shell of an upstream.Core: the goroutines and sockets between the core and one server.
 type pool struct {
 	node        *node
 	incarnation int
@@ -18,18 +18,18 @@
 	report      func(*upstream.Attempt, upstream.Response)
 	timerAt     Time
 	sockets     []*poolSocket
-	written     map[*upstream.Attempt]*serverConn // attempts that were written completely, and where
+	written     map[*upstream.Attempt]*serverConn // attempts that were written completely, with the connections that carry them
 }
 
-// poolSocket is a connection to a server.
+// poolSocket is the node's end of a connection to a server.
 type poolSocket struct {
 	pool      *pool
 	stream    *stream
 	conn      *upstream.Conn
 	server    *serverConn
-	inbox     []byte // arrived and not read yet
+	inbox     []byte // bytes that have arrived and are not read yet
 	hasEnded  bool
-	wasReset  bool // the end was a reset
+	wasReset  bool // the connection ended with a reset
 	isReading bool
 	isWriting bool
 }
@@ -44,7 +44,7 @@
 	return outcome, ok
 }
 
-// Abandon gives an attempt up, and checks that one reported as not written was not.
+// Abandon gives an attempt up. If the core reports the attempt as not written, Abandon checks that the server has not got it.
 func (p *pool) Abandon(attempt *upstream.Attempt) bool {
 	var effects upstream.Effects
 	written := p.core.Abandon(p.now(), attempt, &effects)
@@ -55,7 +55,7 @@
 	return written
 }
 
-// Withdraw gives up an attempt that has not been written, and checks that it was not.
+// Withdraw gives an attempt up if it has not been written, and then checks that the server has not received it.
 func (p *pool) Withdraw(attempt *upstream.Attempt) bool {
 	var effects upstream.Effects
 	done := p.core.Withdraw(p.now(), attempt, &effects)
@@ -73,10 +73,10 @@
 	p.execute(effects)
 }
 
-// Update changes the server's address and whether it takes new work.
-func (p *pool) Update(addr string, left bool) []*upstream.Attempt {
+// Update changes the server's address and whether the server is draining.
+func (p *pool) Update(addr string, isDraining bool) []*upstream.Attempt {
 	var effects upstream.Effects
-	drained := p.core.Update(p.now(), addr, left, &effects)
+	drained := p.core.Update(p.now(), addr, isDraining, &effects)
 	p.execute(effects)
 	for _, attempt := range drained {
 		p.checkNeverRan(attempt, "drained")
@@ -84,14 +84,14 @@
 	return drained
 }
 
-// checkNeverRan checks an attempt that is reported as never run: its request must not have arrived completely at its server.
+// checkNeverRan checks an attempt that is reported as never run: its request must not have arrived completely at the server.
 func (p *pool) checkNeverRan(attempt *upstream.Attempt, claim string) {
 	if c := p.written[attempt]; c != nil && attempt.Request != nil && c.arrived[string(attempt.Request.ID)] {
 		p.node.world.violation(InvariantNeverRan, "%s at %s is %s, and came whole", attempt.Request.ID, p.id, claim)
 	}
 }
 
-// armTimer schedules the core's next timer, if it comes before the one that is scheduled.
+// armTimer schedules the core's next timer, unless a call at that time or earlier is already scheduled.
 func (p *pool) armTimer() {
 	at := p.core.NextTimer()
 	if at.IsZero() {
@@ -113,7 +113,7 @@
 	})
 }
 
-// execute executes effects of the core.
+// execute executes effects of the upstream core.
 func (p *pool) execute(effects upstream.Effects) {
 	for _, e := range effects {
 		switch e.Kind {
@@ -141,14 +141,14 @@
 	p.armTimer()
 }
 
-// call makes a call of the core and executes its effects.
+// call runs callCore, which calls the core, and executes the effects.
 func (p *pool) call(callCore func(effects *upstream.Effects)) {
 	var effects upstream.Effects
 	callCore(&effects)
 	p.execute(effects)
 }
 
-// dial opens a connection, if the listening socket at the address accepts it.
+// dial opens a connection to a server, if the listening socket at the address accepts it in time.
 func (p *pool) dial(conn *upstream.Conn, addr string) {
 	world, slot := p.node.world, slotOf(addr)
 	roundTrip := world.drawBetween(200*time.Microsecond, 3*time.Millisecond)
@@ -163,7 +163,7 @@
 		case roundTrip >= limit || state == model.Refusing || world.networkFault(world.plan.Network.FailConnect):
 			world.logEvent("refused", strconv.Itoa(slot))
 			p.core.DialCompleted(p.now(), conn, false, &effects)
-		case state == model.Unresponsive: // it never comes up
+		case state == model.Unresponsive: // the connection is never established: the dial times out
 			p.node.schedule(limit-min(roundTrip, limit), func() {
 				var effects upstream.Effects
 				p.core.DialCompleted(p.now(), conn, false, &effects)
@@ -190,7 +190,7 @@
 	})
 }
 
-// scheduleRead lets the connection's reader run, a drawn lag later.
+// scheduleRead makes the connection's reader run after a drawn lag.
 func (s *poolSocket) scheduleRead() {
 	if s.pool.node.incarnation == s.pool.incarnation && !s.isReading {
 		s.isReading = true
@@ -198,7 +198,7 @@
 	}
 }
 
-// read moves the bytes that arrived to the core.
+// read passes the bytes that arrived to the upstream core.
 func (s *poolSocket) read() {
 	s.isReading = false
 	p := s.pool
@@ -214,7 +214,7 @@
 	p.execute(effects)
 }
 
-// writeNext lets the connection's writer run.
+// writeNext writes the next request of the connection, and then the ones after it.
 func (s *poolSocket) writeNext() {
 	pool, world := s.pool, s.pool.node.world
 	var effects upstream.Effects
@@ -230,7 +230,7 @@
 		s.isWriting = false
 		isComplete, isGood := true, true
 		switch {
-		case s.stream.isClosed: // it ended since: not a byte of it leaves
+		case s.stream.isClosed: // the stream ended meanwhile: no byte of the request is sent
 			isComplete, isGood = false, false
 		case world.networkFault(world.plan.Network.BreakWrite):
 			k := world.rng.IntN(len(bytes))
@@ -249,7 +249,7 @@
 	})
 }
 
-// closeStream closes the connection from the node's side.
+// closeStream closes the node's end of the connection and removes it from the pool.
 func (s *poolSocket) closeStream() {
 	s.stream.close()
 	for i, o := range s.pool.sockets {
--- a/internal/testbed/simulation/report.go
+++ b/internal/testbed/simulation/report.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// Options say how a plan is played.
+// Options control how a plan is run.
 type Options struct {
-	// Trace gets every line of the event log, if set; it must not keep it.
+	// Trace, if set, is called with every line of the event log. It must not retain the line.
 	Trace func(line []byte)
 }
 
 // Violation is a violation of an invariant in a run.
 type Violation struct {
-	Invariant string // name of the invariant, of the service (package invariants) or of the simulation
+	Invariant string // name of an invariant of package invariants or of this package
 	At        Time
 	Text      string
 }
 
-// String describes the violation in one line.
+// String returns the violation as one line.
 func (b Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", b.Invariant, b.At.Seconds(), b.Text)
 }
 
-// The simulation's own invariants, beside those of package invariants, by the names that reports use.
+// Names of the simulation's own invariants, as reports print them. Package invariants has further ones.
 const (
-	InvariantNeverRan       = "never-ran" // an attempt reported as never run did not reach its server completely
+	InvariantNeverRan       = "never-ran" // an attempt that is reported as never run did not reach its server completely
 	InvariantOrder          = "order"     // responses come in the order of their commands
 	InvariantNoLeak         = "leak"      // nodes retain nothing long after the last request
 	InvariantLiveness       = "liveness"  // some time after the last fault requests are served again
 	InvariantWatchRenewed   = "deaf"      // a watch that went silent is detected and renewed
 	InvariantRejectedNotRun = "refused"   // a rejected request that may run at most once reaches no server afterwards
-	InvariantLinearizable   = "history"   // what clients saw of each record fits one order of its writes, each applied once
-	InvariantAbusiveClient  = "rude"      // a client that sends nonsense gets an error or a close within 3 s
+	InvariantLinearizable   = "history"   // the clients' reads of each record fit one order of its writes, each applied once
+	InvariantAbusiveClient  = "rude"      // a client that sends malformed input gets an error or a close within 3 s
 	InvariantNoPanic        = "crash"     // no core panics
 )
 
 // Report is the result of a run.
 type Report struct {
 	Seed                                                     uint64
-	Hash                                                     uint64 // of the event log
-	Events                                                   int    // lines of the event log
-	Scheduled, Taken, Served, Rejected, Failed, Disconnected int    // requests: scheduled, read by a node, and how they ended
-	Kills, Restarts                                          int    // processes of nodes that were killed, and shut down
+	Hash                                                     uint64 // hash of the event log
+	Events                                                   int    // number of lines in the event log
+	Scheduled, Taken, Served, Rejected, Failed, Disconnected int    // requests: scheduled, read by a node, and by result
+	Kills, Restarts                                          int    // numbers of node processes that were killed and that were shut down
 	Faults                                                   []string
 	Violations                                               []Violation
-	Took                                                     time.Duration // of real time
+	Took                                                     time.Duration // wall-clock duration of the run
 }
 
-// String describes the run in one line.
+// String returns the result of the run as one line.
 func (r *Report) String() string {
 	verdict := "kept"
 	if len(r.Violations) > 0 {
--- a/internal/testbed/simulation/server_conn.go
+++ b/internal/testbed/simulation/server_conn.go
@@ -17,14 +17,14 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// serverConn is a connection from a node as the cache server or the origin sees it. The model decides what is answered, and when.
+// serverConn is the end of a node's connection at a cache server or at the origin. The model decides what is answered, and when.
 type serverConn struct {
 	world    *world
 	id       model.ConnID
 	node     int
 	isOrigin bool
 	stream   *stream
-	socket   *poolSocket // the node's
+	socket   *poolSocket // the node's end of the connection
 
 	input           nonBlockingBuffer
 	reader          *redcon.Reader
@@ -32,15 +32,15 @@
 	bytesParsed     int
 	firstByteSentAt Time // when the first byte of the current request was sent
 	httpInput       []byte
-	pending         []*pendingResponse // in the order of the requests
-	isCorrupt       bool               // a corrupt response was sent: nothing follows, as it could not be told from that
+	pending         []*pendingResponse // responses that are not sent yet, in the order of the requests
+	isCorrupt       bool               // a corrupt response was sent; nothing is sent after it, as the node could not tell the two apart
 	arrived         map[string]bool    // ids of the requests that arrived completely
 }
 
-// endlessChunks is how many chunks of a value of endless length are sent.
+// endlessChunks is the number of chunks that are sent of a value of endless length.
 const endlessChunks = 40
 
-// pendingResponse is the response to one request, which goes out when those before it have.
+// pendingResponse is the response to one request. It is sent once all responses to earlier requests have been sent.
 type pendingResponse struct {
 	seq        uint64
 	id         string
@@ -50,13 +50,13 @@
 	isLast     bool
 }
 
-// errNeedMoreBytes is returned where all bytes that arrived have been read.
+// errNeedMoreBytes is returned by a read if all bytes that arrived have been read.
 var errNeedMoreBytes = errors.New("more bytes are wanted")
 
-// nonBlockingBuffer is a reader that never waits.
+// nonBlockingBuffer is a buffer whose Read never blocks.
 type nonBlockingBuffer struct{ bytes.Buffer }
 
-// Read reads what is there; errNeedMoreBytes where nothing is.
+// Read reads buffered bytes. It returns errNeedMoreBytes if there are none.
 func (f *nonBlockingBuffer) Read(b []byte) (int, error) {
 	if f.Len() == 0 {
 		return 0, errNeedMoreBytes
@@ -64,7 +64,8 @@
 	return f.Buffer.Read(b)
 }
 
-// connect opens a connection from a node to the server at an address slot. It returns the node's end of the stream.
+// connect opens a connection from a node to the server at an address slot. It returns the node's end of the stream
+// and the server's end of the connection.
 func (w *world) connect(n *node, slot int) (*stream, *serverConn) {
 	w.lastID++
 	c := &serverConn{world: w, id: w.lastID, node: n.index, isOrigin: slot == 0, arrived: map[string]bool{}}
@@ -72,7 +73,7 @@
 	var near *stream
 	near, c.stream = w.pipe(w.plan.Network.ToServer, w.plan.Network.FromServer)
 	c.stream.data = c.received
-	c.stream.ended = func(bool) { c.nodeClosed() }
+	c.stream.ended = func(bool) { c.unregister() }
 	w.servers[c.id] = c
 	w.logEvent("connect", strconv.Itoa(n.index), strconv.Itoa(slot), strconv.FormatUint(uint64(c.id), 10))
 	w.execute(w.system.Step(w.now, model.Connect{Conn: c.id, Node: n.index, Slot: slot}))
@@ -85,29 +86,29 @@
 	return near, c
 }
 
-// nodeClosed handles the end of the connection from the node's side.
-func (c *serverConn) nodeClosed() {
+// unregister removes the connection and tells the model that it was closed.
+func (c *serverConn) unregister() {
 	if c.world.servers[c.id] == c {
 		delete(c.world.servers, c.id)
 		c.world.execute(c.world.system.Step(c.world.now, model.Closed{Conn: c.id}))
 	}
 }
 
-// closeBy ends the connection from the server's side.
-func (c *serverConn) closeBy(reset bool) {
+// closeOrReset closes or resets the connection at the server's end.
+func (c *serverConn) closeOrReset(reset bool) {
 	if reset {
 		c.stream.reset()
 	} else {
 		c.stream.close()
 	}
-	c.nodeClosed()
+	c.unregister()
 }
 
-// received takes bytes from the node and handles the requests that they complete.
+// received handles bytes from the node, and the requests that they complete.
 func (c *serverConn) received(b []byte, sent Time) {
-	if c.world.networkFault(c.world.plan.Network.ResetBefore) { // before the last byte of the request arrived
+	if c.world.networkFault(c.world.plan.Network.ResetBefore) { // reset the connection before the last byte of a request is read
 		c.world.logEvent("reset-before", strconv.FormatUint(uint64(c.id), 10))
-		c.closeBy(true)
+		c.closeOrReset(true)
 		return
 	}
 	if c.bytesReceived == c.bytesParsed {
@@ -134,13 +135,13 @@
 	}
 }
 
-// malformed reports a request that no client of the run sent, and resets the connection.
+// malformed handles a request that no client of the run can have sent: it reports a violation and resets the connection.
 func (c *serverConn) malformed(why string) {
 	c.world.violation(InvariantNoPanic, "node %d sent a server what no client did: %s", c.node, why)
-	c.closeBy(true)
+	c.closeOrReset(true)
 }
 
-// handleCommand handles a command in RESP.
+// handleCommand handles one RESP command.
 func (c *serverConn) handleCommand(cmd redcon.Command) {
 	switch name := strings.ToUpper(string(cmd.Args[0])); name {
 	case "CACHE.GET", "CACHE.SET":
@@ -167,7 +168,7 @@
 		}
 		body := make([]byte, max(0, request.ContentLength))
 		if _, err := io.ReadFull(reader, body); err != nil {
-			return // the rest of it is on its way
+			return // the rest of the body has not arrived yet
 		}
 		parsed := len(c.httpInput) - source.Len() - reader.Buffered()
 		c.httpInput = append([]byte(nil), c.httpInput[parsed:]...)
@@ -196,7 +197,7 @@
 	c.attempt(wireformat.ParseRequest(c.world.classes, isWrite, args))
 }
 
-// attempt gives an attempt that arrived to the model; problem says what is wrong with it, if anything is.
+// attempt passes an attempt that arrived to the model. problem, if not empty, says why the request is malformed.
 func (c *serverConn) attempt(request model.Request, problem string) {
 	if problem != "" {
 		c.malformed(problem)
@@ -211,25 +212,25 @@
 	c.pending = append(c.pending, &pendingResponse{seq: request.Seq, id: request.ID})
 	c.arrived[request.ID] = true
 	w.clients.requestArrived(request.ID)
-	if server := w.system.ServerOf(c.id); server != "" { // else its process ended meanwhile
+	if server := w.system.ServerOf(c.id); server != "" { // ServerOf returns "" if the server's process has ended meanwhile
 		w.logEvent("came", request.ID, server)
 		w.checker.AttemptArrived(w.now, min(c.firstByteSentAt, w.now), c.node, server, request.ID, request.Class, request.Seq)
 	}
 	w.execute(w.system.Step(w.now, model.RequestArrived{Request: request}))
 	if w.networkFault(w.plan.Network.ResetAfter) && !c.stream.isClosed {
 		w.logEvent("reset-after", request.ID)
-		c.closeBy(true)
+		c.closeOrReset(true)
 	}
 }
 
-// healthCheck gives a health check that arrived to the model.
+// healthCheck passes a health check that arrived to the model.
 func (c *serverConn) healthCheck() {
 	c.world.seq++
 	c.pending = append(c.pending, &pendingResponse{seq: c.world.seq})
 	c.world.execute(c.world.system.Step(c.world.now, model.HealthCheck{Conn: c.id, Seq: c.world.seq}))
 }
 
-// responseReady takes a response of the model. It goes out when those of the requests before it have.
+// responseReady handles a response of the model. The response is sent once all responses to earlier requests have been sent.
 func (w *world) responseReady(response model.Response) {
 	if response.Request != "" {
 		w.checkResponse(response)
@@ -242,7 +243,7 @@
 	conn.sendReady()
 }
 
-// checkResponse notifies the checker of a response to a client's request.
+// checkResponse reports to the checker that a server responds to a client's request.
 func (w *world) checkResponse(response model.Response) {
 	proof := invariants.PossiblyExecuted
 	if response.WasNotExecuted() {
@@ -251,7 +252,7 @@
 	w.checker.ResponseSent(w.now, response.Server, response.Request, response.Seq, proof, response.HasValue(), response.Outcome.String())
 }
 
-// encode fills the place of the request that a response is for.
+// encode encodes a response and stores it in the pending entry of its request.
 func (c *serverConn) encode(response model.Response) {
 	hasTrailing := response.Corruption == model.CorruptDuplicate || response.Corruption == model.CorruptTrailingNoise
 	for _, pending := range c.pending {
@@ -259,7 +260,7 @@
 			continue
 		}
 		pending.corruption = response.Corruption
-		if hasTrailing { // the response itself is good
+		if hasTrailing { // the response itself is valid; the corrupt bytes follow it
 			response.Corruption = model.NotCorrupt
 		}
 		if c.isOrigin {
@@ -277,17 +278,17 @@
 		next := c.pending[0]
 		c.pending = c.pending[1:]
 		if c.isCorrupt {
-			continue // the connection stays open but is of no further use
+			continue // the connection stays open, but nothing more is sent on it
 		}
 		c.stream.write(next.text)
 		c.corrupt(next)
 		if next.isLast || c.world.networkFault(c.world.plan.Network.CloseAfter) {
-			c.closeBy(false)
+			c.closeOrReset(false)
 		}
 	}
 }
 
-// corrupt sends what a corrupt response has behind it.
+// corrupt sends the bytes that follow a corrupt response, if there are any.
 func (c *serverConn) corrupt(sent *pendingResponse) {
 	switch sent.corruption {
 	case model.NotCorrupt, model.CorruptLoadReport:
@@ -306,8 +307,9 @@
 	}
 }
 
-// sendTrailing sends bytes behind a response, some milliseconds late. By the protocol nothing else waits on the connection then: a
-// response to what the node has written meanwhile, or is about to write, could not be told from them.
+// sendTrailing sends extra bytes up to 5 ms after a response, unless the connection is busy by then. By the protocol such bytes
+// come only while no request waits on the connection. Otherwise the node could not tell them from the response to a request that
+// it has written or is about to write.
 func (c *serverConn) sendTrailing(trailing []byte) {
 	c.world.after(c.world.drawBetween(0, 5*time.Millisecond), func() {
 		if c.isBusy() {
@@ -319,7 +321,7 @@
 	})
 }
 
-// isBusy tells whether the connection has ended or carries requests.
+// isBusy reports whether the connection has ended or carries requests.
 func (c *serverConn) isBusy() bool {
 	socket := c.socket
 	hasEnded := c.stream.isClosed || c.stream.isUnresponsive || socket.stream.isClosed
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// seedsInCI is how many seeds a run of the tests plays.
+// seedsInCI is the number of seeds that the tests run.
 var seedsInCI = uint64(300)
 
-// play plays the first seeds on all processors and calls look with each report, one at a time.
-func play(seeds uint64, run func(seed uint64) *Report, look func(r *Report)) {
+// runSeeds runs the first seeds on all processors and calls inspect with each report, one at a time.
+func runSeeds(seeds uint64, run func(seed uint64) *Report, inspect func(r *Report)) {
 	var mu sync.Mutex
 	next := uint64(0)
 	var workers sync.WaitGroup
@@ -27,7 +27,7 @@
 				}
 				r := run(seed)
 				mu.Lock()
-				look(r)
+				inspect(r)
 				mu.Unlock()
 			}
 		})
@@ -35,48 +35,51 @@
 	workers.Wait()
 }
 
-// TestInvariantsHoldUnderDrawnFaults plays nodes under load with the faults that each seed draws: every invariant holds in all runs.
+// TestInvariantsHoldUnderDrawnFaults guards against errors that show only in rare orders of events. It runs nodes under load with
+// the faults that each seed draws: every invariant has to hold in all runs.
 func TestInvariantsHoldUnderDrawnFaults(t *testing.T) {
 	served, kills := 0, 0
-	words := map[string]int{}
-	play(seedsInCI, func(seed uint64) *Report { return Run(Draw(seed, nil), Options{}) }, func(r *Report) {
+	faultCounts := map[string]int{}
+	runSeeds(seedsInCI, func(seed uint64) *Report { return Run(Draw(seed, nil), Options{}) }, func(r *Report) {
 		served, kills = served+r.Served, kills+r.Kills+r.Restarts
 		for _, w := range r.Faults {
-			words[w]++
+			faultCounts[w]++
 		}
 		if len(r.Violations) > 0 {
-			t.Errorf("%s; testbed simulate --replay %d shows it", r, r.Seed)
+			t.Errorf("%s; to reproduce it: testbed simulate --replay %d", r, r.Seed)
 		}
 	})
 	if uint64(served) < 200*seedsInCI || uint64(kills) < seedsInCI/4 {
-		t.Errorf("%d served, %d processes ended in %d runs: they show little", served, kills, seedsInCI)
+		t.Errorf("%d requests were served and %d processes ended in %d runs: too few for a meaningful test", served, kills, seedsInCI)
 	}
 	for _, p := range parts {
-		if words[p.name] == 0 {
-			t.Errorf("no seed had %s", p.name)
+		if faultCounts[p.name] == 0 {
+			t.Errorf("no seed switched on %s", p.name)
 		}
 	}
 }
 
-// TestAgreementsHoldUnderDrawnFaults plays the agreements of fleets with the faults that each seed draws: every invariant holds in all runs.
+// TestAgreementsHoldUnderDrawnFaults guards against errors in leases, rollouts and membership that show only in rare orders of
+// events. It runs fleets with the faults that each seed draws: every invariant has to hold in all runs.
 func TestAgreementsHoldUnderDrawnFaults(t *testing.T) {
-	words := map[string]int{}
-	play(seedsInCI/2, func(seed uint64) *Report { return RunFleet(DrawFleet(seed, nil), Options{}) }, func(r *Report) {
+	faultCounts := map[string]int{}
+	runSeeds(seedsInCI/2, func(seed uint64) *Report { return RunFleet(DrawFleet(seed, nil), Options{}) }, func(r *Report) {
 		for _, w := range r.Faults {
-			words[w]++
+			faultCounts[w]++
 		}
 		if len(r.Violations) > 0 {
-			t.Errorf("%s; testbed simulate --fleet --replay %d shows it", r, r.Seed)
+			t.Errorf("%s; to reproduce it: testbed simulate --fleet --replay %d", r, r.Seed)
 		}
 	})
 	for k := range fleetFaultKinds {
-		if words[k.String()] == 0 {
+		if faultCounts[k.String()] == 0 {
 			t.Errorf("no seed had %s", k)
 		}
 	}
 }
 
-// TestSeedGivesTheSameEventLog: a seed gives the same event log each time, byte for byte, beside others and alone.
+// TestSeedGivesTheSameEventLog guards against runs that depend on anything but their seed, such as other runs at the same time. A
+// seed has to give the same event log each time, byte for byte.
 func TestSeedGivesTheSameEventLog(t *testing.T) {
 	logs := make([]bytes.Buffer, 6)
 	var workers sync.WaitGroup
@@ -98,7 +101,8 @@
 	}
 }
 
-// TestLeavingOutOnePartChangesNoOther: what one part draws does not depend on the others, so that a plan can be shrunk.
+// TestLeavingOutOnePartChangesNoOther guards against plans that cannot be shrunk: what one part draws must not depend on the
+// other parts.
 func TestLeavingOutOnePartChangesNoOther(t *testing.T) {
 	for seed := range uint64(40) {
 		on := Parts(seed)
--- a/internal/testbed/simulation/stream.go
+++ b/internal/testbed/simulation/stream.go
@@ -2,47 +2,49 @@
 
 import "time"
 
-// stream is one end of a byte stream between two parties. What is written at one end arrives at the other in order, cut into
-// segments anywhere, each with a delay of its own; a reset overtakes data in transit.
+// stream is one end of a byte stream between two parties. Bytes that are written at one end arrive at the other in order. They
+// are cut into segments at arbitrary places, and each segment has its own delay. A reset overtakes data in transit.
 type stream struct {
 	world *world
 	peer  *stream
-	link  link // for what is written here
+	link  link // for the data that is written at this end
 
-	lastAt         Time // when the last segment arrives
-	isClosed       bool // by either end: nothing more arrives or leaves
-	isUnresponsive bool // what is written here is dropped silently
+	lastAt         Time // when the last segment written at this end arrives
+	isClosed       bool // this end was closed, or the peer's close arrived: nothing more arrives or leaves
+	isUnresponsive bool // data that is written at this end is dropped silently
 
 	data  func(b []byte, sent Time) // called with each segment that arrives
-	ended func(reset bool)          // called when the peer has closed or reset the stream
+	ended func(reset bool)          // called when the peer's close or reset arrives
 }
 
-// link is what the network does to what is written to a stream.
+// link holds the delays of the data that is written at one end of a stream.
 type link struct {
-	minDelay, maxDelay time.Duration // one way
-	segmentOdds        float64       // chance that a write is cut into segments
-	lateOdds           float64       // chance that a segment is late by up to maxLateness
+	minDelay, maxDelay time.Duration // bounds of the one-way delay of a segment
+	segmentProbability float64       // probability that a write is cut into segments
+	lateProbability    float64       // probability that a segment is late by up to maxLateness
 	maxLateness        time.Duration
 }
 
-// pipe makes the two ends of a stream, each with the link for what is written there.
+// pipe returns the two ends of a new stream. forward is the link for the data that is written at a, and backward for that written
+// at b.
 func (w *world) pipe(forward, backward link) (a, b *stream) {
 	a, b = &stream{world: w, link: forward}, &stream{world: w, link: backward}
 	a.peer, b.peer = b, a
 	return a, b
 }
 
-// arrival draws when a segment that is sent now arrives, after all that was sent before.
+// arrival draws the arrival time of a segment that is sent now. It is not before the arrival of the segments that were sent
+// earlier.
 func (e *stream) arrival() Time {
 	at := e.world.now + e.world.drawBetween(e.link.minDelay, e.link.maxDelay)
-	if e.world.networkFault(e.link.lateOdds) {
+	if e.world.networkFault(e.link.lateProbability) {
 		at += e.world.drawBetween(0, e.link.maxLateness)
 	}
 	e.lastAt = max(e.lastAt, at)
 	return e.lastAt
 }
 
-// write sends a copy of bytes.
+// write sends a copy of b.
 func (e *stream) write(b []byte) {
 	if e.isClosed || e.isUnresponsive || len(b) == 0 {
 		return
@@ -51,20 +53,20 @@
 	sent := e.world.now
 	for len(b) > 0 {
 		n := len(b)
-		if e.world.chance(e.link.segmentOdds) {
+		if e.world.chance(e.link.segmentProbability) {
 			n = 1 + e.world.rng.IntN(n)
 		}
-		piece := b[:n]
+		segment := b[:n]
 		b = b[n:]
 		e.world.at(e.arrival(), func() {
 			if !e.peer.isClosed && !e.isUnresponsive && e.peer.data != nil {
-				e.peer.data(piece, sent)
+				e.peer.data(segment, sent)
 			}
 		})
 	}
 }
 
-// close ends the stream from this end after what was written, as a FIN does.
+// close closes the stream at this end. The peer sees the end after all data that was written here, as with a TCP FIN.
 func (e *stream) close() {
 	if e.isClosed {
 		return
@@ -99,7 +101,7 @@
 	}
 }
 
-// breakAfterWrites breaks the stream after what was written here: the peer sees a reset behind it, and this end has failed.
+// breakAfterWrites makes this end fail at once. The peer sees a reset after all data that was written here.
 func (e *stream) breakAfterWrites() {
 	e.isClosed = true
 	if !e.isUnresponsive {
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -1,7 +1,9 @@
-// Package simulation plays whole fleets of nodes on a virtual clock: the real cores of nodes, listeners, connection pools, decoders
-// and watches, the testbed's model of cache servers, origin and discovery, and clients, over a network of byte streams and datagrams
-// with the faults that a seed draws. A run has one goroutine and no wall clock: a seed gives the same run each time, byte for byte,
-// which the hash of its event log shows. The invariants of the service are checked after every step. See docs/simulation.md.
+// Package simulation runs whole fleets of nodes on a virtual clock. A run consists of the real cores of nodes, listeners,
+// connection pools, decoders and watches, the testbed's model of cache servers, origin and discovery, and simulated clients. They
+// communicate over a simulated network of byte streams and datagrams, with the faults that a seed draws.
+//
+// A run has one goroutine and does not use the wall clock, so a seed gives the same run each time, byte for byte. The hash of the
+// event log shows this. The invariants of the service are checked after every step. See docs/simulation.md.
 package simulation
 
 import (
@@ -13,10 +15,10 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// Time is a point of a run, counted from its start.
+// Time is a point in time of a run, counted from the start of the run.
 type Time = time.Duration
 
-// epoch is the date at which every run begins. It has no monotonic part, so that the machine's clock has no influence.
+// epoch is the date at which every run begins. It has no monotonic clock reading, so that the machine's clock has no influence.
 var epoch = time.Unix(1_800_000_000, 0).UTC()
 
 // world is one run of nodes under load.
@@ -26,10 +28,10 @@
 
 	system         *model.System
 	checker        *invariants.Checker
-	violationsSeen int // violations of the checker that the report has
+	violationsSeen int // number of the checker's violations that are already in the report
 	classes        map[string]scenario.Class
 
-	acceptors map[acceptorKey]model.AcceptorState // how servers' listening sockets answer connects
+	acceptors map[acceptorKey]model.AcceptorState // states of the servers' listening sockets
 	servers   map[model.ConnID]*serverConn
 	lastID    model.ConnID
 	seq       uint64
@@ -39,19 +41,19 @@
 	clients   *clients
 }
 
-// acceptorKey names a server's listening socket as one node reaches it.
+// acceptorKey identifies a server's listening socket as one node reaches it: by the slot of its address.
 type acceptorKey struct{ slot, node int }
 
-// networkFault draws whether a fault of the network with this probability happens now. None does after networkFaultsEnd.
+// networkFault draws whether a network fault with the probability p happens now. From networkFaultsEnd on, none does.
 func (w *world) networkFault(p float64) bool { return w.now < networkFaultsEnd && w.chance(p) }
 
-// maxSteps is how many steps a run may take; one that takes more is given up as a violation.
+// maxSteps is the number of steps that a run may take. A run that takes more is aborted, which counts as a violation.
 const maxSteps = 1_000_000
 
-// Run plays a plan to its end. A panic of a core is a violation like any other.
+// Run runs a plan to its end. A panic of a core is reported as a violation.
 func Run(plan *Plan, opt Options) (report *Report) {
 	began := time.Now()
-	report = &Report{Seed: plan.Seed, Faults: plan.Words()}
+	report = &Report{Seed: plan.Seed, Faults: plan.PartNames()}
 	run := &world{
 		timeline:  newTimeline(model.RandomStream(plan.Seed, "sim/net"), opt, report),
 		plan:      plan,
@@ -64,7 +66,7 @@
 		if reason := recover(); reason != nil {
 			run.violation(InvariantNoPanic, "%v", reason)
 			if opt.Trace != nil {
-				panic(reason) // with its stack: somebody is looking
+				panic(reason) // a traced run is being debugged: show the stack
 			}
 		}
 		report.Hash = run.log.Hash() ^ run.system.Hash()
@@ -77,7 +79,7 @@
 	run.clients.start()
 	run.scheduleNodeFaults()
 	run.run()
-	run.checkQuiet()
+	run.checkFinalState()
 	return report
 }
 
@@ -117,10 +119,10 @@
 	}
 }
 
-// checkInterval is the time between two looks of the checker at what time alone makes a violation.
+// checkInterval is the time between two checks for violations that arise from time alone, such as a missed deadline.
 const checkInterval = 50 * time.Millisecond
 
-// run does what is scheduled, in its order, until the end of the plan, and checks the invariants after each step.
+// run executes the scheduled work in order until the end of the plan, and checks the invariants after each step.
 func (w *world) run() {
 	nextCheck := Time(0)
 	for steps := 0; ; steps++ {
@@ -165,8 +167,8 @@
 	}
 }
 
-// checkQuiet checks what is still held long after the last request, and how the last requests were answered.
-func (w *world) checkQuiet() {
+// checkFinalState checks, long after the last request, what the nodes still retain and how the last requests were answered.
+func (w *world) checkFinalState() {
 	w.checker.Advance(w.now)
 	w.collectViolations()
 	for _, n := range w.nodes {
