--- a/internal/testbed/simulation/known_faults_test.go
+++ b/internal/testbed/simulation/known_faults_test.go
@@ -15,51 +15,51 @@
 	knownFaultFilter = flag.String("sim.mutant", "", "with -sim.mutants: only faults whose names contain this")
 )
 
-// knownFault is a fault to put into the program: one text of a file replaced by another.
+// knownFault is a fault that can be put into the program: the text old of a source file is replaced by new.
 type knownFault struct {
 	name, file, old, new string
-	also                 *knownFault // where two places guard the same invariant
-	fleet                bool        // found by simulate --fleet
+	also                 *knownFault // a second replacement, where two places of the source guard the same invariant
+	fleet                bool        // the fault is found by simulate --fleet, not by simulate alone
 }
 
 var knownFaults = []knownFault{
-	{"resent after it may have run", "internal/policy/retry.go", "if req.possiblyExecuted == nil || req.class.Effect == Idempotent {\n\t\treturn true\n\t}\n\tearlier", "if req != nil {\n\t\treturn true\n\t}\n\tearlier", nil, false},
-	{"refused after it may have run", "internal/policy/retry.go", "return req.class.Effect == Deduplicated && req.class.DedupScope == AllServers", "return true", nil, false},
-	{"drained servers get new work", "internal/policy/server.go", "return !r.isOriginKind(srv) && srv.isListed && srv.State == Live", "return !r.isOriginKind(srv) && srv.isListed",
+	{"request is retried after it may have been executed", "internal/policy/retry.go", "if req.possiblyExecuted == nil || req.class.Effect == Idempotent {\n\t\treturn true\n\t}\n\tearlier", "if req != nil {\n\t\treturn true\n\t}\n\tearlier", nil, false},
+	{"request is rejected after it may have been executed", "internal/policy/retry.go", "return req.class.Effect == Deduplicated && req.class.DedupScope == AllServers", "return true", nil, false},
+	{"draining servers get new requests", "internal/policy/server.go", "return !r.isOriginKind(srv) && srv.isListed && srv.State == Live", "return !r.isOriginKind(srv) && srv.isListed",
 		&knownFault{file: "internal/upstream/core.go", old: "c.addr, c.isDraining = addr, isDraining", new: "isDraining = false\n\tc.addr, c.isDraining = addr, isDraining"}, false},
-	{"watch never found silent", "internal/discovery/polling/schedule.go", "WatchTimeout = 3 * time.Second", "WatchTimeout = 5 * time.Hour", nil, false},
-	{"answered twice", "internal/listener/responses.go", "conn.slots = append(conn.slots[:0:0], conn.slots[written:]...)", "conn.slots = append(conn.slots[:0:0], conn.slots[written-1:]...)", nil, false},
-	{"deadline too late", "internal/node/requests.go", "deadline: r.ReceivedAt.Add(max(timeout-clientTransitTime, minRequestTimeout))", "deadline: r.ReceivedAt.Add(timeout + 200*time.Millisecond)", nil, false},
-	{"dirty connection handed on", "internal/upstream/transfer.go", "case conn.Decoder.Buffered() > 0 && !conn.mayReceive():", "case conn == nil:",
+	{"silent watch is not detected", "internal/discovery/polling/schedule.go", "WatchTimeout = 3 * time.Second", "WatchTimeout = 5 * time.Hour", nil, false},
+	{"request is answered twice", "internal/listener/responses.go", "conn.slots = append(conn.slots[:0:0], conn.slots[written:]...)", "conn.slots = append(conn.slots[:0:0], conn.slots[written-1:]...)", nil, false},
+	{"deadline is too late", "internal/node/requests.go", "deadline: r.ReceivedAt.Add(max(timeout-clientTransitTime, minRequestTimeout))", "deadline: r.ReceivedAt.Add(timeout + 200*time.Millisecond)", nil, false},
+	{"connection with stray bytes is reused", "internal/upstream/transfer.go", "case conn.Decoder.Buffered() > 0 && !conn.mayReceive():", "case conn == nil:",
 		&knownFault{file: "internal/upstream/transfer.go", old: "if !conn.mayReceive() {", new: "if len(conn.pending) == 0 {",
 			also: &knownFault{file: "internal/upstream/transfer.go", old: "if isStale && conn.IsSoleAttemptUnwritten() {", new: "if conn == nil {"}}, false},
-	{"waiter not woken", "internal/upstream/assign.go", "case len(c.waiting) > 0:\n\t\tc.enqueue(conn, c.popWaiting(), effects)", "case len(c.waiting) > 1000:\n\t\tc.enqueue(conn, c.popWaiting(), effects)", nil, false},
+	{"waiting attempt is not assigned to a free connection", "internal/upstream/assign.go", "case len(c.waiting) > 0:\n\t\tc.enqueue(conn, c.popWaiting(), effects)", "case len(c.waiting) > 1000:\n\t\tc.enqueue(conn, c.popWaiting(), effects)", nil, false},
 	{"request ids leak", "internal/node/requests.go", "delete(c.ids, string(open.ID))", "", nil, false},
-	{"said never to have run", "internal/upstream/transfer.go", "if !isComplete {\n\t\tattempt.possiblyExecuted = false", "if attempt != nil {\n\t\tattempt.possiblyExecuted = false", nil, false},
-	{"room of long answers leaks", "internal/upstream/resp/decoder.go", "d.memory.Release(d.reserved)", "d.memory.Release(0)", nil, false},
-	{"garbage of clients is not answered", "internal/listener/commands.go", "c.finish(now, conn, EndedBadFraming, effects)\n\tc.notifyWriter(conn, effects)", "", nil, false},
-	{"given up as if not written", "internal/upstream/abandon.go", "c.dequeue(now, attempt, effects)\n\treturn attempt.possiblyExecuted", "c.dequeue(now, attempt, effects)\n\treturn false", nil, false},
-	{"cold budget ignored", "internal/policy/hotkey.go", "if r.isWarmingUp(srv) {", "if srv == nil {", &knownFault{file: "internal/policy/routing.go", old: "weight := r.slowStartWeight(srv)", new: "weight := 1.0"}, false},
+	{"written attempt is reported as never run", "internal/upstream/transfer.go", "if !isComplete {\n\t\tattempt.possiblyExecuted = false", "if attempt != nil {\n\t\tattempt.possiblyExecuted = false", nil, false},
+	{"memory of long responses leaks", "internal/upstream/resp/decoder.go", "d.memory.Release(d.reserved)", "d.memory.Release(0)", nil, false},
+	{"malformed commands are not answered", "internal/listener/commands.go", "c.finish(now, conn, EndedBadFraming, effects)\n\tc.notifyWriter(conn, effects)", "", nil, false},
+	{"abandoned attempt is reported as not written", "internal/upstream/abandon.go", "c.dequeue(now, attempt, effects)\n\treturn attempt.possiblyExecuted", "c.dequeue(now, attempt, effects)\n\treturn false", nil, false},
+	{"slow-start budget is ignored", "internal/policy/hotkey.go", "if r.isWarmingUp(srv) {", "if srv == nil {", &knownFault{file: "internal/policy/routing.go", old: "weight := r.slowStartWeight(srv)", new: "weight := 1.0"}, false},
 
-	{"a duty is held past its lease", "internal/fleet/lease/core.go", "r.own.isAcquired && now < r.own.expiresAt {", "r.own.isAcquired {",
+	{"lease is held past its expiry", "internal/fleet/lease/core.go", "r.own.isAcquired && now < r.own.expiresAt {", "r.own.isAcquired {",
 		&knownFault{file: "internal/fleet/lease/resource.go", old: "if r.own.isAcquired && now >= r.own.expiresAt {", new: "if c == nil {"}, true},
-	{"a duty is granted to two", "internal/fleet/lease/resource.go", "if reason := r.grant.conflict(from, token); reason != ReasonGranted {", "if reason := r.grant.conflict(from, token); c == nil {", nil, true},
-	{"a node that starts grants duties at once", "internal/fleet/lease/core.go", "return c.cfg.Nodes > 1 && !agreement.HasExpired(", "return c.cfg.Nodes > 99 && !agreement.HasExpired(", nil, true},
-	{"half of the fleet is a majority for duties", "internal/fleet/lease/core.go", "return agreement.Majority(c.cfg.Nodes)", "return (c.cfg.Nodes + 1) / 2", nil, true},
+	{"lease is granted to two nodes", "internal/fleet/lease/resource.go", "if reason := r.grant.conflict(from, token); reason != ReasonGranted {", "if reason := r.grant.conflict(from, token); c == nil {", nil, true},
+	{"starting node grants leases at once", "internal/fleet/lease/core.go", "return c.cfg.Nodes > 1 && !agreement.HasExpired(", "return c.cfg.Nodes > 99 && !agreement.HasExpired(", nil, true},
+	{"half of the fleet is a majority for leases", "internal/fleet/lease/core.go", "return agreement.Majority(c.cfg.Nodes)", "return (c.cfg.Nodes + 1) / 2", nil, true},
 	{"half of the fleet is a majority for drains", "internal/fleet/rollout/core.go", "return agreement.Majority(c.cfg.Nodes)", "return (c.cfg.Nodes + 1) / 2", nil, true},
-	{"a node that starts grants slots at once", "internal/fleet/rollout/slot.go", "if c.cfg.Nodes == 1 {", "if c.cfg.Nodes > 0 {", nil, true},
-	{"a slot is granted twice", "internal/fleet/rollout/slot.go", "return record.Slot == request.Slot || c.isInZone(record, request) && record.ZoneSlot == request.ZoneSlot", "return false", nil, true},
-	{"an order takes back an operator's wish", "internal/fleet/rollout/halt.go", "return c.isDrainRequested || hasReported", "return c.isDrainRequested && c.order.Epoch == 0 || hasReported", nil, true},
-	{"the way back keeps slots", "internal/fleet/rollout/request.go", "if request.isPending || request.isGranted { // the order", "if request.isPending && request.isGranted { // the order", nil, true},
-	{"nobody refutes that it is dead", "internal/fleet/membership/suspicion.go", "self.refutations = u.refutations + 1", "", nil, true},
-	{"suspects never die", "internal/fleet/membership/suspicion.go", "m.state == Suspect && now-m.since >= c.SuspicionTimeout()", "m.state == Left", nil, true},
-	{"the dead are never asked", "internal/fleet/membership/probe.go", "if len(absent) > 0 && (", "if len(absent) > 99 && (", nil, true},
+	{"starting node grants slots at once", "internal/fleet/rollout/slot.go", "if c.cfg.Nodes == 1 {", "if c.cfg.Nodes > 0 {", nil, true},
+	{"slot is granted twice", "internal/fleet/rollout/slot.go", "return record.Slot == request.Slot || c.isInZone(record, request) && record.ZoneSlot == request.ZoneSlot", "return false", nil, true},
+	{"release order cancels an operator's drain request", "internal/fleet/rollout/halt.go", "return c.isDrainRequested || hasReported", "return c.isDrainRequested && c.order.Epoch == 0 || hasReported", nil, true},
+	{"withdrawn order keeps its slot", "internal/fleet/rollout/request.go", "if request.isPending || request.isGranted { // the order", "if request.isPending && request.isGranted { // the order", nil, true},
+	{"node does not refute that it is dead", "internal/fleet/membership/suspicion.go", "self.refutations = u.refutations + 1", "", nil, true},
+	{"suspected nodes are never declared dead", "internal/fleet/membership/suspicion.go", "m.state == Suspect && now-m.since >= c.SuspicionTimeout()", "m.state == Left", nil, true},
+	{"dead nodes are never probed", "internal/fleet/membership/probe.go", "if len(absent) > 0 && (", "if len(absent) > 99 && (", nil, true},
 }
 
-// moduleRoot is the project's root, seen from this package.
+// moduleRoot is the path of the project's root, relative to this package.
 const moduleRoot = "../../.."
 
-// apply replaces the fault's texts in a copy of the project below root.
+// apply checks that each text of the fault occurs once in the project below root and, if write is set, replaces the texts there.
 func (f *knownFault) apply(t *testing.T, root string, write bool) {
 	t.Helper()
 	for change := f; change != nil; change = change.also {
@@ -83,17 +83,19 @@
 	}
 }
 
-// TestKnownFaultsFitTheSource: every text that a known fault replaces occurs exactly once, so that the faults can be tried.
+// TestKnownFaultsFitTheSource guards against known faults that a change of the source has made inapplicable: every text that a
+// known fault replaces has to occur exactly once.
 func TestKnownFaultsFitTheSource(t *testing.T) {
 	for i := range knownFaults {
 		knownFaults[i].apply(t, moduleRoot, false)
 	}
 }
 
-// TestKnownFaultsAreFound builds the program with each known fault and checks that simulate finds it, and within how many seeds.
+// TestKnownFaultsAreFound guards against a simulation that no longer detects faults. It builds the program with each known fault,
+// checks that simulate finds the fault within 2000 seeds, and logs the first seed that does.
 func TestKnownFaultsAreFound(t *testing.T) {
 	if !*playKnownFaults {
-		t.Skip("without -sim.mutants")
+		t.Skip("needs the flag -sim.mutants")
 	}
 	for _, fault := range knownFaults {
 		if !strings.Contains(fault.name, *knownFaultFilter) {
@@ -135,7 +137,7 @@
 	return filepath.Join(dir, "testbed")
 }
 
-// firstViolation finds the first violation in the output of simulate; invariant is empty where there is none.
+// firstViolation finds the first violation in the output of simulate. invariant is empty if there is none.
 func firstViolation(output string) (seed int, invariant string) {
 	for line := range strings.Lines(output) {
 		_, violation, found := strings.Cut(line, "BROKEN ")
