--- a/internal/testbed/invariants/attempt.go
+++ b/internal/testbed/invariants/attempt.go
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// AttemptArrived reports that the last byte of an attempt arrived at a server; firstByte is when the first one did.
+// AttemptArrived reports that the last byte of an attempt arrived at a server. The first byte arrived at firstByte.
 func (c *Checker) AttemptArrived(now, firstByte time.Duration, node int, server, id, class string, seq uint64) {
 	c.counts.Attempts++
 	req := c.requestByID(now, id, class)
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -10,9 +10,9 @@
 	rememberAfterDeadline = 5 * time.Second
 	// rememberWithoutDeadline is how long a request is remembered that no client is known to have sent.
 	rememberWithoutDeadline = 10 * time.Second
-	// rememberDraining is how long the state of a server that was removed, or drains, is remembered at the longest.
+	// rememberDraining is the longest time that the state of a removed or draining server is remembered.
 	rememberDraining = 10 * time.Minute
-	// maxHistory is the number of entries in the history of a request.
+	// maxHistory is the largest number of entries in the history of a request.
 	maxHistory = 40
 	// maxHistories is the number of violations that keep the history of their request.
 	maxHistories = 50
@@ -25,18 +25,18 @@
 	violations []Violation
 	counts     Counts
 
-	requests     map[string]*request // by id
-	requestOrder []*request          // in the order in which they were first seen
+	requests     map[string]*request // requests by id
+	requestOrder []*request          // the requests in the order in which they were first seen
 
 	nodes            map[int]*nodeView
-	draining         map[string]drainState // by server: what the discovery service has to send
+	draining         map[string]drainState // by server: states, other than up, that the discovery service has to send
 	isDiscoveryDown  bool
 	discoveryUpSince time.Duration
-	starts           map[string]serverStart           // by server
-	knownStarts      map[int]map[string]time.Duration // by node and server
+	starts           map[string]serverStart           // latest start of each server
+	knownStarts      map[int]map[string]time.Duration // by node and server: start time that the node was notified of
 }
 
-// New makes a checker.
+// New returns a checker for requests of the given classes.
 func New(classes []Class, tolerances Tolerances) *Checker {
 	c := &Checker{
 		classes:     map[string]Class{},
@@ -67,8 +67,7 @@
 	return counts
 }
 
-// Advance finds requests that were not answered by their deadline and forgets old ones. It has to be called from time
-// to time.
+// Advance finds requests that were not answered by their deadline and forgets old ones. It has to be called regularly.
 func (c *Checker) Advance(now time.Duration) {
 	remembered := c.requestOrder[:0]
 	for _, req := range c.requestOrder {
--- a/internal/testbed/invariants/endpointlist.go
+++ b/internal/testbed/invariants/endpointlist.go
@@ -6,22 +6,22 @@
 const (
 	stateUp      = "up" // the only state in which a server takes new requests
 	stateRemoved = "removed"
-	// stateUnlisted is not sent: it stands for a server that a full list no longer has.
+	// stateUnlisted stands for a server that a full list no longer contains. The discovery service does not send it.
 	stateUnlisted = "gone"
 )
 
 // rememberUnlisted is how long a node's view keeps a server that is no longer listed.
 const rememberUnlisted = time.Minute
 
-// nodeView is what a node was notified of.
+// nodeView is what a node knows of the endpoint list from notifications.
 type nodeView struct {
-	isListed map[string]bool // by server
+	isListed map[string]bool // by server: whether the list contains it
 	draining map[string]drainState
 }
 
 // drainState is the state of a server that takes no new requests.
 type drainState struct {
-	since time.Duration // first notification
+	since time.Duration // time of the first notification
 	state string
 }
 
@@ -49,7 +49,7 @@
 	view.forgetUnlisted(now)
 }
 
-// beginDraining records that a server takes no new requests. A repeated notification does not count.
+// beginDraining records that a server takes no new requests. Repeated notifications change nothing.
 func (v *nodeView) beginDraining(now time.Duration, server, state string) {
 	if _, known := v.draining[server]; !known {
 		v.draining[server] = drainState{now, state}
@@ -91,7 +91,7 @@
 	return drain, true
 }
 
-// ServerListed reports that the discovery service has a new state of a server to send.
+// ServerListed reports the state of a server that the discovery service has to send from now on.
 func (c *Checker) ServerListed(now time.Duration, server, state string) {
 	if state == stateUp {
 		delete(c.draining, server)
@@ -108,7 +108,7 @@
 	c.isDiscoveryDown = !isUp
 }
 
-// NodeRestarted reports that a node was started anew: it has the endpoint list of its configuration.
+// NodeRestarted reports that a node was restarted: it has only the endpoint list of its configuration.
 func (c *Checker) NodeRestarted(node int) {
 	delete(c.nodes, node)
 	delete(c.knownStarts, node)
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -2,8 +2,8 @@
 // request gets exactly one final answer, by its deadline and made for it; a request is retried only as far as its class
 // is idempotent; a server that drains gets no new requests; no server crashes from overload in slow start.
 //
-// It has no clock and no I/O: whoever sees an event reports it with its time. It does not know what nodes believe, so
-// it can err in their favour only: what never reached the testbed is not counted against them.
+// The package has no clock and no I/O: its callers report each event with its time. It does not know what nodes
+// believe, so it can err only in their favour: what never reached the testbed is not counted against them.
 //
 // A Checker belongs to one goroutine. It forgets a request some seconds after its deadline.
 package invariants
@@ -17,29 +17,29 @@
 // Effect says how far requests of a class may be retried.
 type Effect int
 
-// The effects.
+// The effects that a class can have.
 const (
-	Idempotent   Effect = iota // always: a second execution has no further effect
-	Deduplicated               // within the window of the idempotency key: the origin drops repeats
-	AtMostOnce                 // only if no earlier attempt may have been executed
+	Idempotent   Effect = iota // requests may always be retried: a second execution has no further effect
+	Deduplicated               // requests may be retried within the window of the idempotency key: the origin drops repeats
+	AtMostOnce                 // requests may be retried only if no earlier attempt may have been executed
 )
 
 // Effects are the effects by their names in scenario files.
 var Effects = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "at_most_once": AtMostOnce}
 
-// Class is a class of requests.
+// Class says how far requests of a class may be retried.
 type Class struct {
 	Name   string
 	Effect Effect
-	Window time.Duration // Deduplicated: from the first attempt that may have been executed
+	Window time.Duration // for Deduplicated: how long retries are allowed after the first attempt that may have been executed
 }
 
 // Tolerances bound how long nodes may take to follow a change.
 type Tolerances struct {
-	// DrainWithin is the time from the notification that a server drains to the last new request for it.
+	// DrainWithin is how long after the notification that a server drains new requests may still be sent to it.
 	DrainWithin time.Duration
 	// NotifyWithin is the time after which a node counts as notified of what the discovery service has to send, as
-	// long as the service is reachable. With 0 a node counts as notified only when it was.
+	// long as the service is reachable. With 0, a node counts as notified only when it was notified.
 	NotifyWithin time.Duration
 	// Grace is added to each limit, for the delays of the testbed itself.
 	Grace time.Duration
@@ -93,9 +93,9 @@
 
 // The kinds of final answers.
 const (
-	Served   Final = iota // a value
-	Rejected              // -BUSY: the request had no effect
-	Failed                // an error: the request may have had an effect
+	Served   Final = iota // the answer is a value
+	Rejected              // the answer is -BUSY: the request had no effect
+	Failed                // the answer is an error: the request may have had an effect
 )
 
 var finalNames = [...]string{"served", "refused", "failed"}
@@ -106,17 +106,17 @@
 // Proof is what the response of a server proves about an attempt.
 type Proof int
 
-// The proofs.
+// The proofs that a response can give.
 const (
 	PossiblyExecuted Proof = iota // the attempt may have been executed
-	NotExecuted                   // it was rejected, or the server had no copy
+	NotExecuted                   // the server rejected the attempt, or answered with a miss
 )
 
 // Counts counts what was checked.
 type Counts struct {
-	Requests      int // that a node accepted
+	Requests      int // requests that a node accepted
 	Answered      int // final answers
-	Attempts      int // that arrived at servers
-	Notifications int // of nodes by the discovery service
+	Attempts      int // attempts that arrived at servers
+	Notifications int // notifications of nodes by the discovery service
 	Open          int // requests that have no final answer yet
 }
--- a/internal/testbed/invariants/request.go
+++ b/internal/testbed/invariants/request.go
@@ -8,13 +8,13 @@
 // request is what is known of a client's request.
 type request struct {
 	id, class  string
-	isAccepted bool // a node accepted it from a client of the testbed
-	isOver     bool // it was answered, or nothing is owed for it any more
-	node       int  // that accepted it
+	isAccepted bool // a node accepted the request from a client of the testbed
+	isOver     bool // the request was answered, or no answer is owed any more
+	node       int  // the node that accepted the request
 	deadline   time.Duration
 	attempts   []*attempt
 	executions int
-	madeBy     map[string]bool // servers that made a value for it
+	madeBy     map[string]bool // servers that made a value for the request
 	history    []string
 	forgetAt   time.Duration
 }
@@ -41,7 +41,7 @@
 }
 
 // RequestSent reports that a client wrote the last byte of a request to a node, whose machine had accepted the
-// connection. The deadline is a time of the run.
+// connection. The deadline counts from the start of the run.
 func (c *Checker) RequestSent(now time.Duration, id, class string, node int, deadline time.Duration) {
 	req := c.requestByID(now, id, class)
 	req.isAccepted, req.node, req.deadline, req.forgetAt = true, node, deadline, deadline+rememberAfterDeadline
@@ -72,7 +72,7 @@
 		c.checkValue(now, req, madeFor)
 	case Rejected:
 		c.checkRejection(now, req)
-	case Failed: // an error promises nothing
+	case Failed: // an error does not promise that the request had no effect
 	}
 }
 
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -4,9 +4,9 @@
 
 // serverStart counts the attempts that arrived at a server since its process started.
 type serverStart struct {
-	at                 time.Duration // as the endpoint list gives it
+	at                 time.Duration // start time of the process in the endpoint list
 	attempts           int
-	uninformedAttempts int // from nodes that had not been notified of the start
+	uninformedAttempts int // attempts from nodes that had not been notified of the start
 }
 
 // ServerStarted reports that the process of a server started with an empty cache; at is the start time that the
