--- a/internal/testbed/eventlog/log.go
+++ b/internal/testbed/eventlog/log.go
@@ -12,14 +12,14 @@
 // Log is the event log of a run. It keeps the hash of the lines, not the lines. It is not safe for concurrent use.
 type Log struct {
 	hash   *xxhash.Digest
-	buffer []byte // of Append
+	buffer []byte // reused by Append
 }
 
 // New makes an empty log.
 func New() *Log { return &Log{hash: xxhash.New()} }
 
-// Append adds an event: its time in nanoseconds, its name and its fields, separated by spaces. It returns the line, with
-// its end, which is valid until the next call.
+// Append adds an event: its time in nanoseconds, its name and its fields, separated by spaces. It returns the line,
+// including the newline. The returned slice is valid until the next call.
 func (l *Log) Append(at time.Duration, name string, fields ...string) []byte {
 	entry := strconv.AppendInt(l.buffer[:0], int64(at), 10)
 	entry = append(append(entry, ' '), name...)
@@ -27,7 +27,7 @@
 		entry = append(append(entry, ' '), field...)
 	}
 	l.buffer = append(entry, '\n')
-	_, _ = l.hash.Write(l.buffer) // a hash never fails
+	_, _ = l.hash.Write(l.buffer) // writing to a hash never fails
 	return l.buffer
 }
 
--- a/internal/testbed/eventqueue/queue.go
+++ b/internal/testbed/eventqueue/queue.go
@@ -1,4 +1,4 @@
-// Package eventqueue holds work that is scheduled for points of a virtual time. Events of the same time run in the
+// Package eventqueue holds work that is scheduled for times of a virtual clock. Events of the same time run in the
 // order in which they were scheduled, so that a run with the same input does the same work in the same order.
 package eventqueue
 
@@ -9,10 +9,10 @@
 
 // Event is work that is scheduled for a time.
 type Event struct {
-	At  time.Duration // since the start of the run
+	At  time.Duration // time of the event since the start of the run
 	Run func()
 
-	sequence uint64 // how many events were scheduled before this one
+	sequence uint64 // position in the order of scheduling
 }
 
 // Queue is a priority queue of events by time. The zero value is empty and ready for use. A Queue is not safe for
@@ -22,8 +22,8 @@
 	scheduled uint64
 }
 
-// Schedule adds work for a time. The queue has no clock: a caller that does not want events in the past has to raise
-// the time to the present one.
+// Schedule adds work for a time. The queue has no clock: a caller that does not want events in the past must not
+// pass a time before the present.
 func (q *Queue) Schedule(at time.Duration, run func()) {
 	q.scheduled++
 	heap.Push(&q.events, Event{At: at, Run: run, sequence: q.scheduled})
@@ -69,7 +69,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	event := (*h)[last]
-	(*h)[last] = Event{} // releases what the closure holds
+	(*h)[last] = Event{} // releases the references that the closure holds
 	*h = (*h)[:last]
 	return event
 }
--- a/internal/testbed/seedrunner/seedrunner.go
+++ b/internal/testbed/seedrunner/seedrunner.go
@@ -1,4 +1,4 @@
-// Package seedrunner plays many seeds of a simulation on parallel workers and collects the runs that violated an
+// Package seedrunner runs many seeds of a simulation on parallel workers and collects the runs that violated an
 // invariant. Each run is deterministic; only the order in which runs are reported depends on the workers.
 package seedrunner
 
@@ -10,9 +10,9 @@
 	"shelfproxy/internal/testbed/simulation"
 )
 
-// Simulation is one of the two simulations that a seed can be played in.
+// Simulation is one of the two simulations that can run a seed.
 type Simulation struct {
-	// Run draws the plan of a seed without the parts in skip and plays it.
+	// Run draws the plan of a seed without the parts in skip, and runs it.
 	Run func(seed uint64, skip map[int]bool, opt simulation.Options) *simulation.Report
 	// Shrink searches for a smaller plan of the seed that violates the same invariant. It returns the parts to skip and
 	// the report of the run without them.
@@ -35,11 +35,11 @@
 	Shrink: simulation.ShrinkFleet,
 }
 
-// Options select the seeds and how they are played.
+// Options select the seeds and how they are run.
 type Options struct {
-	First   uint64 // the first seed
-	Count   uint64 // how many seeds from the first on
-	Workers int    // runs in parallel; below 1 counts as 1
+	First   uint64 // the first seed to run
+	Count   uint64 // number of seeds, from First on
+	Workers int    // number of seeds that run in parallel; values below 1 count as 1
 	// StopAtViolation starts no further seed once a run has violated an invariant.
 	StopAtViolation bool
 	// OnReport, if set, is called after every run, with the summary so far. Calls do not overlap.
@@ -48,8 +48,8 @@
 
 // Summary is the result of all runs so far.
 type Summary struct {
-	Seeds       uint64 // played
-	Requests    int    // scheduled, over all seeds
+	Seeds       uint64 // number of seeds that were run
+	Requests    int    // requests that were scheduled, over all seeds
 	Violating   []*simulation.Report
 	ByInvariant map[string]int // number of violating runs, by the first invariant that each violated
 	Elapsed     time.Duration
@@ -60,10 +60,10 @@
 	return time.Duration(float64(s.Elapsed) * float64(max(1, workers)) / float64(max(1, s.Seeds)))
 }
 
-// Run plays the seeds. It stops early, with the summary so far, when the context ends; runs that have started are finished.
+// Run runs the seeds and returns the summary. It stops early when the context ends; runs that have started are finished.
 func Run(ctx context.Context, sim Simulation, opt Options) *Summary {
 	runner := &runner{options: opt, began: time.Now(), summary: Summary{ByInvariant: map[string]int{}}}
-	seeds := make(chan uint64) // closed below, when no further seed is to be played
+	seeds := make(chan uint64) // closed below, when no further seed is to be run
 	var workers sync.WaitGroup
 	for range max(1, opt.Workers) {
 		workers.Go(func() {
--- a/internal/testbed/seedrunner/seedrunner_test.go
+++ b/internal/testbed/seedrunner/seedrunner_test.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/testbed/simulation"
 )
 
-// violatingFrom is a simulation whose runs violate an invariant from a seed on.
+// violatingFrom returns a simulation in which the runs of all seeds from first on violate an invariant.
 func violatingFrom(first uint64) Simulation {
 	return Simulation{Run: func(seed uint64, _ map[int]bool, _ simulation.Options) *simulation.Report {
 		report := &simulation.Report{Seed: seed, Scheduled: 2}
@@ -39,7 +39,7 @@
 
 func TestNoSeedIsStartedAfterAViolation(t *testing.T) {
 	summary := Run(t.Context(), violatingFrom(0), Options{Count: 1000, Workers: 1, StopAtViolation: true})
-	if summary.Seeds < 1 || summary.Seeds > 3 { // one in flight and one handed out when the violation is seen
+	if summary.Seeds < 1 || summary.Seeds > 3 { // when the violation is seen, one further seed may be running and one handed out
 		t.Errorf("%d seeds were played, want at most 3", summary.Seeds)
 	}
 }
