--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -110,7 +110,7 @@
 // printShrunk searches for a smaller run that violates the same invariant and prints how to replay it.
 func printShrunk(out io.Writer, sim seedrunner.Simulation, report *simulation.Report) {
 	skip, shrunk := sim.Shrink(report.Seed, report.Violations[0].Invariant)
-	fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", report.Seed, simulation.SkipWords(skip), shrunk)
+	fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", report.Seed, simulation.FormatSkip(skip), shrunk)
 }
 
 // replaySeed plays one seed and prints its report with every violation.
--- a/internal/testbed/simulation/shrink.go
+++ b/internal/testbed/simulation/shrink.go
@@ -42,8 +42,8 @@
 	return slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Invariant == invariant })
 }
 
-// SkipWords returns the numbers of the parts that are left out, separated by commas, for use on a command line.
-func SkipWords(skip map[int]bool) string {
+// FormatSkip returns the numbers of the parts that are left out, separated by commas, for use on a command line.
+func FormatSkip(skip map[int]bool) string {
 	var numbers []string
 	for _, i := range slices.Sorted(maps.Keys(skip)) {
 		numbers = append(numbers, strconv.Itoa(i))
