--- a/internal/admission/concurrency_limiter.go
+++ b/internal/admission/concurrency_limiter.go
@@ -25,7 +25,7 @@
 const (
 	cutFactor            = 0.5              // fraction of the limit that is left after a cut
 	congestedFactor      = 1.6              // multiple of minMean above which a latency indicates queueing
-	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing: a lost or a few long ones can raise the mean
+	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing: one lost or a few slow requests can raise the mean
 	minUsefulLimit       = 2.0              // up to this limit a long latency is attributed to the server itself, not to its queue
 	growthStep           = 0.1              // increase of the limit for each response; 1/limit if that is more
 	meanSamples          = 8                // number of samples in a mean
@@ -71,7 +71,7 @@
 	}
 }
 
-// cut lowers the limit and starts new means, as the samples so far were taken under the old limit.
+// cut lowers the limit and restarts the mean latencies, as the samples so far were taken under the old limit.
 func (c *ConcurrencyLimiter) cut(now Time, inFlight int) {
 	c.limit, c.cutAt = max(1, min(c.limit, float64(inFlight))*cutFactor), now
 	c.reads.samples, c.writes.samples = 0, 0
--- a/internal/admission/connection_policy.go
+++ b/internal/admission/connection_policy.go
@@ -16,8 +16,9 @@
 	// CrowdedFrom and CrowdedFull are fractions of MaxConnections. Idle timeouts are Long up to CrowdedFrom, shrink between
 	// the two, and are Short from CrowdedFull on.
 	CrowdedFrom, CrowdedFull float64
-	// MaxUnsentBytes bounds the unsent bytes of responses on all connections together; 0 is no bound. Past it, connections
-	// whose clients read nothing for StuckTimeout are closed, the one without progress for longest first.
+	// MaxUnsentBytes bounds the unsent bytes of responses on all connections together; 0 is no bound. Past it,
+	// connections whose clients read nothing for StuckTimeout are closed. The connection that has made no progress for
+	// the longest time is closed first.
 	MaxUnsentBytes int
 	StuckTimeout   time.Duration
 	// LookAhead is how far the growth of the table is extrapolated: a table that fills counts as fuller than it is.
--- a/internal/admission/connection_stage.go
+++ b/internal/admission/connection_stage.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Stage classifies a connection by the commands that it has sent. It decides how long the connection may stay without an
-// open request.
+// Stage classifies a connection by the commands that it has sent. The stage decides how long the connection may stay
+// without an open request.
 type Stage int
 
 // The stages of a connection.
 const (
 	StageNew            Stage = iota // has sent nothing yet
 	StagePartialCommand              // has sent part of a command, which gets a response once it is complete
-	StageGreeted                     // has sent valid commands but no request, like a proxy's check or a client library's start
+	StageGreeted                     // has sent valid commands but no request, as proxies do to check a server, or client libraries at their start
 	StageOneRequest                  // has made one request
 	StageInvalid                     // its last command was invalid
 	StageRegular                     // has made several requests
@@ -39,7 +39,7 @@
 type connection struct {
 	id           uint64
 	openCommands int  // commands that wait for a response
-	idleSince    Time // time since which openCommands is 0, or of the first part of a later partial command
+	idleSince    Time // when openCommands became 0, or when the first part of a later partial command arrived
 	stage        Stage
 	isClosing    bool // the connection was marked for closing, and Closed was not called yet
 
@@ -51,7 +51,7 @@
 	hasPartial    bool    // the connection has sent part of a command
 
 	unsent     int  // bytes of responses that are ready but not written
-	progressAt Time // when unsent bytes were last written, or the first became ready
+	progressAt Time // when unsent bytes were last written, or when the first became ready
 
 	queue          *idleQueue // idle queue that holds the connection, or nil
 	previous, next *connection
@@ -99,19 +99,20 @@
 	return StageNew
 }
 
-// Regular connections are grouped into classes by the interval between their requests. The length of each class is twice
-// that of the one before.
+// Regular connections are grouped into classes by the interval between their requests. The upper bound of each class is
+// twice that of the class before. The last class also holds all longer intervals.
 const (
 	intervalClasses  = 14
 	shortestInterval = 8 * time.Millisecond
 	minLogInterval   = 1e-6 // seconds; avoids the logarithm of an interval of 0
 )
 
-// intervalClass returns the class of an interval in seconds: the first class that is at least as long, or the last one.
+// intervalClass returns the class of an interval in seconds: the first class whose upper bound is not less than the
+// interval, or the last class.
 func intervalClass(seconds float64) int {
 	class := math.Ceil(math.Log2(max(seconds, minLogInterval) / shortestInterval.Seconds()))
 	return int(min(max(class, 0), intervalClasses-1))
 }
 
-// classSeconds returns the length of an interval class in seconds.
+// classSeconds returns the upper bound of an interval class in seconds.
 func classSeconds(class int) float64 { return shortestInterval.Seconds() * math.Exp2(float64(class)) }
--- a/internal/admission/connection_table.go
+++ b/internal/admission/connection_table.go
@@ -105,8 +105,8 @@
 	t.growth.record(now, -1)
 }
 
-// Retain unmarks a connection that was marked for closing but turned out not to be idle. Its idle time still counts from
-// the same moment.
+// Retain unmarks a connection that was marked for closing but turned out not to be idle. The beginning of its idle time
+// does not change.
 func (t *ConnectionTable) Retain(id uint64) {
 	c := t.connections[id]
 	if c == nil || !c.isClosing {
--- a/internal/admission/descriptor_split.go
+++ b/internal/admission/descriptor_split.go
@@ -24,7 +24,7 @@
 
 // DescriptorSplitPolicy configures a DescriptorSplit.
 type DescriptorSplitPolicy struct {
-	Start, Floor [NumSides]int // descriptors of each side at the start, and its minimum
+	Start, Floor [NumSides]int // number of descriptors of each side at the start, and its minimum
 	Step         int           // maximum number of descriptors that move at a time
 	Hold         time.Duration // time for which a side that gained descriptors gives none away
 	Fade         time.Duration // time in which a peak of use decays to 1/e
@@ -46,7 +46,7 @@
 
 const (
 	peakHeadroom          = 1.25 // multiple of its peak use that a side keeps
-	spareDescriptors      = 2    // descriptors that a side keeps beyond that
+	spareDescriptors      = 2    // descriptors that a side keeps in addition to peakHeadroom times its peak use
 	nearlyExhaustedTenths = 9    // tenths of its limit that a side has to use before it may need more
 )
 
@@ -94,8 +94,8 @@
 	return recipient, ok
 }
 
-// need returns how urgently a side needs more descriptors; 0 means not at all. One time that no descriptor was available
-// counts as much as a limit that is used completely.
+// need returns how urgently a side needs more descriptors; 0 means not at all. Each time that no descriptor was
+// available counts as much as a limit that is used completely.
 func (s *DescriptorSplit) need(side Side, usage SideUsage) float64 {
 	need := 0.0
 	if s.isStarted {
--- a/internal/admission/descriptor_split_test.go
+++ b/internal/admission/descriptor_split_test.go
@@ -13,7 +13,7 @@
 	split      *DescriptorSplit
 	exhausted  [NumSides]int64
 	lastChange [NumSides]int // last change of each limit, other than 0
-	reversals  int           // number of changes of a limit in the opposite direction of the change before
+	reversals  int           // number of changes of a limit that were opposite to the change of this limit before
 }
 
 // step rebalances the split for a demand, and checks that the sum of the limits is unchanged and that no limit is below
--- a/internal/admission/eviction_test.go
+++ b/internal/admission/eviction_test.go
@@ -13,7 +13,8 @@
 	isDisconnected bool
 }
 
-// crowd models a table with regular clients, and with others that connect at even intervals and never close.
+// crowd models a table with regular clients, and with other clients that connect at even intervals and never close
+// their connections.
 type crowd struct {
 	table    *ConnectionTable
 	regulars []*regularClient
@@ -76,9 +77,9 @@
 }
 
 // TestCrowdDoesNotDisconnectRegularClients guards against a crowd of other clients that keeps regular clients out or
-// makes the table close their connections. In one case the crowd consists of one-shot clients that never close: they
-// connect at four times the rate at which the table could keep each connection for 2 s. In the other case a connection
-// that sends nothing is opened every 7 ms.
+// makes the table close their connections. In one case the clients of the crowd send one request each and never close
+// their connections. They connect at four times the rate at which the table could keep each connection for 2 s. In the
+// other case a connection that sends nothing is opened every 7 ms.
 func TestCrowdDoesNotDisconnectRegularClients(t *testing.T) {
 	for name, test := range map[string]struct {
 		interval     time.Duration // time between two connections of the crowd
--- a/internal/admission/fair_queue_test.go
+++ b/internal/admission/fair_queue_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestPipelineOfOneConnectionDoesNotDelayOthers guards against one connection with hundreds of commands that delays the
-// others. It also checks that an item of a higher cost waits longer, and that a full queue accepts no further item.
+// commands of others. It also checks that an item of a higher cost waits longer, and that a full queue accepts no
+// further item.
 func TestPipelineOfOneConnectionDoesNotDelayOthers(t *testing.T) {
 	queue := &FairQueue[string]{Quantum: 2, MaxPerConnection: 200}
 	for i := range 250 {
@@ -43,8 +44,8 @@
 	}
 }
 
-// fairQueueModel counts the items added to and taken from a queue, by connection. Each item is its connection's count
-// when it was added.
+// fairQueueModel counts the items added to and taken from a queue, by connection. The value of an item is the number of
+// items that its connection had added before.
 type fairQueueModel struct {
 	*rapid.T
 	queue             *FairQueue[int]
--- a/internal/admission/idle_expiry.go
+++ b/internal/admission/idle_expiry.go
@@ -33,7 +33,7 @@
 }
 
 // idleTimeout returns how long the connections of a queue may stay idle. It interpolates between the long and the short
-// timeout on a logarithmic scale: equal steps of the crowding shrink it by equal factors.
+// timeout on a logarithmic scale: equal steps of the crowding shrink the timeout by equal factors.
 func (t *ConnectionTable) idleTimeout(queue int, crowding float64) time.Duration {
 	stage := Stage(min(queue, int(StageRegular)))
 	timeouts := t.policy.IdleTimeouts[stage]
@@ -45,7 +45,8 @@
 	return time.Duration(math.Exp((1-crowding)*logLong + crowding*logShort))
 }
 
-// ExpireIdle marks connections whose idle timeout has expired for closing, at most limit of them, and returns their ids.
+// ExpireIdle marks for closing the connections whose idle timeout has expired, at most limit of them, and returns their
+// ids.
 func (t *ConnectionTable) ExpireIdle(now Time, limit int) (ids []uint64) {
 	crowding := t.Crowding(now)
 	for i := range t.queues {
--- a/internal/admission/idle_queue.go
+++ b/internal/admission/idle_queue.go
@@ -1,10 +1,10 @@
 package admission
 
-// idleQueue is a doubly linked list of idle connections, the connection that is idle for longest first.
+// idleQueue is a doubly linked list of idle connections. The connection that has been idle longest comes first.
 type idleQueue struct{ head, tail *connection }
 
-// push inserts a connection in the order of idleSince. That is at the tail, unless the caller reported the connection
-// late.
+// push inserts a connection in the order of idleSince. That is at the tail, unless the queue already holds connections
+// that became idle later, as may happen after Retain.
 func (q *idleQueue) push(c *connection) {
 	before := q.tail
 	for before != nil && before.idleSince > c.idleSince {
--- a/internal/admission/priority_queue_test.go
+++ b/internal/admission/priority_queue_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestNewestOfEqualsComesOutFirst checks the order of equal weights: the item that waits for longest is the first to be
-// too late.
+// TestNewestOfEqualsComesOutFirst checks that of items of equal weight the newest comes out first: the item that has
+// waited longest is the most likely to be too late anyway.
 func TestNewestOfEqualsComesOutFirst(t *testing.T) {
 	var queue PriorityQueue[string]
 	queue.Add("old", 1)
--- a/internal/admission/queue_delay.go
+++ b/internal/admission/queue_delay.go
@@ -3,28 +3,29 @@
 import "time"
 
 // QueueDelay detects a standing queue by how long items wait in it, not by how many there are (CoDel; Nichols and
-// Jacobson, "Controlling Queue Delay", 2012). A queue is behind if the shortest wait over an interval exceeds the target;
-// a burst that is soon served does not count. Where CoDel drops single packets, QueueDelay returns the fraction of the
-// sheddable load to shed. That fraction rises while the queue stays behind, and falls when it no longer is.
+// Jacobson, "Controlling Queue Delay", 2012). A queue is behind if the shortest wait over an interval exceeds the
+// target; a burst that is soon served does not count. Where CoDel drops single packets, QueueDelay returns the fraction
+// of the sheddable load to shed, the level. The level rises while the queue stays behind, and falls when it no longer
+// is.
 type QueueDelay struct {
 	Target   time.Duration // longest wait that is acceptable
-	Interval time.Duration // time over which the shortest wait is taken; several service times
+	Interval time.Duration // time over which the shortest wait is taken; should be several service times
 
 	intervalStart Time
 	isStarted     bool
 	shortest      time.Duration // shortest wait in this interval
 	hasSample     bool          // an item left the queue in this interval
-	level         float64
+	level         float64       // fraction of the sheddable load to shed
 }
 
 const (
-	levelRise        = 0.1  // rise at the end of an interval that is behind, times the ratio of its shortest wait to the target
-	maxRiseMultiple  = 4    // bound of that ratio
-	levelFall        = 0.15 // fall at the end of an interval that is not behind
+	levelRise        = 0.1  // after an interval whose shortest wait exceeds Target, the level rises by this times (shortest wait / Target)
+	maxRiseMultiple  = 4    // the level rises by at most this many times levelRise after one interval
+	levelFall        = 0.15 // fall of the level after any other interval
 	maxIdleIntervals = 64   // number of intervals without a call after which the level is set to 0
 )
 
-// Observe records how long an item waited that has left the queue.
+// Observe records how long an item that has just left the queue waited in it.
 func (d *QueueDelay) Observe(now Time, wait time.Duration) {
 	d.endIntervals(now)
 	if !d.hasSample || wait < d.shortest {
@@ -38,8 +39,8 @@
 	return d.level
 }
 
-// endIntervals ends the intervals that have passed. An interval in which no item left the queue counts as not behind, as
-// the queue was empty.
+// endIntervals ends the intervals that have passed, and adjusts the level after each. After an interval in which no
+// item left the queue the level falls, as the queue was empty.
 func (d *QueueDelay) endIntervals(now Time) {
 	if !d.isStarted {
 		d.intervalStart, d.isStarted = now, true
--- a/internal/admission/queue_delay_test.go
+++ b/internal/admission/queue_delay_test.go
@@ -31,5 +31,5 @@
 	if got := delay.Level(5 * time.Second); got != 0 {
 		t.Errorf("after 2 s without items: got the level %.2f, want 0", got)
 	}
-	delay.Observe(time.Hour, 0) // ends at once: the many intervals of a long pause are not ended one by one
+	delay.Observe(time.Hour, 0) // returns soon: the many intervals of a long pause are not ended one by one
 }
--- a/internal/admission/request_memory.go
+++ b/internal/admission/request_memory.go
@@ -1,8 +1,8 @@
 package admission
 
 // RequestMemory bounds the bytes of the requests in progress: the value of each request, and the memory that the node
-// keeps for it. Only writes carry values. They have the greatest weight and are never shed, so the last part of the
-// memory is reserved for writes. Past the bound a request is rejected before any of it is executed.
+// keeps for it. Only writes carry values. Writes have the greatest weight and are never shed, so the last part of the
+// memory is reserved for them. Past the bound a request is rejected before any of it is executed.
 type RequestMemory struct {
 	Limit int // bytes of all requests in progress; 0 is no bound
 
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -9,7 +9,7 @@
 	Ratio        float64 // tokens that each first attempt earns
 	MinPerSecond float64 // tokens that each second earns
 	MaxSaved     float64 // maximum number of saved tokens
-	Burst        float64 // tokens that may always be saved; beyond it only those earned in the last second may; 0 is no bound
+	Burst        float64 // tokens that may always be saved; more may be saved only if they were earned in about the last second; 0 is no bound
 
 	recentlyEarned float64 // tokens earned recently; a token earned a second ago counts 1/e
 	tokens         float64
@@ -34,7 +34,7 @@
 	return true
 }
 
-// refill adds the tokens that the time since the last call has earned, and applies the bounds. A budget starts full.
+// refill adds the tokens for the time since the last call, and applies the bounds. A budget starts full.
 func (b *RetryBudget) refill(now Time) {
 	if !b.isStarted {
 		b.isStarted, b.tokens = true, b.MaxSaved
--- a/internal/admission/unsent_bytes.go
+++ b/internal/admission/unsent_bytes.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// NextStuck marks a connection for closing whose client reads nothing, while all connections together have too many
-// unsent bytes. The caller closes it at once. Its unsent bytes will never be written, so they no longer count.
+// NextStuck marks for closing a connection whose client reads nothing, if all connections together have too many unsent
+// bytes. The caller closes the connection at once. Its unsent bytes will never be written, so they no longer count.
 func (t *ConnectionTable) NextStuck(now Time) (id uint64, found bool) {
 	if t.policy.MaxUnsentBytes <= 0 || t.unsent <= t.policy.MaxUnsentBytes {
 		return 0, false
@@ -42,8 +42,8 @@
 	return worst.id, true
 }
 
-// longestStuck returns the slow reader that has made no progress for longest, or nil if none has reached the stuck
-// timeout.
+// longestStuck returns the slow reader that has made no progress for the longest time, or nil if none has reached the
+// stuck timeout.
 func (t *ConnectionTable) longestStuck(now Time) (worst *connection) {
 	timeout := t.stuckTimeout()
 	for _, c := range t.slowReaders {
@@ -54,8 +54,8 @@
 	return worst
 }
 
-// stuckTimeout returns the policy's timeout, which shrinks as the unsent bytes exceed their bound: at twice the bound it
-// is a quarter.
+// stuckTimeout returns the policy's StuckTimeout, shortened as the unsent bytes exceed their bound: at twice the bound
+// it is a quarter of StuckTimeout.
 func (t *ConnectionTable) stuckTimeout() time.Duration {
 	fraction := float64(t.policy.MaxUnsentBytes) / float64(t.unsent)
 	return time.Duration(float64(t.policy.StuckTimeout) * fraction * fraction)
--- a/internal/admission/unsent_bytes_test.go
+++ b/internal/admission/unsent_bytes_test.go
@@ -6,7 +6,8 @@
 )
 
 // TestLongestStuckReaderIsClosedFirst checks which connection is closed when four clients together have too many unsent
-// bytes: the one whose client has read nothing for longest. The connection of a client that reads slowly stays.
+// bytes: the one whose client has read nothing for the longest time. The connection of a client that reads slowly
+// stays.
 func TestLongestStuckReaderIsClosedFirst(t *testing.T) {
 	policy := DefaultConnectionPolicy(10, time.Second, time.Minute, 50*ms)
 	policy.MaxUnsentBytes, policy.StuckTimeout = 1<<20, 250*ms
--- a/internal/listener/commands.go
+++ b/internal/listener/commands.go
@@ -17,7 +17,8 @@
 	setCommand = "CACHE.SET"
 )
 
-// decode dispatches the complete commands that were read from a connection, up to the limit of commands that wait for responses.
+// decode dispatches the complete commands that were read from a connection. It pauses the connection when MaxPipelined commands
+// wait for responses.
 func (c *Core) decode(now time.Time, conn *Conn, effects *Effects) {
 	conn.isPaused = false
 	for !conn.isClosed {
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -30,7 +30,7 @@
 	end                 End             // valid once isClosed is set
 	isClosed            bool
 	acceptedAt          time.Time
-	arrivedBy           time.Time // time by which the last bytes that were read had arrived; zero if unknown
+	arrivedBy           time.Time // time by which the bytes that were read last had arrived; zero if unknown
 	sentAfter           time.Time // bytes that are read from now on were sent at this time or later
 	lingerDeadline      time.Time // when a closed connection stops lingering; zero if the connection does not linger
 }
@@ -44,11 +44,12 @@
 // accepted records when the connection was accepted, and the earliest time at which the client may have opened it.
 func (c *Conn) accepted(now, openedSince time.Time) { c.acceptedAt, c.sentAfter = now, openedSince }
 
-// BytesArrived records that the bytes which are passed to the core next had arrived by the given time.
+// BytesArrived records the time by which the bytes that are passed to the core next had arrived.
 func (c *Conn) BytesArrived(by time.Time) { c.arrivedBy = by }
 
-// arrival returns the earliest time at which a command that is decoded now may have arrived: the time that the kernel reports or the
-// bound from arrivalAcrossPause, whichever is earlier. earliest is the same bound for any bytes that the process reads now.
+// arrival returns the earliest time at which a command that is decoded now may have arrived: the time that the kernel reports or
+// the bound from arrivalAcrossPause, whichever is earlier. earliest is the result of pauseTracker.earliestArrival, a bound that
+// holds for every connection.
 func (c *Conn) arrival(now, earliest time.Time) time.Time {
 	bound := c.arrivalAcrossPause(now, earliest)
 	if !c.arrivedBy.IsZero() && c.arrivedBy.Before(bound) {
@@ -57,11 +58,12 @@
 	return bound
 }
 
-// arrivalAcrossPause returns the earliest time at which a command that is read now may have arrived, given the earliest time for any
-// bytes that the process reads now. A command may have arrived while its connection waited to be accepted. It did not arrive before
-// the write of the previous response began, unless its client pipelines.
+// arrivalAcrossPause returns the earliest time at which a command that is read now may have arrived on this connection. earliest
+// is the bound for every connection: the beginning of a pause that has just ended, or else now. If this connection waited to be
+// accepted, the command may have arrived during that wait. It did not arrive before the write of the previous response began,
+// unless its client pipelines.
 func (c *Conn) arrivalAcrossPause(now, earliest time.Time) time.Time {
-	waited := pause.IsShown(c.sentAfter, c.acceptedAt) // false once a response was written
+	waited := pause.IsShown(c.sentAfter, c.acceptedAt) // false once a response was written, which moves sentAfter
 	if waited && now.Sub(c.acceptedAt) < settleTime || earliest.Before(c.sentAfter) {
 		return c.sentAfter
 	}
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -13,12 +13,12 @@
 // may wait, and which connections are closed. It has no clock, sockets or goroutines: its methods take the current time and collect
 // the effects that the shell carries out. It is not safe for concurrent use.
 type Core struct {
-	// Reply is called with the final response to a request by the code that answers it. The shell sets Reply to a function that passes
-	// the response to Respond.
+	// The code that answers a request calls Reply with the final response. The shell sets Reply to a function that passes the
+	// response to Respond.
 	Reply func(*Conn, *ResponseSlot, request.Response)
 
 	classes map[string]bool
-	tenants map[string]string // maps each name to itself: a request uses this copy, which does not keep the command in memory
+	tenants map[string]string // maps each name to itself: a request refers to this copy of the name and not to the bytes of the command
 	limits  Limits
 	count   *counters.Counters
 
@@ -134,9 +134,9 @@
 	}
 }
 
-// closeUnlessUnread closes a connection without pending responses. It does not if a command may have arrived that is not read yet,
-// or that is read but not decoded: the client would never get a response to it. This happens after a pause of the process, which
-// sees expired timers before the bytes that arrived meanwhile.
+// closeUnlessUnread closes a connection without pending responses, unless a command may have arrived that is not read or not
+// decoded yet: the client would never get a response to it. Such commands exist after a pause of the process, which sees expired
+// timers before the bytes that arrived during the pause.
 func (c *Core) closeUnlessUnread(now time.Time, conn *Conn, effects *Effects) {
 	switch {
 	case conn.isFramingBroken || conn.endReason == EndedByQuit: // no later command gets a response
--- a/internal/listener/core_property_test.go
+++ b/internal/listener/core_property_test.go
@@ -42,7 +42,7 @@
 	requests map[string]*modelRequest // requests handed to the handler, by id
 	replied  map[string]bool          // requests that the handler has answered, by id
 	lastID   int
-	current  *rapid.T // the test of the running call, which Reply needs
+	current  *rapid.T // the test that makes the current call of the core; Reply uses it
 }
 
 func newCoreModel(t *rapid.T) *coreModel {
@@ -302,10 +302,10 @@
 	}
 }
 
-// TestCoreKeepsItsInvariantsInAnyOrderOfCalls makes random calls of a core, in any order that a shell could, and checks its
+// TestCoreKeepsItsInvariantsInAnyOrderOfCalls makes random calls of a core, in any order that a shell could, and checks these
 // invariants. Each command gets one response, in order and with the reply of the handler; an invalid command gets an error. The
-// handler is told once that a client has disconnected. The number of commands that wait for responses is bounded. No connection is
-// closed in order while it has unread bytes. No connection is left in the end.
+// handler is told once that a client has disconnected. The number of commands that wait for responses is bounded. No connection
+// is closed in order while it has unread bytes. No connection is left in the end.
 func TestCoreKeepsItsInvariantsInAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newCoreModel(t)
--- a/internal/listener/core_test.go
+++ b/internal/listener/core_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestLingeringConnectionsAreBounded checks that the connection that has lingered for longest is closed when one more starts to
+// TestLingeringConnectionsAreBounded checks that the connection that has lingered longest is closed when too many connections
 // linger.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/internal/listener/effect.go
+++ b/internal/listener/effect.go
@@ -12,7 +12,7 @@
 	WriteResponses                       // responses of Conn are ready: call NextToWrite
 	ResumeReading                        // Conn is no longer paused: call Resume
 	CheckUnread                          // check whether Conn has unread bytes, then call UnreadChecked
-	HalfClose                            // close the sending side of Conn, discard its bytes until it ends, then call ConnectionEnded
+	HalfClose                            // close the sending side of Conn, discard further bytes from it, and call ConnectionEnded at its end
 	CloseConnection                      // close Conn
 	ReportEnd                            // Conn has ended: count and log Conn.End
 	CapacityAvailable                    // there may be capacity for another connection: call HasCapacity
--- a/internal/listener/end.go
+++ b/internal/listener/end.go
@@ -13,7 +13,7 @@
 	EndedForCapacity                     // the connection was idle and was closed to make space for another one
 	EndedStuck                           // the client read no responses
 	EndedWriteFailed                     // a response could not be written
-	EndedBadFraming                      // the client sent bytes that are no RESP2 command
+	EndedBadFraming                      // the client sent bytes that are not a RESP2 command
 )
 
 var endReasonNames = [...]string{"client", "quit", "drain", "idle", "no_command", "capacity", "stuck", "write_failed", "bad_framing"}
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -8,8 +8,8 @@
 	"shelfproxy/internal/admission"
 )
 
-// ExpireIdle closes the connections whose timeouts have expired and returns how long to wait before the next call. Without it these
-// connections would stay open forever and keep other clients out. A late call shows that the process did not run.
+// ExpireIdle closes the connections whose timeouts have expired and returns how long to wait before the next call. Without these
+// calls the connections would stay open forever and keep other clients out. A late call shows that the process did not run.
 func (c *Core) ExpireIdle(now time.Time, effects *Effects) (wait time.Duration) {
 	wait = c.expireIdle(now, effects)
 	c.pause.called(now, wait)
@@ -70,8 +70,8 @@
 	return maxSweepInterval
 }
 
-// Drain starts to close all connections, each once its pending responses are written. A connection with a partial command, or one
-// that is accepted from now on, has lingerTimeout to send the rest of the command.
+// Drain starts to close all connections, each once its pending responses are written. A connection with a partial command has
+// lingerTimeout to send the rest of it, and a connection that is accepted from now on has lingerTimeout to send a command.
 func (c *Core) Drain(now time.Time, effects *Effects) {
 	c.isDraining, c.drainDeadline = true, now.Add(lingerTimeout)
 	effects.capacityAvailable()
--- a/internal/listener/expiry_test.go
+++ b/internal/listener/expiry_test.go
@@ -9,8 +9,9 @@
 )
 
 // TestDrainWaitsForPartialCommand guards against a drain that cuts off a command of which only a part has arrived. If the rest
-// arrives within lingerTimeout, the command is handled and its connection is closed after the response; otherwise the connection is
-// closed without one. A connection that is accepted during the drain has the same time. An idle connection is closed at once.
+// arrives within lingerTimeout, the command is handled and its connection is closed after the response; otherwise the connection
+// is closed without a response. A connection that is accepted during the drain has as much time. An idle connection is closed at
+// once.
 func TestDrainWaitsForPartialCommand(t *testing.T) {
 	const command = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=read,d=3000\r\n"
 	for _, received := range []int{0, 1, 30, len(command) - 1} { // bytes before the drain; 0 means accepted during the drain
--- a/internal/listener/framing.go
+++ b/internal/listener/framing.go
@@ -25,7 +25,7 @@
 	errInvalidFraming  protocolError = "expected an array of bulk strings"
 )
 
-// errNeedMoreBytes is returned when all received bytes have been handed over.
+// errNeedMoreBytes is returned by framingGuard.Read when all bytes that were received have been handed to redcon's reader.
 var errNeedMoreBytes = errors.New("more bytes are needed")
 
 // framingState is the part of the framing that a framingGuard expects next.
@@ -33,7 +33,7 @@
 
 const (
 	expectHeader   framingState = iota // '*' at the start of a command, '$' within one
-	expectDigit                        // a digit of a count or length, or the CR behind it
+	expectDigit                        // a digit of a count or length, or the CR after the digits
 	expectHeaderLF                     // the LF that ends the line with a count or length
 	expectBulk                         // contents of a bulk string
 	expectBulkCR
@@ -50,7 +50,7 @@
 	err      error // describes how the framing is broken; nil while it is valid
 	state    framingState
 	isBulk   bool // number is the length of a bulk string, not the count of an array
-	number   int  // value of the digits read so far; within a bulk string, its bytes that are still to come
+	number   int  // value of the digits read so far; within a bulk string, the number of its bytes that are still to come
 	digits   int  // digits of the number read so far
 	argsLeft int  // bulk strings of the command that are not complete yet
 	length   int  // bytes of the command's bulk strings so far
--- a/internal/listener/golden_test.go
+++ b/internal/listener/golden_test.go
@@ -11,8 +11,8 @@
 	"shelfproxy/internal/request"
 )
 
-// TestCommandsMatchGoldenFile guards the wire format against accidental changes. The golden file holds commands, the requests that
-// are made of them, and the bytes of every kind of response, including that of INFO.
+// TestCommandsMatchGoldenFile guards the wire format against accidental changes. The golden file holds commands, the requests
+// that result from them, and the bytes of every kind of response, including that of INFO.
 func TestCommandsMatchGoldenFile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limits := Limits{MaxConnections: 4, MaxPipelined: 64, MaxValue: 10, WriteTimeout: time.Second, MaxUnsentBytes: 100 << 10,
--- a/internal/listener/helpers_test.go
+++ b/internal/listener/helpers_test.go
@@ -16,7 +16,7 @@
 	return counters.New([]string{"read"}, request.ResponseKinds(), nil)
 }
 
-// checkUnread carries out the CheckUnread effects as for connections without unread bytes, and adds the effects that follow.
+// checkUnread carries out the CheckUnread effects as if no connection had unread bytes, and appends the effects that follow.
 func checkUnread(core *Core, now time.Time, effects *Effects) {
 	for _, effect := range *effects {
 		if effect.Kind == CheckUnread {
--- a/internal/listener/limits.go
+++ b/internal/listener/limits.go
@@ -8,26 +8,26 @@
 
 // Limits bounds the resources that clients can make the node use.
 type Limits struct {
-	MaxConnections int           // connections, open and lingering
-	MaxPipelined   int           // commands of one connection that may wait for their responses
+	MaxConnections int           // maximum number of connections, open and lingering together
+	MaxPipelined   int           // maximum number of commands of one connection that wait for their responses
 	MaxValue       int           // largest value, in bytes
 	WriteTimeout   time.Duration // bounds one write of responses; a connection whose write does not complete in this time is closed
 	MaxUnsentBytes int           // bytes of unsent responses to all clients together, past which stuck connections are closed; 0 is no bound
 
 	// The fields below bound how long a connection without an open request may stay.
 
-	FirstCommandTimeout time.Duration // until the first complete command; clients of the platform expect an error within 3 s
-	CrowdedIdleTimeout  time.Duration // for an idle connection while the connection table is nearly full
-	IdleTimeout         time.Duration // for an idle connection while there is capacity
+	FirstCommandTimeout time.Duration // longest time until the first complete command; clients of the platform expect an error within 3 s
+	CrowdedIdleTimeout  time.Duration // longest idle time of a connection while the connection table is crowded
+	IdleTimeout         time.Duration // longest idle time of a connection while there is capacity
 }
 
 const (
 	minSweepInterval    = 5 * time.Millisecond   // shortest time between two searches for expired connections
 	maxSweepInterval    = 100 * time.Millisecond // longest time between two searches for expired connections
-	maxExpiredPerSweep  = 64                     // idle connections that one sweep closes at most
-	stuckTimeout        = 250 * time.Millisecond // after which a client that reads no byte is stuck, while MaxUnsentBytes is exceeded
+	maxExpiredPerSweep  = 64                     // maximum number of idle connections that one sweep closes
+	stuckTimeout        = 250 * time.Millisecond // a client that reads no byte for this long is stuck; applies while MaxUnsentBytes is exceeded
 	lingerTimeout       = 500 * time.Millisecond // how long a client has to read the last response and close its side
-	maxWriteSize        = 256 << 10              // bytes of one write, so that it shows a client's progress; one response may be larger
+	maxWriteSize        = 256 << 10              // most bytes of one write, so that its end shows a client's progress; one response may be larger
 	maxKeyLength        = 512                    // longest key or request id, in bytes
 	maxParametersLength = 1 << 10                // longest list of parameters, in bytes
 	maxClientTimeout    = time.Hour
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -23,7 +23,7 @@
 	initialResponseEffectsCapacity = 2 // effects; enough for most calls of Core.Respond
 
 	maxCopiedSize    = 4 << 10               // up to this many bytes, responses are copied into one buffer and written at once
-	acceptRetryDelay = 5 * time.Millisecond  // after a failed accept, for example for lack of descriptors: some are freed soon
+	acceptRetryDelay = 5 * time.Millisecond  // wait after a failed accept, for example for lack of descriptors: some are freed soon
 	finalAcceptTime  = 20 * time.Millisecond // how long Close still accepts from the kernel's queue: commands sent there would be lost
 )
 
@@ -116,7 +116,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded): // the deadline that Close set: the kernel's queue has been accepted
+		case errors.Is(err, os.ErrDeadlineExceeded): // the deadline that Close set: the time for the connections in the kernel's queue is over
 			return l.netListener.Close()
 		case err != nil:
 			l.count.AcceptFailed.Add(1)
@@ -155,7 +155,7 @@
 			l.mu.Unlock()
 			l.carryOut(effects)
 			l.mu.Lock()
-			continue // the effects may have closed a connection and so made capacity
+			continue // the effects may have closed a connection, which frees capacity
 		}
 		if hasCapacity {
 			return waited
--- a/internal/listener/loops.go
+++ b/internal/listener/loops.go
@@ -71,7 +71,7 @@
 		return 0, socket.awaitClose()
 	}
 	n, err := socket.conn.Read(conn.ReadBuffer())
-	if errors.Is(err, os.ErrDeadlineExceeded) { // set by resumeReading, for this read or for an awaitClose that had already returned
+	if errors.Is(err, os.ErrDeadlineExceeded) { // resumeReading set the deadline, for this read or for an awaitClose that had already returned
 		socket.clearReadDeadline()
 		return n, false
 	}
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -87,8 +87,8 @@
 	return len(name) > 0 && len(name) <= maxKeyLength && !bytes.ContainsFunc(name, isUnprintable)
 }
 
-// isUnprintable reports whether char is anything but printable ASCII without the space. Keys, ids and parameters are passed on in
-// the header of an HTTP request, so they must not hold such characters.
+// isUnprintable reports whether char is a space or not a printable ASCII character. Keys, ids and parameters are passed on in the
+// header of an HTTP request, so they must not hold such characters.
 func isUnprintable(char rune) bool { return char <= ' ' || char >= 0x7f }
 
 // parseParameters sets the class, tenant and timeout of a request from its parameters.
--- a/internal/listener/pause.go
+++ b/internal/listener/pause.go
@@ -35,8 +35,8 @@
 	return now
 }
 
-// pauseTracker detects pauses, in which the process did not run, by calls that are due at known times and come late. Bytes that are
-// read after a pause may have arrived at its beginning, and the timeout of their client counts from there.
+// pauseTracker detects pauses, in which the process did not run, by calls that are due at known times and come late. Bytes that
+// are read after a pause may have arrived at its beginning, and their client's timeout is counted from then.
 type pauseTracker struct {
 	lastCall, nextCall      time.Time // time of the last call, and when the next call is due
 	pausedFrom, pausedUntil time.Time // beginning and end of the last pause
--- a/internal/listener/pause_test.go
+++ b/internal/listener/pause_test.go
@@ -7,9 +7,9 @@
 	"shelfproxy/internal/pause"
 )
 
-// TestArrivalIsBeforeAPause guards against requests that get too much time because the process was paused when they arrived. Bytes
-// that are read right after a pause may have arrived at its beginning, whether the reader or the periodic call runs first. Without a
-// pause, and from settleTime after it, they arrived when they are read.
+// TestArrivalIsBeforeAPause guards against requests that get too much time because the process was paused when they arrived.
+// Bytes that are read right after a pause may have arrived at its beginning, whether the reader or the periodic call runs first.
+// Without a pause, and once settleTime has passed since the end of a pause, bytes count as arriving when they are read.
 func TestArrivalIsBeforeAPause(t *testing.T) {
 	const wait, pauseLength = 100 * time.Millisecond, time.Second
 	start := time.Unix(1000, 0)
@@ -73,7 +73,8 @@
 }
 
 // TestConnectionsWaitWhileNoneCanBeAccepted checks since when an accepted connection may have waited. After consecutive failed
-// accepts that is the first of them, after a wait for capacity its beginning, and otherwise the time of the accept.
+// accepts, that is the time of the first of them. After a wait for capacity, it is the beginning of the wait. Otherwise it is the
+// time of the accept.
 func TestConnectionsWaitWhileNoneCanBeAccepted(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var queue acceptQueue
--- a/internal/listener/responses.go
+++ b/internal/listener/responses.go
@@ -11,7 +11,8 @@
 
 var crlf = []byte("\r\n")
 
-// Respond stores the response to a request in its slot. It is written after the responses to all earlier commands of the connection.
+// Respond stores the response to a request in its slot. The response is written after those to all earlier commands of the
+// connection.
 func (c *Core) Respond(now time.Time, conn *Conn, slot *ResponseSlot, response request.Response, effects *Effects) {
 	if conn.isClosed || slot.isReady {
 		return
@@ -49,8 +50,9 @@
 	}
 }
 
-// NextToWrite appends the responses to write next to buffers and returns them with their size in bytes. The shell writes them and
-// then calls WriteCompleted. While a write is in progress, NextToWrite returns no responses.
+// NextToWrite appends to buffers the responses that are written next, and returns the buffers with the size of these responses in
+// bytes. The shell writes the responses and then calls WriteCompleted. While a write is in progress, NextToWrite returns no
+// responses.
 func (c *Core) NextToWrite(now time.Time, conn *Conn, buffers [][]byte) (responses [][]byte, size int) {
 	if conn.isClosed || conn.writing > 0 {
 		return buffers, 0
@@ -83,7 +85,7 @@
 		c.close(now, conn, EndedWriteFailed, effects)
 		return
 	}
-	// The slots are removed only after the write, as a connection with slots is not closed as idle.
+	// The slots are removed only after the write: a connection with slots is not idle, so it is not closed during the write.
 	unsentBytes := unsentResponseBytes(conn.slots[:written])
 	conn.slots = append(conn.slots[:0:0], conn.slots[written:]...)
 	c.table.AddUnsentBytes(c.tableTime(now), conn.id, -unsentBytes)
@@ -98,7 +100,8 @@
 	c.notifyWriter(conn, effects)
 }
 
-// unsentResponseBytes returns the bytes that Respond added to the unsent bytes for these slots: only responses to requests count.
+// unsentResponseBytes returns the bytes that Respond added to the unsent bytes for these slots. Only responses to requests were
+// added.
 func unsentResponseBytes(slots []*ResponseSlot) (bytes int) {
 	for _, slot := range slots {
 		if slot.isRequest {
--- a/internal/listener/socket.go
+++ b/internal/listener/socket.go
@@ -53,7 +53,7 @@
 	// An error means that the connection is closed or that the wait was interrupted; the next read shows which.
 	_ = s.raw.Read(s.pollClose)
 	_ = s.conn.SetReadDeadline(time.Time{})                 // before the next call of the core, whose effects may set the deadline again
-	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // the wait has not polled if it was interrupted before it began
+	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // a wait that was interrupted before it began has not polled
 	return s.isDisconnected
 }
 
@@ -113,7 +113,7 @@
 	s.notifyWriter()
 }
 
-// close closes the connection. The reader ends by the error of its read, the writer by a notification.
+// close closes the connection. The error of its read ends the reader, and a notification ends the writer.
 func (s *socket) close() {
 	_ = s.conn.Close() // an error needs no handling: the connection is not used any more
 	s.notifyWriter()
