--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -17,11 +17,11 @@
 type Environment struct {
 	// Now returns the current time. The clock must not go back.
 	Now func() time.Time
-	// ReportOutcome takes the outcome of an attempt from a pool, and arranges a call of AttemptEnded with it. If the pool reports
-	// during a call that the core makes, AttemptEnded must not be called before that call has returned.
+	// ReportOutcome takes the outcome of an attempt from a pool, and has AttemptEnded called with it. If the pool reports during
+	// a call that the core makes, AttemptEnded must not be called before that call has returned.
 	ReportOutcome func(*upstream.Attempt, upstream.Response)
-	// PostListUpdate arranges a call of update, ahead of all other work that waits. An attempt that is decided on after a change
-	// of the endpoint list must take the change into account.
+	// PostListUpdate has update called ahead of all other work that waits. An attempt that is decided on after a change of the
+	// endpoint list must take the change into account.
 	PostListUpdate func(update func())
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -47,7 +47,7 @@
 	return written
 }
 
-// endOldest ends the attempt that has been in flight for longest.
+// endOldest ends the attempt that has been in flight longest.
 func (p *fakePool) endOldest(outcome upstream.Outcome) {
 	attempt := p.inFlight[0]
 	p.inFlight = p.inFlight[1:]
@@ -110,7 +110,7 @@
 	return r
 }
 
-// handleMissed passes a read to the core for which the cache server has no value: a fetch from the origin follows.
+// handleMissed passes to the core a read for which the cache server has no value: a fetch from the origin follows.
 func (n *testNode) handleMissed(id string) *request.Request {
 	r := n.handle(id, "read")
 	n.cacheServer.writeAll()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -10,8 +10,8 @@
 )
 
 // agentRetryDelay is the wait before the watch on an agent is opened again after it has ended. The agent runs on this machine and
-// answers at no cost, and its list counts as announced to this node. So the wait only keeps the node from calling a dead agent in
-// a loop.
+// answers at no cost, and its list counts as pushed to this node, not as polled. So no longer backoff is needed: the wait only
+// keeps the node from calling a dead agent in a loop.
 const agentRetryDelay = 100 * time.Millisecond
 
 // isListPushed reports whether the endpoint list is sent to this node without a poll by the policy, because an agent on this
@@ -77,8 +77,8 @@
 	}
 }
 
-// watchEnded arranges for the next watch. Either the policy is notified and polls at a time of its choice, or the node retries
-// its agent.
+// watchEnded has the next watch opened. Either the policy is notified and polls at a time of its choice, or the node calls its
+// agent again after agentRetryDelay.
 func (c *Core) watchEnded(list discovery.List, err error) {
 	c.options.Log.Warn("the watch on discovery ended; the endpoint list is unchanged", logs.Event, "watch_ended",
 		"error", err.Error(), "held", c.listValidator.Version(), "came", list.Version)
--- a/internal/upstream/assign.go
+++ b/internal/upstream/assign.go
@@ -62,8 +62,8 @@
 }
 
 // pipelineCandidate returns a connection with a single attempt that was sent less than PipelineWithin ago; nil if there is none.
-// The response behind that attempt's comes little later than on a connection that has to be opened first. A health check must not
-// wait behind requests, nor a request behind a health check.
+// A response that has to wait for that attempt's response comes hardly later than one over a newly opened connection. A health
+// check must not wait behind requests, nor a request behind a health check.
 func (c *Core) pipelineCandidate(now time.Time, attempt *Attempt) *Conn {
 	if attempt.isHealthCheck() || attempt.NeedsNewConnection || c.limits.MaxStreams < 2 {
 		return nil
@@ -100,7 +100,7 @@
 }
 
 // serveNext decides what a connection without attempts does next. It is closed if the server drains, takes the attempt that has
-// waited for longest, or becomes idle.
+// waited longest, or becomes idle.
 func (c *Core) serveNext(now time.Time, conn *Conn, effects *Effects) {
 	switch {
 	case conn.closed || len(conn.pending) > 0 || conn.writing != nil:
@@ -115,7 +115,7 @@
 	}
 }
 
-// popWaiting removes the attempt that has waited for longest from the queue and returns it.
+// popWaiting removes from the queue the attempt that has waited longest, and returns it.
 func (c *Core) popWaiting() *Attempt {
 	attempt := c.waiting[0]
 	c.waiting[0] = nil // the array outlives the slice and would keep the request and its value in memory
--- a/internal/upstream/core.go
+++ b/internal/upstream/core.go
@@ -66,7 +66,7 @@
 
 // NextTimer returns the time at which HandleTimers has to be called next, or the zero time if no call is needed.
 func (c *Core) NextTimer() (next time.Time) {
-	if len(c.idle) > 0 { // c.idle[0] has been idle for longest
+	if len(c.idle) > 0 { // c.idle[0] has been idle longest
 		next = c.idleDeadline(c.idle[0])
 	}
 	for _, attempt := range c.waiting {
--- a/internal/upstream/descriptor_budget.go
+++ b/internal/upstream/descriptor_budget.go
@@ -6,14 +6,14 @@
 )
 
 // DescriptorBudget bounds the number of descriptors that the connections of several pools use together, however many pools there
-// are. If all are in use, the connection that has been idle for longest, of any pool, is evicted for a new one. If none is idle,
+// are. If all are in use, the connection that has been idle longest, of any pool, is evicted for a new one. If none is idle,
 // the pool waits for a descriptor. A DescriptorBudget is safe for concurrent use. Its lock may be taken while the lock of a pool
 // is held, and it calls no pool.
 type DescriptorBudget struct {
 	mu        sync.Mutex
 	total     int
 	used      int       // descriptors of connections that are established or being opened
-	idle      list.List // idle connections as *Conn, the one that has been idle for longest first
+	idle      list.List // idle connections as *Conn, the longest idle one first
 	waiters   []*Core   // cores that wait to open a connection, in the order in which they began to wait
 	exhausted int64     // how often no descriptor was available
 }
@@ -102,7 +102,7 @@
 
 // The caller of each method below holds mu.
 
-// evictOldest evicts the connection that has been idle for longest and frees its descriptor. It returns false if no connection is
+// evictOldest evicts the connection that has been idle longest and frees its descriptor. It returns false if no connection is
 // idle.
 func (b *DescriptorBudget) evictOldest(effects *Effects) bool {
 	oldest := b.idle.Front()
@@ -124,7 +124,7 @@
 	}
 }
 
-// notifyWaiter notifies the core that has waited for longest, if there may be a descriptor for it.
+// notifyWaiter notifies the core that has waited longest, if there may be a descriptor for it.
 func (b *DescriptorBudget) notifyWaiter(effects *Effects) {
 	if len(b.waiters) == 0 || b.used >= b.total && b.idle.Len() == 0 {
 		return
--- a/internal/upstream/descriptor_budget_test.go
+++ b/internal/upstream/descriptor_budget_test.go
@@ -132,7 +132,7 @@
 }
 
 // TestSmallerDescriptorBudgetClosesIdleConnections checks that a smaller budget closes idle connections at once, beginning with
-// those that have been idle for longest.
+// those that have been idle longest.
 func TestSmallerDescriptorBudgetClosesIdleConnections(t *testing.T) {
 	p := newSharedPools(t, 6, 6)
 	for _, core := range p.cores {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -48,7 +48,7 @@
 }
 
 // dialFailed ends the attempt that the connection was to be opened for. If there is no such attempt, it ends the one that has
-// waited for longest.
+// waited longest.
 func (c *Core) dialFailed(conn *Conn, dialedFor *Attempt, effects *Effects) {
 	c.budget.release(conn, effects)
 	failed := dialedFor
--- a/internal/upstream/growth.go
+++ b/internal/upstream/growth.go
@@ -7,12 +7,13 @@
 
 const (
 	growthThreshold = 3                // number of recent demands that justify the cost of a connection
-	demandDecay     = 10 * time.Second // time after which a demand counts 1/e; a third of the time that idle connections stay open
+	demandDecay     = 10 * time.Second // a demand counts 1/e after this time, which is a third of the time that idle connections stay open
 )
 
 // growth decides whether a pool whose connections are all busy opens another one, or pipelines an attempt behind the one in
-// flight. A connection costs the server work and is charged to the fleet. At one node of many, most additional connections would
-// be used only once. So the number of connections follows demand, and another one is opened only after several demands for it.
+// flight. A connection costs the server work, and the service charges the fleet for it. At one node of many, most additional
+// connections would be used only once. So the number of connections follows demand, and another one is opened only after several
+// demands for it.
 type growth struct {
 	demand    float64 // number of demands, each decaying with time
 	updatedAt time.Time
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,10 +20,10 @@
 	reportOutcome  func(*Attempt, Response)
 	opened         func()
 
-	mu       sync.Mutex // guards core, including all of its connections, timer and timerSet
-	core     *Core
-	timer    *time.Timer
-	timerSet time.Time // when the timer fires; zero while it is not running
+	mu           sync.Mutex // guards core, including all of its connections, timer and timerFiresAt
+	core         *Core
+	timer        *time.Timer
+	timerFiresAt time.Time // when the timer fires; zero while it is not running
 }
 
 // NewPool returns a pool for the server at addr. reportOutcome is called from goroutines of the pool, once for each attempt that
@@ -49,7 +49,8 @@
 }
 
 // Abandon gives an attempt up, so that its outcome is not reported. It returns whether the attempt may have been executed. If
-// only abandoned attempts await responses on its connection, the connection is closed, which tells the server.
+// only abandoned attempts await responses on its connection, the connection is closed, which tells the server that the responses
+// are not wanted.
 func (p *Pool) Abandon(attempt *Attempt) (possiblyExecuted bool) {
 	p.call(func(now time.Time, effects *Effects) { possiblyExecuted = p.core.Abandon(now, attempt, effects) })
 	return possiblyExecuted
@@ -87,10 +88,10 @@
 // is set again when it fires: most calls only move the deadline of an idle connection to a later time. The caller holds mu.
 func (p *Pool) setTimer() {
 	at := p.core.NextTimer()
-	if at.IsZero() || !p.timerSet.IsZero() && !at.Before(p.timerSet) {
+	if at.IsZero() || !p.timerFiresAt.IsZero() && !at.Before(p.timerFiresAt) {
 		return
 	}
-	p.timerSet = at
+	p.timerFiresAt = at
 	if wait := time.Until(at); p.timer == nil {
 		p.timer = time.AfterFunc(wait, p.handleTimers)
 	} else {
@@ -101,7 +102,7 @@
 func (p *Pool) handleTimers() {
 	var effects Effects
 	p.mu.Lock()
-	p.timerSet = time.Time{}
+	p.timerFiresAt = time.Time{}
 	p.core.HandleTimers(time.Now(), &effects)
 	p.setTimer()
 	p.mu.Unlock()
--- a/internal/upstream/resp/decoder.go
+++ b/internal/upstream/resp/decoder.go
@@ -15,7 +15,7 @@
 	memory     *upstream.ResponseMemory
 	buffer     []byte
 	start, end int
-	needed     int // number of bytes that the response at start has at least; 0 if not known
+	needed     int // minimum size in bytes of the response that begins at buffer[start]; 0 if not known
 	reserved   int // number of bytes reserved from memory
 }
 
@@ -26,7 +26,7 @@
 func (d *decoder) BytesRead(n int) { d.end += n }
 
 // ReadBuffer returns the unused rest of the chunk. A response that does not fit there moves to a new chunk. If the response is
-// known to be long, the new chunk has its size.
+// known to be long, the new chunk is as large as the response and what follows it.
 func (d *decoder) ReadBuffer() []byte {
 	if d.end == len(d.buffer) || d.start+d.needed > len(d.buffer) {
 		partial := d.buffer[d.start:d.end]
@@ -46,7 +46,7 @@
 	d.start, d.end = 0, copy(d.buffer, unconsumed)
 }
 
-// isLong reports whether the response at start is known to need a buffer of its own.
+// isLong reports whether the response that begins at buffer[start] is known to need a buffer of its own.
 func (d *decoder) isLong() bool { return d.needed > chunkSize }
 
 // NextResponse implements upstream.Decoder. It ignores whether the connection has ended, as no RESP2 value is completed by that.
@@ -70,8 +70,8 @@
 	return response, err == nil, err
 }
 
-// expect records that the response at start has at least the needed number of bytes, and reserves memory for a long response. A
-// needed number of 0 means that the size is not known.
+// expect records that the response that begins at buffer[start] takes at least needed bytes, and reserves memory for a long
+// response. If needed is 0, the size is not known.
 func (d *decoder) expect(needed int) error {
 	if needed == 0 {
 		return nil
