--- a/internal/fleet/agreement/shell/shell.go
+++ b/internal/fleet/agreement/shell/shell.go
@@ -17,8 +17,8 @@
 	SendTo      func(node int, data []byte) error // sends data to the node with the given index; must not block
 }
 
-// Send sends data to the node with the index to, or to all other nodes in the order of their indices if to is
-// agreement.AllNodes. A datagram that cannot be sent counts as lost on the way: the protocols repeat what matters.
+// Send sends data to one node or, if to is agreement.AllNodes, to all other nodes in the order of their indices. Otherwise to is
+// the index of the node. A datagram that cannot be sent counts as lost on the way: the protocols repeat what matters.
 func (p *Peers) Send(to int, data []byte) {
 	for node := range p.Nodes {
 		if node != p.Self && (to == agreement.AllNodes || to == node) {
@@ -27,8 +27,9 @@
 	}
 }
 
-// Read calls get in the goroutine of a core's event loop and returns what get read from the core's state. It returns
-// control.ErrBusy if the loop is behind or has ended. Read waits for the loop and must not be called from the loop's goroutine.
+// Read calls get in the goroutine of a core's event loop and returns the value that get returns. get may read the core's state.
+// Read returns control.ErrBusy if the loop is behind or has ended. It waits for the loop and must not be called from the loop's
+// goroutine.
 func Read[Value, Event, Effect any](loop *eventloop.Loop[Event, Effect], get func(now time.Duration) Value) (Value, error) {
 	var value Value
 	if err := loop.Call(func() { value = get(loop.Now()) }); err != nil {
@@ -38,7 +39,7 @@
 	return value, nil
 }
 
-// HandleQuery adds an operators' query to the control server. The query is answered with what get reads from a core's state.
+// HandleQuery adds an operators' query to the control server. The query is answered with the value that get returns; see Read.
 func HandleQuery[Value, Event, Effect any](s *control.Server, name string, loop *eventloop.Loop[Event, Effect], get func(now time.Duration) Value) {
 	s.HandleQuery(name, func(url.Values) (any, error) { return Read(loop, get) })
 }
--- a/internal/fleet/gossip/assessment.go
+++ b/internal/fleet/gossip/assessment.go
@@ -7,11 +7,11 @@
 
 const (
 	// ejectionExcess is the excess utilisation above which a server gives up slots. A server's excess is its own utilisation
-	// minus that of all servers.
+	// minus the utilisation of all servers together.
 	ejectionExcess = 0.3
 	// minKeptFraction is the fraction of its slots that every server keeps, so that its recovery is noticed.
 	minKeptFraction = 0.05
-	// suspectExcess is the excess utilisation above which the other nodes are told of a server.
+	// suspectExcess is the excess utilisation above which the other nodes are told about a server.
 	suspectExcess = 0.1
 	// corroborationWindow is the time within which two nodes have to report a server unresponsive to corroborate each other.
 	corroborationWindow = 2 * time.Second
@@ -20,14 +20,14 @@
 // noNode is the value of lastReportFrom while no node has reported.
 const noNode = -1
 
-// Assessment is a node's assessment of one server. It rests on the node's own attempts and on those that other nodes told it of.
-// It is not safe for concurrent use.
+// Assessment is a node's assessment of one server. It rests on the node's own attempts and on those that other nodes reported. It
+// is not safe for concurrent use.
 type Assessment struct {
 	Fingerprint  Fingerprint
 	KeptFraction float64 // fraction of its slots that the server keeps: 1 unless it is an outlier
 
 	minKept        float64 // lower bound of KeptFraction while too much of the fleet is ejected
-	excess         float64 // utilisation of the server minus that of all servers
+	excess         float64 // utilisation of the server minus that of all servers together
 	lastReportAt   Time    // when another node last reported the server unresponsive
 	lastReportFrom int     // index of the node that sent the last report
 }
@@ -50,7 +50,7 @@
 	return 1 - max(minKeptFraction, min(1, 2-a.excess/ejectionExcess))
 }
 
-// IsSuspect reports whether the server does so much worse than other servers that the other nodes are told of it.
+// IsSuspect reports whether the server does so much worse than other servers that the other nodes are told about it.
 func (a *Assessment) IsSuspect() bool { return a.excess > suspectExcess }
 
 // LimitEjection sets an upper bound for the fraction of its slots that the server gives up from now on.
--- a/internal/fleet/gossip/buffer.go
+++ b/internal/fleet/gossip/buffer.go
@@ -20,7 +20,7 @@
 	b.keys = append(b.keys, key)
 }
 
-// observation returns the observation of a server. If there is none it adds an empty one.
+// observation returns the buffer's observation about a server. If there is none it adds an empty one.
 func (b *Buffer) observation(server Fingerprint) *Observation {
 	for i := range b.observations {
 		if b.observations[i].Server == server {
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -25,7 +25,8 @@
 // ErrMalformed is returned for a datagram that cannot come from a node of this version.
 var ErrMalformed = errors.New("gossip: malformed datagram")
 
-// encode returns the message as a datagram. The message must not have more than maxKeys keys and maxObservations observations.
+// encode returns the message as a datagram. The message must not have more than maxKeys keys or more than maxObservations
+// observations.
 func (m Message) encode() []byte {
 	data := make([]byte, 0, headerBytes+len(m.Keys)*fingerprintBytes+len(m.Observations)*observationBytes)
 	data = append(data, version, byte(len(m.Keys)))
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -3,12 +3,12 @@
 // The package has no clock and no I/O. The policy decides what follows from the observations for a request.
 //
 // In a large fleet one node uses most servers seldom, while all nodes together use each server all the time. One node also sees a
-// key that draws a tenth of all requests about as often as any other key. Without gossip the nodes together would send the
+// key that gets a tenth of all requests about as often as any other key. Without gossip the nodes together would send the
 // requests for that key to one server before any node notices.
 //
 // Only a sample is sent, so a datagram that is lost, late or duplicated does little harm. Each datagram costs every receiver
 // work. Therefore nothing is sent about a server that does as well as the others. About any other server less is sent the more
-// observations of it are known already (Sender).
+// observations about it are known already (Sender).
 package gossip
 
 // Fingerprint identifies a server or a key by the lowest 24 bits of a hash that is the same on every node. In one of 10,000
--- a/internal/fleet/gossip/sender.go
+++ b/internal/fleet/gossip/sender.go
@@ -37,8 +37,9 @@
 	requests   int                     // number of keys requested so far
 }
 
-// AttemptEnded samples an attempt at a suspect server. The more recent attempts at the server are known, those of other nodes
-// included, the smaller the fraction that is sent. Failures and successes are sampled alike, so their ratio is kept.
+// AttemptEnded samples an attempt at a suspect server. knownAttempts is the number of recent attempts at the server that are
+// known, including those of other nodes. The larger it is, the smaller the fraction of attempts that is sent. Failures and
+// successes are sampled alike, so their ratio is kept.
 func (s *Sender) AttemptEnded(server *Assessment, knownAttempts float64, isFailure bool, draw float64) {
 	rate := fullSampleAttempts / max(fullSampleAttempts, knownAttempts)
 	if server.IsSuspect() && draw < rate*rate*rate {
@@ -53,8 +54,8 @@
 }
 
 // KeyRequested samples the keys that clients request from this node. A key that is repeated within a few requests is sent at
-// once, unless the fraction of all requests that it is known to draw explains the repetition. The other nodes must know of a key
-// that begins to draw a large part of all requests before each node has sent its first request for that key to the same server.
+// once, unless its known fraction of all requests explains the repetition. The other nodes must know of a key that begins to get
+// a large part of all requests before each node has sent its first request for that key to the same server.
 func (s *Sender) KeyRequested(key Fingerprint, knownFraction, draw float64) {
 	count := s.countRecent(key) + 1
 	s.recent[s.requests%recentKeys] = key
--- a/internal/fleet/gossip/sender_test.go
+++ b/internal/fleet/gossip/sender_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestRepeatedKeysAreSentAtOnce: a key that is requested twice within a few requests is sent before the next datagram is due,
-// unless the key is known to draw so many requests.
+// TestRepeatedKeysAreSentAtOnce checks that a key that is requested twice within a few requests is sent before the next datagram
+// is due, unless it is already known that the key is requested that often.
 func TestRepeatedKeysAreSentAtOnce(t *testing.T) {
 	for _, test := range []struct {
 		name          string
--- a/internal/fleet/lease/agent/agent.go
+++ b/internal/fleet/lease/agent/agent.go
@@ -20,7 +20,7 @@
 // so they must not block.
 type Options struct {
 	Config        lease.Config
-	Send          func(to int, data []byte) error // sends a datagram to the node with the index to
+	Send          func(to int, data []byte) error // sends a datagram; to is the index of the node that gets it
 	HolderChanged func(resource string, node int) // reports the holder of a lease: lease.ThisNode, lease.NoNode or another node
 	Announced     func(resource string)           // reports an announcement from another node that holds a lease
 	CountEvent    func(kind lease.LogEventKind)   // counts a log event
--- a/internal/fleet/membership/core_test.go
+++ b/internal/fleet/membership/core_test.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// receive passes the core a datagram with the updates and one more, in which its sender says that it is alive.
+// receive passes the core a datagram. The datagram holds the given updates and, after them, one that says that its sender, the
+// node from, is alive.
 func (o *fleetSizeObserver) receive(from int, updates ...update) {
 	updates = append(updates, update{uint16(from), minIncarnation, 0, Alive})
 	o.step(MessageReceived{from, message{kind: kindAck, updates: updates}.encode()})
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -45,9 +45,9 @@
 	}
 	// FleetSizeChanged says that Core.FleetSize now returns Nodes.
 	FleetSizeChanged struct{ Nodes int }
-	// IncarnationConflict says that this node learned of another process with its name and a later incarnation. Either this
-	// node's clock was set back after that process started, or that process is still running. In the latter case the conflict
-	// recurs. This node raises its own incarnation above the other's.
+	// IncarnationConflict says that this node learned of another process with this node's name and a later incarnation. Either
+	// this node's clock was set back after that process started, or that process is still running. In the latter case the
+	// conflict recurs. This node raises its own incarnation above that of the other process.
 	IncarnationConflict struct{ Incarnation uint64 }
 	// MessageRejected says that a datagram was ignored because it was corrupt or because its sender has another list of nodes.
 	MessageRejected struct {
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -6,7 +6,7 @@
 // reunite a fleet after a partition.
 const absentProbePeriods = 4
 
-// probe is the ping that this node sent in the current period to the next node of the probe order.
+// probe is the ping that this node sent in the current period to the next node in the probe order.
 type probe struct {
 	node       int
 	sequence   uint32
@@ -24,7 +24,8 @@
 	sentAt            Time
 }
 
-// startPeriod pings the next present node of the probe order and, in some periods, a node that is not present.
+// startPeriod pings the next node in the probe order that is alive or suspect. In some periods it also pings a node that is
+// neither.
 func (c *Core) startPeriod(now Time) {
 	c.probe.isPending = false
 	c.periodCount++
@@ -32,7 +33,7 @@
 	c.pingAbsent()
 }
 
-// probeNext pings the next present node of the probe order, if any node is present.
+// probeNext pings the next node in the probe order that is alive or suspect, if there is one.
 func (c *Core) probeNext(now Time) {
 	for range c.probeOrder {
 		node := c.nextProbeTarget()
@@ -43,7 +44,7 @@
 	}
 }
 
-// nextProbeTarget returns the next node of the probe order. After the last node the order is shuffled again.
+// nextProbeTarget returns the next node in the probe order. After the last node the order is shuffled again.
 func (c *Core) nextProbeTarget() int {
 	node := c.probeOrder[c.orderPosition]
 	c.orderPosition++
--- a/internal/fleet/rollout/agent/agent.go
+++ b/internal/fleet/rollout/agent/agent.go
@@ -24,7 +24,7 @@
 // Options holds the settings of an agent and the functions that it calls. The agent calls the functions from its own goroutine.
 type Options struct {
 	Config         rollout.Config
-	Send           func(to int, data []byte) error // sends a datagram to the node with the index to; must not block
+	Send           func(to int, data []byte) error // sends a datagram; to is the index of the node that gets it; must not block
 	DrainGranted   func()                          // makes the node drain and exit; called at most once, when the fleet allows it
 	ResponseCounts func() rollout.ResponseCounts   // returns the node's responses since its start; nil if the node is not judged
 	CountEvent     func(kind rollout.LogEventKind) // counts a log event
--- a/internal/fleet/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -308,7 +308,7 @@
 			core.Step(now, MessageReceived{i, heartbeat{Incarnation: 1, Sequence: sequence, State: state}.encode()})
 		}
 	}
-	for _, responsive := range []int{nodes, nodes - unresponsive} { // until the core grants slots, then until some are unresponsive
+	for _, responsive := range []int{nodes, nodes - unresponsive} { // until the core may grant slots, then until the silent nodes count as unresponsive
 		for end := now + core.cfg.RequestTimeout + core.cfg.UnresponsiveAfter; now < end; now += core.cfg.HeartbeatInterval {
 			sendHeartbeats(responsive)
 			core.Step(now, Tick{})
--- a/internal/fleet/rollout/heartbeat.go
+++ b/internal/fleet/rollout/heartbeat.go
@@ -14,13 +14,13 @@
 	state       State
 	health      health
 
-	lastDone uint32 // requests of the node in this incarnation are over up to this number
+	lastDone uint32 // all requests of the node in this incarnation up to this number are finished
 }
 
 // isOutOfService reports whether the last heartbeat of the node says that the node is out of service.
 func (p *peer) isOutOfService() bool { return p.hasReported && p.state != Ready }
 
-// isRequestDone reports whether a request of the node is over, according to the heartbeats of the node.
+// isRequestDone reports whether a request of the node is finished, according to the heartbeats of the node.
 func (p *peer) isRequestDone(incarnation uint64, number uint32) bool {
 	return isRequestUpTo(incarnation, number, p.incarnation, p.lastDone)
 }
--- a/internal/fleet/rollout/request.go
+++ b/internal/fleet/rollout/request.go
@@ -16,7 +16,7 @@
 	denied      map[int]bool
 	isGranted   bool
 	expiresAt   Time   // if isGranted: until when this node may begin to drain
-	lastDone    uint32 // requests up to this number are over
+	lastDone    uint32 // all requests up to this number are finished
 	nextAttempt Time   // earliest time for the next request
 }
 
--- a/internal/fleet/rollout/state.go
+++ b/internal/fleet/rollout/state.go
@@ -8,7 +8,7 @@
 	Starting  State = iota // under observation, or not serving yet
 	Ready                  // in service
 	Draining               // draining, or about to exit
-	Unhealthy              // the node did badly under observation
+	Unhealthy              // the node failed its observation
 	numStates
 )
 
@@ -26,7 +26,7 @@
 	ReasonHalted                       // the release is halted
 	ReasonAbstaining                   // the answering node has just started and does not know what it granted before
 	ReasonOperator                     // an operator halted or resumed the release
-	ReasonNodeUnhealthy                // a node did badly under observation
+	ReasonNodeUnhealthy                // a node failed its observation
 	ReasonNotReturned                  // a node that drained did not come back in time
 	ReasonRequestExpired               // the request is over, or a newer one of the same node is known
 	ReasonNotInstalled                 // a node that drained for a release came back with another release
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -11,7 +11,7 @@
 	State      string       `json:"state"`
 	WantsDrain bool         `json:"wants_out"`
 	Halted     string       `json:"halted,omitempty"` // reason of the halt; empty while the release is not halted
-	HaltedBy   int          `json:"halted_by"`        // node that the halt is about; -1 while the release is not halted
+	HaltedBy   int          `json:"halted_by"`        // node whose failure halted the release, or at which an operator halted it; -1 while not halted
 	Out        []NodeStatus `json:"out"`              // nodes that are out of service or have a slot, in the order of their indices
 	Ready      int          `json:"fit"`              // number of nodes that are ready and have no slot
 	Budget     int          `json:"budget"`
--- a/internal/supervisor/core.go
+++ b/internal/supervisor/core.go
@@ -152,7 +152,7 @@
 	return unavailable
 }
 
-// stop tells the processes that serve or start to terminate. Processes that were replaced were told when that happened.
+// stop tells all current processes and their successors to terminate. A replaced process was already told when it was replaced.
 func (c *Core) stop(now Time) {
 	c.isStopping, c.isReplacing = true, false
 	for i := range c.instances {
--- a/internal/supervisor/health.go
+++ b/internal/supervisor/health.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// checkHang marks a current process that stopped sending reports as hung. Such a process is replaced at once, even while
+// checkHang marks a current process as hung if it has stopped sending reports. A hung process is replaced at once, even while
 // replacing is halted.
 func (c *Core) checkHang(now Time, i int) {
 	p := c.instances[i].current
