--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// The platform may send SIGKILL 0.7 s plus the longest deadline after SIGTERM; at most 3 s of that deadline count.
-// Whatever times the operators set, the last response has to be given before SIGKILL, and some time has to remain for
-// the requests that were accepted last.
+// After SIGTERM the platform waits 0.7 s plus the longest request deadline, of which at most 3 s count, and may then
+// send SIGKILL. Whatever times the operators set, the last response has to be given before SIGKILL, and some time has
+// to remain for the requests that were accepted last.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, deadlineMs := range []time.Duration{200, 520, 1000, 2999, 3000, 6500, 60000} {
 		for _, lastMs := range []time.Duration{500, 3400, 60000} {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,7 +10,7 @@
 )
 
 // Operator is the operators' own file, in TOML. The platform's configuration and the LB_ variables override the file. A
-// key that the file does not set has the default of this package.
+// key that the file does not set takes the default that this package defines.
 type Operator struct {
 	// Node holds values that the platform's configuration may set under the same names.
 	Node struct {
@@ -85,7 +85,7 @@
 	ObservationPeriod  tomlfile.Duration `toml:"watch"`        // a started node is ready after it has done well for this long
 	MaxFailureRate     float64           `toml:"max_failed"`   // fraction of a node's responses that may fail in ObservationPeriod, above the other nodes' fraction
 	MaxSlowRate        float64           `toml:"max_slow"`     // fraction of a node's responses that may miss their latency objective, above the other nodes' fraction
-	MinSamples         int               `toml:"least_judged"` // number of responses from which on MaxFailureRate and MaxSlowRate apply
+	MinSamples         int               `toml:"least_judged"` // minimum number of responses for MaxFailureRate and MaxSlowRate to apply
 	MaxClockDrift      float64           `toml:"drift"`        // greatest difference in the rates of two nodes' clocks, as a fraction
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -113,9 +113,9 @@
 	"cell": policy.SameCell,
 }
 
-// ParseSettings reads the settings from JSON. A node's configuration and the simulator's first message contain the same
-// JSON object. ParseSettings returns a *FieldError for a value that is unknown or out of range, and the errors of
-// encoding/json.
+// ParseSettings reads the settings from JSON. A node's configuration and the simulator's first message contain a JSON
+// object of the same form. ParseSettings returns a *FieldError for a value that is unknown or out of range, and the
+// errors of encoding/json.
 func ParseSettings(raw []byte) (Settings, error) {
 	var given setup
 	if err := json.Unmarshal(raw, &given); err != nil {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -12,9 +12,9 @@
 // controlRetryInterval is the time between two attempts to open a control socket that a predecessor still serves.
 const controlRetryInterval = 50 * time.Millisecond
 
-// serveControl serves operators' calls at the control socket at path until stop is closed. If a predecessor still serves the socket,
-// it waits until that process ends. If the socket can't be opened, the node continues without it, because operators can use signals
-// as well. serveControl runs in its own goroutine and reads no field of Daemon that changes.
+// serveControl serves operators' calls at the control socket at path until stop is closed. If a predecessor still serves the
+// socket, serveControl waits until the predecessor has ended. If the socket can't be opened, the node continues without it,
+// because operators can use signals as well. serveControl runs in its own goroutine and reads no field of Daemon that changes.
 func (d *Daemon) serveControl(path string, stop <-chan struct{}) {
 	server := control.New(path)
 	server.HandleQuery("explain", d.explain)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -9,9 +9,9 @@
 // flushTimeout bounds how long clients may take to receive their answers after the deadline by which the node gives all answers.
 const flushTimeout = 200 * time.Millisecond
 
-// beginShutdown begins the graceful shutdown, unless it has begun before. It tells the fleet and releases the leases. After the
-// grace period the node drains. The event loop continues until the shutdown is complete. The message and the event name the cause
-// in the log.
+// beginShutdown begins the graceful shutdown, unless it has begun before. It tells the other nodes that this node shuts down, and
+// releases the leases. After the grace period the node drains. The event loop continues until the shutdown is complete. The
+// message and the event name the cause in the log.
 func (d *Daemon) beginShutdown(message, event string) {
 	if d.shutdownOver != nil {
 		return
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -35,8 +35,7 @@
 // process is killed when it uses all of the node's memory.
 const collectorMemoryTenths = 6
 
-// idleTimeoutTenths is the time after which the node closes idle upstream connections, in tenths of the time after which the servers
-// close them.
+// idleTimeoutTenths is the node's idle timeout for upstream connections, in tenths of the servers' idle timeout.
 const idleTimeoutTenths = 8
 
 // maxPipelineAge is the age of an attempt up to which another one may be pipelined behind it on its connection. If the attempt in
@@ -48,7 +47,7 @@
 const (
 	reservedDescriptors    = 32              // descriptors kept for discovery, the log and the runtime
 	descriptorStepDivisor  = 48              // all descriptors divided by this are moved at a time
-	descriptorFloorFifths  = 2               // a side always keeps this many fifths of its descriptors at the start
+	descriptorFloorFifths  = 2               // each side keeps at least this many fifths of the descriptors that it had at the start
 	descriptorHoldTime     = 2 * time.Second // a side that gained descriptors gives none away for this long
 	descriptorPeakFadeTime = 5 * time.Second // a past peak of use counts 1/e after this time
 )
--- a/internal/discovery/polling/schedule.go
+++ b/internal/discovery/polling/schedule.go
@@ -137,7 +137,7 @@
 }
 
 // TakeDueCall reports whether the node has to call now. If so, the caller makes the call. No other call is due until this call
-// ends, or for 10 s at most.
+// ends or 10 s have passed.
 func (s *Schedule) TakeDueCall(now Time) bool {
 	if !s.isPolling || now < s.nextCall {
 		return false
