--- a/tests/abusive_clients_test.go
+++ b/tests/abusive_clients_test.go
@@ -160,7 +160,7 @@
 	})
 }
 
-// Guards against abusive clients that starve ordinary ones of connections, memory or CPU time. Beside each kind of abuse eight
+// Guards against abusive clients that starve ordinary ones of connections, memory or CPU time. During each kind of abuse, eight
 // ordinary clients, which open a new connection for every request, must get nine tenths of their requests served. The share that
 // was served is logged; docs/admission.md has these figures as a table.
 func TestClientsAreServedBesideAbusiveOnes(t *testing.T) {
--- a/tests/growth_test.go
+++ b/tests/growth_test.go
@@ -107,7 +107,7 @@
 	return harness.Play(t, harness.UninstrumentedNodeProgram(t), scenario, demo.Options{})
 }
 
-// Guards against the fault of report 7e0653: a node with part of a core in front of thousands of cache servers has to answer
+// Guards against the fault of report 7e0653: a node that has a fraction of a core and thousands of cache servers has to answer
 // every request in time, while a quarter of the servers die and come back.
 func TestRequestsAreAnsweredInFrontOfThousandsOfServers(t *testing.T) {
 	t.Parallel()
@@ -120,8 +120,8 @@
 	}
 }
 
-// growthLimit bounds how much of a resource a node may need in front of maxServers. The bound is the sum of a multiple of what
-// the node needs in front of usualServers, a fixed amount and an amount for each thousand servers.
+// growthLimit bounds how much of a resource a node with maxServers cache servers may need. The bound is the sum of a multiple of
+// what a node with usualServers needs, a fixed amount and an amount for each thousand servers.
 type growthLimit struct {
 	what                         string
 	multiple, fixed, perThousand float64
@@ -133,8 +133,8 @@
 }
 
 // Guards against a node whose needs grow too fast with the number of cache servers. CPU time, memory, descriptors, connections
-// and bytes of lists stay within the growth that the operators allow. The share of requests that is served in front of maxServers
-// is at least 0.85 of the share in front of usualServers.
+// and bytes of lists stay within the growth that the operators allow. The share of requests that a node with maxServers cache
+// servers serves is at least 0.85 of the share that a node with usualServers serves.
 func TestWhatANodeNeedsInFrontOfThousandsOfServers(t *testing.T) {
 	t.Parallel()
 	const ratePerSecond = 20 // one node's share of the traffic in a fleet of hundreds of nodes
--- a/tests/harness/cacheserver.go
+++ b/tests/harness/cacheserver.go
@@ -17,8 +17,8 @@
 	CloseConnection = "close" // closes the connection instead of replying
 )
 
-// Handler returns the bytes that a cache server replies to a command. The words of the command are its verb, key, id, extras and,
-// for a write, value. A connection's commands are handled in their order.
+// Handler returns the bytes that a cache server replies to a command. The words of the command are its name, the key, the id, the
+// extra parameters and, for a write, the value. A connection's commands are handled in their order.
 type Handler func(command []string) string
 
 // Hit is a Handler that replies with a value made of "value-" and the request's id.
--- a/tests/harness/client.go
+++ b/tests/harness/client.go
@@ -32,7 +32,7 @@
 // Get sends a read with ReadExtras.
 func (c *Client) Get(key, id string) *Client { return c.Send("CACHE.GET", key, id, ReadExtras) }
 
-// ReadExtras are the extras of a read whose client waits for 2.9 s, nearly the 3 s that its class allows.
+// ReadExtras holds the extra parameters of a read whose client waits for 2.9 s, nearly the 3 s that its class allows.
 const ReadExtras = "c=read,d=2900"
 
 // GetCommand returns the bytes of the command that Client.Get sends.
--- a/tests/harness/discovery.go
+++ b/tests/harness/discovery.go
@@ -12,7 +12,7 @@
 const (
 	watchHeartbeat = time.Second // interval between the empty lines of a watch
 	breakWatch     = "break"     // queued instead of a line; ends the watch that takes it
-	maxUnsent      = 8           // lines that are queued for the watches
+	maxUnsent      = 8           // maximum number of lines that are queued for the watches
 )
 
 // Discovery is a fake discovery service. Each watch begins with an empty change of the initial list. A published list or change
--- a/tests/harness/faultydiscovery.go
+++ b/tests/harness/faultydiscovery.go
@@ -15,9 +15,9 @@
 // Faults that a FaultyDiscovery can have.
 const (
 	NoFault           DiscoveryFault = ""
-	Unresponsive      DiscoveryFault = "silent"      // open watches stay open without data; new calls get a watch
+	Unresponsive      DiscoveryFault = "silent"      // watches that are open stay open but get no data; new calls get a watch that works
 	Reset             DiscoveryFault = "reset"       // open watches and new calls are reset
-	ResetInMessage    DiscoveryFault = "half a line" // open watches are reset in the middle of a message, new calls at once
+	ResetInMessage    DiscoveryFault = "half a line" // open watches are reset in the middle of a message; new calls are reset at once
 	ServiceError      DiscoveryFault = "503"         // new calls get status 503; open watches end
 	Hang              DiscoveryFault = "hang"        // new calls are accepted and not answered; open watches end
 	ConnectionRefused DiscoveryFault = "refuse"      // new connections are refused; open watches end
@@ -36,7 +36,7 @@
 	epoch    int    // number of changes of the fault
 	list     string // the line with which a watch begins
 	calls    int    // number of calls since the last change of the fault
-	watches  int    // how many of these calls were answered with a watch
+	watches  int    // number of calls since the last change of the fault that were answered with a watch
 }
 
 // NewFaultyDiscovery starts a discovery service without a fault. Its watches begin with the given line, a list as JSON.
--- a/tests/harness/fleet.go
+++ b/tests/harness/fleet.go
@@ -190,8 +190,8 @@
 	f.peakOut = max(f.peakOut, out)
 }
 
-// updateOut finds out from the log whether the node is out of service by agreement. It is so from when it drains until its next
-// process is ready.
+// updateOut finds out from the log whether the node is out of service by agreement. The node is out of service from the start of
+// its drain until its next process is ready.
 func (m *member) updateOut(node int) {
 	switch {
 	case m.log.Contains(`"rollout_leaves"`):
@@ -300,7 +300,7 @@
 // Status returns the status of the rollout as a node reports it.
 func (f *Fleet) Status(node int) string { return f.Query(node, "status") }
 
-// Ctl runs the verb ctl against a node and returns its output. If it fails, the output is prefixed with "error: ".
+// Ctl runs the subcommand ctl against a node and returns its output. If it fails, the output is prefixed with "error: ".
 func (f *Fleet) Ctl(node int, words ...string) string {
 	output, err := ctl(f.t, f.member(node).controlSocket(), words...).CombinedOutput()
 	if err != nil {
--- a/tests/harness/machine.go
+++ b/tests/harness/machine.go
@@ -28,7 +28,7 @@
 	instances int
 }
 
-// MachineStatus is the answer of the supervisor to the verb instances.
+// MachineStatus is the supervisor's answer to the control call "instances".
 type MachineStatus struct {
 	IsHalted  bool `json:"halted"`
 	Instances []InstanceStatus
@@ -134,7 +134,7 @@
 	}
 }
 
-// Ctl runs the verb ctl against the supervisor and returns the status that it prints. The status is empty if the supervisor
+// Ctl runs the subcommand ctl against the supervisor and returns the status that it prints. The status is empty if the supervisor
 // rejects the command or does not answer.
 func (m *Machine) Ctl(words ...string) (status MachineStatus) {
 	output, err := ctl(m.t, m.control(), words...).Output()
@@ -144,14 +144,14 @@
 	return status
 }
 
-// InstanceCtl runs the verb ctl against an instance and decodes its output into answer. It returns false if the instance gives no
-// valid answer.
+// InstanceCtl runs the subcommand ctl against an instance and decodes its output into answer. It returns false if the instance
+// gives no valid answer.
 func (m *Machine) InstanceCtl(instance int, answer any, words ...string) bool {
 	output, err := ctl(m.t, m.instanceControl(instance), words...).Output()
 	return err == nil && json.Unmarshal(output, answer) == nil
 }
 
-// WaitServing waits until every instance serves, and no replacement is under way or the replacement is halted. It returns the
+// WaitServing waits until every instance serves, and either no replacement is under way or replacing is halted. It returns the
 // status.
 func (m *Machine) WaitServing(when string) (status MachineStatus) {
 	m.t.Helper()
--- a/tests/harness/unaccepting.go
+++ b/tests/harness/unaccepting.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Accept takes the fillers out of the backlog and closes them. From then on connections, those that wait included, are
-// established and served.
+// Accept accepts and closes the connections that fill the backlog. From then on connections are established and served, including
+// those that waited.
 func (s *UnacceptingServer) Accept(t testing.TB) {
 	t.Helper()
 	for range s.fillers {
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatalf("accept a connection that fills the backlog: %v", err)
 		}
-		_ = conn.Close() // a filler is never used
+		_ = conn.Close() // an error does no harm: this connection only filled the backlog and is never used
 	}
 	ServeConnections(s.listener, s.Serve)
 }
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -90,9 +90,9 @@
 }
 
 // Guards against a lease that stays with a lost holder, or that a former holder still believes to hold. A tenth of the datagrams
-// is dropped, a tenth duplicated and a tenth corrupted. The holder is stopped, isolated from the network, killed and told to end
-// in turn. Each time another process takes the lease over with a greater fencing token, and a holder that returns knows that it
-// has lost the lease.
+// is dropped, a tenth duplicated and a tenth corrupted. In turn, the holder is paused (SIGSTOP), isolated from the network,
+// killed and told to terminate. Each time another process takes the lease over with a greater fencing token, and a holder that
+// returns knows that it has lost the lease.
 func TestLeaseIsTakenOverFromALostHolder(t *testing.T) {
 	fleet := newLeaseFleet(t, *fleetNodes, 0.1)
 	holder, token := fleet.waitForHolder("a node holds the lease", healthChecker)
--- a/tests/races_test.go
+++ b/tests/races_test.go
@@ -20,7 +20,7 @@
 // longDeadline is how long clients wait in tests whose result must not depend on how busy the machine is.
 const longDeadline = time.Minute
 
-// longRead are the extras of a read whose client waits for longDeadline.
+// longRead holds the extra parameters of a read whose client waits for longDeadline.
 const longRead = "c=read,d=60000"
 
 // Names of the counters of reads that a node has received, and of attempts that it has started for them.
@@ -324,8 +324,8 @@
 }
 
 // A server begins to drain while it works on two requests. The node waits for both and sends the server nothing else. The server
-// answers the first request late, and the client gets that answer. It stops in the middle of the second answer: no client gets
-// the partial answer, and the client of the second request gets an error by its deadline.
+// answers the first request late, and the client gets that answer. The server stops in the middle of the second answer: no client
+// gets the partial answer, and the client of the second request gets an error by its deadline.
 func TestDrainingServerFinishesItsWork(t *testing.T) {
 	t.Parallel()
 	released := make(chan struct{})
--- a/tests/requests_test.go
+++ b/tests/requests_test.go
@@ -12,8 +12,8 @@
 	"shelfproxy/tests/harness"
 )
 
-// remainingOf900 matches the extras that the origin gets for a request whose client waits for 900 ms. They are the client's
-// extras, but with the time that remains as d.
+// remainingOf900 matches the extra parameters that the origin gets for a request whose client waits for 900 ms. They are the
+// client's parameters, but with the time that remains as d.
 var remainingOf900 = regexp.MustCompile(`^c=read,d=[1-8]?[0-9]{1,2},r=1$`)
 
 func TestRequestsAreServedByCacheServersAndTheOrigin(t *testing.T) {
--- a/tests/testbed_test.go
+++ b/tests/testbed_test.go
@@ -74,8 +74,8 @@
 `
 
 // Guards against requests that a rollout loses, and against a rollout beyond its budget. Under load, the nodes of a fleet agree
-// on who may drain and go to another release. A tenth of their datagrams is dropped and a tenth duplicated, and the first node
-// that may drain stalls. Every request has to get exactly one answer.
+// on who may drain, and are updated to another release. A tenth of their datagrams is dropped and a tenth duplicated, and the
+// first node that is allowed to drain then stalls. Every request has to get exactly one answer.
 func TestRolloutUnderLoadAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
 	result := harness.Play(t, harness.NodeProgram, rolloutScenario, demo.Options{Rollout: &demo.Rollout{Budget: 2, Stall: 500 * time.Millisecond,
@@ -226,8 +226,8 @@
 	}
 }
 
-// The verb overhead compares three ways from clients to a cache server: directly, through a program that only copies bytes, and
-// through a node. It has to print a rate and a p99 for each of them.
+// The subcommand overhead compares three ways from clients to a cache server: directly, through a program that only copies bytes,
+// and through a node. The subcommand has to print a rate and a p99 for each way.
 func TestOverheadHasFiguresForEveryWay(t *testing.T) {
 	t.Parallel()
 	cmd := exec.CommandContext(t.Context(), harness.TestbedProgram, "overhead", "--rounds", "1", "--span", "200ms", "--clients", "4",
--- a/tests/upstream_test.go
+++ b/tests/upstream_test.go
@@ -13,7 +13,8 @@
 )
 
 // Guards against an abandoned attempt that ends other attempts on the same connection. A node with few descriptors sends several
-// attempts over each connection. Clients of a key that the server doesn't answer give up; the other requests have to be answered.
+// attempts over each connection. The server never answers the requests for one key, and the clients that sent them give up. All
+// other requests have to be answered.
 func TestAbandonedAttemptLeavesOthersOnItsConnection(t *testing.T) {
 	t.Parallel()
 	server, release := harness.NewStuckCacheServer(t)
@@ -121,7 +122,8 @@
 	}
 }
 
-// A request whose connection is refused was never executed, so it is sent to another server. Here this is the origin.
+// A request whose connection is refused was never executed, so it is sent to another server. In this test the other server is the
+// origin.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	node := harness.NewNode(t, harness.NewCacheServer(t, harness.Hit))
