--- a/internal/admission/concurrency_limiter.go
+++ b/internal/admission/concurrency_limiter.go
@@ -77,9 +77,9 @@
 	c.reads.samples, c.writes.samples = 0, 0
 }
 
-// latencyStats holds the latency statistics of one kind of request: the recent mean, and the smallest mean, which is the
-// latency that the server itself needs. The smallest mean grows only slowly, as the latency of a queue that never drains
-// must not be taken for the server's own.
+// latencyStats holds the latency statistics of one kind of request: the recent mean, and the smallest mean, which is
+// the latency that the server itself needs. The smallest mean is raised only slowly, as the latency of a queue that
+// never drains must not be taken for the server's own.
 type latencyStats struct {
 	mean, minMean     time.Duration
 	congestedFraction float64 // fraction of the recent samples that indicated queueing
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -25,7 +25,7 @@
 	isFramingBroken     bool            // the framing is broken: no further byte is read
 	closeAfterResponses bool            // close the connection once all pending responses are written
 	isCheckingUnread    bool            // CheckUnread was requested and UnreadChecked was not called yet
-	wasKeptPastDeadline bool            // the connection was kept open once past the drain deadline, as unread bytes had arrived
+	wasKeptPastDeadline bool            // the connection was kept open once after the drain deadline, because unread bytes had arrived
 	endReason           EndReason       // why the connection closes; valid once closeAfterResponses or isClosed is set
 	end                 End             // valid once isClosed is set
 	isClosed            bool
