--- a/internal/testbed/model/cache.go
+++ b/internal/testbed/model/cache.go
@@ -2,30 +2,30 @@
 
 import "container/list"
 
-// cache is the memory of a cache server. It holds values up to a number of bytes and evicts the least recently used
-// (LRU) or the first stored (FIFO) beyond it.
+// cache is the memory of a cache server. It holds values up to a limit of bytes. Beyond the limit it evicts the least
+// recently used value (LRU) or the value that was stored first (FIFO).
 type cache struct {
-	limit, used int64 // bytes
+	limit, used int64 // in bytes
 	fifo        bool
-	order       *list.List // of Copy; the next one to evict is at the back
+	order       *list.List // elements are of type Copy; the next one to evict is at the back
 	byKey       map[string]*list.Element
 }
 
-// Copy is what a cache server or the origin holds for a key.
+// Copy describes the value that a cache server or the origin holds for a key.
 type Copy struct {
 	Key     string
-	Version int64 // number of writes of the key
-	Size    int   // bytes of the value
+	Version int64 // number of times that the key was written
+	Size    int   // size of the value in bytes
 }
 
-// copyOverhead is the memory that a copy takes beside its key and value, in bytes.
+// copyOverhead is the memory that a copy takes in addition to its key and value, in bytes.
 const copyOverhead = 64
 
 func newCache(limit int64, fifo bool) *cache {
 	return &cache{limit: limit, fifo: fifo, order: list.New(), byKey: map[string]*list.Element{}}
 }
 
-// get returns the copy of a key. An LRU cache counts it as a use.
+// get returns the copy of a key. In an LRU cache, get counts as a use of the copy.
 func (c *cache) get(key string) (Copy, bool) {
 	element := c.byKey[key]
 	if element == nil {
@@ -37,8 +37,8 @@
 	return element.Value.(Copy), true
 }
 
-// put stores a copy in place of an earlier one of its key and evicts others to make room. A copy that is larger than
-// the whole cache is not stored.
+// put stores a copy, replaces an earlier copy of the same key, and evicts other copies to make room. A copy that is
+// larger than the whole cache is not stored.
 func (c *cache) put(value Copy) {
 	c.remove(value.Key)
 	size := value.bytes()
@@ -64,5 +64,5 @@
 	c.byKey, c.used = map[string]*list.Element{}, 0
 }
 
-// bytes returns the memory that a copy takes.
+// bytes returns the memory that a copy takes, in bytes.
 func (v Copy) bytes() int64 { return int64(v.Size+len(v.Key)) + copyOverhead }
--- a/internal/testbed/model/cachecontents.go
+++ b/internal/testbed/model/cachecontents.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// missTTL is how long a miss is remembered: longer than any request may take.
+// missTTL is how long a miss is remembered. It is longer than any request may take.
 const missTTL = 30 * time.Second
 
 // cacheMiss records the cache servers at which a request missed.
 type cacheMiss struct {
 	requestID string
-	at        Time // of the first miss
+	at        Time // time of the first miss
 	servers   []*server
 }
 
-// rememberMiss records that a request missed at a server: the value is stored there once the origin has answered.
+// rememberMiss records that a request missed at a cache server. Once the origin has answered the request, fillMissed
+// stores the value at this server.
 func (sys *System) rememberMiss(requestID string, srv *server) {
 	sys.forgetOldMisses()
 	miss := sys.misses[requestID]
@@ -33,7 +34,7 @@
 	}
 }
 
-// fillMissed stores a value from the origin at the servers at which its request missed.
+// fillMissed stores a value from the origin at the cache servers at which the request for it missed.
 func (sys *System) fillMissed(requestID string, value Copy) {
 	miss := sys.misses[requestID]
 	if miss == nil {
@@ -47,7 +48,7 @@
 	}
 }
 
-// invalidate removes a key from all cache servers.
+// invalidate removes the copies of a key from all cache servers.
 func (sys *System) invalidate(key string) {
 	for _, srv := range sys.servers {
 		if srv.cache != nil {
--- a/internal/testbed/model/cacheserver.go
+++ b/internal/testbed/model/cacheserver.go
@@ -8,77 +8,77 @@
 	"time"
 )
 
-// CancelMode says what the end of a connection does to the requests that arrived on it.
+// CancelMode says which requests of a connection are dropped when the connection ends.
 type CancelMode int
 
-// The modes of cancellation.
+// Modes of cancellation.
 const (
-	CancelNone   CancelMode = iota // all requests are executed
+	CancelNone   CancelMode = iota // no request is dropped; all are executed
 	CancelQueued                   // queued requests are dropped
 	CancelAll                      // queued and running requests are dropped
 )
 
-// CacheServerKind is what the cache servers of a kind have in common.
+// CacheServerKind holds the properties that all cache servers of one kind share.
 type CacheServerKind struct {
 	Name              string
 	Cores             int
-	Speed             float64       // of a core, against the standard one
-	Slots             int           // requests executed at once
-	Queue             int           // requests that wait for a slot; further ones are rejected
-	SlowStartFloor    float64       // fraction of its speed that a server has as it starts
-	SlowStartDuration time.Duration // until it has all of its speed, which grows linearly
-	Memory            int64         // bytes for cached values
-	FIFO              bool          // evicts the value that was stored first instead of the least recently used one
-	MaxConnections    int           // open connections; further ones are reset; 0 is no limit
-	ConnectionWork    time.Duration // cost of a new connection
-	HealthCheckWork   time.Duration // cost of a health check
-	MissWork          float64       // cost of a miss, as a fraction of the request's work
-	ChokeAt           float64       // requests per core beyond which contention slows the server down; 0 is never
-	Choke             float64       // contention that each further request per core adds
+	Speed             float64       // speed of a core, as a multiple of a standard core's
+	Slots             int           // requests that are executed at the same time
+	Queue             int           // requests that may wait for a slot; further requests are rejected
+	SlowStartFloor    float64       // fraction of its full speed that a server has when it starts
+	SlowStartDuration time.Duration // time until a server reaches its full speed; until then its speed grows linearly
+	Memory            int64         // bytes available for cached values
+	FIFO              bool          // evict the value that was stored first instead of the least recently used one
+	MaxConnections    int           // limit of open connections; further connections are reset; 0 means no limit
+	ConnectionWork    time.Duration // work that a new connection costs
+	HealthCheckWork   time.Duration // work that a health check costs
+	MissWork          float64       // work that a miss costs, as a fraction of the request's work
+	ChokeAt           float64       // requests per core above which contention slows the server down; 0 means never
+	Choke             float64       // what each further request per core adds to the divisor of the speed
 	Cancel            CancelMode
-	DropExpired       bool    // rejects requests whose deadline passed in the queue
-	ErrorRate         float64 // fraction of the hits that fail after their work
-	// A server in slow start crashes for good if more work than OverloadFactor times its capacity is sent to it
-	// during OverloadWindow. A factor of 0 is never.
+	DropExpired       bool    // reject requests whose deadline passed while they were queued
+	ErrorRate         float64 // fraction of the hits that fail after their work was done
+	// A server in slow start crashes permanently if the work that is sent to it during OverloadWindow exceeds
+	// OverloadFactor times its capacity. With a factor of 0 no server crashes.
 	OverloadFactor float64
 	OverloadWindow time.Duration
 }
 
-// slowStartStep is the longest time over which the rate of a server in slow start is taken as constant.
+// slowStartStep is the longest time for which the rate of a server in slow start is treated as constant.
 const slowStartStep = 100 * time.Millisecond
 
-// finishTolerance is the work, in seconds, that may be missing when a request counts as finished: more than rounding
-// errors add up to.
+// finishTolerance is the remaining work, in seconds, at which a request already counts as finished. It is larger than
+// the sum of the rounding errors.
 const finishTolerance = 1e-12
 
-// latencyWeight is the weight of the latest sample in the moving mean of the latency.
+// latencyWeight is the weight of the latest sample in the moving average of the latency.
 const latencyWeight = 0.1
 
-// cacheServer executes requests. Its cores are shared evenly among the requests in execution, as a scheduler does:
-// each gets speed times cores divided by their number, at most one core's worth. The work that a request would have
-// got since the start of the process is a single figure for all of them, so an event costs the logarithm of their
-// number.
+// cacheServer executes requests. As an operating system's scheduler does, it shares its cores evenly among the running
+// requests: of n requests, each gets speed*cores/n, but at most the speed of one core. servedWork is the work that a
+// request would have received if it had run since the start of the process. This single figure serves for all running
+// requests, so the cost of an event is logarithmic in their number.
 type cacheServer struct {
 	kind   *CacheServerKind
-	speed  float64 // factor on the speed of a standard core
+	speed  float64 // of a core, as a multiple of a standard core's
 	memory *cache
 	random *rand.Rand
 
-	startedAt   Time // of the process
+	startedAt   Time // start of the process
 	isWarm      bool // slow start is over
 	hasCrashed  bool
-	faultFactor float64 // of the speed, by faults; 0 stops all work
+	faultFactor float64 // factor that faults apply to the speed; 0 stops all work
 
 	advancedTo  Time
-	servedWork  float64 // seconds of work that a request in execution since the start would have got
+	servedWork  float64 // seconds of work that a request would have received if it had run since the start of the process
 	running     executionHeap
 	waiting     []*execution
-	inFlight    map[ConnID]int // executions by open connection
-	meanLatency float64        // seconds
-	recentWork  []sentWork     // during slow start; see overloadedBy
+	inFlight    map[ConnID]int // number of queued and running requests of each open connection
+	meanLatency float64        // moving average in seconds
+	recentWork  []sentWork     // work sent during slow start; see overloadedBy
 }
 
-// sentWork is work that was sent to a server in slow start.
+// sentWork is an amount of work that was sent to a server in slow start.
 type sentWork struct {
 	at      Time
 	seconds float64
@@ -91,8 +91,8 @@
 	return server
 }
 
-// restart starts a new process, with an empty cache and no requests. One that is not warmingUp is taken to have
-// started long ago.
+// restart starts a new process with an empty cache and no requests. If warmingUp is false, the process counts as started
+// long ago and skips slow start.
 func (c *cacheServer) restart(now Time, warmingUp bool) {
 	c.memory.clear()
 	c.startedAt, c.advancedTo, c.isWarm = now, now, !warmingUp
@@ -101,7 +101,7 @@
 	clear(c.inFlight)
 }
 
-// slowStart returns the fraction of its speed that the server has, 1 after slow start.
+// slowStart returns the fraction of its full speed that the server has. It is 1 after slow start.
 func (c *cacheServer) slowStart(now Time) float64 {
 	age := now - c.startedAt
 	if c.isWarm || c.kind.SlowStartDuration <= 0 || age >= c.kind.SlowStartDuration {
@@ -110,12 +110,12 @@
 	return c.kind.SlowStartFloor + (1-c.kind.SlowStartFloor)*float64(age)/float64(c.kind.SlowStartDuration)
 }
 
-// capacity returns the work that all cores together do in a second, without faults.
+// capacity returns the work that all cores together do per second if no fault slows them down.
 func (c *cacheServer) capacity(now Time) float64 {
 	return float64(c.kind.Cores) * c.speed * c.slowStart(now)
 }
 
-// rate returns the work that each request in execution gets in a second.
+// rate returns the work that each running request receives per second.
 func (c *cacheServer) rate(now Time) float64 {
 	running := float64(len(c.running))
 	if running == 0 {
@@ -129,7 +129,7 @@
 	return rate
 }
 
-// advance brings the served work up to now.
+// advance updates servedWork to the given time.
 func (c *cacheServer) advance(now Time) {
 	for c.advancedTo < now {
 		step := now - c.advancedTo
@@ -144,8 +144,8 @@
 	}
 }
 
-// nextFinish returns when the next request will be finished at the present rate, or Never. During slow start it
-// returns an earlier time if the rate has to be computed anew before.
+// nextFinish returns when the next request will be finished at the current rate, or Never. During slow start it
+// returns an earlier time if the rate has to be recomputed before.
 func (c *cacheServer) nextFinish() Time {
 	if len(c.running) == 0 {
 		return Never
@@ -162,9 +162,10 @@
 	return at
 }
 
-// overloadedBy records work, in seconds, that was sent to the server and reports whether a server in slow start
-// crashes from it: it got more than OverloadFactor times its capacity within OverloadWindow. As few requests arrive
-// unevenly, the limit of N requests of mean size is exceeded by 2*sqrt(N)+2 of them.
+// overloadedBy records work, in seconds, that was sent to the server. It reports whether the server crashes because of
+// it: a server in slow start crashes if it got more than OverloadFactor times its capacity within OverloadWindow. Small
+// numbers of requests arrive unevenly. So if the limit is as large as N requests of mean size, 2*sqrt(N)+2 requests of
+// mean size are allowed in addition.
 func (c *cacheServer) overloadedBy(now Time, work float64) bool {
 	if c.isWarm || c.kind.OverloadFactor <= 0 || c.hasCrashed {
 		return false
@@ -182,8 +183,8 @@
 	return mean > 0 && sum > limit+mean*(2*math.Sqrt(limit/mean)+2)
 }
 
-// receive puts a request into the queue. The outcome is decided here, from what is cached now. accepted is false if
-// the server rejects the request because the queue is full.
+// receive puts a request into the queue and decides its outcome from what is cached now. accepted is false if the
+// server rejects the request because the queue is full.
 func (c *cacheServer) receive(request *Request, isHealthCheck bool) (exec *execution, accepted bool) {
 	exec = &execution{Request: request, isHealthCheck: isHealthCheck, work: request.Work.Seconds(), outcome: RejectedUnseen}
 	if len(c.running) >= c.kind.Slots && len(c.waiting) >= c.kind.Queue {
@@ -192,7 +193,7 @@
 	switch value, cached := c.memory.get(request.Key); {
 	case isHealthCheck:
 		exec.outcome = Pong
-	case request.Write || !cached: // writes are for the origin
+	case request.Write || !cached: // only the origin executes writes
 		exec.outcome = Miss
 		exec.work *= c.kind.MissWork
 	case c.kind.ErrorRate > 0 && c.random.Float64() < c.kind.ErrorRate:
@@ -205,7 +206,8 @@
 	return exec, true
 }
 
-// startWaiting moves queued requests into free slots. It returns those that it rejects as their deadline has passed.
+// startWaiting moves queued requests into free slots. If the kind drops expired requests, it rejects and returns those
+// whose deadline has passed.
 func (c *cacheServer) startWaiting(now Time) (expired []*execution) {
 	for len(c.waiting) > 0 && len(c.running) < c.kind.Slots {
 		exec := c.waiting[0]
@@ -223,7 +225,7 @@
 	return expired
 }
 
-// finish removes and returns the requests that are finished, in the order in which they became so.
+// finish removes and returns the requests that are finished, in the order in which they finished.
 func (c *cacheServer) finish(now Time) (finished []*execution) {
 	for len(c.running) > 0 && c.running[0].finishAt <= c.servedWork+finishTolerance {
 		exec := heap.Pop(&c.running).(*execution)
@@ -236,14 +238,14 @@
 	return finished
 }
 
-// release ends the count of an execution on its connection, if that is still open.
+// release removes a request from the count of its connection, if the connection is still open.
 func (c *cacheServer) release(exec *execution) {
 	if inFlight, open := c.inFlight[exec.Conn]; open {
 		c.inFlight[exec.Conn] = inFlight - 1
 	}
 }
 
-// connectionClosed drops the requests of a connection, as far as the kind's CancelMode says.
+// connectionClosed drops the requests of a closed connection that the kind's CancelMode covers.
 func (c *cacheServer) connectionClosed(id ConnID) {
 	inFlight := c.inFlight[id]
 	delete(c.inFlight, id)
@@ -256,7 +258,7 @@
 	}
 }
 
-// load returns the load report.
+// load returns the server's load report.
 func (c *cacheServer) load() Load {
 	return Load{Inflight: len(c.running) + len(c.waiting), Latency: time.Duration(c.meanLatency * 1e9)}
 }
--- a/internal/testbed/model/connection.go
+++ b/internal/testbed/model/connection.go
@@ -8,20 +8,20 @@
 // ConnID identifies a connection. The driver chooses it; it is unique in a run.
 type ConnID uint64
 
-// connection is a connection of a node to a server.
+// connection is an open connection from a node to a server.
 type connection struct {
 	id       ConnID
 	server   *server
 	node     int
-	inbound  *link // requests
-	outbound *link // responses
-	broken   bool  // a message was lost in a partition, so nothing after it can be delivered
+	inbound  *link // carries requests
+	outbound *link // carries responses
+	broken   bool  // a message was lost in a partition, so no later message can be delivered
 }
 
-// formatConnID returns a connection's id as the event log has it.
+// formatConnID returns a connection's id as it appears in the event log.
 func formatConnID(id ConnID) string { return strconv.FormatUint(uint64(id), 10) }
 
-// connect accepts a connection, or resets it if the server is dead or has too many.
+// connect accepts a connection, or resets it if the server is dead or has too many connections.
 func (sys *System) connect(event Connect) {
 	srv := sys.bySlot[event.Slot]
 	sys.logEvent("connect", strconv.Itoa(event.Slot), strconv.Itoa(event.Node), formatConnID(event.Conn))
@@ -56,7 +56,7 @@
 	}
 }
 
-// resetConnections resets the connections of a server that match, in the order of their ids.
+// resetConnections resets those connections of a server for which matches returns true, in ascending order of their ids.
 func (sys *System) resetConnections(srv *server, matches func(*connection) bool) {
 	for _, id := range slices.Clone(srv.open) {
 		if conn := sys.connections[id]; matches(conn) {
@@ -81,9 +81,9 @@
 	sys.serve(srv)
 }
 
-// deliver carries a message to a connection's server and processes it there, unless a partition swallows it or the
-// connection ends before. A frozen server processes it later.
-func (sys *System) deliver(conn *connection, process func()) {
+// deliver carries a message to the server of a connection and handles it there. The message is lost in a partition, or
+// if the connection ends before the message is handled. A frozen server handles the message when it is no longer frozen.
+func (sys *System) deliver(conn *connection, handle func()) {
 	if !sys.canPass(conn) {
 		return
 	}
@@ -92,14 +92,14 @@
 	sys.schedule(arrival, func() {
 		sys.whenNotFrozen(srv, func() {
 			if sys.connections[conn.id] == conn {
-				process()
+				handle()
 			}
 		})
 	})
 }
 
-// canPass reports whether a message that is sent now on a connection will arrive. Once one was lost in a partition, no
-// later one does.
+// canPass reports whether a message that is sent now on a connection can arrive. Once a message was lost in a partition,
+// no later message on the connection arrives.
 func (sys *System) canPass(conn *connection) bool {
 	if conn.server.partitions[conn.node] > 0 {
 		conn.broken = true
@@ -107,16 +107,16 @@
 	return !conn.broken
 }
 
-// whenNotFrozen runs work of a server now, or once the server is no longer frozen.
-func (sys *System) whenNotFrozen(srv *server, process func()) {
+// whenNotFrozen runs a function of a server now, or once the server is no longer frozen.
+func (sys *System) whenNotFrozen(srv *server, handle func()) {
 	if srv.freezes > 0 {
-		srv.received = append(srv.received, process)
+		srv.received = append(srv.received, handle)
 		return
 	}
-	process()
+	handle()
 }
 
-// respond carries a response back to the node.
+// respond sends a server's response to the node, unless the connection has ended or a partition blocks it.
 func (sys *System) respond(srv *server, response Response) {
 	sys.logEvent("answer", srv.id, response.Request, response.Outcome.String())
 	conn := sys.connections[response.Conn]
@@ -135,7 +135,7 @@
 	})
 }
 
-// rejected is the response to a request that was rejected before it had any effect.
+// rejected returns the response to a request that was rejected before it had any effect.
 func rejected(request *Request) Response {
 	return Response{Conn: request.Conn, Seq: request.Seq, Request: request.ID, Outcome: RejectedUnseen}
 }
--- a/internal/testbed/model/discoverycall.go
+++ b/internal/testbed/model/discoverycall.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// beginDiscoveryCall accepts a call of the discovery service. The service answers it after the calls before it.
+// beginDiscoveryCall accepts a call to the discovery service. The service answers it after all earlier calls.
 func (sys *System) beginDiscoveryCall(call DiscoveryCall) {
 	sys.logEvent("ask", strconv.Itoa(call.Node), strconv.FormatBool(call.Watch), strconv.FormatInt(call.After, 10))
 	service := sys.discovery
@@ -22,7 +22,8 @@
 	sys.schedule(at, func() { sys.answerDiscoveryCall(call, accepted) })
 }
 
-// answerDiscoveryCall sends the list to a call, unless the call was cancelled or the service failed meanwhile.
+// answerDiscoveryCall answers a call with the list, or fails the call if it was not accepted. It does nothing if the call
+// was cancelled or an outage began in the meantime.
 func (sys *System) answerDiscoveryCall(call DiscoveryCall, accepted bool) {
 	service := sys.discovery
 	at := service.indexOfCall(call.Call)
@@ -46,7 +47,7 @@
 	}
 }
 
-// scheduleHeartbeat sends heartbeats to a watch until it ends.
+// scheduleHeartbeat sends heartbeats to a watch until the watch ends.
 func (sys *System) scheduleHeartbeat(call uint64) {
 	if sys.spec.Discovery.Heartbeat <= 0 {
 		return
@@ -59,7 +60,8 @@
 	})
 }
 
-// notifyOfChange notifies the watches of a change at once or, where changes are batched, behind the others of the same time.
+// notifyOfChange notifies the watches of a change. Without batches it does so at once. With batches it notifies them once,
+// after all other changes of the same time.
 func (sys *System) notifyOfChange() {
 	service := sys.discovery
 	if service.spec.Batch <= 0 {
@@ -76,7 +78,7 @@
 	})
 }
 
-// notifyWatches sends to every watch the changes that it has not got yet.
+// notifyWatches sends every watch the changes that were not sent to it yet.
 func (sys *System) notifyWatches() {
 	service := sys.discovery
 	for i, call := range service.calls {
@@ -93,7 +95,8 @@
 	service.calls = slices.DeleteFunc(service.calls, func(call openCall) bool { return call.id == id })
 }
 
-// setDiscoveryDown begins (sign 1) or ends (sign -1) an outage of the discovery service. An outage fails all calls.
+// setDiscoveryDown begins (sign 1) or ends (sign -1) an outage of the discovery service. An outage fails all open
+// calls.
 func (sys *System) setDiscoveryDown(sign int) {
 	service := sys.discovery
 	service.outages += sign
@@ -107,11 +110,11 @@
 	service.calls = nil
 }
 
-// setDiscoveryEmpty begins (sign 1) or ends (sign -1) a time in which the list is empty.
+// setDiscoveryEmpty begins (sign 1) or ends (sign -1) a fault that empties the endpoint list.
 func (sys *System) setDiscoveryEmpty(sign int) {
 	service := sys.discovery
 	service.emptyFaults += sign
 	service.version++
-	service.changes = nil // so that every watch gets the full list
+	service.changes = nil // forgets the changes, so that every watch gets the full list
 	sys.notifyWatches()
 }
--- a/internal/testbed/model/driver_test.go
+++ b/internal/testbed/model/driver_test.go
@@ -13,7 +13,7 @@
 	HealthCheckWork: time.Millisecond, MissWork: 0.1, ErrorRate: 0.01, Cancel: CancelQueued, OverloadFactor: 3,
 	OverloadWindow: 1500 * time.Millisecond}
 
-// testSpec is a system of two nodes, an origin in slot 0 and cache servers in the slots from 1.
+// testSpec describes a system of two nodes, an origin in slot 0 and cache servers in the slots from 1 on.
 func testSpec(seed uint64, cacheServers int, faults ...Fault) Spec {
 	spec := Spec{Seed: seed, Nodes: []NodeSpec{{"n0", "a"}, {"n1", "b"}}, OriginZone: "a",
 		Origin: OriginSpec{Median: 20 * time.Millisecond, Sigma: 0.3, Parallel: 20, Queue: 50, Window: 4 * time.Second, ValueSize: 100,
@@ -30,7 +30,7 @@
 	return spec
 }
 
-// driver plays node 0 without sockets and in virtual time: it sends reads to cache servers and, after a miss, to the
+// driver acts as node 0, in virtual time and without sockets. It sends reads to cache servers and, after a miss, to the
 // origin.
 type driver struct {
 	*System
@@ -40,13 +40,13 @@
 	acceptors  map[int]AcceptorState // by slot
 	conns      map[int]ConnID        // by slot
 	slotByConn map[ConnID]int
-	lastID     uint64 // of connections and attempts
+	lastID     uint64 // last id that was given to a connection or an attempt
 
 	responses  []Response
 	resets     int
 	replies    []DiscoveryReply
 	executed   []RequestExecuted
-	overloaded []string // servers
+	overloaded []string // ids of the crashed servers
 }
 
 func newDriver(tb testing.TB, spec Spec) *driver {
@@ -82,7 +82,7 @@
 	}
 }
 
-// runUntil lets time pass; each scheduled event runs at its own time.
+// runUntil advances the time to end. Each scheduled event runs at its own time.
 func (d *driver) runUntil(end time.Duration) {
 	for d.NextEvent() <= end {
 		d.carryOut(d.Advance(d.NextEvent()))
@@ -91,15 +91,15 @@
 	d.carryOut(d.Advance(end))
 }
 
-// send sends a request to a slot and reports whether its acceptor accepts connections. The id is a number, from which
-// the key follows.
+// send sends a request to a slot. It sends nothing and returns false if the acceptor of the slot accepts no connections.
+// The id is a number, which determines the key.
 func (d *driver) send(slot int, id, class string, write bool) bool {
 	if state, ok := d.acceptors[slot]; !ok || state != Accepting {
 		return false
 	}
 	var number int
 	if _, err := fmt.Sscanf(id, "%d", &number); err != nil {
-		d.tb.Fatalf("request id %q is no number: %v", id, err)
+		d.tb.Fatalf("request id %q is not a number: %v", id, err)
 	}
 	conn, ok := d.conns[slot]
 	if !ok {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// generateLoad sends reads and writes with a fixed interval until a time, and lets ten more seconds pass.
+// generateLoad sends reads and writes at a fixed interval until end, and then lets ten more seconds pass.
 func (d *driver) generateLoad(end, interval time.Duration) {
 	for i := 0; d.now < end; i++ {
 		d.runUntil(d.now + interval)
--- a/internal/testbed/model/effect.go
+++ b/internal/testbed/model/effect.go
@@ -3,14 +3,14 @@
 // AcceptorState says what happens to new connections to a slot.
 type AcceptorState int
 
-// The states of an acceptor.
+// States of an acceptor.
 const (
-	Accepting    AcceptorState = iota // connections are established
-	Refusing                          // connections are refused
-	Unresponsive                      // connections are neither established nor refused
+	Accepting    AcceptorState = iota // new connections are established
+	Refusing                          // new connections are refused
+	Unresponsive                      // new connections are neither established nor refused
 )
 
-// Effects that a driver carries out.
+// Effects that the driver carries out.
 type (
 	// Effect is one of Acceptor, Reset, Response, DiscoveryReply, RequestExecuted, ServerOverloaded, ServerStarted,
 	// ServerListed and DiscoveryReachable.
@@ -20,9 +20,9 @@
 		Slot, Node int
 		State      AcceptorState
 	}
-	// Reset closes a connection from the server's side and discards what is in transit on it.
+	// Reset closes a connection from the server's side and discards the data in transit on it.
 	Reset struct{ Conn ConnID }
-	// Response is written to a connection, after the responses that were written to it before.
+	// Response is written to a connection, after all earlier responses on it.
 	Response struct {
 		Conn       ConnID
 		Seq        uint64
@@ -32,16 +32,17 @@
 		Copy       Copy
 		Load       Load
 		Corruption CorruptionKind
-		HasLoad    bool // the load report was asked for
+		HasLoad    bool // the health check asked for the load report
 	}
-	// DiscoveryReply is what the discovery service writes to a call. After a reply that Ends the call gets nothing
-	// more; one that Failed is a status 503, or a reset if the response had begun.
+	// DiscoveryReply is what the discovery service writes to a call. A reply with Ends set is the last one of the call.
+	// A reply with Failed set is an HTTP status 503, or a reset of the connection if the response had begun.
 	DiscoveryReply struct {
 		Call         uint64
-		List         *List // nil is a heartbeat, an empty line
+		List         *List // nil in a heartbeat, which is an empty line, and in a failure
 		Ends, Failed bool
 	}
-	// RequestExecuted reports to the invariants that work on a request began. Nodes do not see it.
+	// RequestExecuted reports to the invariants that a server executed a request. The origin reports the start of the
+	// execution, a cache server its end. Nodes do not see this effect.
 	RequestExecuted struct {
 		Request, Server, Class string
 		Seq                    uint64
@@ -49,17 +50,18 @@
 	// ServerOverloaded reports that a cache server in slow start crashed from overload.
 	ServerOverloaded struct{ Server string }
 	// ServerStarted reports to the invariants that the process of a cache server started with an empty cache. At is
-	// the start time that the endpoint list will give.
+	// the start time that the endpoint list will show.
 	ServerStarted struct {
 		Server string
 		At     Time
 	}
-	// ServerListed reports to the invariants that the discovery service has a new state of a server to send.
+	// ServerListed reports to the invariants that the endpoint list of the discovery service has a new state of a server.
 	ServerListed struct {
 		Server string
 		State  State
 	}
-	// DiscoveryReachable reports to the invariants whether the discovery service answers. It does at first.
+	// DiscoveryReachable reports to the invariants whether the discovery service answers. At the start of
+	// a run it answers.
 	DiscoveryReachable struct{ Up bool }
 )
 
@@ -73,11 +75,11 @@
 func (ServerListed) effect()       {}
 func (DiscoveryReachable) effect() {}
 
-// WasNotExecuted reports whether a response proves that the attempt was not executed: it was rejected, or the server had
-// no copy.
+// WasNotExecuted reports whether a response proves that the attempt was not executed. This is so if the server rejected
+// the attempt or had no copy.
 func (r Response) WasNotExecuted() bool { return r.Outcome == RejectedUnseen || r.Outcome == Miss }
 
-// HasValue reports whether a response holds a value for the request that can be decoded.
+// HasValue reports whether a response can be decoded and holds a value for the request.
 func (r Response) HasValue() bool {
 	return r.Corruption.IsDecodable() && (r.Outcome == Hit || r.Outcome == Written)
 }
--- a/internal/testbed/model/event.go
+++ b/internal/testbed/model/event.go
@@ -1,6 +1,6 @@
 package model
 
-// Events that a driver passes to System.Step.
+// Events that the driver passes to System.Step.
 type (
 	// Event is one of Connect, Closed, RequestArrived, HealthCheck, DiscoveryCall and DiscoveryCancelled.
 	Event interface{ event() }
@@ -11,23 +11,23 @@
 	}
 	// Closed reports that the node closed a connection.
 	Closed struct{ Conn ConnID }
-	// RequestArrived reports that the last byte of a request was written to a connection. Its Work is set by the system.
+	// RequestArrived reports that the last byte of a request was written to a connection. The system sets its Work.
 	RequestArrived struct{ Request }
-	// HealthCheck asks a server for a sign of life or, with Load, for its load report.
+	// HealthCheck asks a server whether it is alive or, with Load set, for its load report.
 	HealthCheck struct {
 		Conn ConnID
 		Seq  uint64
 		Load bool
 	}
-	// DiscoveryCall is a call of the discovery service: for the full list or, with Watch, for the changes after a
-	// version and all that follow.
+	// DiscoveryCall is a call to the discovery service. It asks for the full list or, with Watch set, for all changes
+	// after the version After, including those to come.
 	DiscoveryCall struct {
 		Call  uint64
 		Node  int
 		Watch bool
 		After int64
 	}
-	// DiscoveryCancelled ends a call from the node's side.
+	// DiscoveryCancelled reports that the node cancelled a call to the discovery service.
 	DiscoveryCancelled struct{ Call uint64 }
 )
 
--- a/internal/testbed/model/execution.go
+++ b/internal/testbed/model/execution.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// requestArrived delivers a request to the server of its connection.
+// requestArrived delivers a request to the server at the other end of its connection.
 func (sys *System) requestArrived(event RequestArrived) {
 	conn := sys.connections[event.Conn]
 	sys.logEvent("arrive", event.ID, event.Class, event.Key, formatConnID(event.Conn))
@@ -25,7 +25,8 @@
 	})
 }
 
-// workOf returns the work of a request. It depends on the id alone, so that every attempt of a request costs the same.
+// workOf returns the work of a request, drawn from the range of its class by the request id. So every attempt of a
+// request costs the same.
 func (sys *System) workOf(class, id string) time.Duration {
 	spec := sys.classes[class]
 	hash := xxhash.Sum64String(strconv.FormatUint(sys.spec.Seed, 16) + id)
@@ -33,7 +34,7 @@
 	return spec.WorkLeast + time.Duration(fraction*float64(spec.WorkMost-spec.WorkLeast))
 }
 
-// healthCheck delivers a health check to the server of its connection.
+// healthCheck delivers a health check to the server at the other end of its connection.
 func (sys *System) healthCheck(event HealthCheck) {
 	conn := sys.connections[event.Conn]
 	sys.logEvent("probe", formatConnID(event.Conn))
@@ -49,7 +50,7 @@
 	})
 }
 
-// checkCacheServer has a cache server execute a health check like a request.
+// checkCacheServer makes a cache server execute a health check as it executes a request.
 func (sys *System) checkCacheServer(srv *server, check HealthCheck) {
 	srv.cache.advance(sys.now)
 	request := &Request{Conn: check.Conn, Seq: check.Seq, Work: srv.kind.HealthCheckWork, Deadline: Never}
@@ -62,7 +63,7 @@
 	sys.serve(srv)
 }
 
-// addBackgroundWork gives a cache server work to which nobody expects a response.
+// addBackgroundWork gives a cache server work that gets no response. The work is lost if the queue is full.
 func (sys *System) addBackgroundWork(srv *server, request *Request) {
 	srv.cache.advance(sys.now)
 	if exec, accepted := srv.cache.receive(request, true); accepted {
@@ -80,7 +81,7 @@
 	cache := srv.cache
 	cache.advance(sys.now)
 	_, accepted := cache.receive(request, false)
-	// What counts is the work that was sent: misses and rejected requests add to the overload with all of theirs.
+	// The overload is measured by the work that was sent: misses and rejected requests count with their full work.
 	if cache.overloadedBy(sys.now, request.Work.Seconds()) {
 		sys.crash(srv)
 		return
@@ -94,17 +95,17 @@
 	sys.serve(srv)
 }
 
-// crash ends the process of an overloaded cache server for good.
+// crash ends the process of an overloaded cache server permanently.
 func (sys *System) crash(srv *server) {
 	srv.cache.hasCrashed = true
 	sys.logEvent("fell", srv.id)
 	sys.emit(ServerOverloaded{srv.id})
 	srv.kills++
-	sys.settle(srv)
+	sys.reconcile(srv)
 }
 
-// serve lets a cache server finish and begin requests, and schedules when it has to be looked at again. It does
-// nothing for the origin.
+// serve finishes and starts requests of a cache server as far as the current time allows, and schedules its own next
+// call. It does nothing for the origin.
 func (sys *System) serve(srv *server) {
 	cache := srv.cache
 	if cache == nil {
@@ -119,7 +120,7 @@
 		wasWaiting := len(cache.waiting) > 0
 		expired := cache.startWaiting(sys.now)
 		for _, exec := range append(finished, expired...) {
-			sys.finished(srv, exec)
+			sys.executionFinished(srv, exec)
 		}
 		if len(finished) == 0 && len(expired) == 0 || !wasWaiting {
 			break
@@ -128,7 +129,7 @@
 	sys.scheduleWakeup(srv)
 }
 
-// scheduleWakeup schedules the next call of serve. Any other call before it makes it void.
+// scheduleWakeup schedules the next call of serve. The scheduled call is skipped if serve is called before.
 func (sys *System) scheduleWakeup(srv *server) {
 	at := srv.cache.nextFinish()
 	if at == Never {
@@ -143,8 +144,8 @@
 	})
 }
 
-// finished responds to a request whose execution at a cache server has ended.
-func (sys *System) finished(srv *server, exec *execution) {
+// executionFinished responds to a request that a cache server has executed or rejected as expired.
+func (sys *System) executionFinished(srv *server, exec *execution) {
 	if exec.isBackground {
 		return
 	}
@@ -161,7 +162,7 @@
 	sys.respond(srv, response)
 }
 
-// logExecution records that a server executed a request.
+// logExecution records in the event log that a server executed a request, and reports it to the driver.
 func (sys *System) logExecution(srv *server, request *Request) {
 	sys.logEvent("ran", srv.id, request.ID)
 	sys.emit(RequestExecuted{Request: request.ID, Server: srv.id, Class: request.Class, Seq: request.Seq})
--- a/internal/testbed/model/faultschedule.go
+++ b/internal/testbed/model/faultschedule.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// activeFault is a fault that has begun.
+// activeFault is a fault that has begun, with its targets.
 type activeFault struct {
 	Fault
 	random  *rand.Rand
 	targets []*server
 }
 
-// Signs that applyFault takes.
+// Values of the parameter sign of applyFault.
 const (
 	faultBegins = 1
 	faultEnds   = -1
 )
 
-// beginFault begins a fault of the specification and schedules its end.
+// beginFault begins the fault with the given index in the specification and schedules its end.
 func (sys *System) beginFault(index int) {
 	fault := &activeFault{Fault: sys.spec.Faults[index], random: RandomStream(sys.spec.Seed, fmt.Sprintf("fault/%d", index))}
 	if fault.Kind.AffectsCacheServers() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// applyFault begins (sign 1) or ends (sign -1) the effect of a fault. Each state that it changes is a count or a list
-// of the active faults, so that overlapping ones may end in any order.
+// applyFault begins (sign 1) or ends (sign -1) the effect of a fault. All state that it changes is a count, sum, product
+// or list over the active faults, so overlapping faults may end in any order.
 func (sys *System) applyFault(fault *activeFault, sign int) {
 	switch fault.Kind {
 	case DiscoveryLag:
@@ -68,7 +68,7 @@
 	}
 }
 
-// applyToServer begins or ends the effect of a fault on one cache server.
+// applyToServer begins (sign 1) or ends (sign -1) the effect of a fault on one cache server.
 func (sys *System) applyToServer(fault *activeFault, srv *server, sign int) {
 	switch fault.Kind {
 	case Drain:
@@ -96,10 +96,11 @@
 			}
 		}
 	}
-	sys.settle(srv)
+	sys.reconcile(srv)
 }
 
-// addOrRemove adds the value of a fault that begins to those of the active faults, or removes that of one that ends.
+// addOrRemove adds the value of a fault that begins to the values of the active faults, or removes the value of a fault
+// that ends.
 func addOrRemove(active []float64, value float64, sign int) []float64 {
 	if sign == faultBegins {
 		return append(active, value)
@@ -119,7 +120,8 @@
 	return 1 - none
 }
 
-// selectTargets draws the targets of a fault among the cache servers, which are in the order of the endpoint list.
+// selectTargets draws the targets of a fault from the cache servers. Before the draw these are in the order of the
+// endpoint list.
 func (sys *System) selectTargets(fault *activeFault) []*server {
 	var candidates []*server
 	for _, srv := range sys.servers {
@@ -147,7 +149,7 @@
 		(len(s.IDs) == 0 || slices.Contains(s.IDs, srv.id))
 }
 
-// deploy replaces its targets in batches, evenly distributed over its duration.
+// deploy replaces the targets of a fault in batches, which are spread evenly over the duration of the fault.
 func (sys *System) deploy(fault *activeFault) {
 	cacheServers := 0
 	for _, srv := range sys.servers {
@@ -166,7 +168,7 @@
 	}
 }
 
-// shrink removes its targets one after another, evenly distributed over its duration.
+// shrink removes the targets of a fault one after another, spread evenly over the duration of the fault.
 func (sys *System) shrink(fault *activeFault) {
 	for i, srv := range fault.targets {
 		sys.scheduleAfter(fault.For*time.Duration(i)/time.Duration(len(fault.targets)), func() {
@@ -175,7 +177,8 @@
 	}
 }
 
-// flap kills its targets and starts them again until its duration is over. It ends with a start.
+// flap kills and restarts the targets of a fault periodically until the duration of the fault is over. The last step is
+// a restart.
 func (sys *System) flap(fault *activeFault) {
 	end := Never
 	if fault.For > 0 {
--- a/internal/testbed/model/link.go
+++ b/internal/testbed/model/link.go
@@ -13,10 +13,10 @@
 	Retransmit            time.Duration // delay that a loss adds
 }
 
-// link is one direction of a connection. It keeps the order of the messages.
+// link is one direction of a connection. Messages arrive in the order in which they were sent.
 type link struct {
 	random      *rand.Rand
-	lastArrival Time // the latest one so far
+	lastArrival Time // latest arrival time so far
 	delay       time.Duration
 }
 
@@ -28,7 +28,7 @@
 	return &link{random: random, delay: drawDuration(random, least, most)}
 }
 
-// arrival returns when a message that is sent now arrives. extraLoss is the probability of loss that faults add.
+// arrival returns when a message that is sent now arrives. extraLoss is the probability of loss that active faults add.
 func (l *link) arrival(now Time, spec *LinkSpec, extraLoss float64) Time {
 	at := now + l.delay
 	if loss := spec.Loss + extraLoss; loss > 0 && l.random.Float64() < loss {
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -23,7 +23,8 @@
 	{Kind: Shrink, At: 7 * time.Second, For: time.Second, Select: Selector{Count: 2}},
 }
 
-// The same seed gives the same event log twice, another seed another one.
+// Two runs with the same seed produce the same event log, and a run with another seed a different one. Two parts with
+// different names draw different random numbers.
 func TestSameSeedGivesSameEventLog(t *testing.T) {
 	hash := func(seed uint64) uint64 {
 		driver := newDriver(t, testSpec(seed, 8, oneFaultOfEachKind...))
@@ -38,8 +39,8 @@
 	}
 }
 
-// A read that misses is stored from the origin and is a hit afterwards; a write invalidates the copy, so that no cache
-// server returns the old record.
+// After a read missed, the value from the origin is stored at the cache server, and the next read is a hit. A write
+// invalidates the copy, so that no cache server returns the old record.
 func TestMissFillsCacheAndWriteInvalidatesIt(t *testing.T) {
 	driver := newDriver(t, testSpec(1, 1))
 	send := func(slot int, id, class string, write bool) Response {
@@ -69,8 +70,8 @@
 	}
 }
 
-// A server that replaces another at the same address has another id and an empty cache, and requests in flight to the
-// old one are not answered by the new one.
+// A cache server that replaces another one at the same address has a new id and an empty cache. It does not answer
+// requests that were in flight to the old server.
 func TestReplacementAtSameAddressHasNewIDAndEmptyCache(t *testing.T) {
 	driver := newDriver(t, testSpec(1, 1, Fault{Kind: Deploy, At: time.Second, For: time.Second, Batch: 1, DrainFor: time.Second, SameSlot: 1}))
 	driver.send(1, "1", "read", false)
@@ -91,14 +92,15 @@
 		t.Errorf("list %+v, want box-1 alone, up in slot 1 with a start time", listed)
 	}
 	before = len(driver.responses)
-	driver.send(1, "1", "read", false) // a key that the old one had
+	driver.send(1, "1", "read", false) // the old server had a copy of this key
 	driver.runUntil(4100 * time.Millisecond)
 	if len(driver.responses) == before || driver.responses[before].Outcome != Miss {
 		t.Errorf("responses of the replacement: %+v, want a miss", driver.responses[before:])
 	}
 }
 
-// Two faults of the same kind on one server that overlap end with the later one, and leave the server as it was.
+// Two overlapping faults of the same kind on one server are over when the later one ends, and the server then is as
+// before.
 func TestOverlappingFaultsEndWithTheLastOne(t *testing.T) {
 	driver := newDriver(t, testSpec(1, 1, Fault{Kind: Freeze, At: time.Second, For: 3 * time.Second}, Fault{Kind: Freeze, At: 2 * time.Second, For: time.Second},
 		Fault{Kind: Kill, At: 10 * time.Second, For: 4 * time.Second}, Fault{Kind: Kill, At: 11 * time.Second, For: time.Second}))
@@ -130,7 +132,7 @@
 		srv.origin != nil && (srv.origin.stallFaults != 0 || srv.origin.slowdown < 0.99 || srv.origin.slowdown > 1.01)
 }
 
-// Whatever faults there are, each state that they change is as before after their end, and the system answers requests.
+// Any combination of faults leaves no state changed after its end, and the system answers requests again.
 func TestEndedFaultsHaveNoEffect(t *testing.T) {
 	kinds := []FaultKind{Drain, Kill, Freeze, Partition, Slow, Stall, Flap, CorruptResponse, PacketLoss, DiscoveryLag, DiscoveryDown, DiscoveryEmpty, OriginSlow, OriginStall}
 	rapid.Check(t, func(r *rapid.T) {
@@ -162,7 +164,8 @@
 	})
 }
 
-// A server in slow start that gets more than three times its capacity crashes; one that is warm only queues.
+// A server in slow start crashes if it gets more than three times its capacity. A server after slow start only queues the
+// requests.
 func TestOverloadCrashesServerInSlowStartOnly(t *testing.T) {
 	for _, warmingUp := range []bool{false, true} {
 		spec := testSpec(1, 1)
@@ -175,7 +178,7 @@
 		driver := newDriver(t, spec)
 		driver.runUntil(10 * time.Millisecond)
 		for i := range 500 {
-			driver.runUntil(driver.now + 4*time.Millisecond) // 250 a second of 15 ms: 3.75 cores' worth, of 0.4 in slow start
+			driver.runUntil(driver.now + 4*time.Millisecond) // 250 requests per second of 15 ms need 3.75 cores; in slow start there are 0.4
 			driver.send(1, fmt.Sprint(i), "read", false)
 		}
 		if len(driver.overloaded) > 0 != warmingUp {
@@ -184,7 +187,7 @@
 	}
 }
 
-// Calls of the discovery service are answered one after another; a watch gets the changes, and ends with an outage.
+// Calls to the discovery service are answered one after another. A watch gets the changes until an outage ends it.
 func TestWatchGetsChangesUntilDiscoveryFails(t *testing.T) {
 	driver := newDriver(t, testSpec(1, 2, Fault{Kind: Drain, At: 3 * time.Second, For: time.Second, Select: Selector{IDs: []string{"box-1"}}},
 		Fault{Kind: DiscoveryDown, At: 8 * time.Second, For: time.Second}))
@@ -215,7 +218,7 @@
 	}
 }
 
-// The work that a server does in a time is what its cores can do, however many requests share them.
+// However many requests share the cores of a server, the server does as much work per second as its cores can do.
 func TestCoresAreDividedEvenlyAmongRequests(t *testing.T) {
 	for requests, want := range map[int]time.Duration{1: 100 * time.Millisecond, 2: 100 * time.Millisecond, 8: 400 * time.Millisecond} {
 		server := newCacheServer(standardKind, 1, 0, false, RandomStream(1, "t"))
@@ -248,7 +251,7 @@
 	}
 }
 
-// A request in execution when the list begins to say that its server drains is finished and answered; one that arrives
+// A request that is in execution when its server is listed as draining is finished and answered. A request that arrives
 // afterwards is rejected.
 func TestDrainingServerFinishesRequestsAndRejectsNewOnes(t *testing.T) {
 	spec := testSpec(1, 1, Fault{Kind: Drain, At: time.Second, For: 5 * time.Second})
--- a/internal/testbed/model/origin.go
+++ b/internal/testbed/model/origin.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// OriginSpec describes the origin.
+// OriginSpec describes the origin: its service time, its capacity and how it reacts to overload.
 type OriginSpec struct {
-	Median   time.Duration // of the service time, which is log-normal
+	Median   time.Duration // median of the service time, which is log-normally distributed
 	Sigma    float64       // standard deviation of the logarithm of the service time
-	Parallel int           // requests executed at once
-	Queue    int           // requests that wait; further ones are rejected
+	Parallel int           // requests that are executed at the same time
+	Queue    int           // requests that may wait; further requests are rejected
 	// The origin stalls for OverloadStall once it gets more than OverloadMultiple times its capacity during
-	// OverloadWindow. A multiple of 0 is never.
+	// OverloadWindow. With a multiple of 0 overload never stalls it.
 	OverloadMultiple              float64
 	OverloadWindow, OverloadStall time.Duration
-	Window                        time.Duration // in which a write with the same idempotency key is dropped
-	ValueSize                     int           // bytes of a record that was never written
-	CancelOnDisconnect            bool          // the end of a connection drops its queued requests
+	Window                        time.Duration // time during which a second write with the same idempotency key has no effect
+	ValueSize                     int           // size in bytes of a record that was never written
+	CancelOnDisconnect            bool          // drop the queued requests of a connection that ends
 }
 
-// origin holds the authoritative records: a version for each key that was written.
+// origin models the origin. It holds the authoritative records, with a version for each key that was written.
 type origin struct {
 	spec    OriginSpec
 	random  *rand.Rand
@@ -31,15 +31,15 @@
 	running int // requests in execution
 	waiting []*Request
 
-	slowdown        float64 // factor on the service time, by faults
-	stallFaults     int     // active faults that stall it
-	stalledUntil    Time    // end of the stall after an overload
-	overloadBudget  float64 // requests left before it stalls; see overloadedByRequest
+	slowdown        float64 // factor that faults apply to the service time
+	stallFaults     int     // number of active faults that stall the origin
+	stalledUntil    Time    // end of the stall that an overload caused
+	overloadBudget  float64 // requests left before the origin stalls; see overloadedByRequest
 	budgetUpdatedAt Time
-	meanServiceTime float64 // seconds
+	meanServiceTime float64 // in seconds
 
-	lastWriteAt  map[string]Time // by idempotency key
-	recentWrites []keyedWrite    // in the order of their times, to forget them
+	lastWriteAt  map[string]Time // time of the write with each idempotency key
+	recentWrites []keyedWrite    // in the order of their times; used to find those to forget
 }
 
 // keyedWrite is a write with an idempotency key.
@@ -55,7 +55,7 @@
 	return o
 }
 
-// overloadRate returns the requests per second above which the origin is overloaded.
+// overloadRate returns the number of requests per second above which the origin is overloaded.
 func (o *origin) overloadRate() float64 {
 	capacity := float64(o.spec.Parallel) / o.meanServiceTime
 	return capacity * o.spec.OverloadMultiple
@@ -65,15 +65,16 @@
 	return o.overloadRate() * o.spec.OverloadWindow.Seconds()
 }
 
-// drawServiceTime draws the time in which a request is executed.
+// drawServiceTime returns a random time that the execution of a request takes.
 func (o *origin) drawServiceTime() time.Duration {
 	return time.Duration(o.spec.Median.Seconds() * math.Exp(o.spec.Sigma*o.random.NormFloat64()) * o.slowdown * 1e9)
 }
 
-// stalled reports whether the origin does nothing.
+// stalled reports whether a fault or an overload keeps the origin from doing any work.
 func (o *origin) stalled(now Time) bool { return o.stallFaults > 0 || now < o.stalledUntil }
 
-// overloadedByRequest takes a request from the budget, a token bucket, and reports whether the origin stalls from it.
+// overloadedByRequest takes one request from the overload budget, which is a token bucket. It reports whether the budget
+// is used up, so that the origin stalls.
 func (o *origin) overloadedByRequest(now Time) bool {
 	if o.spec.OverloadMultiple <= 0 {
 		return false
@@ -85,13 +86,13 @@
 	return o.overloadBudget < 0
 }
 
-// beginOverloadStall stalls the origin and refills its budget.
+// beginOverloadStall stalls the origin and refills its overload budget.
 func (o *origin) beginOverloadStall(now Time) {
 	o.stalledUntil = now + o.spec.OverloadStall
 	o.overloadBudget = o.maxOverloadBudget()
 }
 
-// record returns the present record of a key.
+// record returns the current record of a key.
 func (o *origin) record(key string) Copy {
 	if record, ok := o.records[key]; ok {
 		return record
@@ -107,8 +108,8 @@
 	o.records[key] = record
 }
 
-// isRepeated reports whether a write with this idempotency key was executed within the window, and records the key if
-// not. A write without a key is never repeated.
+// isRepeated reports whether a write with this idempotency key was executed within the window. If not, it records the
+// key. A write without a key never counts as repeated.
 func (o *origin) isRepeated(now Time, idempotencyKey string) bool {
 	o.forgetWrites(now)
 	if idempotencyKey == "" {
@@ -132,12 +133,12 @@
 	}
 }
 
-// connectionClosed drops the queued requests of a connection, if the specification says so.
+// connectionClosed drops the queued requests of a closed connection if CancelOnDisconnect is set.
 func (o *origin) connectionClosed(id ConnID) {
 	if o.spec.CancelOnDisconnect {
 		o.waiting = slices.DeleteFunc(o.waiting, func(request *Request) bool { return request.Conn == id })
 	}
 }
 
-// load returns the load report.
+// load returns the origin's load report.
 func (o *origin) load() Load { return Load{Inflight: o.running + len(o.waiting)} }
--- a/internal/testbed/model/originexecution.go
+++ b/internal/testbed/model/originexecution.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// stallRecheck is the shortest wait before a request that finished during a stall of the origin is looked at again.
+// stallRecheck is the shortest wait before the origin tries again to answer a request that finished during a stall.
 const stallRecheck = 50 * time.Millisecond
 
-// checkOrigin responds to a health check, unless the origin stalls.
+// checkOrigin responds to a health check of the origin, unless the origin is stalled.
 func (sys *System) checkOrigin(srv *server, check HealthCheck) {
 	if srv.origin.stalled(sys.now) {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// startOriginWaiting begins to execute queued requests, once the origin no longer stalls.
+// startOriginWaiting starts the execution of queued requests, unless the origin is stalled.
 func (sys *System) startOriginWaiting() {
 	origin := sys.origin.origin
 	for !origin.stalled(sys.now) && origin.running < origin.spec.Parallel && len(origin.waiting) > 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// executeAtOrigin executes one request. A write takes effect at the end. What ends while the origin stalls is answered
-// afterwards.
+// executeAtOrigin executes one request. A write takes effect at the end of its execution. A request whose execution ends
+// while the origin is stalled is finished after the stall.
 func (sys *System) executeAtOrigin(request *Request) {
 	origin := sys.origin.origin
 	origin.running++
--- a/internal/testbed/model/request.go
+++ b/internal/testbed/model/request.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// Request is one attempt as a server receives it.
+// Request is one attempt of a client's request, as a server receives it.
 type Request struct {
 	Conn           ConnID
-	Seq            uint64 // of the attempt; chosen by the driver, unique in a run
-	ID             string // of the client's request
+	Seq            uint64 // number of the attempt; chosen by the driver, unique in a run
+	ID             string // id of the client's request
 	Key            string
 	Class          string
 	Write          bool
-	Size           int           // bytes of the value of a write
+	Size           int           // size in bytes of the value of a write
 	IdempotencyKey string        // empty if there is none
-	Work           time.Duration // on a standard core
+	Work           time.Duration // time that a standard core needs for the request
 	Deadline       Time          // when the sender stops waiting
 }
 
 // Outcome is how a server answered a request or a health check.
 type Outcome int
 
-// The outcomes.
+// Outcomes of requests and health checks.
 const (
-	Hit            Outcome = iota // a value made for this request
+	Hit            Outcome = iota // a value for this request
 	Miss                          // the cache server has no copy
-	Failed                        // an error; the request may have been executed
-	RejectedUnseen                // rejected before it had any effect
+	Failed                        // the server answered with an error; the request may have been executed
+	RejectedUnseen                // the server rejected the request before it had any effect
 	Written                       // the origin's receipt for a write
-	Pong                          // to a health check
+	Pong                          // the answer to a health check
 )
 
 var outcomeNames = [...]string{"hit", "miss", "failed", "turned_away", "written", "pong"}
 
-// String returns the outcome as the event log has it.
+// String returns the outcome as it appears in the event log.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Load is a load report.
+// Load is the load report of a server.
 type Load struct {
 	Inflight int           // requests in execution and in the queue
-	Latency  time.Duration // moving mean of the time in execution, without the wait in the queue
+	Latency  time.Duration // moving average of the execution time, without the wait in the queue
 }
 
-// execution is a request in the queue of a cache server or in execution there.
+// execution is a request that is queued or running at a cache server.
 type execution struct {
 	*Request
 	isHealthCheck bool
-	wantsLoad     bool    // a health check that asks for the load report
-	isBackground  bool    // nobody expects a response
-	work          float64 // seconds on a standard core
+	wantsLoad     bool    // the health check asks for the load report
+	isBackground  bool    // the work gets no response
+	work          float64 // in seconds of a standard core
 	startedAt     Time
-	finishAt      float64 // served work of the server at which it is finished
+	finishAt      float64 // servedWork of the cache server at which the request is finished
 	outcome       Outcome
-	copy          Copy // of a Hit
+	copy          Copy // the value that a Hit returns
 }
 
-// executionHeap implements heap.Interface, ordered by the work at which a request is finished and then by Seq.
+// executionHeap implements heap.Interface. Its order is by finishAt and then by Seq.
 type executionHeap []*execution
 
 // Len implements sort.Interface.
@@ -82,8 +82,8 @@
 	return exec
 }
 
-// removeConnection removes the requests of a connection. A removal reorders the heap, so the search begins anew
-// after it.
+// removeConnection removes the requests of a connection. Each removal reorders the heap, so the search then starts again
+// from the beginning.
 func (h *executionHeap) removeConnection(id ConnID) {
 	for i := 0; i < len(*h); {
 		if (*h)[i].Conn == id {
--- a/internal/testbed/model/server.go
+++ b/internal/testbed/model/server.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// server is a cache server or the origin, as the rest of the system sees it: its process, its acceptors and the
-// faults that are active on it.
+// server is a cache server or the origin. It holds what both have in common: the process, the acceptors and the active
+// faults.
 type server struct {
 	id, zone   string
 	cell, slot int
 	kind       *CacheServerKind // nil for the origin
 	cache      *cacheServer     // nil for the origin
 	origin     *origin          // nil for a cache server
-	started    Time             // start of the process as the endpoint list gives it; 0 is long ago
+	started    Time             // start of the process as the endpoint list shows it; 0 means long ago
 
-	// Active faults. Counts and lists, so that overlapping faults may end in any order.
+	// Active faults. They are kept as counts and lists, so that overlapping faults may end in any order.
 	kills, freezes, stalls, drains int
-	partitions                     []int     // by node
-	slowdowns                      []float64 // factors of the speed
+	partitions                     []int     // number of active partitions, by node
+	slowdowns                      []float64 // factors on the speed
 	corruption, packetLoss         []float64 // probabilities
 
 	retiring bool // draining, and removed afterwards
-	removed  bool // removed for good
-	dead     bool // the process does not run
+	removed  bool // permanently removed
+	dead     bool // the process is not running
 
 	acceptors []AcceptorState // by node
-	open      []ConnID        // open connections, ascending
-	received  []func()        // messages that arrived while the process was frozen
-	listedAt  Time            // when the endpoint list has the latest change
-	wakeup    uint64          // number of the latest scheduled wake-up; earlier ones are void
+	open      []ConnID        // ids of the open connections, ascending
+	received  []func()        // handlers of the messages that arrived while the process was frozen
+	listedAt  Time            // when the endpoint list shows the latest change of this server
+	wakeup    uint64          // number of the latest scheduled wake-up; earlier wake-ups are skipped
 }
 
 // ServerState describes a server for tables and charts.
@@ -40,11 +40,11 @@
 	Slot               int
 	State              State
 	Dead, Unresponsive bool
-	SlowStart          float64 // part of its speed that a server has; 1 after slow start
-	Running            int     // requests in execution
-	Waiting            int     // queued requests
-	Conns              int     // open connections
-	Copies             int     // cached values
+	SlowStart          float64 // fraction of its full speed that the server has; 1 after slow start
+	Running            int     // number of requests in execution
+	Waiting            int     // number of queued requests
+	Conns              int     // number of open connections
+	Copies             int     // number of cached values
 	Cores              int
 }
 
@@ -72,7 +72,7 @@
 	return state
 }
 
-// addServer adds a server to the system. All of its acceptors refuse connections until settle opens them.
+// addServer adds a server to the system. All of its acceptors refuse connections until reconcile opens them.
 func (sys *System) addServer(srv *server) *server {
 	srv.partitions = make([]int, len(sys.spec.Nodes))
 	srv.acceptors = slices.Repeat([]AcceptorState{Refusing}, len(sys.spec.Nodes))
@@ -80,11 +80,12 @@
 	sys.servers = append(sys.servers, srv)
 	sys.bySlot[srv.slot] = srv
 	sys.logEvent("server", srv.id, srv.zone, strconv.Itoa(srv.slot))
-	sys.settle(srv)
+	sys.reconcile(srv)
 	return srv
 }
 
-// addCacheServer adds a cache server at a slot. One that is warmingUp starts now, the others started long ago.
+// addCacheServer adds a cache server at a slot. If warmingUp is true, its process starts now. Otherwise the process counts
+// as started long ago.
 func (sys *System) addCacheServer(spec CacheServerSpec, slot int, warmingUp bool) *server {
 	id := fmt.Sprintf("box-%d", sys.nextID)
 	sys.nextID++
@@ -96,13 +97,13 @@
 	return sys.addServer(srv)
 }
 
-// processStarted records the start of a process. A start at time 0 counts as 1, as 0 stands for long ago.
+// processStarted records the start of a process. A start at time 0 is recorded as 1 ns, because 0 stands for long ago.
 func (sys *System) processStarted(srv *server) {
 	srv.started = max(sys.now, 1)
 	sys.emit(ServerStarted{srv.id, srv.started})
 }
 
-// listEntry returns what the endpoint list should say of a server now.
+// listEntry returns the entry that the endpoint list should have for a server now.
 func (sys *System) listEntry(srv *server) Entry {
 	entry := Entry{ID: srv.id, Zone: srv.zone, Cell: srv.cell, Slot: srv.slot, Started: srv.started,
 		Origin: srv.origin != nil, Kind: OriginID}
@@ -120,8 +121,8 @@
 
 func (srv *server) isDraining() bool { return srv.retiring || srv.drains > 0 }
 
-// publish brings the present state of a server to the discovery service, after the lag of the service. The changes of
-// a server arrive in their order.
+// publish puts the current state of a server into the endpoint list, after the lag of the discovery service. The changes
+// of one server are listed in their order.
 func (sys *System) publish(srv *server) {
 	entry := sys.listEntry(srv)
 	sys.logEvent("state", entry.ID, entry.State.String())
@@ -135,17 +136,17 @@
 	})
 }
 
-// settle brings a server's process, speed and acceptors in line with the active faults. Connections are reset after
-// the acceptors have changed: a node that sees a reset must not find the acceptor open.
-func (sys *System) settle(srv *server) {
+// reconcile brings a server's process, speed and acceptors in line with the active faults. Connections are reset after
+// the acceptors have changed, because a node that sees a reset must not find the acceptor still open.
+func (sys *System) reconcile(srv *server) {
 	if srv.cache != nil {
 		srv.cache.advance(sys.now)
 	}
-	died := sys.settleProcess(srv)
+	died := sys.reconcileProcess(srv)
 	if srv.cache != nil {
 		srv.cache.faultFactor = srv.speedFactor()
 	}
-	healed := sys.settleAcceptors(srv)
+	healed := sys.reconcileAcceptors(srv)
 	if died {
 		sys.resetConnections(srv, func(*connection) bool { return true })
 	}
@@ -155,15 +156,16 @@
 	if srv.freezes == 0 {
 		received := srv.received
 		srv.received = nil
-		for _, process := range received {
-			process()
+		for _, handle := range received {
+			handle()
 		}
 	}
 	sys.serve(srv)
 }
 
-// settleProcess ends or starts the process of a server and reports whether it died.
-func (sys *System) settleProcess(srv *server) (died bool) {
+// reconcileProcess ends or starts the process of a server as the active faults require. It reports whether the process
+// died.
+func (sys *System) reconcileProcess(srv *server) (died bool) {
 	dead := srv.removed || srv.kills > 0
 	if dead == srv.dead {
 		return false
@@ -183,7 +185,7 @@
 	return dead
 }
 
-// speedFactor is the product of the slowdowns that are active, or 0 while the server does no work.
+// speedFactor returns the product of the active slowdowns, or 0 while the server does no work.
 func (srv *server) speedFactor() float64 {
 	if srv.freezes > 0 || srv.stalls > 0 {
 		return 0
@@ -195,9 +197,9 @@
 	return factor
 }
 
-// settleAcceptors sets the acceptors of a server. It returns the nodes whose partition from the server has ended; what
-// they had open meanwhile is reset.
-func (sys *System) settleAcceptors(srv *server) (healed []int) {
+// reconcileAcceptors updates the acceptors of a server. It returns the nodes whose partition from the server has ended.
+// Their connections to the server have to be reset.
+func (sys *System) reconcileAcceptors(srv *server) (healed []int) {
 	for node, before := range srv.acceptors {
 		state := Accepting
 		switch {
@@ -220,7 +222,7 @@
 	return healed
 }
 
-// retire drains a cache server, ends its process after a while, and then runs a function.
+// retire drains a cache server, ends its process after a delay, and then calls the function then.
 func (sys *System) retire(srv *server, after time.Duration, then func()) {
 	if srv.removed || srv.retiring {
 		return
@@ -229,8 +231,8 @@
 	sys.publish(srv)
 	sys.scheduleAfter(after, func() {
 		srv.removed = true
-		sys.settle(srv)
-		if srv.dead { // settle published nothing if the process was dead before
+		sys.reconcile(srv)
+		if srv.dead { // reconcile published nothing if the process was dead before
 			sys.publish(srv)
 		}
 		then()
@@ -238,7 +240,7 @@
 	})
 }
 
-// replace starts a cache server in the place of one that was removed, at the same slot or at a new one.
+// replace adds a new cache server in place of a removed one, at the same slot or at a new one.
 func (sys *System) replace(old *server, atSameSlot bool) {
 	slot := sys.slots
 	if atSameSlot {
--- a/internal/testbed/model/system.go
+++ b/internal/testbed/model/system.go
@@ -9,32 +9,32 @@
 	"shelfproxy/internal/testbed/eventqueue"
 )
 
-// System is the emulated system. It is not safe for concurrent use.
+// System is the simulated system around the nodes. It is not safe for concurrent use.
 type System struct {
 	spec    Spec
 	now     Time
 	events  eventqueue.Queue
-	effects []Effect // since the last call of a driver
+	effects []Effect // effects since the last call of the driver
 	started bool
 
-	servers     []*server // in the order in which they were added; retired ones are removed
+	servers     []*server // in the order in which they were added, without those whose retirement has ended
 	bySlot      map[int]*server
 	slots       int // number of slots that were ever used
-	nextID      int // of cache servers
+	nextID      int // number in the id of the next cache server
 	origin      *server
 	discovery   *discoveryService
 	connections map[ConnID]*connection
 	classes     map[string]ClassSpec
-	misses      map[string]*cacheMiss // by the id of the request
-	missOrder   []*cacheMiss          // in the order of their times
+	misses      map[string]*cacheMiss // by request id
+	missOrder   []*cacheMiss          // in the order of their first misses
 
 	discoveryLagRandom, linkRandom, corruptionRandom *rand.Rand
 
 	log   *eventlog.Log
-	Trace func(entry []byte) // receives each line of the event log, if set; it must not keep the slice
+	Trace func(entry []byte) // receives each line of the event log, if set; it must not retain the slice
 }
 
-// New makes a system. Start brings it into the state of time 0.
+// New returns a system that has not started. Start brings it into its state at time 0.
 func New(spec Spec) *System {
 	sys := &System{
 		spec:        spec,
@@ -73,8 +73,8 @@
 	return sys.takeEffects()
 }
 
-// Step processes an event and whatever was scheduled before it. Time must not go back; a time before the latest one
-// counts as the latest.
+// Step runs everything that is scheduled up to now, processes an event, and returns the resulting effects. Time must not
+// go back; a time before the latest one counts as the latest.
 func (sys *System) Step(now Time, event Event) []Effect {
 	sys.runScheduled(now)
 	switch event := event.(type) {
@@ -95,7 +95,7 @@
 	return sys.takeEffects()
 }
 
-// Advance runs what is scheduled up to now.
+// Advance runs everything that is scheduled up to now and returns the resulting effects.
 func (sys *System) Advance(now Time) []Effect {
 	sys.runScheduled(now)
 	return sys.takeEffects()
@@ -112,7 +112,7 @@
 // Hash returns the hash of the event log so far.
 func (sys *System) Hash() uint64 { return sys.log.Hash() }
 
-// List returns the full list as the discovery service has it now.
+// List returns the current full list of the discovery service.
 func (sys *System) List() List { return sys.discovery.fullList() }
 
 // ServerOf returns the id of the server that a connection leads to, or "" once the connection has ended.
@@ -123,7 +123,7 @@
 	return ""
 }
 
-// runScheduled runs what is scheduled up to now, each event at its own time.
+// runScheduled runs everything that is scheduled up to now, each event at its own time.
 func (sys *System) runScheduled(now Time) {
 	for event, ok := sys.events.PopUntil(now); ok; event, ok = sys.events.PopUntil(now) {
 		sys.now = max(sys.now, event.At)
@@ -132,10 +132,10 @@
 	sys.now = max(sys.now, now)
 }
 
-// schedule runs work at a time, now at the earliest.
+// schedule runs a function at a given time, or now if that time has passed.
 func (sys *System) schedule(at Time, run func()) { sys.events.Schedule(max(at, sys.now), run) }
 
-// scheduleAfter runs work after a delay.
+// scheduleAfter runs a function after a delay.
 func (sys *System) scheduleAfter(delay time.Duration, run func()) { sys.schedule(sys.now+delay, run) }
 
 // emit adds an effect for the driver.
