--- a/internal/testbed/emulator/acceptor.go
+++ b/internal/testbed/emulator/acceptor.go
@@ -16,43 +16,43 @@
 const (
 	// acceptQueue is the length of the kernel's queue of established connections.
 	acceptQueue = 1024
-	// maxFillers is the number of connections that are opened to fill the shortest queue; the kernel lets in one more
-	// than its length.
+	// maxFillers is the number of connections that are opened to fill a kernel queue of the shortest length. The kernel
+	// accepts one connection more than the length of the queue.
 	maxFillers = 4
-	// fillTimeout bounds how long one of them may take: a full queue does not answer.
+	// fillTimeout bounds the time to establish a connection that fills the queue. A full queue does not answer.
 	fillTimeout = 50 * time.Millisecond
-	// acceptRetry is the wait after a failed accept, while the acceptor is closed or descriptors have run out.
+	// acceptRetry is the wait after a failed accept: the acceptor does not accept connections, or descriptors have run out.
 	acceptRetry = time.Millisecond
 )
 
-// acceptor is the address of one slot for one node. It keeps its port for as long as the emulator runs, whatever happens
-// to the server behind it. While accepting it takes connections, while refusing the kernel resets them, and while
-// unresponsive they are never established, as with a machine that is partitioned off.
+// acceptor is the address of one slot for one node. It keeps its port as long as the emulator runs, whatever happens to
+// the server behind it. In the state Accepting it accepts connections. In the state Refusing the kernel resets them. In
+// the state Unresponsive they are never established, as with a machine behind a network partition.
 //
-// The standard library can't stop listening and keep the port, so the socket is made by hand: it is bound once, and
-// listen and shutdown change its state. An unresponsive acceptor listens with the shortest queue, which is then filled,
-// so that the kernel drops further connections.
+// The standard library can't stop listening and keep the port. So the socket is created with system calls: it is bound
+// once, and listen and shutdown change its state. An unresponsive acceptor listens with the shortest queue, and the queue
+// is filled, so that the kernel drops further connections.
 type acceptor struct {
 	address  string
 	listener *net.TCPListener
 	accept   func(net.Conn)
 
 	mu       sync.Mutex
-	changed  sync.Cond // of state and isClosed
+	changed  sync.Cond // signals changes of state and isClosed
 	state    model.AcceptorState
 	isClosed bool
 	fillers  []net.Conn // connections that fill the queue
 }
 
-// newAcceptor binds an acceptor on loopback that refuses connections; with port 0 the system chooses one. accept gets
-// each connection. close ends the goroutine that accepts them.
+// newAcceptor binds an acceptor on loopback, which refuses connections at first. With port 0 the operating system chooses
+// the port. accept is called with each connection. close ends the goroutine that accepts connections.
 func newAcceptor(port int, accept func(net.Conn)) (*acceptor, error) {
 	file, port, err := bind(port)
 	if err != nil {
 		return nil, err
 	}
 	listener, err := net.FileListener(file)
-	if err := errors.Join(err, file.Close()); err != nil { // the listener has a descriptor of its own
+	if err := errors.Join(err, file.Close()); err != nil { // the listener has its own descriptor
 		return nil, err
 	}
 	a := &acceptor{address: fmt.Sprintf("127.0.0.1:%d", port), listener: listener.(*net.TCPListener),
@@ -62,8 +62,8 @@
 	return a, nil
 }
 
-// bind makes a socket that is bound but does not listen, and returns its port. The error is a *PortTakenError if the port
-// is in use.
+// bind creates a socket that is bound but does not listen, and returns its port. The error is a *PortTakenError if the
+// port is in use.
 func bind(port int) (*os.File, int, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -75,7 +75,7 @@
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err != nil {
-		_ = file.Close() // it was never used
+		_ = file.Close() // the socket was never used
 		if errors.Is(err, syscall.EADDRINUSE) {
 			return nil, 0, &PortTakenError{port}
 		}
@@ -84,8 +84,8 @@
 	if port != 0 {
 		return file, port, nil
 	}
-	// A port that the system chose is given back when the socket stops listening. One that was asked for is kept, so a
-	// second socket asks for it while the first one holds it.
+	// The kernel releases a port that it chose itself when the socket stops listening. It keeps a port that was requested.
+	// So a second socket requests the chosen port while the first one still holds it.
 	defer func() { _ = file.Close() }()
 	name, err := syscall.Getsockname(fd)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return bind(name.(*syscall.SockaddrInet4).Port)
 }
 
-// PortTakenError says that a port that was asked for is in use.
+// PortTakenError is the error if a requested port is in use.
 type PortTakenError struct{ Port int }
 
 // Error implements error.
@@ -127,7 +127,7 @@
 	return !a.isClosed
 }
 
-// set changes the state of the acceptor. It is called by one goroutine.
+// set changes the state of the acceptor. Only one goroutine may call it.
 func (a *acceptor) set(state model.AcceptorState) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,13 +144,13 @@
 	err = raw.Control(func(fd uintptr) { failed = a.setSocket(int(fd), before, state) })
 	a.closeFillers()
 	if state == model.Unresponsive {
-		go a.fillQueue() // it ends by itself
+		go a.fillQueue() // ends when the queue is full
 	}
 	a.changed.Broadcast()
 	return errors.Join(err, failed)
 }
 
-// setSocket changes the state of the socket. The deadlines of the listener fail only once it is closed.
+// setSocket changes the state of the socket. It ignores errors of SetDeadline, which fails only on a closed listener.
 func (a *acceptor) setSocket(fd int, before, state model.AcceptorState) error {
 	switch state {
 	case model.Accepting:
@@ -162,18 +162,18 @@
 		return err
 	case model.Refusing:
 		err := syscall.Shutdown(fd, syscall.SHUT_RDWR)
-		if errors.Is(err, syscall.ENOTCONN) { // it did not listen yet
+		if errors.Is(err, syscall.ENOTCONN) { // the socket was not listening yet
 			return nil
 		}
 		return err
 	case model.Unresponsive:
-		_ = a.listener.SetDeadline(time.Unix(1, 0)) // ends an Accept that waits
+		_ = a.listener.SetDeadline(time.Unix(1, 0)) // makes a blocked Accept return
 		return syscall.Listen(fd, 0)
 	}
 	return nil
 }
 
-// fillQueue fills the kernel's queue of an unresponsive acceptor, so that no connection of a node is established.
+// fillQueue fills the kernel's queue of an unresponsive acceptor, so that nodes can't establish connections.
 func (a *acceptor) fillQueue() {
 	dialer := net.Dialer{Timeout: fillTimeout}
 	for range maxFillers {
@@ -184,8 +184,8 @@
 	}
 }
 
-// addFiller keeps a connection that fills the queue. It closes the connection and returns false if the acceptor is no
-// longer unresponsive.
+// addFiller keeps a connection that fills the queue. If the acceptor is no longer unresponsive, it closes the connection
+// and returns false.
 func (a *acceptor) addFiller(conn net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -212,19 +212,19 @@
 		if err != nil {
 			return
 		}
-		// A connection that its node has closed meanwhile needs no reset.
+		// Errors are ignored: a connection that its node has closed in the meantime needs no reset.
 		_ = syscall.SetsockoptLinger(queued, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 		_ = syscall.Close(queued)
 	}
 }
 
-// close ends the acceptor and gives its port back. It does not wait for the goroutines.
+// close ends the acceptor and releases its port. It does not wait for the acceptor's goroutines.
 func (a *acceptor) close() {
 	a.mu.Lock()
 	a.isClosed = true
 	a.closeFillers()
 	a.changed.Broadcast()
 	a.mu.Unlock()
-	// The run is over, whether they can be closed or not.
+	// The run is over, so an error changes nothing.
 	_ = a.listener.Close()
 }
--- a/internal/testbed/emulator/benchmark_test.go
+++ b/internal/testbed/emulator/benchmark_test.go
@@ -16,8 +16,8 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// BenchmarkEmulator measures the cost of the emulator itself: hits at 20 cache servers over 64 connections, through
-// sockets, the model and the invariants. The processor time is that of both sides of the sockets.
+// BenchmarkEmulator measures the cost of the emulator itself. It reads cached keys from 20 cache servers over 64
+// connections, through sockets, the model and the invariants. The processor time includes both sides of the sockets.
 func BenchmarkEmulator(b *testing.B) {
 	const cacheServers, connections = 20, 64
 	text := strings.Replace(fastScenario, "count = 2", fmt.Sprint("count = ", cacheServers), 1)
--- a/internal/testbed/emulator/config.go
+++ b/internal/testbed/emulator/config.go
@@ -15,17 +15,18 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// NodeConfig names a node, where it is to listen, and the configuration file that says so, in the form of LB_CONFIG.
+// NodeConfig describes a node: its name and zone, its number in the plan, the address at which it listens, and the path of
+// its configuration file, whose format is that of LB_CONFIG.
 type NodeConfig struct {
 	Name, Zone, Listen, Path string
 	Number                   int
 }
 
-// errEnded says that the emulator was closed.
+// errEnded is the error of calls after the emulator was closed.
 var errEnded = errors.New("the emulator has ended")
 
-// WriteConfigs writes a configuration for each node into a folder, after Start. The initial list is the endpoint list
-// of that moment. The error is a *PortTakenError if a fixed port is in use.
+// WriteConfigs writes a configuration file for each node into a folder. It must be called after Start. The initial list
+// in the files is the current endpoint list. The error is a *PortTakenError if a fixed port is in use.
 func (e *Emulator) WriteConfigs(dir string) ([]NodeConfig, error) {
 	var configs []NodeConfig
 	for i, node := range e.plan.Spec.Nodes {
@@ -42,8 +43,8 @@
 	return configs, nil
 }
 
-// freeAddress returns a free address at which a node can listen. With a base port it is the port of the node, else a
-// port of a loopback address from which nobody dials.
+// freeAddress returns a free address at which a node can listen. With a base port the address has the node's fixed port.
+// Otherwise it is a port of a random loopback address, from which no connection is dialed.
 func (e *Emulator) freeAddress(node int) (address string, err error) {
 	port, host := 0, fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	if e.options.BasePort > 0 {
@@ -61,7 +62,8 @@
 	return listener.Addr().String(), nil
 }
 
-// WriteConfig writes the configuration of one node anew, with the present list and another seed, as before a restart.
+// WriteConfig writes the configuration file of one node, with the current endpoint list and a new seed. It is also used
+// before a restart of the node.
 func (e *Emulator) WriteConfig(c NodeConfig) error {
 	var initialList json.RawMessage
 	if !e.Do(func(_ time.Duration, system *model.System, checker *invariants.Checker) {
@@ -80,7 +82,7 @@
 	return os.WriteFile(c.Path, text, 0o600)
 }
 
-// The configuration of a node as LB_CONFIG has it. The fields are in the order of their keys.
+// The configuration of a node in the format of LB_CONFIG. The fields are in the alphabetical order of their keys.
 type (
 	nodeConfig struct {
 		Discovery   string          `json:"discovery"`
@@ -99,7 +101,7 @@
 		Sockets  int     `json:"sockets"`
 	}
 
-	// gossipConfig is left out for nodes that may not gossip.
+	// gossipConfig holds the addresses for gossip. It is omitted for nodes that may not gossip.
 	gossipConfig struct {
 		Listen string   `json:"peer_listen"`
 		Peers  []string `json:"peers"`
@@ -152,7 +154,7 @@
 		StreamsPerSocket int   `json:"streams_per_conn"`
 	}
 
-	// slowStart is the slow start of the slowest kind of cache server. The duration is in microseconds.
+	// slowStart describes the slow start of the slowest kind of cache server. The duration is in microseconds.
 	slowStart struct {
 		Floor          float64 `json:"cold_from"`
 		OverloadFactor float64 `json:"overload_factor"`
@@ -160,7 +162,7 @@
 	}
 )
 
-// nodeTick is the interval of a node's own work, in microseconds.
+// nodeTick is the interval of a node's periodic work, in microseconds.
 const nodeTick = 5000
 
 func (e *Emulator) nodeConfig(c NodeConfig, initialList json.RawMessage) nodeConfig {
@@ -195,7 +197,8 @@
 	return config
 }
 
-// cacheServerKinds returns the names of the kinds in the order in which the cache servers have them.
+// cacheServerKinds returns the names of the kinds, each once, in the order in which they first occur among the cache
+// servers.
 func (e *Emulator) cacheServerKinds() []string {
 	var kinds []string
 	seen := map[string]bool{}
@@ -241,7 +244,7 @@
 	}
 }
 
-// slowStart returns the lowest floor and the longest duration of all cache servers.
+// slowStart returns the lowest floor and the longest duration of slow start among all cache servers.
 func (e *Emulator) slowStart() slowStart {
 	floor, duration := 1.0, time.Duration(0)
 	for _, server := range e.plan.Spec.CacheServers {
--- a/internal/testbed/emulator/connection.go
+++ b/internal/testbed/emulator/connection.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// maxPending is the number of requests of a connection that may wait for their responses.
+	// maxPending is the maximum number of requests of a connection that wait for their responses.
 	maxPending = 4096
 	// writeTimeout bounds how long a write to a node may block.
 	writeTimeout = 10 * time.Second
 	// hugeValueSize is the size of the value of a model.CorruptHugeValue, in bytes.
 	hugeValueSize = 3 << 30
-	// hugeValueChunk is how much of it is sent every hugeValueInterval.
+	// hugeValueChunk is the number of bytes of a huge value that are sent every hugeValueInterval.
 	hugeValueChunk    = 4096
 	hugeValueInterval = 2 * time.Millisecond
 )
 
-// connection is a connection of a node to a cache server or the origin. One goroutine reads requests and another writes
-// responses, in the order of the requests. Both end with the connection: when the node closes it, or when the model or
-// Emulator.Close resets it. The model decides on the responses and their times.
+// connection is a connection from a node to a cache server or the origin. One goroutine reads requests and another writes
+// responses, in the order of the requests. Both goroutines end when the node closes the connection, or when the model or
+// Emulator.Close resets it. The model decides the responses and their times.
 type connection struct {
 	emulator *Emulator
 	id       model.ConnID
@@ -37,26 +37,26 @@
 	reader   arrivalReader
 
 	mu      sync.Mutex
-	changed sync.Cond          // of pending and isClosed
+	changed sync.Cond          // signals changes of pending and isClosed
 	pending []*pendingResponse // in the order of the requests
-	// isClosed says that no further request is accepted. The writer ends after the responses that are ready.
+	// isClosed says that no further request is accepted. The writer ends after it has written the responses that are ready.
 	isClosed bool
 }
 
-// pendingResponse is the response to a request that was read.
+// pendingResponse is the response, possibly not ready yet, to a request that was read.
 type pendingResponse struct {
-	seq        uint64 // of the attempt; 0 for a response that does not come from the model
+	seq        uint64 // number of the attempt; 0 for a response that does not come from the model
 	requestID  string
 	isReady    bool
 	encoded    []byte
 	corruption model.CorruptionKind
-	isLast     bool // the connection is closed after it
+	isLast     bool // the connection is closed after this response
 }
 
-// arrivalReader records when the first byte of a request arrived.
+// arrivalReader reads from source and records when the first byte of a request arrived.
 type arrivalReader struct {
 	source io.Reader
-	// firstByte is the time in Unix nanoseconds, or 0 between requests.
+	// firstByte is when the first byte of a request arrived, in Unix nanoseconds, or 0 between requests.
 	firstByte atomic.Int64
 }
 
@@ -69,7 +69,8 @@
 	return n, err
 }
 
-// serveConnection begins to serve a connection that a node opened to a slot. It does not wait for its end.
+// serveConnection begins to serve a connection that a node opened to a slot. It returns at once, while goroutines serve the
+// connection.
 func (e *Emulator) serveConnection(accepted net.Conn, slot, node int) {
 	conn := &connection{emulator: e, id: model.ConnID(e.lastConn.Add(1)), node: node, net: accepted, isOrigin: slot == originSlot}
 	conn.changed.L = &conn.mu
@@ -91,8 +92,8 @@
 	}
 }
 
-// addPending adds a response to the queue. It waits while the queue is full and returns false once the connection is
-// closed.
+// addPending adds a response to the connection's queue. It waits while the queue is full. It returns false if the
+// connection is closed.
 func (c *connection) addPending(response *pendingResponse) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,13 +110,13 @@
 	return true
 }
 
-// reply responds without the model. isLast closes the connection afterwards.
+// reply sends a response that does not come from the model. If isLast is true, the connection is closed afterwards.
 func (c *connection) reply(encoded []byte, isLast bool) bool {
 	return c.addPending(&pendingResponse{encoded: encoded, isReady: true, isLast: isLast})
 }
 
-// takeFirstByteTime returns when the first byte of the request that was just read arrived, and clears it. A request
-// that arrived together with the one before counts from now.
+// takeFirstByteTime returns when the first byte of the request that was just read arrived, and clears this time. A request
+// that arrived together with the previous one counts as arriving now.
 func (c *connection) takeFirstByteTime() time.Duration {
 	at := c.reader.firstByte.Swap(0)
 	if at == 0 {
@@ -124,7 +125,7 @@
 	return time.Unix(0, at).Sub(c.emulator.start.Round(0))
 }
 
-// attempt passes a request to the model. The deadline of the request counts from now.
+// attempt passes a request to the model. It converts the deadline from a duration into a time of the run.
 func (c *connection) attempt(request model.Request) bool {
 	e := c.emulator
 	firstByte := c.takeFirstByteTime()
@@ -137,7 +138,7 @@
 		if request.Deadline > 0 {
 			request.Deadline += now
 		}
-		if server := e.system.ServerOf(c.id); server != "" { // else its process died meanwhile
+		if server := e.system.ServerOf(c.id); server != "" { // otherwise the server's process died in the meantime
 			e.checker.AttemptArrived(now, min(firstByte, now), c.node, server, request.ID, request.Class, request.Seq)
 		}
 		e.step(now, model.RequestArrived{Request: request})
@@ -156,10 +157,10 @@
 	return e.post(func(now time.Duration) { e.step(now, check) })
 }
 
-// malformed counts and logs a command that no client can have sent.
-func (c *connection) malformed(why string) {
+// reportMalformed counts and logs a reportMalformed command, which a correct node never sends.
+func (c *connection) reportMalformed(reason string) {
 	c.emulator.counters.malformed.Add(1)
-	c.emulator.log.Warn("a node sent a malformed command", logs.Event, "malformed", "node", c.node, "why", why)
+	c.emulator.log.Warn("a node sent a malformed command", logs.Event, "malformed", "node", c.node, "why", reason)
 }
 
 // disconnected reports to the model that the node closed the connection.
@@ -175,13 +176,13 @@
 	c.changed.Broadcast()
 }
 
-// reset closes the connection as a process that dies does.
+// reset closes the connection with a TCP reset, as when its process dies.
 func (c *connection) reset() {
 	c.mu.Lock()
 	c.isClosed, c.pending = true, nil
 	c.changed.Broadcast()
 	c.mu.Unlock()
-	// Both fail only if the connection is closed already.
+	// SetLinger and Close fail only if the connection is closed already.
 	if tcp, ok := c.net.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -212,9 +213,9 @@
 
 // write writes the responses until the connection is closed.
 func (c *connection) write() {
-	defer func() { _ = c.net.Close() }() // it may be closed already
-	// What follows a corrupt response on its connection can't be told from it, so it is not sent. The connection stays
-	// open.
+	defer func() { _ = c.net.Close() }() // the connection may be closed already
+	// The node can't tell a corrupt response from the responses after it, so the later ones are not sent. The connection
+	// stays open.
 	isCorrupted := false
 	for {
 		response := c.nextReady()
@@ -234,8 +235,8 @@
 	}
 }
 
-// nextReady waits for the next response and removes it from the queue. It returns nil if the connection was closed and
-// the next response is not ready.
+// nextReady waits until the next response is ready and removes it from the queue. It returns nil if the connection was
+// closed and the next response is not ready.
 func (c *connection) nextReady() *pendingResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/emulator/discovery.go
+++ b/internal/testbed/emulator/discovery.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxUnsentReplies is how many replies a watch may be behind. One that is further behind is ended: a node that does
-	// not read would make them pile up.
+	// maxUnsentReplies is the maximum number of replies that wait to be sent on a watch. A watch with more is ended, because
+	// replies to a node that does not read would accumulate without limit.
 	maxUnsentReplies = 1024
-	// readHeaderTimeout bounds how long a node may take for the header of a call.
+	// readHeaderTimeout bounds how long a node may take to send the HTTP header of a call.
 	readHeaderTimeout = 5 * time.Second
 )
 
-// discoveryServer is the discovery service at the address of one node. All of them send the same list, with the
-// addresses of their node.
+// discoveryServer serves the discovery service to one node, at an address of its own. All discovery servers send the same
+// list of servers, but each with the addresses that its node uses.
 type discoveryServer struct {
 	emulator *Emulator
 	node     int
@@ -29,13 +29,13 @@
 	server   *http.Server
 }
 
-// discoveryCall is an open call of the discovery service.
+// discoveryCall is an open call to the discovery service.
 type discoveryCall struct {
 	node    int
 	replies chan model.DiscoveryReply // closed by the loop if the call has to be reset
 }
 
-// newDiscoveryServer binds the address; with port 0 the system chooses one.
+// newDiscoveryServer binds the address of a node's discovery service. With port 0 the operating system chooses the port.
 func (e *Emulator) newDiscoveryServer(node, port int) (*discoveryServer, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
@@ -55,19 +55,19 @@
 // serve serves calls until close.
 func (d *discoveryServer) serve() { _ = d.server.Serve(d.listener) }
 
-// close ends the server and its calls. One that was never served has its listener closed here.
+// close ends the server and its calls. It also closes the listener, which http.Server.Close does only after Serve.
 func (d *discoveryServer) close() {
 	_ = d.server.Close()
 	_ = d.listener.Close()
 }
 
-// encodeList encodes a list for a node.
+// encodeList encodes an endpoint list for a node, with the addresses that the node uses.
 func (e *Emulator) encodeList(list model.List, node int) []byte {
 	return wireformat.EncodeList(list, func(slot int) string { return e.address(slot, node) },
 		func(at time.Duration) int64 { return e.start.Add(at).UnixMilli() })
 }
 
-// serveHosts serves a call of the endpoint list, or a watch on it.
+// serveHosts serves a call for the endpoint list, or a watch on the list.
 func (d *discoveryServer) serveHosts(w http.ResponseWriter, r *http.Request) {
 	emulator := d.emulator
 	call, err := d.parseCall(r.URL.Query())
@@ -93,7 +93,7 @@
 	d.sendReplies(r.Context(), w, open.replies)
 }
 
-// parseCall gives a call its id and reads its parameters. It fails if the version of a watch is no number.
+// parseCall assigns an id to a call and parses its parameters. It fails if the version of a watch is not a number.
 func (d *discoveryServer) parseCall(query url.Values) (model.DiscoveryCall, error) {
 	call := model.DiscoveryCall{Call: d.emulator.lastCall.Add(1), Node: d.node, Watch: query.Has("watch")}
 	if !call.Watch {
@@ -104,7 +104,7 @@
 	return call, err
 }
 
-// sendReplies writes the replies to a call until it ends. A failure after the first reply resets the connection.
+// sendReplies writes the replies to a call until the call ends. A failure after the first reply resets the connection.
 func (d *discoveryServer) sendReplies(ctx context.Context, w http.ResponseWriter, replies <-chan model.DiscoveryReply) {
 	hasBegun := false
 	for {
@@ -133,7 +133,7 @@
 	}
 }
 
-// encodeReply encodes a reply as one line; a heartbeat is an empty one.
+// encodeReply encodes a reply as one line. A heartbeat is an empty line.
 func (d *discoveryServer) encodeReply(reply model.DiscoveryReply) []byte {
 	if reply.List == nil {
 		return []byte{'\n'}
@@ -141,7 +141,7 @@
 	return append(d.emulator.encodeList(*reply.List, d.node), '\n')
 }
 
-// replyToCall hands a reply of the model to its call. The node counts as notified from here on.
+// replyToCall passes a reply of the model to the goroutine of its call. From here on the node counts as notified.
 func (e *Emulator) replyToCall(now time.Duration, reply model.DiscoveryReply) {
 	call := e.calls[reply.Call]
 	if call == nil {
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -9,16 +9,16 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// unusableAddress is what a node is given for a slot whose acceptor can't be made: nothing listens there.
+// unusableAddress is the address that a node gets for a slot whose acceptor can't be created. Nothing listens there.
 const unusableAddress = "127.0.0.1:1"
 
-// step passes an event to the model and carries out the effects. It runs in the loop. An acceptor that can't be changed
-// is not reported here, only for what the model has scheduled; see advanceSystem.
+// step passes an event to the model and carries out the effects. It runs in the loop. It ignores errors of acceptors; only
+// advanceSystem, which carries out what the model has scheduled, logs them.
 func (e *Emulator) step(now time.Duration, event model.Event) {
 	_ = e.carryOut(now, e.system.Step(now, event))
 }
 
-// carryOut carries out effects of the model. The error joins those of the acceptors; the other effects can't fail.
+// carryOut carries out effects of the model. It returns the joined errors of the acceptors. Other effects can't fail.
 func (e *Emulator) carryOut(now time.Duration, effects []model.Effect) error {
 	var failed error
 	for _, effect := range effects {
@@ -41,7 +41,7 @@
 	return failed
 }
 
-// report reports an effect that nodes do not see to the checker.
+// report passes an effect that nodes do not see to the checker of the invariants.
 func (e *Emulator) report(now time.Duration, effect model.Effect) {
 	switch effect := effect.(type) {
 	case model.RequestExecuted:
@@ -57,7 +57,8 @@
 	}
 }
 
-// respond reports a response to the checker, unless it is to a health check, and writes it to its connection.
+// respond writes a response to its connection. A response to a request, in contrast to a health check, is first reported
+// to the checker of the invariants.
 func (e *Emulator) respond(now time.Duration, response model.Response) {
 	if response.Request != "" {
 		proof := invariants.PossiblyExecuted
@@ -80,7 +81,7 @@
 	return acceptor.set(effect.State)
 }
 
-// acceptor returns the acceptor of a slot for a node and makes it if there is none yet.
+// acceptor returns the acceptor of a slot for a node. It creates the acceptor if there is none yet.
 func (e *Emulator) acceptor(slot, node int) (*acceptor, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,7 +96,7 @@
 	return added, err
 }
 
-// address returns the address of a slot as a node is given it.
+// address returns the address of a slot that the given node uses.
 func (e *Emulator) address(slot, node int) string {
 	acceptor, err := e.acceptor(slot, node)
 	if err != nil {
--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -1,11 +1,11 @@
-// Package emulator plays a scenario with sockets on loopback: cache servers that speak RESP2, the origin and the
-// discovery service over HTTP/1.1, and their faults. Package model decides what they do; this package moves bytes, keeps
-// the clock, and reports to package invariants what it sees. Everything listens on 127.0.0.1. Each node has addresses of
-// its own for every server and for discovery, and is configured with these alone, so the emulator knows which node a
-// connection belongs to.
+// Package emulator runs a scenario with sockets on loopback: cache servers that speak RESP2, the origin and the discovery
+// service over HTTP/1.1, and their faults. Package model decides what these do. This package transfers bytes, keeps the
+// clock, and reports what it sees to package invariants. Everything listens on 127.0.0.1. Each node has its own addresses
+// for every server and for discovery, and is configured with these alone. So the emulator knows which node a connection
+// belongs to.
 //
-// One goroutine, the loop, owns the model and the checker of the invariants. Connections reach it through a bounded
-// queue and wait while it is full.
+// One goroutine, the loop, owns the model and the checker of the invariants. The goroutines of connections pass work to
+// the loop through a bounded queue, and wait while the queue is full.
 package emulator
 
 import (
@@ -23,32 +23,32 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// Options say how a plan is played.
+// Options configure the run of a plan.
 type Options struct {
 	Log *slog.Logger
 	// BasePort, if not 0, is the first of the fixed ports: node i is configured to listen at BasePort+i, and its
-	// discovery service is at BasePort+100+i. With 0 the system chooses all ports.
+	// discovery service is at BasePort+100+i. With 0 the operating system chooses all ports.
 	BasePort int
-	// Peers returns where a node listens for gossip, where its peers do, and the address that reaches all of them.
-	// Without it nodes are configured not to gossip.
+	// Peers returns the address at which a node listens for gossip, those of its peers, and the address that reaches all
+	// of them. If Peers is nil, nodes are configured not to gossip.
 	Peers func(node int) (listen string, peers []string, all string)
-	// Trace receives each line of the model's event log, if set; it must not keep the slice.
+	// Trace receives each line of the model's event log, if set; it must not retain the slice.
 	Trace func(entry []byte)
 }
 
 const (
-	// discoveryPortOffset is the distance from a node's fixed port to that of its discovery service.
+	// discoveryPortOffset is the distance from a node's fixed port to the port of its discovery service.
 	discoveryPortOffset = 100
 	// loopQueueLength is the number of events that may wait for the loop.
 	loopQueueLength = 4096
-	// originSlot is the slot of the origin; cache servers have the others.
+	// originSlot is the slot of the origin. Cache servers have the other slots.
 	originSlot = 0
 )
 
-// counters count what the emulator saw.
+// counters count connections, requests and other things that the emulator has seen.
 type counters struct{ connections, requests, healthChecks, malformed, corrupted, discoveryCalls, listBytes atomic.Int64 }
 
-// Emulator plays one plan. Its exported methods are safe for concurrent use once Start has returned.
+// Emulator runs one plan. Its exported methods are safe for concurrent use once Start has returned.
 type Emulator struct {
 	plan     *scenario.Plan
 	options  Options
@@ -62,26 +62,26 @@
 	ended   chan struct{}                // closed at the end of the loop, or by Start if it fails
 	closing sync.Once
 
-	lastConn, lastSeq, lastCall atomic.Uint64 // ids
+	lastConn, lastSeq, lastCall atomic.Uint64 // last ids that were assigned
 
-	// These belong to the loop.
+	// Only the loop accesses these fields.
 	system             *model.System
 	checker            *invariants.Checker
 	conns              map[model.ConnID]*connection
 	calls              map[uint64]*discoveryCall
-	loopDelay          *hdrhistogram.Histogram // microseconds by which scheduled events ran late
-	reportedViolations int                     // violations that were logged
+	loopDelay          *hdrhistogram.Histogram // delays of scheduled events, in microseconds
+	reportedViolations int                     // number of violations that were logged
 
 	discovery []*discoveryServer // by node
 
-	mu        sync.Mutex // guards acceptors: the loop adds them, and discovery reads them
+	mu        sync.Mutex // guards acceptors, which the loop adds and the discovery servers read
 	acceptors map[acceptorKey]*acceptor
 }
 
-// acceptorKey names the acceptor of a slot for a node.
+// acceptorKey identifies the acceptor of a slot for a node.
 type acceptorKey struct{ slot, node int }
 
-// New makes an emulator and binds the addresses of its discovery services. Start begins to play. The error wraps a
+// New returns an emulator and binds the addresses of its discovery services. Start begins the run. The error wraps a
 // *PortTakenError if a fixed port is in use.
 func New(plan *scenario.Plan, options Options) (*Emulator, error) {
 	emulator := &Emulator{
@@ -128,7 +128,7 @@
 		NotifyWithin: plan.Invariants.NotifyWithin.D(), Grace: plan.Invariants.Grace.D()})
 }
 
-// Start begins the run; its time counts from here.
+// Start begins the run. The time of the run counts from this call.
 func (e *Emulator) Start() error {
 	e.start = time.Now()
 	if err := e.carryOut(0, e.system.Start()); err != nil {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// Now returns the time of the run.
+// Now returns the time since the start of the run.
 func (e *Emulator) Now() time.Duration { return time.Since(e.start) }
 
 // Close ends the run and resets all connections. A second call does nothing.
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -46,8 +46,8 @@
 effect = "at_most_once"
 `
 
-// A read misses at a cache server, is served by the origin, and is a hit afterwards; a write invalidates the copy. All
-// of it is encoded as the protocol has it.
+// A read misses at a cache server and is served by the origin. The next read is a hit, and a write invalidates the copy.
+// All responses are encoded as the protocol requires.
 func TestReadIsCachedUntilItsKeyIsWritten(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, fastScenario)
@@ -109,7 +109,7 @@
 	}
 }
 
-// A process that dies resets its connections and refuses new ones.
+// When a cache server's process dies, its connections are reset and new ones are refused.
 func TestDeadProcessRefusesConnectionsUntilItRestarts(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, fastScenario+`
@@ -128,8 +128,8 @@
 	rig.waitUntilResponsive(1)
 }
 
-// Connections to a machine that is partitioned off are neither established nor refused; those that were open are reset
-// at the end.
+// During a network partition, new connections to a machine are neither established nor refused. Connections that were
+// open before are reset at the end of the partition.
 func TestPartitionedMachineIsUnresponsiveUntilItHeals(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, fastScenario+`
@@ -186,8 +186,8 @@
 	reading.wantLines("read", 4, "*3 $-1 $4 miss")
 }
 
-// The watch sends a server that replaces another at its address, and the invariants notice what a node still sends to
-// the old one.
+// A watch reports the server that replaces a draining one at the same address. A request that a node still sends to the
+// draining server is a violation.
 func TestRequestForDrainingServerIsAViolation(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, fastScenario+`
@@ -219,7 +219,7 @@
 	}
 }
 
-// Corrupt responses are sent as such, in all their forms.
+// Responses with the different kinds of corruption reach the node as different bytes.
 func TestCorruptResponsesTakeDifferentForms(t *testing.T) {
 	t.Parallel()
 	rig := newRig(t, fastScenario+"[[fault]]\nkind = \"spoilt\"\nat = \"0s\"\nanswers = 1\n")
@@ -263,7 +263,7 @@
 	}
 }
 
-// Two hundred cache servers for four nodes start. They may take three seconds; the log of the test says how long it was.
+// 200 cache servers for four nodes start. They may take three seconds, which the test does not check: it logs the time.
 func TestTwoHundredCacheServersStart(t *testing.T) {
 	start := time.Now()
 	rig := newRig(t, strings.Replace(fastScenario, "count = 2", "count = 200", 1)+"[nodes]\ncount = 4\n")
--- a/internal/testbed/emulator/http.go
+++ b/internal/testbed/emulator/http.go
@@ -14,7 +14,7 @@
 // readBufferSize is the size of the buffer of a connection to the origin, in bytes.
 const readBufferSize = 16 << 10
 
-// readHTTP serves the requests of a connection to the origin until it ends.
+// readHTTP serves the requests of a connection to the origin until the connection ends.
 func (c *connection) readHTTP() {
 	defer c.disconnected()
 	reader := bufio.NewReaderSize(&c.reader, readBufferSize)
@@ -22,7 +22,7 @@
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			if !isConnectionError(err) {
-				c.malformed(err.Error())
+				c.reportMalformed(err.Error())
 				c.reply(wireformat.HTTPText("400 Bad Request", "", "", true), true)
 			}
 			return
@@ -37,13 +37,13 @@
 	}
 }
 
-// isConnectionError reports whether the connection ended, in contrast to a malformed request.
+// isConnectionError reports whether an error means that the connection ended, and not that a request was malformed.
 func isConnectionError(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// serveRequest serves one request. It returns false once the connection is closed.
+// serveRequest serves one HTTP request. It returns false if the connection is closed.
 func (c *connection) serveRequest(request *http.Request, body []byte) bool {
 	path, isWrite := request.URL.Path, request.Method == http.MethodPut
 	switch {
@@ -58,10 +58,10 @@
 	if isWrite {
 		args = append(args, body)
 	}
-	parsed, why := wireformat.ParseRequest(c.emulator.classes, isWrite, args)
-	if why != "" {
-		c.malformed(why)
-		return c.reply(wireformat.HTTPText("400 Bad Request", "", why, false), false)
+	parsed, reason := wireformat.ParseRequest(c.emulator.classes, isWrite, args)
+	if reason != "" {
+		c.reportMalformed(reason)
+		return c.reply(wireformat.HTTPText("400 Bad Request", "", reason, false), false)
 	}
 	return c.attempt(parsed)
 }
--- a/internal/testbed/emulator/loop.go
+++ b/internal/testbed/emulator/loop.go
@@ -11,7 +11,7 @@
 // checkInterval is the interval at which the loop looks for requests that were not answered by their deadline.
 const checkInterval = 100 * time.Millisecond
 
-// post hands work to the loop and waits while the queue is full. It returns false if the emulator was closed.
+// post passes work to the loop, and waits while the queue is full. It returns false if the emulator was closed.
 func (e *Emulator) post(work func(now time.Duration)) bool {
 	select {
 	case e.queue <- work:
@@ -21,7 +21,7 @@
 	}
 }
 
-// Do runs a function in the loop and waits for it. It returns false if the emulator was closed before.
+// Do runs a function in the loop and waits until it returns. Do returns false if the emulator was closed before.
 func (e *Emulator) Do(run func(now time.Duration, system *model.System, checker *invariants.Checker)) bool {
 	done := make(chan struct{})
 	posted := e.post(func(now time.Duration) {
@@ -39,12 +39,12 @@
 	}
 }
 
-// Report reports something to the checker of the invariants without waiting for it.
+// Report passes a report to the checker of the invariants. It does not wait until the loop has run the report.
 func (e *Emulator) Report(report func(now time.Duration, checker *invariants.Checker)) {
 	e.post(func(now time.Duration) { report(now, e.checker) })
 }
 
-// runLoop owns the model and the checker until Close ends it.
+// runLoop runs the loop, which owns the model and the checker, until Close ends it.
 func (e *Emulator) runLoop() {
 	defer close(e.ended)
 	timer := time.NewTimer(0)
@@ -85,14 +85,14 @@
 	if scheduled > now {
 		return
 	}
-	// A delay beyond the range of the histogram is left out.
+	// A delay beyond the range of the histogram is not recorded.
 	_ = e.loopDelay.RecordValue(max(1, (now - scheduled).Microseconds()))
 	if err := e.carryOut(now, e.system.Advance(now)); err != nil {
 		e.log.Error("an acceptor could not be changed", logs.Event, "emulate_failed", "error", err.Error())
 	}
 }
 
-// checkInvariants looks for unanswered requests and logs new violations.
+// checkInvariants checks for requests that were not answered by their deadline, and logs new violations.
 func (e *Emulator) checkInvariants(now time.Duration) {
 	e.checker.Advance(now)
 	violations := e.checker.Violations()
--- a/internal/testbed/emulator/resp.go
+++ b/internal/testbed/emulator/resp.go
@@ -8,10 +8,11 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// protocolErrorPrefix begins the text of redcon's errors about malformed commands; their type is not exported.
+// protocolErrorPrefix is the prefix of redcon's errors about malformed commands. They are recognized by this prefix because
+// redcon does not export their type.
 const protocolErrorPrefix = "Protocol error"
 
-// readRESP serves the commands of a connection to a cache server until it ends.
+// readRESP serves the commands of a connection to a cache server until the connection ends.
 func (c *connection) readRESP() {
 	defer c.disconnected()
 	reader := redcon.NewReader(&c.reader)
@@ -19,7 +20,7 @@
 		command, err := reader.ReadCommand()
 		if err != nil {
 			if strings.HasPrefix(err.Error(), protocolErrorPrefix) {
-				c.malformed(err.Error())
+				c.reportMalformed(err.Error())
 				c.reply(redcon.AppendError(nil, "ERR "+err.Error()), true)
 			}
 			return
@@ -30,14 +31,14 @@
 	}
 }
 
-// serveCommand serves one command. It returns false once the connection is closed.
+// serveCommand serves one command. It returns false if the connection is closed.
 func (c *connection) serveCommand(args [][]byte) bool {
 	switch name := strings.ToUpper(string(args[0])); name {
 	case "CACHE.GET", "CACHE.SET":
-		request, why := wireformat.ParseRequest(c.emulator.classes, name == "CACHE.SET", args)
-		if why != "" {
-			c.malformed(why)
-			return c.reply(redcon.AppendError(nil, "SYNTAX "+why), false)
+		request, reason := wireformat.ParseRequest(c.emulator.classes, name == "CACHE.SET", args)
+		if reason != "" {
+			c.reportMalformed(reason)
+			return c.reply(redcon.AppendError(nil, "SYNTAX "+reason), false)
 		}
 		return c.attempt(request)
 	case "PING":
@@ -46,12 +47,12 @@
 		return c.serveInfo(args)
 	case "CLIENT", "SELECT":
 		return c.reply(redcon.AppendOK(nil), false)
-	default: // HELLO too: these cache servers speak RESP2 only
+	default: // includes HELLO, because these cache servers speak RESP2 only
 		return c.reply(redcon.AppendError(nil, "ERR unknown command"), false)
 	}
 }
 
-// serveInfo serves INFO load, a health check with a load report.
+// serveInfo serves the command INFO load, which is a health check with a load report.
 func (c *connection) serveInfo(args [][]byte) bool {
 	switch {
 	case len(args) != 2 || !strings.EqualFold(string(args[1]), "load"):
--- a/internal/testbed/emulator/rig_test.go
+++ b/internal/testbed/emulator/rig_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// testTimeout is generous: it only bounds how long a failing test takes.
+	// testTimeout bounds how long a failing test takes. It is long, so that a slow machine does not make tests fail.
 	testTimeout = 20 * time.Second
-	// dialTimeout is the time after which a connection counts as not established.
+	// dialTimeout is the time after which a new connection counts as not established.
 	dialTimeout = 200 * time.Millisecond
-	// pollInterval is the interval at which a test looks whether a condition holds.
+	// pollInterval is the interval at which a test checks whether a condition holds.
 	pollInterval = 2 * time.Millisecond
 )
 
@@ -43,12 +43,12 @@
 	Started int64  `json:"startedAtMs"`
 }
 
-// rig is an emulator to which a test speaks as node 0. The origin is endpoint 0, the cache servers follow.
+// rig is an emulator that a test uses as node 0. The origin is endpoint 0 of the list, and the cache servers follow.
 type rig struct {
 	t         *testing.T
 	emulator  *Emulator
 	list      endpointList
-	discovery string // address
+	discovery string // address of the discovery service
 }
 
 func parsePlan(tb testing.TB, text string) *scenario.Plan {
@@ -104,7 +104,7 @@
 	}
 }
 
-// client is a connection of a node.
+// client is a connection from a node to a server, as a test uses it.
 type client struct {
 	net.Conn
 	t      testing.TB
@@ -113,13 +113,13 @@
 
 func newClient(tb testing.TB, conn net.Conn) *client {
 	tb.Helper()
-	tb.Cleanup(func() { _ = conn.Close() }) // a test may have closed it
+	tb.Cleanup(func() { _ = conn.Close() }) // the test may have closed the connection
 	c := &client{Conn: conn, t: tb, reader: bufio.NewReader(conn)}
 	c.setReadTimeout(testTimeout)
 	return c
 }
 
-// dialOnce connects to an endpoint.
+// dialOnce connects to the endpoint with the given index in the list.
 func (r *rig) dialOnce(index int) (*client, error) {
 	r.t.Helper()
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -155,7 +155,7 @@
 	_, _ = c.Write(command)
 }
 
-// readLines reads lines and joins them by spaces; "closed" stands for the end of the connection.
+// readLines reads lines and joins them with spaces. "closed" stands for the end of the connection.
 func (c *client) readLines(count int) string {
 	var lines []string
 	for range count {
@@ -221,7 +221,7 @@
 type watch struct {
 	t      *testing.T
 	lines  *bufio.Scanner
-	states map[string]string // by server
+	states map[string]string // latest state of each server, by id
 }
 
 func (r *rig) watch() *watch {
@@ -239,11 +239,11 @@
 	return &watch{t: r.t, lines: bufio.NewScanner(response.Body), states: map[string]string{}}
 }
 
-// waitFor reads until a server has a state.
+// waitFor reads from the watch until a server has the given state, and returns its entry.
 func (w *watch) waitFor(id, state string) endpoint {
 	w.t.Helper()
 	for w.lines.Scan() {
-		if w.lines.Text() == "" { // a heartbeat
+		if w.lines.Text() == "" { // an empty line is a heartbeat
 			continue
 		}
 		var list endpointList
--- a/internal/testbed/emulator/summary.go
+++ b/internal/testbed/emulator/summary.go
@@ -8,23 +8,23 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// Summary summarises a run.
+// Summary is the result of a run: counts of what the emulator saw, violations and delays.
 type Summary struct {
 	Length                    time.Duration
 	Connections               int64
-	Requests                  int64 // attempts at servers
-	HealthChecks              int64 // health checks
-	Malformed                 int64 // commands that no client sent
+	Requests                  int64 // attempts that reached a server
+	HealthChecks              int64
+	Malformed                 int64 // malformed commands and requests
 	CorruptResponses          int64
-	Calls                     int64  // of the discovery service
-	ListBytes                 int64  // of endpoint lists, written to nodes
+	Calls                     int64  // calls to the discovery service
+	ListBytes                 int64  // bytes of endpoint lists that were written to nodes
 	Events                    uint64 // hash of the model's event log
 	Counts                    invariants.Counts
 	Violations                []invariants.Violation
-	LateP50, LateP99, LateMax time.Duration // by which scheduled events ran late
+	LateP50, LateP99, LateMax time.Duration // delays of scheduled events
 }
 
-// Summary returns the summary of the run so far. It is empty if the emulator was closed.
+// Summary returns the summary of the run so far. The summary is empty if the emulator was closed.
 func (e *Emulator) Summary() Summary {
 	var summary Summary
 	e.Do(func(now time.Duration, system *model.System, checker *invariants.Checker) {
