--- a/internal/testbed/respcmd/respcmd.go
+++ b/internal/testbed/respcmd/respcmd.go
@@ -1,4 +1,4 @@
-// Package respcmd writes and serves commands of RESP2, as the testbed's clients and simple servers need them.
+// Package respcmd writes and serves RESP2 commands for the testbed's clients and simple servers.
 package respcmd
 
 import (
@@ -8,52 +8,53 @@
 	"github.com/tidwall/redcon"
 )
 
-// Ping is the verb of a health check, Pong the reply to it.
+// Ping is the command of a health check, and Pong is the encoded reply to it.
 const (
 	Ping = "PING"
 	Pong = "+PONG\r\n"
 )
 
-// Append appends a command, an array of bulk strings, to a buffer.
-func Append(buffer []byte, words ...string) []byte {
-	buffer = redcon.AppendArray(buffer, len(words))
-	for _, word := range words {
-		buffer = redcon.AppendBulkString(buffer, word)
+// Append appends a command to a buffer, encoded as an array of bulk strings.
+func Append(buffer []byte, args ...string) []byte {
+	buffer = redcon.AppendArray(buffer, len(args))
+	for _, arg := range args {
+		buffer = redcon.AppendBulkString(buffer, arg)
 	}
 	return buffer
 }
 
-// Handler returns the bytes to write in reply to a command, which may be none; false ends the connection instead.
-type Handler func(words []string) (reply string, ok bool)
+// Handler returns the bytes to write in reply to a command, possibly none. If ok is false, nothing is written and the
+// connection ends.
+type Handler func(args []string) (reply string, ok bool)
 
-// Serve answers the commands of a connection in their order until it or the handler ends it, and closes it. PING is answered
-// without the handler.
+// Serve answers the commands of a connection in their order until the peer or the handler ends the connection. Then it
+// closes the connection. It answers PING itself, without the handler.
 func Serve(conn net.Conn, handle Handler) {
-	ServeAll(conn, func(words []string) (string, bool) {
-		if words[0] == Ping {
+	ServeAll(conn, func(args []string) (string, bool) {
+		if args[0] == Ping {
 			return Pong, true
 		}
-		return handle(words)
+		return handle(args)
 	})
 }
 
-// ServeAll is Serve with PING given to the handler, too.
+// ServeAll is like Serve, but also passes PING to the handler.
 func ServeAll(conn net.Conn, handle Handler) {
-	defer func() { _ = conn.Close() }() // whatever was owed is written
+	defer func() { _ = conn.Close() }() // all replies have been written
 	reader := redcon.NewReader(conn)
 	for {
 		command, err := reader.ReadCommand()
 		if err != nil {
 			return
 		}
-		words := make([]string, len(command.Args))
-		for i, word := range command.Args {
-			words[i] = string(word)
+		args := make([]string, len(command.Args))
+		for i, arg := range command.Args {
+			args[i] = string(arg)
 		}
-		reply, ok := handle(words)
+		reply, ok := handle(args)
 		if !ok {
 			return
 		}
-		_, _ = io.WriteString(conn, reply) // a broken connection ends the next read, behind what came before
+		_, _ = io.WriteString(conn, reply) // if the connection is broken, a later read fails and ends the loop
 	}
 }
--- a/internal/testbed/respcmd/respcmd_test.go
+++ b/internal/testbed/respcmd/respcmd_test.go
@@ -11,8 +11,8 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		Serve(server, func(words []string) (string, bool) {
-			return "+" + words[1] + "\r\n", words[0] != "END"
+		Serve(server, func(args []string) (string, bool) {
+			return "+" + args[1] + "\r\n", args[0] != "END"
 		})
 	}()
 	var commands []byte
--- a/internal/testbed/wireformat/doc.go
+++ b/internal/testbed/wireformat/doc.go
@@ -1,3 +1,3 @@
-// Package wireformat encodes what the model answers as the bytes of the protocol, and decodes what nodes send. It has no
-// clock and no I/O: the emulator uses it with sockets, the simulation with virtual connections.
+// Package wireformat encodes the responses of the model as bytes of the protocols, and decodes the requests of nodes. It
+// has no clock and does no I/O: the emulator uses it with sockets, the simulation with virtual connections.
 package wireformat
--- a/internal/testbed/wireformat/http.go
+++ b/internal/testbed/wireformat/http.go
@@ -8,10 +8,10 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// EncodeHTTP encodes the response of the origin to the request with an id, corrupt if the model says so. last says that
-// the connection ends with it.
+// EncodeHTTP encodes the response of the origin to the request with the given id. The encoding is corrupt if the response
+// has a Corruption. last says that the connection ends after the response.
 func EncodeHTTP(id string, response model.Response) (encoded []byte, last bool) {
-	encoded = encodeSoundHTTP(id, response)
+	encoded = encodeIntactHTTP(id, response)
 	switch response.Corruption {
 	case model.CorruptNoise:
 		return []byte("\x00\xff\x13noise\r\n\r\n"), false
@@ -31,7 +31,8 @@
 	return encoded, false
 }
 
-func encodeSoundHTTP(id string, response model.Response) []byte {
+// encodeIntactHTTP encodes the response of the origin without corruption.
+func encodeIntactHTTP(id string, response model.Response) []byte {
 	load := "X-Load: " + encodeLoad(response.Load) + "\r\n"
 	switch response.Outcome {
 	case model.Pong:
@@ -44,7 +45,7 @@
 		return HTTPText("503 Service Unavailable", load+"X-Not-Run: 1\r\n", "", false)
 	case model.Failed:
 		return HTTPText("500 Internal Server Error", load, "", false)
-	case model.Written: // the receipt is not padded to the size of the record
+	case model.Written: // without Size, so that the receipt is not padded to the size of the record
 		receipt := EncodeValue(id, model.Copy{Key: response.Copy.Key, Version: response.Copy.Version})
 		return HTTPText("200 OK", load, string(receipt), false)
 	default:
@@ -52,7 +53,8 @@
 	}
 }
 
-// HTTPText returns an HTTP/1.1 response. headers are whole lines; last adds the header that closes the connection.
+// HTTPText returns an HTTP/1.1 response. headers holds complete header lines. If last is true, a header says that the
+// connection is closed after the response.
 func HTTPText(status, headers, body string, last bool) []byte {
 	if last {
 		headers += "Connection: close\r\n"
--- a/internal/testbed/wireformat/request.go
+++ b/internal/testbed/wireformat/request.go
@@ -10,9 +10,9 @@
 )
 
 // ParseRequest decodes the arguments of a command: its name, the key, the request id, the list of names and values, and
-// the value of a write. The Deadline of the request is a duration from now; the caller, which knows the time, adds it.
-// why says what is wrong with the command and is empty if nothing is.
-func ParseRequest(classes map[string]scenario.Class, write bool, args [][]byte) (request model.Request, why string) {
+// the value of a write. The Deadline of the request is a duration from now, to which the caller adds the current time.
+// reason says what is wrong with the command. It is empty if the command is valid.
+func ParseRequest(classes map[string]scenario.Class, write bool, args [][]byte) (request model.Request, reason string) {
 	numArgs := 4
 	if write {
 		numArgs = 5
@@ -30,14 +30,14 @@
 	if request.Size > MaxValue {
 		return request, "value is too large"
 	}
-	if why := parseFields(&request, string(args[3])); why != "" {
-		return request, why
+	if reason := parseFields(&request, string(args[3])); reason != "" {
+		return request, reason
 	}
 	return request, validateClass(classes, &request)
 }
 
 // parseFields decodes a list of names and values such as "c=read,d=900". Unknown names are ignored.
-func parseFields(request *model.Request, list string) (why string) {
+func parseFields(request *model.Request, list string) (reason string) {
 	for pair := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
@@ -59,8 +59,8 @@
 	return ""
 }
 
-// validateClass checks that a request has a known class, which goes with its command, and a deadline.
-func validateClass(classes map[string]scenario.Class, request *model.Request) (why string) {
+// validateClass checks that a request has a deadline and a known class, and that its command is allowed for the class.
+func validateClass(classes map[string]scenario.Class, request *model.Request) (reason string) {
 	class, ok := classes[request.Class]
 	switch {
 	case !ok:
--- a/internal/testbed/wireformat/resp.go
+++ b/internal/testbed/wireformat/resp.go
@@ -8,12 +8,13 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// respNull is the encoding of a null bulk string.
+// respNull is the RESP2 encoding of a null bulk string.
 const respNull = "$-1\r\n"
 
-// EncodeRESP encodes the response of a cache server to the request with an id, corrupt if the model says so.
+// EncodeRESP encodes the response of a cache server to the request with the given id. The encoding is corrupt if the
+// response has a Corruption.
 func EncodeRESP(id string, response model.Response) []byte {
-	encoded := encodeSoundRESP(id, response)
+	encoded := encodeIntactRESP(id, response)
 	switch response.Corruption {
 	case model.CorruptNoise:
 		return []byte("\x00\xff\x13noise\r\n\x80\x80")
@@ -27,7 +28,7 @@
 		return append(encoded, encoded...)
 	case model.CorruptTrailingNoise:
 		return append(encoded, "\x00noise"...)
-	case model.CorruptLoadReport: // in place of the null at the end
+	case model.CorruptLoadReport: // the load report replaces the null at the end
 		if response.Outcome == model.Hit || response.Outcome == model.Miss {
 			return append(encoded[:len(encoded)-len(respNull)], "$7\r\n=,=\x00 ==\r\n"...)
 		}
@@ -35,7 +36,8 @@
 	return encoded
 }
 
-func encodeSoundRESP(id string, response model.Response) []byte {
+// encodeIntactRESP encodes the response of a cache server without corruption.
+func encodeIntactRESP(id string, response model.Response) []byte {
 	switch response.Outcome {
 	case model.Pong:
 		if response.HasLoad {
--- a/internal/testbed/wireformat/value.go
+++ b/internal/testbed/wireformat/value.go
@@ -10,8 +10,8 @@
 // MaxValue is the size of the longest value that the protocol allows, in bytes.
 const MaxValue = 64 << 10
 
-// EncodeValue returns the value that servers answer to a request. It names the request for which it was made, so that
-// a client can tell it from any other, and is padded to the size of the record.
+// EncodeValue returns the value that servers answer to a request. The value holds the id of the request, so that a client
+// can tell it from the values of other requests. It is padded to the size of the record.
 func EncodeValue(request string, record model.Copy) []byte {
 	value := fmt.Appendf(nil, "%s|%s|v%d|", request, record.Key, record.Version)
 	if padding := record.Size - len(value); padding > 0 {
@@ -20,7 +20,7 @@
 	return value
 }
 
-// RequestOfValue returns the id of the request that a value names, or "" if it is no value of a server.
+// RequestOfValue returns the request id that a value holds, or "" if the value does not have the form of EncodeValue.
 func RequestOfValue(value []byte) string {
 	id, rest, ok := bytes.Cut(value, []byte{'|'})
 	if !ok || bytes.Count(rest, []byte{'|'}) < 2 {
@@ -29,7 +29,7 @@
 	return string(id)
 }
 
-// encodeLoad returns a load report.
+// encodeLoad returns a load report as text, with the latency in milliseconds.
 func encodeLoad(load model.Load) string {
 	return fmt.Sprintf("latency_ms=%.1f,inflight=%d", load.Latency.Seconds()*1000, load.Inflight)
 }
--- a/internal/testbed/wireformat/wireformat_test.go
+++ b/internal/testbed/wireformat/wireformat_test.go
@@ -6,7 +6,8 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// No two kinds of corruption, and no kind and the sound response, have the same encoding.
+// The kinds of corruption and the intact response all have different encodings. If two were encoded alike, one kind would
+// not be tested.
 func TestEveryCorruptionHasItsOwnEncoding(t *testing.T) {
 	response := model.Response{Outcome: model.Hit, Copy: model.Copy{Key: "k", Size: 40}, Load: model.Load{Inflight: 1}}
 	seen := map[string]model.CorruptionKind{}
