--- a/internal/testbed/nodes/launcher.go
+++ b/internal/testbed/nodes/launcher.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// launcher runs functions on one thread that lives as long as the program. The kernel ends a child with Pdeathsig when the
-// thread that started it ends, which may happen to any other thread of the Go runtime.
+// launcher runs functions on one thread that lives as long as the program. The kernel kills a child that has Pdeathsig when
+// the thread that started the child ends. The Go runtime may end any thread that is not locked to a goroutine.
 var launcher = struct {
 	once  sync.Once
 	calls chan func() // never closed
@@ -15,7 +15,7 @@
 // runOnLauncherThread calls f on the launcher's thread and waits until it returns.
 func runOnLauncherThread(f func()) {
 	launcher.once.Do(func() {
-		go func() { // ends with the program
+		go func() { // the goroutine ends with the program
 			runtime.LockOSThread()
 			for call := range launcher.calls {
 				call()
--- a/internal/testbed/nodes/process.go
+++ b/internal/testbed/nodes/process.go
@@ -1,4 +1,4 @@
-// Package nodes runs nodes as child processes of the testbed. The kernel ends a child when the process that started it ends
+// Package nodes runs nodes as child processes of the testbed. The kernel kills a child when the process that started it ends
 // in any way, so that no node outlives its run.
 package nodes
 
@@ -19,9 +19,9 @@
 )
 
 const (
-	pollInterval = 20 * time.Millisecond // between two checks whether a node is ready
-	pingTimeout  = time.Second           // of one check
-	maxTail      = 600                   // bytes of the log that an error quotes
+	pollInterval = 20 * time.Millisecond // interval at which a node is checked for readiness
+	pingTimeout  = time.Second           // timeout of one such check
+	maxTail      = 600                   // maximum number of bytes of the log that an error quotes
 )
 
 // Process is a node that was started. Its methods are safe for concurrent use.
@@ -32,23 +32,23 @@
 
 	cmd     *exec.Cmd
 	done    chan struct{} // closed by the goroutine that waits for the process
-	exitErr error         // what the process ended with; valid once done is closed
+	exitErr error         // result of waiting for the process; valid once done is closed
 
 	mu         sync.Mutex
 	isStopping bool
 }
 
-// Command says how a node is started.
+// Command describes how to start a node.
 type Command struct {
 	Program string
 	Args    []string
-	Name    string // of the node, for messages
+	Name    string // name of the node, used in messages
 	Listen  string // address of the node's listener
-	Config  string // path of the configuration; the log is written beside it
-	Sockets int    // descriptors that the process may have; 0 is no limit but the system's
+	Config  string // path of the configuration file; the log is written to the same folder
+	Sockets int    // limit of the process's open descriptors; 0 leaves the system's limit
 }
 
-// Start starts a node. It does not wait until the node is ready; the caller ends it with Stop.
+// Start starts a node. It does not wait until the node is ready. The caller ends the node with Stop.
 func Start(command Command) (*Process, error) {
 	process := &Process{Name: command.Name, Listen: command.Listen, LogPath: strings.TrimSuffix(command.Config, ".json") + ".log",
 		done: make(chan struct{})}
@@ -57,11 +57,12 @@
 		return nil, fmt.Errorf("open the log of node %s: %w", command.Name, err)
 	}
 	defer func() { _ = log.Close() }() // the child has its own descriptor
-	// No context ends the process: Stop does, in order.
+	// The context never ends the process. Stop ends it gracefully.
 	process.cmd = exec.CommandContext(context.Background(), command.Program, command.Args...)
 	process.cmd.Env = append(os.Environ(), "LB_CONFIG="+command.Config)
 	process.cmd.Stdout, process.cmd.Stderr = log, log
-	// A process group of its own: Ctrl-C at the terminal reaches the testbed alone, which ends its nodes in order.
+	// The node gets its own process group, so that Ctrl-C at the terminal reaches only the testbed. The testbed then ends its
+	// nodes gracefully.
 	process.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	runOnLauncherThread(func() { err = process.cmd.Start() })
 	if err != nil {
@@ -70,18 +71,19 @@
 	if command.Sockets > 0 {
 		limit := unix.Rlimit{Cur: uint64(command.Sockets), Max: uint64(command.Sockets)}
 		if err := unix.Prlimit(process.PID(), unix.RLIMIT_NOFILE, &limit, nil); err != nil {
-			_ = process.cmd.Process.Kill() // it must not run without its limit
+			_ = process.cmd.Process.Kill() // the node must not run without its limit
 			return nil, errors.Join(fmt.Errorf("limit the descriptors of node %s: %w", command.Name, err), process.cmd.Wait())
 		}
 	}
-	go func() { // ends with the process
+	go func() { // the goroutine ends with the process
 		process.exitErr = process.cmd.Wait()
 		close(process.done)
 	}()
 	return process, nil
 }
 
-// StartReady starts a node and waits until it answers. If it does not within the timeout, it is stopped.
+// StartReady starts a node and waits until it answers PING. If the node does not answer within the timeout, StartReady
+// stops it and returns an error.
 func StartReady(ctx context.Context, command Command, timeout time.Duration) (*Process, error) {
 	p, err := Start(command)
 	if err != nil {
@@ -90,16 +92,16 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := p.WaitReady(ctx); err != nil {
-		_ = p.Stop(time.Second) // why it did not start says more
+		_ = p.Stop(time.Second) // the error of WaitReady says more
 		return nil, err
 	}
 	return p, nil
 }
 
-// PID returns the process id.
+// PID returns the process id of the node.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// WaitReady waits until the node answers PING. It returns an error when the process or the context ends before.
+// WaitReady waits until the node answers PING. It returns an error if the process or the context ends before.
 func (p *Process) WaitReady(ctx context.Context) error {
 	for {
 		if ping(ctx, p.Listen) {
@@ -107,7 +109,7 @@
 		}
 		select {
 		case <-p.done:
-			return fmt.Errorf("node %s ended at its start: %w: %s", p.Name, orExitStatusZero(p.exitErr), p.Tail())
+			return fmt.Errorf("node %s exited during startup: %w: %s", p.Name, orExitStatusZero(p.exitErr), p.Tail())
 		case <-ctx.Done():
 			return fmt.Errorf("node %s did not start: %w: %s", p.Name, ctx.Err(), p.Tail())
 		case <-time.After(pollInterval):
@@ -124,7 +126,7 @@
 	return err
 }
 
-// ping reports whether a node answers PING.
+// ping reports whether the node at an address answers PING.
 func ping(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -143,7 +145,7 @@
 	return err == nil && reply == "+PONG\r\n"
 }
 
-// Signal sends a signal. After SIGTERM or SIGKILL the node counts as stopping.
+// Signal sends a signal to the node. After SIGTERM or SIGKILL the node counts as stopping.
 func (p *Process) Signal(signal syscall.Signal) error {
 	if signal == syscall.SIGTERM || signal == syscall.SIGKILL {
 		p.ExpectExit()
@@ -151,14 +153,14 @@
 	return p.cmd.Process.Signal(signal)
 }
 
-// ExpectExit marks the node as stopping, because it is about to end without a signal.
+// ExpectExit marks the node as stopping. It is used when the node is about to end without a signal.
 func (p *Process) ExpectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.isStopping = true
 }
 
-// IsStopping reports whether the node was told, or is expected, to end.
+// IsStopping reports whether the node was told to end or is expected to end.
 func (p *Process) IsStopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,9 +171,9 @@
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Stop sends SIGTERM, waits for the process to end and kills it after the timeout. It returns an error if the process had
-// to be killed or ended with one.
+// to be killed or ended with an error.
 func (p *Process) Stop(timeout time.Duration) error {
-	_ = p.Signal(syscall.SIGTERM) // fails if the process has ended, which is seen below
+	_ = p.Signal(syscall.SIGTERM) // fails if the process has ended already; then done is closed
 	select {
 	case <-p.done:
 	case <-time.After(timeout):
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// Tail returns the end of the log, or why it cannot be read.
+// Tail returns the end of the log, or the error if the log cannot be read.
 func (p *Process) Tail() string {
 	log, err := os.ReadFile(p.LogPath)
 	if err != nil {
--- a/internal/testbed/nodes/process_test.go
+++ b/internal/testbed/nodes/process_test.go
@@ -21,12 +21,13 @@
 	}
 }
 
-// TestQuotaIsOfProcessorTime: a process may use its share and a burst, and again what it has earned since.
+// A process may use a burst of processor time and, over time, its share of a processor. Time that it did not use counts
+// only up to the burst.
 func TestQuotaIsOfProcessorTime(t *testing.T) {
 	start := time.Unix(1000, 0)
-	quota := cpuQuota{share: 0.25, lastLook: start}
+	quota := cpuQuota{share: 0.25, lastCheck: start}
 	for i, step := range []struct {
-		after, used time.Duration // since the start
+		after, used time.Duration // since the start of the test
 		isExceeded  bool
 	}{
 		{time.Second, 0, false}, // an idle second earns no more than the burst
@@ -34,7 +35,7 @@
 		{time.Second, throttleBurst + time.Millisecond, true},
 		{time.Second + 3*time.Millisecond, throttleBurst + time.Millisecond, true},
 		{time.Second + 4*time.Millisecond, throttleBurst + time.Millisecond, false},
-		{time.Second + 400*time.Millisecond, throttleBurst + 100*time.Millisecond, false}, // as much as it earned
+		{time.Second + 400*time.Millisecond, throttleBurst + 100*time.Millisecond, false}, // the process used exactly what it earned
 	} {
 		if got := quota.isExceeded(start.Add(step.after), step.used); got != step.isExceeded {
 			t.Errorf("step %d: exceeded %v, want %v", i, got, step.isExceeded)
--- a/internal/testbed/nodes/program.go
+++ b/internal/testbed/nodes/program.go
@@ -11,8 +11,8 @@
 
 const programName = "shelfproxy"
 
-// FindProgram returns the path of the node's program: the one beside the program that runs, or else one that it builds
-// into dir from the sources around the working directory.
+// FindProgram returns the path of the node's program. If there is one in the folder of the running program, it is used.
+// Otherwise FindProgram builds the program into dir, from the module of the working directory.
 func FindProgram(ctx context.Context, dir string) (string, error) {
 	if self, err := os.Executable(); err == nil {
 		if beside := filepath.Join(filepath.Dir(self), programName); isExecutable(beside) {
@@ -22,7 +22,7 @@
 	path := filepath.Join(dir, programName)
 	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "shelfproxy/cmd/shelfproxy")
 	if output, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("no %s beside this program, and it could not be built: %w: %s", programName, err, strings.TrimSpace(string(output)))
+		return "", fmt.Errorf("no %s in the folder of this program, and building it failed: %w: %s", programName, err, strings.TrimSpace(string(output)))
 	}
 	return path, nil
 }
--- a/internal/testbed/nodes/throttle.go
+++ b/internal/testbed/nodes/throttle.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	throttleInterval = 2 * time.Millisecond  // between two looks at what the process has used
-	throttleBurst    = 20 * time.Millisecond // of processor time that an idle process may save up
+	throttleInterval = 2 * time.Millisecond  // interval at which the used processor time is read
+	throttleBurst    = 20 * time.Millisecond // maximum processor time that an idle process accumulates
 )
 
-// Throttle lets the process use a share of one processor at most, until it ends: it stops the process while that has used more, and lets
-// it run again. It stands for a machine that has part of a core. On a busy machine the process is not stopped beyond that.
+// Throttle limits the process to a share of one processor until the process ends. It stops the process while it has used
+// more than its share, and then continues it. This emulates a machine that has only part of a core. Because the processor
+// time counts, a process that gets less time on a busy machine is not stopped in addition.
 func (p *Process) Throttle(share float64) {
-	go func() { // ends with the process
+	go func() { // the goroutine ends with the process
 		ticker := time.NewTicker(throttleInterval)
 		defer ticker.Stop()
-		quota := cpuQuota{share: share, lastLook: time.Now()}
+		quota := cpuQuota{share: share, lastCheck: time.Now()}
 		for isStopped := false; ; {
 			select {
 			case <-p.done:
@@ -40,24 +41,25 @@
 	return syscall.SIGCONT
 }
 
-// cpuQuota is how much processor time a process may use at a moment.
+// cpuQuota tracks how much processor time a process may still use at the moment.
 type cpuQuota struct {
-	share     float64 // of one processor
+	share     float64 // fraction of one processor
 	available time.Duration
-	lastLook  time.Time
+	lastCheck time.Time
 	lastUsed  time.Duration
 }
 
-// isExceeded takes what the process has used since its start, and reports whether that is more than its share.
+// isExceeded updates the quota with the processor time that the process has used since its start. It reports whether the
+// process has used more than its share and the burst allow.
 func (q *cpuQuota) isExceeded(now time.Time, used time.Duration) bool {
-	earned := time.Duration(q.share * float64(now.Sub(q.lastLook)))
+	earned := time.Duration(q.share * float64(now.Sub(q.lastCheck)))
 	q.available = min(throttleBurst, q.available+earned-(used-q.lastUsed))
-	q.lastLook, q.lastUsed = now, used
+	q.lastCheck, q.lastUsed = now, used
 	return q.available < 0
 }
 
-// cpuTime returns the processor time that a process has used; 0 if it has ended. The clock of a process is named by its complement
-// (clock_getcpuclockid(3)).
+// cpuTime returns the processor time that a process has used, or 0 if the process has ended. The id of a process's clock
+// contains the bitwise complement of the process id (clock_getcpuclockid(3)).
 func cpuTime(pid int) time.Duration {
 	const clockOfProcess, clockBits = 2, 3
 	var used unix.Timespec
--- a/internal/testbed/nodes/usage.go
+++ b/internal/testbed/nodes/usage.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Usage is what a process has used.
+// Usage is the processor time, memory and descriptors that a process uses.
 type Usage struct {
 	CPU         time.Duration // processor time since the start of the process
-	Memory      int64         // bytes that are resident now
-	PeakMemory  int64         // bytes of its own, not of the program's file, that were ever resident
-	Descriptors int           // file descriptors that are open now
+	Memory      int64         // resident memory in bytes now
+	PeakMemory  int64         // largest resident memory in bytes, without the pages of mapped files
+	Descriptors int           // number of file descriptors that are open now
 }
 
-// Fields of /proc/PID/stat behind the command name, and their unit (proc_pid_stat(5)).
+// Indexes of the fields of /proc/PID/stat that follow the command name, and the unit of the times (proc_pid_stat(5)).
 const (
 	statUserTime   = 11
 	statSystemTime = 12
-	statResident   = 21                    // in pages
-	clockTick      = 10 * time.Millisecond // unit of the times
+	statResident   = 21                    // resident memory in pages
+	clockTick      = 10 * time.Millisecond // unit of both times
 )
 
-// Usage reads what the process has used from /proc. What cannot be read is zero.
+// Usage reads the usage of the process from /proc. A value that cannot be read is zero.
 func (p *Process) Usage() Usage {
 	var usage Usage
 	dir := fmt.Sprintf("/proc/%d/", p.PID())
@@ -40,7 +40,7 @@
 	return usage
 }
 
-// statusBytes reads a field in kB from the content of /proc/PID/status; 0 if it is not there.
+// statusBytes reads a field in kB from the content of /proc/PID/status and returns it in bytes, or 0 if it is missing.
 func statusBytes(status, field string) int64 {
 	_, rest, _ := strings.Cut(status, field)
 	fields := strings.Fields(rest)
@@ -54,7 +54,8 @@
 	return kilobytes << 10
 }
 
-// parseStat reads the content of /proc/PID/stat. The command name, in parentheses, may contain spaces.
+// parseStat reads the processor time and the resident memory from the content of /proc/PID/stat. The command name in it is
+// in parentheses and may contain spaces.
 func (u *Usage) parseStat(stat string) {
 	_, rest, ok := strings.Cut(stat, ") ")
 	fields := strings.Fields(rest)
