--- a/internal/testbed/model/cacheserver.go
+++ b/internal/testbed/model/cacheserver.go
@@ -186,7 +186,7 @@
 // receive puts a request into the queue and decides its outcome from what is cached now. accepted is false if the
 // server rejects the request because the queue is full.
 func (c *cacheServer) receive(request *Request, isHealthCheck bool) (exec *execution, accepted bool) {
-	exec = &execution{Request: request, isHealthCheck: isHealthCheck, work: request.Work.Seconds(), outcome: RejectedUnseen}
+	exec = &execution{Request: request, isHealthCheck: isHealthCheck, work: request.Work.Seconds(), outcome: Rejected}
 	if len(c.running) >= c.kind.Slots && len(c.waiting) >= c.kind.Queue {
 		return exec, false
 	}
@@ -214,7 +214,7 @@
 		c.waiting[0] = nil
 		c.waiting = c.waiting[1:]
 		if c.kind.DropExpired && !exec.isHealthCheck && now > exec.Deadline {
-			exec.outcome = RejectedUnseen
+			exec.outcome = Rejected
 			expired = append(expired, exec)
 			c.release(exec)
 			continue
--- a/internal/testbed/model/connection.go
+++ b/internal/testbed/model/connection.go
@@ -137,5 +137,5 @@
 
 // rejected returns the response to a request that was rejected before it had any effect.
 func rejected(request *Request) Response {
-	return Response{Conn: request.Conn, Seq: request.Seq, Request: request.ID, Outcome: RejectedUnseen}
+	return Response{Conn: request.Conn, Seq: request.Seq, Request: request.ID, Outcome: Rejected}
 }
--- a/internal/testbed/model/effect.go
+++ b/internal/testbed/model/effect.go
@@ -77,7 +77,7 @@
 
 // WasNotExecuted reports whether a response proves that the attempt was not executed. This is so if the server rejected
 // the attempt or had no copy.
-func (r Response) WasNotExecuted() bool { return r.Outcome == RejectedUnseen || r.Outcome == Miss }
+func (r Response) WasNotExecuted() bool { return r.Outcome == Rejected || r.Outcome == Miss }
 
 // HasValue reports whether a response can be decoded and holds a value for the request.
 func (r Response) HasValue() bool {
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -82,7 +82,7 @@
 	before := len(driver.responses)
 	driver.send(1, "2", "read", false)
 	driver.runUntil(2100 * time.Millisecond)
-	if driver.resets != 1 || len(driver.responses) > before && driver.responses[before].Outcome != RejectedUnseen {
+	if driver.resets != 1 || len(driver.responses) > before && driver.responses[before].Outcome != Rejected {
 		t.Errorf("%d resets, responses %+v; want 1 reset and no response but a rejection", driver.resets, driver.responses[before:])
 	}
 	driver.runUntil(4 * time.Second)
@@ -270,7 +270,7 @@
 	driver.send(1, "2", "read", false)
 	driver.runUntil(4 * time.Second)
 	got := driver.responses
-	if len(got) < 2 || got[0].Request != "2" || got[0].Outcome != RejectedUnseen || got[1].Request != "1" || got[1].Outcome != Miss {
+	if len(got) < 2 || got[0].Request != "2" || got[0].Outcome != Rejected || got[1].Request != "1" || got[1].Outcome != Miss {
 		t.Errorf("responses %+v, want a rejection of 2 and then a miss for 1", got)
 	}
 }
--- a/internal/testbed/model/request.go
+++ b/internal/testbed/model/request.go
@@ -24,12 +24,12 @@
 
 // Outcomes of requests and health checks.
 const (
-	Hit            Outcome = iota // a value for this request
-	Miss                          // the cache server has no copy
-	Failed                        // the server answered with an error; the request may have been executed
-	RejectedUnseen                // the server rejected the request before it had any effect
-	Written                       // the origin's receipt for a write
-	Pong                          // the answer to a health check
+	Hit      Outcome = iota // a value for this request
+	Miss                    // the cache server has no copy
+	Failed                  // the server answered with an error; the request may have been executed
+	Rejected                // the server rejected the request before it had any effect
+	Written                 // the origin's receipt for a write
+	Pong                    // the answer to a health check
 )
 
 var outcomeNames = [...]string{"hit", "miss", "failed", "turned_away", "written", "pong"}
--- a/internal/testbed/wireformat/http.go
+++ b/internal/testbed/wireformat/http.go
@@ -41,7 +41,7 @@
 			body = encodeLoad(response.Load)
 		}
 		return HTTPText("200 OK", load, body, false)
-	case model.RejectedUnseen:
+	case model.Rejected:
 		return HTTPText("503 Service Unavailable", load+"X-Not-Run: 1\r\n", "", false)
 	case model.Failed:
 		return HTTPText("500 Internal Server Error", load, "", false)
--- a/internal/testbed/wireformat/resp.go
+++ b/internal/testbed/wireformat/resp.go
@@ -44,7 +44,7 @@
 			return redcon.AppendBulkString(nil, encodeLoad(response.Load))
 		}
 		return redcon.AppendString(nil, "PONG")
-	case model.RejectedUnseen:
+	case model.Rejected:
 		return redcon.AppendError(nil, "BUSY")
 	case model.Failed:
 		return redcon.AppendError(nil, "ERR failed")
