--- a/internal/testbed/emulator/acceptor.go
+++ b/internal/testbed/emulator/acceptor.go
@@ -21,7 +21,8 @@
 	maxFillers = 4
 	// fillTimeout bounds the time to establish a connection that fills the queue. A full queue does not answer.
 	fillTimeout = 50 * time.Millisecond
-	// acceptRetry is the wait after a failed accept: the acceptor does not accept connections, or descriptors have run out.
+	// acceptRetry is the wait after a failed accept. An accept fails while the acceptor does not accept connections or when
+	// descriptors have run out.
 	acceptRetry = time.Millisecond
 )
 
@@ -144,7 +145,7 @@
 	err = raw.Control(func(fd uintptr) { failed = a.setSocket(int(fd), before, state) })
 	a.closeFillers()
 	if state == model.Unresponsive {
-		go a.fillQueue() // ends when the queue is full
+		go a.fillQueue() // returns after opening maxFillers connections at most
 	}
 	a.changed.Broadcast()
 	return errors.Join(err, failed)
@@ -167,7 +168,7 @@
 		}
 		return err
 	case model.Unresponsive:
-		_ = a.listener.SetDeadline(time.Unix(1, 0)) // makes a blocked Accept return
+		_ = a.listener.SetDeadline(time.Unix(1, 0)) // a deadline in the past makes a blocked Accept return
 		return syscall.Listen(fd, 0)
 	}
 	return nil
@@ -190,7 +191,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.state != model.Unresponsive || a.isClosed {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // nothing was sent on the connection
 		return false
 	}
 	a.fillers = append(a.fillers, conn)
@@ -200,7 +201,7 @@
 // closeFillers closes the connections that fill the queue. The caller holds the lock.
 func (a *acceptor) closeFillers() {
 	for _, conn := range a.fillers {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // nothing was sent on the connection
 	}
 	a.fillers = nil
 }
--- a/internal/testbed/emulator/config.go
+++ b/internal/testbed/emulator/config.go
@@ -44,7 +44,8 @@
 }
 
 // freeAddress returns a free address at which a node can listen. With a base port the address has the node's fixed port.
-// Otherwise it is a port of a random loopback address, from which no connection is dialed.
+// Otherwise it has a free port of a random loopback address. No connection is dialed from that address, so none can take
+// the port.
 func (e *Emulator) freeAddress(node int) (address string, err error) {
 	port, host := 0, fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	if e.options.BasePort > 0 {
@@ -128,7 +129,7 @@
 		OriginKind int    `json:"origin_kind"` // index in machine_types
 	}
 
-	// classConfig is a class of requests. Times are in microseconds.
+	// classConfig configures a class of requests. Times are in microseconds.
 	classConfig struct {
 		Deadline         int64   `json:"deadline"`
 		LatencyObjective int64   `json:"goal_time"`
--- a/internal/testbed/emulator/connection.go
+++ b/internal/testbed/emulator/connection.go
@@ -157,7 +157,7 @@
 	return e.post(func(now time.Duration) { e.step(now, check) })
 }
 
-// reportMalformed counts and logs a reportMalformed command, which a correct node never sends.
+// reportMalformed counts and logs a malformed command, which a correct node never sends.
 func (c *connection) reportMalformed(reason string) {
 	c.emulator.counters.malformed.Add(1)
 	c.emulator.log.Warn("a node sent a malformed command", logs.Event, "malformed", "node", c.node, "why", reason)
@@ -176,7 +176,7 @@
 	c.changed.Broadcast()
 }
 
-// reset closes the connection with a TCP reset, as when its process dies.
+// reset closes the connection with a TCP reset, as happens when a server's process dies.
 func (c *connection) reset() {
 	c.mu.Lock()
 	c.isClosed, c.pending = true, nil
@@ -189,7 +189,7 @@
 	_ = c.net.Close()
 }
 
-// respond encodes the response to an attempt or a health check. It never blocks.
+// respond encodes the response to an attempt or a health check and marks it as ready to be written. It never blocks.
 func (c *connection) respond(response model.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/emulator/discovery.go
+++ b/internal/testbed/emulator/discovery.go
@@ -52,7 +52,7 @@
 	return d, nil
 }
 
-// serve serves calls until close.
+// serve serves calls until close is called.
 func (d *discoveryServer) serve() { _ = d.server.Serve(d.listener) }
 
 // close ends the server and its calls. It also closes the listener, which http.Server.Close does only after Serve.
--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -72,7 +72,7 @@
 	loopDelay          *hdrhistogram.Histogram // delays of scheduled events, in microseconds
 	reportedViolations int                     // number of violations that were logged
 
-	discovery []*discoveryServer // by node
+	discovery []*discoveryServer // one for each node, indexed by node number
 
 	mu        sync.Mutex // guards acceptors, which the loop adds and the discovery servers read
 	acceptors map[acceptorKey]*acceptor
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// 200 cache servers for four nodes start. They may take three seconds, which the test does not check: it logs the time.
+// 200 cache servers for four nodes start. This may take three seconds. The test logs the time but does not check it.
 func TestTwoHundredCacheServersStart(t *testing.T) {
 	start := time.Now()
 	rig := newRig(t, strings.Replace(fastScenario, "count = 2", "count = 200", 1)+"[nodes]\ncount = 4\n")
--- a/internal/testbed/model/cacheserver.go
+++ b/internal/testbed/model/cacheserver.go
@@ -60,7 +60,7 @@
 // requests, so the cost of an event is logarithmic in their number.
 type cacheServer struct {
 	kind   *CacheServerKind
-	speed  float64 // of a core, as a multiple of a standard core's
+	speed  float64 // speed of a core, as a multiple of a standard core's
 	memory *cache
 	random *rand.Rand
 
@@ -129,7 +129,7 @@
 	return rate
 }
 
-// advance updates servedWork to the given time.
+// advance brings servedWork and isWarm up to the given time.
 func (c *cacheServer) advance(now Time) {
 	for c.advancedTo < now {
 		step := now - c.advancedTo
--- a/internal/testbed/model/discovery.go
+++ b/internal/testbed/model/discovery.go
@@ -54,7 +54,7 @@
 	changes    []change
 	calls      []openCall // open calls, in the order in which they began
 	freeAt     Time       // when all accepted calls will have been answered
-	isBatchDue bool       // a notification of the watches is scheduled behind the other changes of this time
+	isBatchDue bool       // a notification of the watches is scheduled after the other changes of this time
 
 	// Active faults of the discovery service.
 	extraLag    time.Duration
@@ -119,7 +119,7 @@
 	return list
 }
 
-// publishedAt returns when a change is published of which the service learns at a given time.
+// publishedAt returns when the service publishes a change that it learns of at the given time.
 func (d *discoveryService) publishedAt(known Time) Time {
 	batch := d.spec.Batch
 	if batch <= 0 {
--- a/internal/testbed/model/driver_test.go
+++ b/internal/testbed/model/driver_test.go
@@ -37,8 +37,8 @@
 	tb         testing.TB
 	now        time.Duration
 	random     *rand.Rand
-	acceptors  map[int]AcceptorState // by slot
-	conns      map[int]ConnID        // by slot
+	acceptors  map[int]AcceptorState // state of each acceptor, by slot
+	conns      map[int]ConnID        // open connection to each server, by slot
 	slotByConn map[ConnID]int
 	lastID     uint64 // last id that was given to a connection or an attempt
 
--- a/internal/testbed/model/execution.go
+++ b/internal/testbed/model/execution.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// workOf returns the work of a request, drawn from the range of its class by the request id. So every attempt of a
-// request costs the same.
+// workOf returns the work of a request. It lies in the range of the request's class and is derived from the request id, so
+// every attempt of a request costs the same.
 func (sys *System) workOf(class, id string) time.Duration {
 	spec := sys.classes[class]
 	hash := xxhash.Sum64String(strconv.FormatUint(sys.spec.Seed, 16) + id)
--- a/internal/testbed/model/fault.go
+++ b/internal/testbed/model/fault.go
@@ -55,7 +55,7 @@
 	Select Selector
 	Nodes  []int // Partition: the nodes that are cut off from the cache servers; empty means all nodes
 
-	Factor   float64       // Slow, OriginSlow
+	Factor   float64       // Slow: factor on the speed; OriginSlow: factor on the service time
 	Share    float64       // CorruptResponse, PacketLoss: fraction of the messages
 	Batch    float64       // Deploy: fraction of all cache servers that is replaced at a time
 	DrainFor time.Duration // Deploy, Shrink: time from the drain to the end of the process
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -23,8 +23,8 @@
 	{Kind: Shrink, At: 7 * time.Second, For: time.Second, Select: Selector{Count: 2}},
 }
 
-// Two runs with the same seed produce the same event log, and a run with another seed a different one. Two parts with
-// different names draw different random numbers.
+// Two runs with the same seed must produce the same event log, and a run with another seed a different one. An iteration
+// over a map in the model would make runs differ. Parts with different names must draw different random numbers.
 func TestSameSeedGivesSameEventLog(t *testing.T) {
 	hash := func(seed uint64) uint64 {
 		driver := newDriver(t, testSpec(seed, 8, oneFaultOfEachKind...))
@@ -99,8 +99,8 @@
 	}
 }
 
-// Two overlapping faults of the same kind on one server are over when the later one ends, and the server then is as
-// before.
+// When two faults of the same kind overlap on one server, the end of the shorter one must not end the longer one too.
+// After both have ended, the server is as it was before.
 func TestOverlappingFaultsEndWithTheLastOne(t *testing.T) {
 	driver := newDriver(t, testSpec(1, 1, Fault{Kind: Freeze, At: time.Second, For: 3 * time.Second}, Fault{Kind: Freeze, At: 2 * time.Second, For: time.Second},
 		Fault{Kind: Kill, At: 10 * time.Second, For: 4 * time.Second}, Fault{Kind: Kill, At: 11 * time.Second, For: time.Second}))
@@ -132,7 +132,8 @@
 		srv.origin != nil && (srv.origin.stallFaults != 0 || srv.origin.slowdown < 0.99 || srv.origin.slowdown > 1.01)
 }
 
-// Any combination of faults leaves no state changed after its end, and the system answers requests again.
+// Whatever faults occur and overlap, none of them may leave a state changed after its end. The system must then answer
+// requests again.
 func TestEndedFaultsHaveNoEffect(t *testing.T) {
 	kinds := []FaultKind{Drain, Kill, Freeze, Partition, Slow, Stall, Flap, CorruptResponse, PacketLoss, DiscoveryLag, DiscoveryDown, DiscoveryEmpty, OriginSlow, OriginStall}
 	rapid.Check(t, func(r *rapid.T) {
@@ -178,7 +179,7 @@
 		driver := newDriver(t, spec)
 		driver.runUntil(10 * time.Millisecond)
 		for i := range 500 {
-			driver.runUntil(driver.now + 4*time.Millisecond) // 250 requests per second of 15 ms need 3.75 cores; in slow start there are 0.4
+			driver.runUntil(driver.now + 4*time.Millisecond) // 250 requests/s of 15 ms need 3.75 cores; slow start has 0.4
 			driver.send(1, fmt.Sprint(i), "read", false)
 		}
 		if len(driver.overloaded) > 0 != warmingUp {
--- a/internal/testbed/model/origin.go
+++ b/internal/testbed/model/origin.go
@@ -39,7 +39,7 @@
 	meanServiceTime float64 // in seconds
 
 	lastWriteAt  map[string]Time // time of the write with each idempotency key
-	recentWrites []keyedWrite    // in the order of their times; used to find those to forget
+	recentWrites []keyedWrite    // writes in the order of their times; used to find the keys to forget
 }
 
 // keyedWrite is a write with an idempotency key.
--- a/internal/testbed/model/request.go
+++ b/internal/testbed/model/request.go
@@ -14,9 +14,9 @@
 	Class          string
 	Write          bool
 	Size           int           // size in bytes of the value of a write
-	IdempotencyKey string        // empty if there is none
+	IdempotencyKey string        // empty if the request has no idempotency key
 	Work           time.Duration // time that a standard core needs for the request
-	Deadline       Time          // when the sender stops waiting
+	Deadline       Time          // time at which the sender stops waiting
 }
 
 // Outcome is how a server answered a request or a health check.
--- a/internal/testbed/model/server.go
+++ b/internal/testbed/model/server.go
@@ -20,14 +20,14 @@
 	// Active faults. They are kept as counts and lists, so that overlapping faults may end in any order.
 	kills, freezes, stalls, drains int
 	partitions                     []int     // number of active partitions, by node
-	slowdowns                      []float64 // factors on the speed
-	corruption, packetLoss         []float64 // probabilities
+	slowdowns                      []float64 // factors that active faults apply to the speed
+	corruption, packetLoss         []float64 // probabilities that active faults apply to a message
 
-	retiring bool // draining, and removed afterwards
+	retiring bool // draining, and to be removed afterwards
 	removed  bool // permanently removed
 	dead     bool // the process is not running
 
-	acceptors []AcceptorState // by node
+	acceptors []AcceptorState // state of the acceptor of each node
 	open      []ConnID        // ids of the open connections, ascending
 	received  []func()        // handlers of the messages that arrived while the process was frozen
 	listedAt  Time            // when the endpoint list shows the latest change of this server
--- a/internal/testbed/model/system.go
+++ b/internal/testbed/model/system.go
@@ -25,8 +25,8 @@
 	discovery   *discoveryService
 	connections map[ConnID]*connection
 	classes     map[string]ClassSpec
-	misses      map[string]*cacheMiss // by request id
-	missOrder   []*cacheMiss          // in the order of their first misses
+	misses      map[string]*cacheMiss // cache servers at which each request missed, by request id
+	missOrder   []*cacheMiss          // the values of misses in the order of their first misses
 
 	discoveryLagRandom, linkRandom, corruptionRandom *rand.Rand
 
--- a/internal/testbed/nodes/throttle.go
+++ b/internal/testbed/nodes/throttle.go
@@ -41,7 +41,7 @@
 	return syscall.SIGCONT
 }
 
-// cpuQuota tracks how much processor time a process may still use at the moment.
+// cpuQuota tracks how much processor time a process may still use.
 type cpuQuota struct {
 	share     float64 // fraction of one processor
 	available time.Duration
--- a/internal/testbed/nodes/usage.go
+++ b/internal/testbed/nodes/usage.go
@@ -21,7 +21,7 @@
 	statUserTime   = 11
 	statSystemTime = 12
 	statResident   = 21                    // resident memory in pages
-	clockTick      = 10 * time.Millisecond // unit of both times
+	clockTick      = 10 * time.Millisecond // unit of the two times
 )
 
 // Usage reads the usage of the process from /proc. A value that cannot be read is zero.
