--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -19,7 +19,7 @@
 	Cause      Cause
 }
 
-// Fail is a final answer that does not promise that the request had no effect.
+// Fail is a final answer after which the client must assume that the request may have had an effect.
 type Fail struct {
 	ID    uint64
 	Cause Cause
@@ -46,10 +46,11 @@
 // Subscribe asks discovery for the endpoint list and for all later changes.
 type Subscribe struct{}
 
-// Gossip sends a datagram of at most 256 bytes to all other routers. It may be lost.
+// Gossip sends a datagram of at most 256 bytes to all other routers. The datagram may be lost.
 type Gossip struct{ Data []byte }
 
-// Announce sends the announcement of a role's holder to all other routers. It may be lost.
+// Announce tells all other routers what the holder of a role announces, see RoleAnnouncement. The announcement may
+// be lost.
 type Announce struct{ Role Role }
 
 // Log asks for a log line for the operators.
--- a/internal/policy/cause.go
+++ b/internal/policy/cause.go
@@ -1,9 +1,9 @@
 package policy
 
-// Cause is the reason for which a router ended a request without a value. Counters and logs show its name.
+// Cause is the reason why a router ended a request without a value. Counters and logs show its name.
 type Cause int
 
-// The causes for which a request ends without a value.
+// The reasons why a request ends without a value.
 const (
 	CauseDeadline        Cause = iota // the deadline passed before the request could take its next step
 	CauseNoTime                       // less time was left than the fastest cache hits take
@@ -12,10 +12,10 @@
 	CauseOriginSlow                   // shed because the origin is overloaded
 	CauseNoServer                     // no server is available for the request
 	CauseMaxAttempts                  // the request has used up Settings.MaxAttempts
-	CauseWait                         // the request waited as long as is worthwhile for the origin, a fetch or a retry
-	CauseRetryNotAllowed              // an attempt was possibly executed and the class forbids another at the server
+	CauseWait                         // the wait for the origin, a fetch or a retry became too long to be worthwhile
+	CauseRetryNotAllowed              // an attempt was possibly executed, so the class forbids one at the next server
 	CauseRetryBudget                  // the retry budget of the request's class is spent
-	CauseServerBusy                   // a cache server failed or rejected a read of the lowest bucket
+	CauseServerBusy                   // a cache server failed or rejected a read of the bucket that is shed first
 	CauseTimedOut                     // the request's last attempt timed out
 	CauseNeverSent                    // the request's last attempt was never written to a connection
 	causeCount                        // number of causes
--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -8,8 +8,8 @@
 type Time = time.Duration
 
 // Breaker is the circuit breaker of one server, or of one zone. It opens after several failures in a row without a
-// response in between. While it is open, it lets a single trial attempt through after each of growing waits; that
-// attempt replaces a health check. The zero value is closed. A Breaker is not safe for concurrent use.
+// response in between. While it is open, it lets a single trial attempt through after a wait; the trial replaces a
+// health check. The waits double, up to maxBackoff. The zero value is closed. A Breaker is not safe for concurrent use.
 type Breaker struct {
 	consecutiveFailures int
 	lastSeen            Time          // time of the last response
@@ -20,10 +20,11 @@
 
 const (
 	// failuresToOpen is the number of failures in a row that open a breaker. A single failure may come from a busy
-	// moment; with two, at any time some node in a fleet of hundreds would be wrong.
+	// moment. If two failures were enough, at any time some node in a fleet of hundreds would have a breaker open by
+	// mistake.
 	failuresToOpen = 3
-	// minQuietTime is the least time without a response before a breaker opens. Otherwise a server that is merely
-	// overloaded, and answers other requests, would be excluded.
+	// minQuietTime is the least time without a response before a breaker opens. Without it, a server that is merely
+	// overloaded, and still answers some requests, would be excluded.
 	minQuietTime = 500 * time.Millisecond
 
 	firstBackoff = time.Second
--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestBreakerOpensAfterThreeFailuresInARow guards against a breaker that opens too early: after fewer than three
-// failures, or for a server that responded a moment ago. An open breaker lets one attempt through after each of growing
-// waits, and an answer closes it.
+// failures, or for a server that responded a moment ago. An open breaker must let one attempt through after each wait,
+// and the waits must grow. An answer must close the breaker.
 func TestBreakerOpensAfterThreeFailuresInARow(t *testing.T) {
 	var breaker Breaker
 	breaker.Succeeded(10 * time.Second)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestBreakerLetsFewAttemptsThrough checks random orders of attempts and failures without an answer. A server that is
-// down must cost few attempts, and one that is back must be tried again within maxBackoff.
+// TestBreakerLetsFewAttemptsThrough checks random orders of attempts and of failures without an answer. Few attempts
+// may go to a server that is down, and a server that has recovered must be tried within maxBackoff.
 func TestBreakerLetsFewAttemptsThrough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var breaker Breaker
--- a/internal/policy/coalescing.go
+++ b/internal/policy/coalescing.go
@@ -11,14 +11,14 @@
 func (r *Router) joinFlight(req *request) {
 	joined := r.flights[req.Key]
 	joined.waiters = append(joined.waiters, req)
-	if r.originQueue.Contains(joined.leader) { // each waiter adds its weight, so a fetch that many wait for goes first
+	if r.originQueue.Contains(joined.leader) { // waiters add their weights: fetches for many requests go first
 		r.originQueue.Add(joined.leader, req.priorityWeight)
 	}
 	r.waitUntil(req, r.waitLimit(req))
 }
 
-// completeFlight ends the flight that the request leads, if there is one. If the fetch succeeded, the waiting requests
-// go on to the cache, which now holds the object.
+// completeFlight ends the flight whose leader is the request, if there is one. If the fetch succeeded, the waiting
+// requests go on to the cache, which now holds the object.
 func (r *Router) completeFlight(leader *request, hasSucceeded bool) {
 	ended := r.flights[leader.Key]
 	if ended == nil || ended.leader != leader {
--- a/internal/policy/coalescing_test.go
+++ b/internal/policy/coalescing_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestMissesOfOneKeyAreCoalesced checks that while a key is being fetched, other reads of the key wait instead of
-// fetching it too. Once the fetch has stored the object, they are sent to the cache server.
+// starting further fetches. Once the fetch has stored the object, they are sent to the cache server.
 func TestMissesOfOneKeyAreCoalesced(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	driver.readOtherKeys(20)
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestFollowerTakesOverFromALeaderThatLeft checks that a request that waits for another request's fetch makes its own
-// fetch when the client of the other request disconnects. That fetch is still in the origin queue then.
+// TestFollowerTakesOverFromALeaderThatLeft checks a request (the follower) that waits for the fetch of another one (the
+// leader). If the leader's client disconnects while that fetch is still in the origin queue, the follower must make its
+// own fetch.
 func TestFollowerTakesOverFromALeaderThatLeft(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
--- a/internal/policy/decay/counts.go
+++ b/internal/policy/decay/counts.go
@@ -13,27 +13,28 @@
 type Time = time.Duration
 
 const (
-	otherRequestsPrior = 0.5 // requests per server assumed for other keys, as samples may be few
-	// minRequestsPerServer is the minimum number of requests per server from which popularity is estimated. It
-	// corresponds to one second of the gossip of 300 nodes.
+	otherRequestsPrior = 0.5 // number of requests for other keys that is assumed per server, as samples may be few
+	// minRequestsPerServer is the number of requests per server below which counts fade slowly, so that enough are left
+	// to estimate popularity from. With 300 nodes, gossip brings about this many samples per server in one second.
 	minRequestsPerServer = 4.0
-	window               = 1500 * time.Millisecond // time until a request weighs 1/e, above minRequestsPerServer
-	sparseWindow         = 30 * time.Second        // time until a request weighs 1/e, below minRequestsPerServer
+	window               = 1500 * time.Millisecond // time in which a count falls to 1/e, above minRequestsPerServer
+	sparseWindow         = 30 * time.Second        // time in which a count falls to 1/e, below minRequestsPerServer
 
 	seenThreshold = 1.5  // a key with a greater count was requested before the current request
 	keepDivisor   = 10   // a key that counts for less than 1/keepDivisor of a request is dropped
 	minDivisor    = 1e-9 // keeps divisors above zero
 )
 
-// Fade returns what is left of a count after the elapsed time. The part of the count above enough falls to 1/e in each
-// window, the rest only in each sparseWindow.
+// Fade returns what is left of a count after the elapsed time. A count above enough falls to 1/e in each window. Once
+// about enough is left, the count falls to 1/e only in each sparseWindow.
 func Fade(count float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration) float64 {
 	return max(count*math.Exp(-float64(elapsed)/float64(window)),
 		min(count, enough)*math.Exp(-float64(elapsed)/float64(sparseWindow)))
 }
 
-// Increment returns the weight of one request from now on. Its arguments are the weighted total of all requests and the
-// weight of a request so far. The total fades because later requests weigh more.
+// Increment returns the weight with which the next request counts. total is the weighted number of the requests so far,
+// and increment the weight of the latest of them. The returned weight is greater, so that the requests so far count
+// less in comparison. For the other parameters see Fade.
 func Increment(
 	total, increment float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration,
 ) float64 {
@@ -43,18 +44,19 @@
 	return total / max(Fade(total/increment, elapsed, window, enough, sparseWindow), minDivisor)
 }
 
-// KeyCounts counts requests by key. Counts fade because later requests weigh more. The zero value is empty. KeyCounts
-// is not safe for concurrent use.
+// KeyCounts counts requests by key. Each request counts with a greater weight than those before, so old requests matter
+// less and less. The zero value is empty. KeyCounts is not safe for concurrent use.
 type KeyCounts struct {
 	counts    map[gossip.Fingerprint]float64
 	total     float64 // sum of all counts
-	increment float64 // weight of one request now
+	increment float64 // weight with which a request counts at present
 	totalAt   Time    // when total was last added to
 	pruneAt   Time    // when Prune next drops keys that are no longer requested
 }
 
-// Add counts a request for a key; servers is the number of cache servers. Samples from other nodes count like own
-// requests: each is reported with the same probability, so the shares are those of the whole fleet.
+// Add counts a request for a key; servers is the number of cache servers. Samples from other nodes count like this
+// node's requests. Nodes report each request with the same probability, so a key's fraction of the counts is its
+// fraction of the requests of the whole fleet.
 func (k *KeyCounts) Add(now Time, key gossip.Fingerprint, servers float64) {
 	if k.counts == nil {
 		k.counts, k.increment = map[gossip.Fingerprint]float64{}, 1
@@ -76,8 +78,8 @@
 	return k.counts[key] > seenThreshold*k.increment
 }
 
-// Prune drops keys that are no longer requested, and divides all counts by the weight of a request. It does so at most
-// once in each sparseWindow.
+// Prune drops keys that are no longer requested, and divides all counts by the present weight of a request. It does so
+// at most once in each sparseWindow.
 func (k *KeyCounts) Prune(now Time) {
 	if now < k.pruneAt || k.counts == nil {
 		return
--- a/internal/policy/decay/counts_test.go
+++ b/internal/policy/decay/counts_test.go
@@ -8,9 +8,9 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestPopularityFollowsRequests sends 700 requests a second to 200 servers. A key that gets a tenth of them is as much
-// load as 20 servers have. Its popularity must be seen within two seconds of the first requests, and be gone
-// 15 s after the last.
+// TestPopularityFollowsRequests counts 700 requests a second for 200 servers. A key that gets a tenth of the requests
+// brings as much load as 20 average servers have. KeyCounts must show its popularity within two seconds of the first
+// requests for it, and no longer show it 15 s after the last.
 func TestPopularityFollowsRequests(t *testing.T) {
 	const (
 		servers = 200
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFadeIsSlowBelowEnough checks that the part of a count above enough falls to 1/e in a window, and the rest in a
-// longer one.
+// TestFadeIsSlowBelowEnough checks that a count above the parameter enough falls to 1/e in the short window, and a
+// count below it in the longer window.
 func TestFadeIsSlowBelowEnough(t *testing.T) {
 	const enough, window, sparseWindow = 10, time.Second, 10 * time.Second
 	for _, test := range []struct {
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -9,7 +9,7 @@
 // Spacing and time bounds of the polls of discovery, a single service that all routers share.
 const (
 	pollSpacing       = 50 * time.Millisecond // time between the polls of two routers, if possible
-	updateKnownWithin = 6 * time.Second       // a router counts as notified this long after a change, even if it is not
+	updateKnownWithin = 6 * time.Second       // a router is treated as notified this long after a change
 	pollCallTimeout   = 2 * time.Second       // a poll that takes longer fails
 )
 
@@ -56,9 +56,9 @@
 	}
 }
 
-// pollSlack returns how long a poll may be delayed after a change of the endpoint list. It starts from the
-// time for which attempts may ignore the change, and subtracts three durations: foundOutAfter (until the router notices
-// that it has to poll), the longest poll, and the wait for upkeep to make the poll.
+// pollSlack returns how long a poll may be delayed after a change of the endpoint list. The delay is the time for which
+// attempts may ignore the change, less three durations: foundOutAfter (until the router notices that it has to poll),
+// the longest poll, and the wait for upkeep to make the poll.
 func (r *Router) pollSlack(foundOutAfter time.Duration) time.Duration {
 	knownWithin := updateKnownWithin
 	if r.settings.MaxPollInterval > 0 {
@@ -73,6 +73,6 @@
 	return min(pollSpacing*time.Duration(r.settings.Nodes), r.pollSlack(polling.WatchTimeout))
 }
 
-// maxPollBackoff returns the longest wait after a failed poll. Discovery may recover just after the poll was made, and
-// the router notices the failure only after polling.CallTimeout.
+// maxPollBackoff returns the longest wait after a failed poll. It allows for discovery that recovers just after that
+// poll was made: the router notices the failure of the poll only after polling.CallTimeout.
 func (r *Router) maxPollBackoff() time.Duration { return r.pollSlack(polling.CallTimeout) }
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -98,16 +98,15 @@
 	}
 }
 
-// TestPollsKeepTheBoundsOfTheProtocol checks the bounds on polls for fleets of several sizes. A router counts as
-// notified of a change 6 s after the change could be known to it, and the drain grace starts then. The following has
-// to fit into the 6 s and the drain grace together:
+// TestPollsKeepTheBoundsOfTheProtocol checks the bounds on polls for fleets of several sizes. A router is treated as
+// notified of a change 6 s after the change could be known to it, and the drain grace starts then. Each of the
+// following has to fit into the 6 s and the drain grace together:
 //   - A watch falls silent as a change is made: the router notices that, polls, and gets the answer.
 //   - Discovery recovers at the moment when a poll that fails begins: the router polls again and gets the answer.
 //   - The first poll after a start fails: the router makes a second poll.
 //
-// Polls of different routers are at least 5 ms apart. That is how long one discovery service was measured to take for
-// a list of 200 servers, in runs with a whole fleet. They are a little closer where the drain grace leaves no more
-// time.
+// Polls of different routers are at least 5 ms apart. In runs with a whole fleet, one discovery service took that long
+// to answer with a list of 200 servers. Polls are a little closer where the drain grace leaves no more time.
 func TestPollsKeepTheBoundsOfTheProtocol(t *testing.T) {
 	for grace, pace := range map[time.Duration]time.Duration{2500 * ms: 5 * ms, 500 * ms: 4 * ms} {
 		for _, routers := range []int{1, 4, 80, 300, 1000} {
@@ -121,8 +120,8 @@
 	}
 }
 
-// checkPollBounds checks the longest times that a router takes for its polls, and that the first polls of all routers
-// are spread so widely that they are pace apart on average.
+// checkPollBounds checks the longest times that a router takes for its polls. It also checks that the first polls of
+// all routers are spread so widely that the mean time between two of them is pace.
 func checkPollBounds(t *testing.T, driver *routerDriver, pace time.Duration) {
 	t.Helper()
 	routers := driver.router.settings.Nodes
@@ -155,9 +154,9 @@
 }
 
 // TestAllRoutersHaveTheListInTime checks how long 300 routers take to get the endpoint list from one discovery service
-// that needs 5 ms for each answer. All must have it within the time after which a router counts as notified plus the
-// drain grace, counted from when the list is available. The cases are: all watches fall silent at once, the service
-// was down for 8 s, and all routers move to another service in the same moment.
+// that needs 5 ms for each answer. The time counts from when the list is available. The bound is the time after which a
+// router is treated as notified of a change, plus the drain grace. The cases are: all watches fall silent at once, the
+// service was down for 8 s, and all routers move to another service in the same moment.
 func TestAllRoutersHaveTheListInTime(t *testing.T) {
 	for name, test := range map[string]listRecovery{
 		"watches fall silent":        {isWatchUnresponsive: true},
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -60,7 +60,8 @@
 // Reason says how an attempt or a health check ended.
 type Reason int
 
-// The reasons for which an attempt ends. Rejected, NoConnection, NeverSent and Miss prove that it was not executed.
+// The ways in which an attempt or a health check ends. Rejected, NoConnection, NeverSent and Miss prove that the
+// attempt was not executed.
 const (
 	Succeeded       Reason = iota // answered with success
 	Errored                       // answered with an error
@@ -81,13 +82,14 @@
 	Server  string
 	Reason  Reason
 	Took    time.Duration // time from the Send action to the end of the attempt
-	Ended   bool          // the request has ended and needs no further final answer
+	Ended   bool          // the request has ended, so the router must not answer it any more
 }
 
 // ClientDisconnected says that the client of a request disconnected, which ends the request.
 type ClientDisconnected struct{ ID uint64 }
 
-// ResponseStarted says that the response to an attempt has begun to arrive. From here on it is forwarded to the client.
+// ResponseStarted says that the response to an attempt has begun to arrive. From then on the program forwards the
+// response to the client.
 type ResponseStarted struct {
 	ID      uint64
 	Attempt int
@@ -100,16 +102,17 @@
 }
 
 // LoadLevel says how far the program around the router is behind with its own work. Level is the fraction of sheddable
-// requests that should be shed, from 0 (none) to 1 (all). It holds until the next LoadLevel.
+// requests that should be shed, from 0 (none) to 1 (all). The level applies until the next LoadLevel.
 type LoadLevel struct{ Level float64 }
 
-// GossipReceived brings a datagram that another router sent with Gossip.
+// GossipReceived delivers a datagram that another router sent with Gossip.
 type GossipReceived struct {
 	From int // number of the sending node
 	Data []byte
 }
 
-// Role is work that one router may do for all routers. The programs around the routers agree on which one does it.
+// Role is work that one router may do for all routers. The programs around the routers agree on the router that does
+// the work.
 type Role int
 
 // The roles that a router may have.
@@ -138,8 +141,8 @@
 	Responsibility Responsibility
 }
 
-// RoleAnnouncement brings the announcement that the holder of a role sent with Announce. The DiscoveryPoller announces
-// that discovery answers again.
+// RoleAnnouncement delivers the announcement that the holder of a role sent with Announce. The DiscoveryPoller
+// announces that discovery answers again.
 type RoleAnnouncement struct{ Role Role }
 
 // FleetSize says how many routers, including this one, share the traffic from now on. 0 means Settings.Nodes.
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -26,13 +26,13 @@
 	now := time.Minute
 	show(now, policy.EndpointUpdate{Scope: policy.FullUpdate, Servers: []policy.Server{
 		{ID: "cache-1", Kind: "cache"}, {ID: "ledger", Kind: "origin"}}})
-	// A read that its cache server answers.
+	// The cache server answers this read.
 	show(now, policy.Request{ID: 1, Key: "item/1", Class: "read", Deadline: now + time.Second})
 	show(now, policy.Outcome{ID: 1, Reason: policy.Succeeded, Took: time.Millisecond, Ended: true})
-	// A read that its cache server misses: it is fetched from the origin.
+	// The cache server does not hold the key of this read, so the read goes on to the origin.
 	show(now, policy.Request{ID: 2, Key: "item/2", Class: "read", Deadline: now + time.Second})
 	show(now, policy.Outcome{ID: 2, Reason: policy.Miss, Took: time.Millisecond})
-	// A request that is rejected, as no server is listed any more.
+	// This request is rejected, because no server is listed any more.
 	show(now, policy.EndpointUpdate{Scope: policy.FullUpdate})
 	show(now, policy.Request{ID: 3, Key: "item/3", Class: "read", Deadline: now + time.Second})
 	// Output:
--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -8,7 +8,7 @@
 	Key string `json:"key"`
 	// Popularity is the rate of requests for the key, as a multiple of the requests of an average server.
 	Popularity float64 `json:"heat"`
-	// Servers holds the servers in the order in which requests for the key would go to them, then the excluded ones.
+	// Servers holds the servers in the order in which requests for the key would go to them, then the excluded servers.
 	Servers []ServerExplanation `json:"servers"`
 	// Origin is nil if no origin is listed as live.
 	Origin *OriginExplanation `json:"origin,omitempty"`
@@ -18,16 +18,16 @@
 type ServerExplanation struct {
 	Server           string   `json:"server"`
 	Zone             string   `json:"zone"`
-	SlowStartWeight  float64  `json:"warmth"`     // share of its slots that the server has during slow start
-	KeptFraction     float64  `json:"keeps"`      // share of its slots that the server keeps as an outlier
-	SlowFraction     float64  `json:"slow_share"` // share of the server's recent answers that were slow
+	SlowStartWeight  float64  `json:"warmth"`     // fraction of its slots that the server has; below 1 in slow start
+	KeptFraction     float64  `json:"keeps"`      // fraction of its slots that the server keeps; below 1 for an outlier
+	SlowFraction     float64  `json:"slow_share"` // fraction of the server's recent answers that were slow
 	InFlight         int      `json:"out"`        // attempts in flight
 	ExclusionReasons []string `json:"not,omitempty"`
 }
 
 // OriginExplanation is the state of the origin in an Explanation.
 type OriginExplanation struct {
-	SlowFraction float64 `json:"slow_share"` // share of the origin's recent answers that were slow
+	SlowFraction float64 `json:"slow_share"` // fraction of the origin's recent answers that were slow
 	TargetMillis float64 `json:"target_ms"`  // latency above which an answer is slow; learned while load is low
 	InFlight     int     `json:"out"`        // attempts in flight
 	MaxInFlight  int     `json:"most"`
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// tick advances one router by one step. The router receives the datagrams that are not lost, and four times a second
-// it does its periodic work.
+// tick advances one router by one step. The router receives the datagrams that are not lost, and does its periodic work
+// in the steps that isUpkeepStep selects, four times a second.
 func (fleet *simulatedFleet) tick(step, index int, received []GossipReceived, isDown func(server string) bool) {
 	driver := fleet.drivers[index]
 	driver.now += stepTime
@@ -84,8 +84,8 @@
 // neverDown is the isDown function of a fleet whose servers are all up.
 func neverDown(string) bool { return false }
 
-// drawKey returns a random one of 5000 keys. If there is a hot key, it returns that one with a probability of one in
-// ten.
+// drawKey returns a random one of 5000 keys. If there is a hot key, drawKey returns the hot key with a probability of
+// 0.1.
 func (fleet *simulatedFleet) drawKey(hasHotKey bool) string {
 	if hasHotKey && fleet.rng.IntN(10) == 0 {
 		return "hot"
@@ -94,8 +94,8 @@
 }
 
 // serveStep advances all routers by one step and returns the number of attempts at each server. Each router serves one
-// request in each of its periods of upkeep. The function answer says how an attempt at a server ends; TimedOut stands
-// for a slow answer.
+// request every upkeepInterval. The function answer says how an attempt at a server ends; TimedOut stands for a slow
+// answer.
 func (fleet *simulatedFleet) serveStep(step int, answer func(server string) Reason) (attempts map[string]int) {
 	attempts = map[string]int{}
 	isDown := func(server string) bool { return answer(server) == NoConnection }
@@ -134,7 +134,7 @@
 	return count
 }
 
-// serverIDs returns count server ids: s10, s11 and so on.
+// serverIDs returns the given number of server ids: s10, s11 and so on.
 func serverIDs(count int) (ids []string) {
 	for i := range count {
 		ids = append(ids, fmt.Sprint("s", 10+i))
@@ -148,8 +148,8 @@
 	isSucceeded bool
 }
 
-// discoveryService simulates a discovery service that answers polls one after the other. Each poll takes a while, and
-// one that would wait for too long fails.
+// discoveryService simulates a discovery service that answers polls one after the other. Each poll takes a while. A
+// poll fails if it would have to wait for too long.
 type discoveryService struct {
 	perPoll   time.Duration
 	idleAt    Time // when the service has answered all polls so far
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -2,8 +2,8 @@
 
 import "shelfproxy/internal/fleet/gossip"
 
-// gossipReceived counts another router's observations like own ones. A single router sends too few requests to most
-// servers to judge them alone. A malformed datagram is ignored.
+// gossipReceived counts another router's observations like those of this router, which sends too few requests to most
+// servers to judge them without help. A malformed datagram is ignored.
 func (r *Router) gossipReceived(e GossipReceived) {
 	message, _ := gossip.Decode(e.Data) // a malformed datagram yields an empty message
 	for _, key := range message.Keys {
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -8,7 +8,7 @@
 
 // TestFleetFindsAnOutlierWithGossip checks that gossip lets a fleet of 60 routers find an outlier. Each router has 4
 // requests a second for 40 servers, so it sends to any one server only every ten seconds. Together the routers must
-// find the outlier within a few seconds, and give its keys back when it is well again.
+// find the outlier within a few seconds, and give its keys back when it has recovered.
 func TestFleetFindsAnOutlierWithGossip(t *testing.T) {
 	const (
 		outlierID       = "s20"
@@ -34,7 +34,7 @@
 					return Succeeded
 				})
 				switch {
-				case step < badFrom: // attempts are counted for eight seconds, as a server gets only six a second
+				case step < badFrom: // attempts are counted for eight seconds: each server gets only six a second
 					before += attempts[outlierID]
 				case step >= foundBy && isBad:
 					during += attempts[outlierID]
@@ -61,8 +61,8 @@
 }
 
 // TestFleetAgreesThatAServerIsUnresponsive checks that the routers that find a server unresponsive tell the others by
-// gossip, so that not every router has to check the server. An outdated observation of a router must not keep the
-// server in use.
+// gossip, so that not every router has to check the server. An old observation that the server responds, reported by
+// some router, must not keep the server in use.
 func TestFleetAgreesThatAServerIsUnresponsive(t *testing.T) {
 	const (
 		downID    = "s15"
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestReceivedGossipIsNotPassedOn checks that a router does not pass on what it received as gossip: otherwise an
-// observation would circulate for ever. A malformed datagram must have no effect.
+// TestReceivedGossipIsNotPassedOn checks that a router sends no gossip about observations that it received as gossip:
+// otherwise an observation would circulate for ever. A malformed datagram must have no effect.
 func TestReceivedGossipIsNotPassedOn(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MayGossip = 3, true
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -61,8 +61,8 @@
 	return driver
 }
 
-// newTrainedDriver returns the driver of a router that has learned that its quiet origin answers in 50 ms. The cache
-// servers are s1 to s3 and those in more.
+// newTrainedDriver returns the driver of a router that has learned that its origin answers in 50 ms at low load. The
+// cache servers are s1 to s3 and those in more.
 func newTrainedDriver(t *testing.T, more ...string) *routerDriver {
 	t.Helper()
 	driver := newDriver(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
@@ -79,8 +79,8 @@
 	return actions
 }
 
-// request sends the router a read whose deadline is in two seconds, and returns its id and the actions. A change that
-// is not nil modifies the request first.
+// request sends the router a read whose deadline is in two seconds, and returns its id and the actions. If change is
+// not nil, it modifies the request first.
 func (driver *routerDriver) request(class, key string, change func(*Request)) (uint64, []Action) {
 	event := Request{ID: driver.nextID, Class: class, Key: key, Deadline: driver.now + 2*time.Second}
 	if change != nil {
@@ -118,7 +118,7 @@
 }
 
 // restart tells the router, by a change of the endpoint list, that a cache server has just restarted and is now in the
-// zone.
+// given zone.
 func (driver *routerDriver) restart(id, zone string) {
 	driver.update(Server{ID: id, Kind: "cache", Zone: zone, Capacity: 1, StartedAt: driver.now})
 }
@@ -137,7 +137,8 @@
 	}
 }
 
-// readOtherKeys sends reads of other keys, so that a key which a test repeats does not make up most of all requests.
+// readOtherKeys sends reads of keys that tests do not use otherwise. So a key that a test reads again and again does
+// not make up most of all requests.
 func (driver *routerDriver) readOtherKeys(count int) {
 	for range count {
 		id, _ := driver.request("high", fmt.Sprint("other", driver.nextID), nil)
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -7,9 +7,9 @@
 	maxCheckResets          = 2                     // resets in a row of health checks that do not count as failures
 	minRecheckInterval      = time.Second           // shortest wait before a router checks an unresponsive server again
 	recheckSpacingAlone     = 10 * time.Millisecond // time between two routers' checks of one unresponsive server
-	recheckSpacingShared    = 50 * time.Millisecond // the same if gossip spreads the news of a recovery
-	delegatedRecheckFactor  = 16                    // factor on the interval while another router is the HealthChecker
-	assignedRecheckInterval = upkeepInterval / 2    // interval of the HealthChecker: a check is due at each upkeep
+	recheckSpacingShared    = 50 * time.Millisecond // like recheckSpacingAlone, if gossip tells of recoveries
+	delegatedRecheckFactor  = 16                    // multiplies the interval if another router is HealthChecker
+	assignedRecheckInterval = upkeepInterval / 2    // interval of the HealthChecker: it checks at each upkeep
 )
 
 // checkHealth starts a health check of a server, unless one is in progress.
@@ -77,8 +77,8 @@
 
 // recheckInterval returns the least time between two of this router's health checks of an unresponsive server. It grows
 // with the number of routers, as all of them check. A router with the role of HealthChecker checks for all and reports
-// at once. The others then check delegatedRecheckFactor times less often. Any router that finds the server responsive
-// tells all others. So even a server that only the HealthChecker can't reach is found to respond, within
+// at once. The other routers then check delegatedRecheckFactor times less often. Any router that finds the server
+// responsive tells all others. So even a server that only the HealthChecker can't reach is found to respond, within
 // delegatedRecheckFactor times the interval between the checks of the whole fleet.
 func (r *Router) recheckInterval() time.Duration {
 	shared := max(minRecheckInterval, r.recheckSpacing*time.Duration(r.settings.Nodes))
--- a/internal/policy/healthcheck_test.go
+++ b/internal/policy/healthcheck_test.go
@@ -39,7 +39,8 @@
 }
 
 // TestServerIsOutAfterTwoFailedHealthChecks checks that a server is regarded as unresponsive after two failed health
-// checks. Its attempts in flight are cancelled and tried elsewhere, and it warms up once it responds again.
+// checks. Its attempts in flight are cancelled and tried elsewhere. Once the server responds again, its slow start
+// begins.
 func TestServerIsOutAfterTwoFailedHealthChecks(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestRechecksArePacedByTheFleetSize checks that each router checks an unresponsive server less often the more routers
-// there are.
+// TestRechecksArePacedByTheFleetSize checks that the time between a router's checks of an unresponsive server grows
+// with the number of routers.
 func TestRechecksArePacedByTheFleetSize(t *testing.T) {
 	for routers, want := range map[int]struct{ least, most int }{2: {15, 20}, 400: {4, 5}} {
 		settings := testSettings()
@@ -140,9 +141,9 @@
 	}
 }
 
-// TestUnresponsiveServerIsFoundWithoutHealthChecks checks how a router treats a server that does not accept
-// connections where health checks are not allowed. After a few failed attempts the server is left out and gets one
-// attempt at a time. When it answers again, it gets its keys back. Its zone must not count as unreachable.
+// TestUnresponsiveServerIsFoundWithoutHealthChecks checks how a router that must not use health checks treats a server
+// that accepts no connections. After a few failed attempts the server loses its keys and gets one attempt at a time.
+// When the server answers again, it gets its keys back. Its zone must not count as unreachable.
 func TestUnresponsiveServerIsFoundWithoutHealthChecks(t *testing.T) {
 	settings := testSettings()
 	settings.MayHealthCheck, settings.Zone = false, "a"
@@ -177,7 +178,7 @@
 	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
 		t.Errorf("20 s at a server that is left out: got %d attempts, want 1 to 6", got)
 	}
-	if got := attemptsAtFar(30*time.Second, false); got < 300 { // the server warms up at first
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // in slow start the server gets fewer than all attempts
 		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
 	}
 }
--- a/internal/policy/hedging.go
+++ b/internal/policy/hedging.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxHedgesPerServer = 4 // reads of one cache server that are hedged at a time
-	slowServerFactor   = 2 // factor on the hedging threshold of a server with many slow answers
+	maxHedgesPerServer = 4 // number of reads of one cache server that are hedged at a time
+	slowServerFactor   = 2 // multiplies the hedging threshold of a server with many slow answers
 )
 
 // isCancellable reports whether an attempt may be cancelled and replaced by an attempt at another server.
@@ -18,13 +18,14 @@
 	r.emit(Cancel{ID: attempt.request.ID, Attempt: index})
 }
 
-// mayHedge reports whether slow reads may be moved to the origin. During a general overload that would only add load.
+// mayHedge reports whether slow reads may be moved to the origin. During a general overload, hedging would only add
+// load.
 func (r *Router) mayHedge() bool {
 	return r.cacheGauge.slowFraction(r.now) <= calmUtilisation && r.originHasCapacity(calmUtilisation)
 }
 
 // hedgeSlowReads moves slow reads of a cache server to the origin, at most maxHedgesPerServer at a time. A read is slow
-// once it has been in flight for longer than the server's maximum latency, or twice that if many answers are slow.
+// once it has been in flight for longer than the server's maximum latency, or than twice that if many answers are slow.
 func (r *Router) hedgeSlowReads(srv *server) {
 	if len(srv.gauge.inFlight) == 0 {
 		return
--- a/internal/policy/hedging_test.go
+++ b/internal/policy/hedging_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // TestHangingReadIsHedgedWhileTheOriginIsQuiet checks that a read that hangs at a cache server is hedged at the origin
-// while the origin is quiet. A write is never hedged. A read is not hedged either while the origin is busy or all
-// cache servers are slow. Then the work of the overloaded server on the read would be lost, and the reads that a whole
-// fleet moves would overload the next server.
+// while the origin has a low load. A write is never hedged. No read is hedged while the origin is busy or all cache
+// servers are slow. Otherwise the work that an overloaded server did for the read would be lost, and the reads that a
+// whole fleet moves would overload the server that they move to.
 func TestHangingReadIsHedgedWhileTheOriginIsQuiet(t *testing.T) {
 	for _, test := range []struct{ isOriginBusy, isCacheOverloaded bool }{{false, false}, {true, false}, {false, true}} {
 		driver := newTrainedDriver(t)
--- a/internal/policy/hotkey.go
+++ b/internal/policy/hotkey.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	hotKeyFraction       = 0.5              // fraction of a server's fair share past which a single key is spread
-	minRequestsPerServer = 8.0              // minimum number of requests per server from which shares are estimated
-	sparseRequestWindow  = 30 * time.Second // time until a request weighs 1/e below minRequestsPerServer
+	hotKeyFraction       = 0.5              // a key with more than this fraction of a server's fair share is spread
+	minRequestsPerServer = 8.0              // with fewer counted requests per server, counts fade slowly
+	sparseRequestWindow  = 30 * time.Second // time in which a count below minRequestsPerServer falls to 1/e
 )
 
-// countRequest counts a request and its key, and samples the key for gossip to the other routers. Old counts fade
-// because later requests weigh more.
+// countRequest counts a request and its key, and samples the key for gossip to the other routers. Each request counts
+// with a greater weight than those before, so old requests matter less and less.
 func (r *Router) countRequest(key string) {
 	r.requestWeight = decay.Increment(r.requestTotal, r.requestWeight, r.now-r.requestTotalAt,
 		latencyWindow, minRequestsPerServer*float64(len(r.servers)), sparseRequestWindow)
@@ -25,16 +25,16 @@
 	r.sendGossip()
 }
 
-// keyPopularity returns the requests for a key at all routers, without the current one, as a multiple of the requests
-// of an average server.
+// keyPopularity returns how many requests for a key all routers have, not counting the current one, as a multiple of
+// the requests that an average server gets.
 func (r *Router) keyPopularity(key string) float64 {
 	return r.keyCounts.Popularity(gossip.FingerprintOf(hash(key)), r.activeServers)
 }
 
 // chooseServer returns the cache server for a request, or nil if there is none. Usually this is the owner of the key's
-// slot. A key that alone brings more than hotKeyFraction of its owner's fair share would overload the owner. Such a key
-// is spread over as many of the next servers as bring it below that fraction at each of them. The request goes to the
-// one of these with the fewest attempts in flight.
+// slot. A key whose requests alone exceed hotKeyFraction of the owner's fair share would overload the owner. Such a key
+// is spread over the owner and just enough of the next servers to bring each of them below that fraction. The request
+// goes to the server with the fewest attempts in flight among these.
 func (r *Router) chooseServer(req *request) *server {
 	order := r.orderOf(slotOf(req.Key), req)
 	var best *server
@@ -42,7 +42,7 @@
 	part := r.requestWeight / float64(1+int(excess))
 	candidates := 0
 	for srv := order.next(); srv != nil; srv = order.next() {
-		if r.isWarmingUp(srv) { // chosen by the draw alone: with few attempts in flight it would always win
+		if r.isWarmingUp(srv) { // a draw decides: by its few attempts in flight, this server would always win
 			srv.offered += r.requestWeight
 			if r.admitsDuringSlowStart(srv, req) {
 				return srv
@@ -73,7 +73,7 @@
 }
 
 // pruneKeyCounts drops keys that are no longer requested. Once in each sparseRequestWindow it also divides all counts
-// by the weight of a request, which would otherwise grow without bound.
+// by the present weight of a request, which would otherwise grow without bound.
 func (r *Router) pruneKeyCounts() {
 	r.keyCounts.Prune(r.now)
 	if r.now < r.rescaleAt {
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -26,8 +26,8 @@
 }
 
 // TestFleetSpreadsHotKeySoonerWithGossip checks that a fleet spreads a hot key sooner with gossip. Each of 100 routers
-// has 10 requests a second for 50 servers, and from one moment on a tenth of them are for one key. A single router
-// sees the key once a second; together the routers must spread it within one second.
+// has 10 requests a second for 50 servers. At one moment one key becomes hot: a tenth of the requests are for it. A
+// single router gets the key once a second; together the routers must spread it within one second.
 func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
 	const hotFrom, countFrom, steps = 1000, 1050, 1150
 	ownerShare := map[bool]float64{} // the owner's share of the hot key's requests, with gossip (true) or without
@@ -81,7 +81,7 @@
 		order := driver.router.orderOf(slotOf(key), &request{})
 		owner := order.next()
 		spread := isSpread[owner.Capacity]
-		for range 6 { // the key ends at 0.15 to 0.25 of a mean server's share; small servers have 0.2, large ones 1.8
+		for range 6 { // popularity ends at 0.15 to 0.25; relative capacities are 0.2 (small) and 1.8 (large)
 			id, actions := driver.request("high", key, nil)
 			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
 			driver.endAttempt(id, Succeeded, ms)
--- a/internal/policy/locality/weight_test.go
+++ b/internal/policy/locality/weight_test.go
@@ -6,12 +6,12 @@
 	"pgregory.net/rapid"
 )
 
-// redirectedFraction returns the fraction of requests that go to a server of the own zone instead of their owner. The own
-// zone has the fraction home of all servers, and the servers of other zones have the given weight.
+// redirectedFraction returns the fraction of requests that go to a server of the own zone instead of the owner of their
+// key. The own zone has the fraction home of all servers, and the servers of other zones have the given weight.
 func redirectedFraction(home, weight float64) float64 { return home/(home+(1-home)*weight) - home }
 
-// TestWeightFollowsTheLoad checks that the weight falls while nothing is overloaded, and rises if the own zone, all zones
-// or the origin have more load than they can carry.
+// TestWeightFollowsTheLoad checks that the weight of other zones falls while nothing is overloaded, and rises if the
+// own zone, all zones or the origin are overloaded.
 func TestWeightFollowsTheLoad(t *testing.T) {
 	quiet := Load{OriginUtilisation: 0.1, ZoneUtilisation: 0.1, CacheUtilisation: 0.1}
 	for name, test := range map[string]struct {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestWeightStaysWithinBounds checks the bounds of the weight and the affinity budget under random loads. An overload must
-// bring the weight back to 1 within 4 s.
+// TestWeightStaysWithinBounds checks the bounds of the weight and the affinity budget under random loads. After 4 s of
+// overload the weight must be back at 1.
 func TestWeightStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1)
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestAffinityBudgetIsUsed checks that at least 0.9 of the budget is used while nothing is overloaded, whatever fraction
-// of the servers is in the own zone.
+// TestAffinityBudgetIsUsed checks that at least 0.9 of the affinity budget is used while nothing is overloaded,
+// whatever fraction of the servers is in the own zone.
 func TestAffinityBudgetIsUsed(t *testing.T) {
 	for _, home := range []float64{0.1, 0.25, 0.5, 0.9} {
 		crossZone := CrossZoneWeight{AffinityBudget: DefaultAffinityBudget}
--- a/internal/policy/originqueue.go
+++ b/internal/policy/originqueue.go
@@ -3,11 +3,11 @@
 const (
 	maxOriginInFlight = 64                    // bound on attempts in flight at the origin, and the limit at the start
 	writePrecedence   = 1e6                   // added to a queued write's priority weight, so that writes precede reads
-	minOriginSamples  = minLatencySamples / 2 // the origin counts as having capacity only with more samples than this
+	minOriginSamples  = minLatencySamples / 2 // up to this number of samples, originHasCapacity returns false
 )
 
-// originHasCapacity reports whether recent samples show that the origin can take more load: its utilisation has to be
-// less than the argument below.
+// originHasCapacity reports whether recent samples show that the origin can take more load. For that, there must be
+// enough samples, and the origin's utilisation must be less than the parameter below.
 func (r *Router) originHasCapacity(below float64) bool {
 	return r.origin != nil && r.origin.gauge.slowFraction(r.now) < below &&
 		r.origin.gauge.samples > minOriginSamples
@@ -38,7 +38,7 @@
 	}
 	until, weight := req.objectiveAt-r.origin.gauge.target, req.priorityWeight
 	if req.Write {
-		until = min(req.objectiveAt, (r.now+req.Deadline)/2) // reject an unsent write early rather than at its deadline
+		until = min(req.objectiveAt, (r.now+req.Deadline)/2) // reject an unsent write well before its deadline
 		if !req.isOverQuota {
 			weight += writePrecedence
 		}
--- a/internal/policy/originqueue_test.go
+++ b/internal/policy/originqueue_test.go
@@ -45,7 +45,7 @@
 
 // TestOriginQueueServesWritesThenPopularFetches checks the order of the queue of an origin that has no free slot:
 // writes first, then the fetch that most requests wait for. A request that can no longer be answered in time is
-// rejected, and those that wait for its fetch go on.
+// rejected, and the other requests that wait for its fetch go on.
 func TestOriginQueueServesWritesThenPopularFetches(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSlowOriginGetsFewerAttempts checks that the more of the origin's answers are late, the fewer attempts are in
-// flight there, however many requests arrive.
+// TestSlowOriginGetsFewerAttempts checks that fewer attempts are in flight at the origin when more of its answers are
+// late, however many requests arrive.
 func TestSlowOriginGetsFewerAttempts(t *testing.T) {
 	driver := newTrainedDriver(t)
 	most := 0
@@ -88,7 +88,7 @@
 		if len(actionsOf[Send](actions)) == 1 {
 			inFlight = append(inFlight, id)
 		}
-		if i%20 == 0 && len(inFlight) > 0 { // of 200 writes a second the origin answers ten, the oldest first
+		if i%20 == 0 && len(inFlight) > 0 { // the origin answers only ten of 200 writes a second, the oldest first
 			oldest := inFlight[0]
 			took := driver.now - driver.router.requests[oldest].attempts[0].sentAt
 			sends := actionsOf[Send](driver.endAttempt(oldest, Succeeded, took))
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -67,7 +67,7 @@
 			r.recordHit(srv, e)
 		}
 		r.markResponsive(srv)
-	case Miss: // the latency of a miss does not show the load
+	case Miss: // the latency of a miss says nothing about the load
 		r.markResponsive(srv)
 		srv.hitsToClear = 0 // the server's cache may be lost
 	case CorruptResponse:
@@ -75,8 +75,9 @@
 	}
 }
 
-// recordNoResponse records an attempt without a response. One such attempt does not show that the server is down. A
-// health check decides that, or, if none is allowed, several failures in a row that overload does not explain.
+// recordNoResponse records an attempt without a response. One such attempt does not show that the server is down, so a
+// health check follows. Where health checks are not allowed, the server counts as down after several failures in a row.
+// Timeouts during an overload of all cache servers are not among these failures.
 func (r *Router) recordNoResponse(srv *server, e Outcome) {
 	if e.Reason == NoConnection {
 		srv.zone.failedConnects++
@@ -104,7 +105,7 @@
 }
 
 // recordAtOrigin records the outcome of a fetch or a write. The outcome adjusts the limit on attempts in flight at the
-// origin, and ends the flight that the request leads, if there is one.
+// origin. If other requests wait for the fetch, they go on.
 func (r *Router) recordAtOrigin(ended *attempt, e Outcome) {
 	if e.Reason != NeverSent {
 		sample := admission.LatencySample{
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -11,13 +11,14 @@
 func (r *Router) assess(srv *server) {
 	before := srv.assessment.EjectionFraction()
 	srv.assessment.Update(srv.gauge.slowFraction(r.now), r.cacheGauge.slowFraction(r.now))
-	if srv.assessment.EjectionFraction() != before { // otherwise the budget left for the others is unchanged
+	if srv.assessment.EjectionFraction() != before { // otherwise the ejection budget for the other servers is unchanged
 		r.limitEjections()
 	}
 }
 
 // assessAll compares all cache servers with each other. Among thousands of servers most have no recent samples. Such a
-// server is assumed to be as slow as the aggregate of its zone or of all servers.
+// server is assumed to be as slow as the servers of this router's zone, if the server is there, or as all servers
+// together.
 func (r *Router) assessAll() {
 	ofAll, ofZone := r.cacheGauge.slowFraction(r.now), r.zoneGauge.slowFraction(r.now)
 	for _, listed := range r.keyServers {
@@ -33,12 +34,12 @@
 	r.limitEjections()
 }
 
-// isEjectionCandidate reports whether the server counts for the ejection budget.
+// isEjectionCandidate reports whether the server's capacity is part of the total that the ejection budget refers to.
 func (r *Router) isEjectionCandidate(srv *server) bool {
 	return srv != r.origin && srv.isListed && !r.isOriginKind(srv)
 }
 
-// ejectionStates returns the state of each cache server for the ejection budget. The next call reuses the slice.
+// ejectionStates returns the capacity of each cache server and how much of it is out. The next call reuses the slice.
 func (r *Router) ejectionStates() []outlier.Server {
 	r.ejectionCandidates = r.ejectionCandidates[:0]
 	for _, srv := range r.servers {
@@ -59,7 +60,8 @@
 	return r.ejectionCandidates
 }
 
-// isEjectionBudgetSpent reports whether so much capacity is out that no further server is taken out on gossip alone.
+// isEjectionBudgetSpent reports whether so much capacity is out that a server that only other routers report as
+// unresponsive stays in use.
 func (r *Router) isEjectionBudgetSpent() bool {
 	return r.ejectionBudget.IsBounded() && r.ejectionBudget.IsSpent(r.ejectionStates())
 }
--- a/internal/policy/outlier/budget.go
+++ b/internal/policy/outlier/budget.go
@@ -1,7 +1,7 @@
 // Package outlier bounds how much of a fleet's server capacity the nodes eject because servers are outliers. An
 // outlier, which is slower or fails more often than the others, gives up a part of its keys. But if much capacity is
-// unavailable already, because servers drain, warm up or do not respond, a slow server is better than none. The
-// package has no clock and no I/O.
+// unavailable already, because servers drain, are in slow start or do not respond, a slow server is better than none.
+// The package has no clock and no I/O.
 package outlier
 
 import (
@@ -12,17 +12,18 @@
 // Server is a node's view of one server.
 type Server struct {
 	Capacity float64 // capacity relative to the other servers, above 0
-	// UnavailableFraction is the fraction of Capacity that is out regardless of ejection. It is 1 if the server drains
-	// or is unresponsive; during slow start it is the fraction that the server does not have yet.
+	// UnavailableFraction is the fraction of Capacity that is out for reasons other than ejection. It is 1 if the
+	// server drains or is unresponsive; during slow start it is the fraction of its slots that the server does not have
+	// yet.
 	UnavailableFraction float64
 	EjectionFraction    float64 // fraction of its keys that the server should give up as an outlier
 	TieBreaker          uint64  // orders servers of equal EjectionFraction, the same at every node
 }
 
-// available returns the capacity that is not unavailable, before any ejection.
+// available returns the capacity that the server would offer if none of it were ejected.
 func (s Server) available() float64 { return s.Capacity * (1 - s.UnavailableFraction) }
 
-// Budget bounds how much of all capacity may be out at once.
+// Budget bounds how much of the capacity of all servers may be out at once, either unavailable or ejected.
 type Budget struct {
 	MaxFraction float64 // fraction of all capacity; no bound unless it is between 0 and 1
 }
@@ -53,7 +54,8 @@
 	return isLimited
 }
 
-// left returns the capacity that may still be ejected. It is negative if more is unavailable than the budget allows.
+// left returns the capacity that may still be ejected. The result is negative if more is unavailable than the budget
+// allows.
 func (b Budget) left(servers []Server) float64 {
 	var total, left float64
 	for _, server := range servers {
@@ -78,8 +80,8 @@
 	return order
 }
 
-// IsSpent reports whether no further server may be taken out on gossip alone. This is so if the unavailable capacity
-// and the capacity that outliers should give up together reach the budget.
+// IsSpent reports whether no server may be taken out on the reports of other nodes alone. This is so if the unavailable
+// capacity and the capacity that outliers should give up together reach the budget.
 func (b Budget) IsSpent(servers []Server) bool {
 	if !b.IsBounded() {
 		return false
--- a/internal/policy/outlier/budget_test.go
+++ b/internal/policy/outlier/budget_test.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestGrantStaysWithinTheBudget checks random fleets. No more capacity may be ejected than the budget has left, the worst
-// servers come first, and the order of the slice must not change the result.
+// TestGrantStaysWithinTheBudget checks Grant with random fleets. No more capacity may be ejected than the budget has
+// left after the unavailable capacity. The worst servers are ejected first. The order of the slice must not change the
+// result.
 func TestGrantStaysWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1)
@@ -126,8 +127,8 @@
 	})
 }
 
-// checkWorstGoFirst checks that no server gives up more than its EjectionFraction, and that a better server gives up
-// nothing while a worse one is limited.
+// checkWorstGoFirst checks that no server gives up more than its EjectionFraction. If a server gives up less, servers
+// with a lower EjectionFraction must give up nothing.
 func checkWorstGoFirst(t *rapid.T, servers []Server, granted []float64) {
 	t.Helper()
 	for i, worse := range servers {
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -8,9 +8,9 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestOutliersKeepTheirKeysPastTheEjectionBudget checks that outliers keep keys when there are more of them than the
-// ejection budget allows; a quarter of the servers drain and count too. With the budget spent, a server that other
-// nodes report as unresponsive stays in use until a health check of this router fails.
+// TestOutliersKeepTheirKeysPastTheEjectionBudget checks that outliers keep keys when there are more outliers than the
+// ejection budget allows. A quarter of the servers drain, which uses up part of the budget. With the budget spent, a
+// server that other nodes report as unresponsive stays in use until a health check of this router fails.
 func TestOutliersKeepTheirKeysPastTheEjectionBudget(t *testing.T) {
 	retainedFraction := func(budget float64) (fraction float64) {
 		settings := testSettings()
@@ -54,8 +54,8 @@
 }
 
 // TestOutliersGiveUpSlots checks that a server that is slow or fails far more often than the others keeps few of its
-// slots, the same ones at every router. It gets them back once it is well again. Where all servers are slow, none is
-// an outlier.
+// slots, and that it keeps the same slots at every router. When the server has recovered, it gets all slots back. If
+// all servers are slow, none of them is an outlier.
 func TestOutliersGiveUpSlots(t *testing.T) {
 	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6"}
 	for _, test := range []struct {
@@ -111,7 +111,7 @@
 	}
 }
 
-// countOwned returns how many of the keys key0, key1 and so on each server owns. The argument is the number of keys.
+// countOwned returns how many of the keys key0, key1 and so on each server owns. The parameter is the number of keys.
 func (driver *routerDriver) countOwned(keys int) map[string]int {
 	count := map[string]int{}
 	for i := range keys {
--- a/internal/policy/quota/tracker.go
+++ b/internal/policy/quota/tracker.go
@@ -1,5 +1,5 @@
-// Package quota decides whether a request is within its tenant's quota. It does so at one node of a fleet, which gets
-// only a part of the traffic. It has no clock and no I/O.
+// Package quota decides at one node of a fleet whether a request is within its tenant's quota, although the node gets
+// only a part of the traffic. The package has no clock and no I/O.
 package quota
 
 import "time"
@@ -12,13 +12,14 @@
 	minTotalQuota = 1e-9 // keeps a divisor above zero
 )
 
-// Tracker tracks the tenants' use of their quotas at one node of several. Each tenant has two token buckets. The first
-// fills with time, at the node's even share of the tenant's quota. The second fills with the node's requests, of any
-// tenant, at the tenant's share of the sum of all quotas. The second bucket is for load balancers that give a node more
-// than its even share of the traffic. There a tenant is over its quota only if it sends more than its share compared
-// with the others. A request is within the quota if one of the two buckets has a token for it, and if a third bucket
-// has one too. The third bucket keeps a tenant within its whole quota at this node alone. A Tracker is not safe for
-// concurrent use.
+// Tracker tracks the tenants' use of their quotas at one node of several. Each tenant has three token buckets. The
+// first fills with time: each second adds the tenant's quota divided by the number of nodes. The second fills with
+// requests: each request at the node, of any tenant, adds the tenant's fraction of the sum of all quotas. The second
+// bucket is for load balancers that give a node more than its even share of the traffic. Behind such a balancer, a
+// tenant is over its quota only if it sends more than its share compared with the other tenants. A request is within
+// the quota if one of the two buckets has a token for it, and if a third bucket has one too. The third bucket fills at
+// the tenant's whole quota, and so keeps the tenant within it at this node alone. A Tracker is not safe for concurrent
+// use.
 type Tracker struct {
 	tenants    map[string]*tenant
 	totalQuota float64
@@ -73,7 +74,7 @@
 	return isWithin
 }
 
-// refill adds the tokens that the time and the requests since the tenant's last refill have earned.
+// refill adds the tokens for the time and for the requests since the tenant's last refill.
 func (t *Tracker) refill(now Time, sender *tenant) {
 	rate, elapsed := sender.quota/t.nodes, (now - sender.refilledAt).Seconds()
 	sender.byTime = min(rate+burst, sender.byTime+rate*elapsed)
--- a/internal/policy/quota/tracker_test.go
+++ b/internal/policy/quota/tracker_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTenantIsLimitedToItsQuotaAtOneNode simulates ten seconds of three tenants at one node of two. It checks which fraction
-// of each tenant's requests is over the quota.
+// TestTenantIsLimitedToItsQuotaAtOneNode simulates ten seconds of three tenants' requests at one node of two. It checks
+// which fraction of each tenant's requests is over the quota.
 func TestTenantIsLimitedToItsQuotaAtOneNode(t *testing.T) {
 	quotas := map[string]float64{"a": 40, "b": 40, "c": 20} // requests per second at both nodes together
 	for name, test := range map[string]struct {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestResizeChangesThePartOfANode checks that a node allows a quarter of a quota while there are four nodes, and half
-// after Resize to two.
+// TestResizeChangesThePartOfANode checks that a node lets a quarter of a tenant's quota through while there are four
+// nodes, and half of it after Resize to two nodes.
 func TestResizeChangesThePartOfANode(t *testing.T) {
 	for nodes, want := range map[int]int{4: 20, 2: 40} {
 		tracker, within := New(4), 0
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -10,7 +10,7 @@
 	Request
 	class          *Class
 	bucket         bucket
-	priorityWeight float64 // relative to the greatest weight of all classes
+	priorityWeight float64 // relative to the greatest PriorityWeight of all classes
 	objectiveAt    Time    // time until which an answer earns the full weight
 	isOverQuota    bool    // the request is beyond its tenant's quota
 
@@ -18,10 +18,10 @@
 	inFlight         int      // number of attempts in flight
 	possiblyExecuted *attempt // first attempt that may have been executed; nil if there is none
 	hasMissed        bool     // a cache server did not hold the object; the origin is next
-	avoidedServer    *server  // this server failed the request
+	avoidedServer    *server  // the request must not go to this server, which failed or rejected it
 	avoidsSuspects   bool     // a suspect server rejected the request, which now avoids all suspect servers
 
-	isWaiting bool // the request waits for a flight, the origin or a retry
+	isWaiting bool // the request waits for a flight, for the origin or for its retry
 	wakeAt    Time // time at which the wait ends
 	isEnded   bool
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// advance takes the next step of a request that has nothing in flight.
+// advance takes the next step of a request, unless the request has ended or has an attempt in flight.
 func (r *Router) advance(req *request) {
 	switch {
 	case req.isEnded || req.inFlight > 0:
@@ -162,7 +162,7 @@
 	}
 }
 
-// giveUp ends a request that has no further step with a final answer.
+// giveUp gives a final answer to a request that has no further step. After the latency objective the answer is Fail.
 func (r *Router) giveUp(req *request, cause Cause) {
 	if r.now >= req.objectiveAt {
 		r.emit(Fail{ID: req.ID, Cause: cause})
@@ -186,7 +186,7 @@
 // endRequest marks a request as ended. The router forgets the request once none of its attempts is in flight.
 func (r *Router) endRequest(req *request) {
 	req.isEnded, req.isWaiting = true, false
-	if r.originQueue.Remove(req) { // requests that wait for this fetch need another one
+	if r.originQueue.Remove(req) { // the fetch was not sent: requests that wait for it need another one
 		r.completeFlight(req, false)
 	}
 	if req.inFlight == 0 {
--- a/internal/policy/request_test.go
+++ b/internal/policy/request_test.go
@@ -73,12 +73,12 @@
 	}
 }
 
-// TestWaitingRequestResumesAtItsTimeAndNotBefore guards against a loop that the simulation found with seed 53. A
-// request that was resumed a fraction of a microsecond early waited again until the same moment, over and over while
-// the clock did not move.
+// TestWaitingRequestResumesAtItsTimeAndNotBefore guards against an endless loop that the simulation found with seed 53.
+// A request was resumed a fraction of a microsecond before the end of its wait, so it waited again until the same
+// moment. As the clock did not move meanwhile, this repeated for ever.
 func TestWaitingRequestResumesAtItsTimeAndNotBefore(t *testing.T) {
 	driver := newTrainedDriver(t)
-	driver.now += 101 // 101 ns are added so that deadlines are not whole microseconds
+	driver.now += 101 // 101 ns, so that deadlines are no whole microseconds
 	leader, _ := driver.request("high", "k", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, actions := driver.request("high", "k", nil)
@@ -103,9 +103,9 @@
 	t.Fatalf("got %v, want a timer for the request that waits", actions)
 }
 
-// TestReadsWithoutTimeLeftAreRejectedAtOnce checks that a read with less time left than the fastest recent answers
-// took is rejected at once. A read with a little more time left is not rejected. A pause of the servers, which makes a
-// few answers slow, must not raise the required time for long.
+// TestReadsWithoutTimeLeftAreRejectedAtOnce checks that a read with less time left than the fastest recent answers took
+// is rejected at once. A read with a little more time left is not rejected. A pause of the servers makes a few answers
+// slow. This must not raise, for long, the time left that a read needs to be accepted.
 func TestReadsWithoutTimeLeftAreRejectedAtOnce(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	isRejectedWith := func(timeLeft time.Duration) bool {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -6,26 +6,27 @@
 	"shelfproxy/internal/admission"
 )
 
-// Bounds on the retries of a class. Each first attempt earns a fraction of a retry, and each second earns some in any
-// case. Up to maxSavedRetries are saved, but beyond retryBurst no more than the last second earned. Without that bound,
-// 300 routers of 18 requests a second would have 9,000 retries saved when an overload begins, as many as half of all
-// requests of three seconds, and 900 more a second. Requests of the greatest weight may be retried more than once each.
-// For the others, a partial failure adds at most a third to the load.
+// Bounds on the retries of a class. The retry budget grows by retryRatio retries with each request of the class, and by
+// some with each second in any case. It holds at most maxSavedRetries. Above retryBurst, it holds no more than what the
+// last second added. Without this last bound, 300 routers with 18 requests a second each would hold 9,000 retries when
+// an overload begins. That is as many as half of all requests of three seconds, and 900 more would come each second.
+// Classes of great weight use criticalRetryRatio, so that each of their requests may be retried more than once. For the
+// other classes, a partial failure adds at most a third to the load.
 const (
 	retryRatio             = 0.34
 	criticalRetryRatio     = 1.5
 	minRetriesPerSecond    = 0.5
 	retryBurst             = 3
 	maxSavedRetries        = 30
-	criticalWeightFraction = 0.7 // fraction of the greatest weight above which the critical ratio applies
+	criticalWeightFraction = 0.7 // fraction of the greatest PriorityWeight above which criticalRetryRatio applies
 )
 
 const (
-	maxImmediateAttempts = 3                     // a read goes elsewhere at once only after fewer attempts than this
-	spillUtilisation     = 0.05                  // origin utilisation below which rejected reads go elsewhere at once
+	maxImmediateAttempts = 3                     // after so many attempts, no read goes to another server at once
+	spillUtilisation     = 0.05                  // below this origin utilisation, rejected reads go elsewhere at once
 	firstBackoff         = 25 * time.Millisecond // mean wait before the first retry at a full server
-	maxBackoffDoublings  = 4                     // number of times that the mean wait may double
-	dedupMarginTicks     = 2                     // a retry is due this many ticks before its deduplication window ends
+	maxBackoffDoublings  = 4                     // how often the mean wait doubles at most
+	dedupMarginTicks     = 2                     // a retry is written so many ticks before its DedupWindow ends
 )
 
 // newRetryBudget returns the retry budget of a class. maxPriorityWeight is the greatest weight of all classes.
@@ -95,8 +96,8 @@
 	}
 }
 
-// mayRedirect reports whether a request that a cache server rejected goes to another server. It does if the server no
-// longer serves keys, or if it is suspect and another server remains.
+// mayRedirect reports whether a request that a cache server rejected goes to another server. This is so if the server
+// no longer serves keys, or if it is suspect and there is a server that is not.
 func (r *Router) mayRedirect(ended *attempt) bool {
 	req, srv := ended.request, ended.server
 	if srv == r.origin {
@@ -111,7 +112,7 @@
 	req, srv := ended.request, ended.server
 	isCache := srv != r.origin
 	switch {
-	case isCache && reason == CorruptResponse: // any server may send one now and then: retry where the object is
+	case isCache && reason == CorruptResponse: // this happens at any server now and then: retry where the object is
 		if len(req.attempts) > 1 {
 			req.avoidedServer = srv
 		}
@@ -139,8 +140,8 @@
 	return false
 }
 
-// backOff makes a request wait for capacity: a full queue empties within a few service times. The mean wait doubles
-// with each attempt.
+// backOff makes a request wait before its retry, because a server's full queue empties within a few service times. The
+// mean wait doubles with each attempt.
 func (r *Router) backOff(req *request) {
 	wait := firstBackoff << min(len(req.attempts)-1, maxBackoffDoublings)
 	r.waitUntil(req, r.now+wait/2+time.Duration(r.rng.Int64N(int64(wait))))
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -13,7 +13,7 @@
 		class       string
 		reason      Reason
 		after       time.Duration
-		wantSends   int // sends that are wanted after the first one
+		wantSends   int // number of sends wanted after the first one
 		wantRejects int
 		wantFails   int
 	}{
@@ -49,8 +49,8 @@
 }
 
 // TestReadsRejectedByAFullServerGoElsewhere checks when a read that a full server rejected goes to another cache
-// server: while the origin is quiet, and otherwise only if other servers do better. In the latter case it skips all
-// servers that do as badly, and the retry budget is not charged.
+// server. It does so while the origin has a low load. While the origin is busy, it does so only if other servers reject
+// fewer requests. Then the read skips all servers that reject as many, and the retry budget is not charged.
 func TestReadsRejectedByAFullServerGoElsewhere(t *testing.T) {
 	for name, test := range map[string]struct {
 		isOriginQuiet bool
@@ -139,12 +139,12 @@
 }
 
 // TestReadRejectedByADrainingServerIsRedirected checks that a read is redirected to the new owner of its key if the
-// server that rejected it is no longer listed as live. This also holds while nothing is known of the origin, and for
-// the class that is shed first. A read that another server rejected is not redirected.
+// server that rejected it is no longer listed as live. This also holds before the router has any sample of the origin,
+// and for the class that is shed first. A read that a live server rejected is not redirected.
 func TestReadRejectedByADrainingServerIsRedirected(t *testing.T) {
 	for _, isDraining := range []bool{true, false} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
-		for range 50 { // only good outcomes, so that the server is no outlier
+		for range 50 { // the outcomes are all good, so that the server is no outlier
 			id, _ := driver.request("high", "k", nil)
 			driver.endAttempt(id, Succeeded, ms)
 		}
@@ -182,8 +182,8 @@
 }
 
 // TestReadIsRetriedElsewhereAfterAnError checks that a read is retried at another cache server after an error. One
-// router among many seldom sends to a server that answers with errors, so each error must not cost a read. There is no
-// immediate fourth attempt.
+// router among many seldom sends to a server that answers with errors, and so takes long to find it out: until then,
+// its errors must not fail reads. A fourth attempt is not made at once.
 func TestReadIsRetriedElsewhereAfterAnError(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	driver.readOtherKeys(20)
--- a/internal/policy/roles_test.go
+++ b/internal/policy/roles_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestFleetSizeSetsThePaceOfChecksAndPolls checks that a router follows a change of the fleet size. The remaining
-// routers together check an unresponsive server at the pace of the whole fleet, so each does so more often. They
-// spread their polls over less time. A size of 0 means the size in the settings.
+// TestFleetSizeSetsThePaceOfChecksAndPolls checks that a router follows a change of the fleet size. In a smaller fleet
+// each router checks an unresponsive server more often, so that the fleet as a whole checks as often as before. The
+// routers spread their polls over less time. A size of 0 means the size in the settings.
 func TestFleetSizeSetsThePaceOfChecksAndPolls(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MayGossip, settings.DrainGrace = 60, true, 2500*ms
@@ -179,8 +179,8 @@
 
 // TestAssignedPollerPollsForAll checks the effect of the DiscoveryPoller role. While discovery does not answer, one
 // router polls for all and announces when discovery answers again. All routers have the list as soon as without the
-// role, with at most two thirds of the failed polls. If every announcement is lost, each router still polls in time
-// for the bound on when a router counts as notified.
+// role, with at most two thirds of the failed polls. If every announcement is lost, each router still polls before the
+// time at which it is treated as notified of a change.
 func TestAssignedPollerPollsForAll(t *testing.T) {
 	unassigned, assigned := simulateDiscoveryOutage(t, false, 0), simulateDiscoveryOutage(t, true, 0)
 	allLost := simulateDiscoveryOutage(t, true, 1)
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -26,12 +26,12 @@
 
 	// State of client requests.
 	requests          map[uint64]*request
-	flights           map[string]*flight // flights in progress, by key
+	flights           map[string]*flight // fetches from the origin that later misses wait for, by key
 	quotas            *quota.Tracker
 	maxPriorityWeight float64 // greatest priority weight of all classes
 	retryBudgets      map[*Class]*admission.RetryBudget
 	loadLevel         float64           // fraction of sheddable requests to shed, see LoadLevel
-	shedDebt          [bulk + 1]float64 // rejections that are due, by bucket; each less than 1
+	shedDebt          [bulk + 1]float64 // part of a rejection, below 1, that is due in each bucket
 	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first
 
 	// State of servers and zones.
@@ -55,19 +55,20 @@
 	originLimiter admission.ConcurrencyLimiter      // bounds the attempts in flight at the origin
 	originQueue   admission.PriorityQueue[*request] // requests that wait for originLimiter
 
-	// Popularity of keys. Old counts fade because later requests weigh more.
-	keyCounts      decay.KeyCounts // requests by key, from this router and from samples of the others
+	// Popularity of keys. Each request counts with a greater weight than those before, so old ones matter less and
+	// less.
+	keyCounts      decay.KeyCounts // requests by key: those of this router and samples of the other routers'
 	requestTotal   float64         // weighted number of this router's requests
-	requestWeight  float64         // weight of one request now
+	requestWeight  float64         // weight with which a request counts at present
 	requestTotalAt Time            // when requestTotal was last added to
-	servedTotal    float64         // hits per active cache server, counted like requestTotal
+	servedTotal    float64         // weighted number of hits per active cache server, on the scale of requestTotal
 	rescaleAt      Time            // when the totals are next divided by requestWeight
 
 	// Ejection of outliers, see outlier.go.
 	ejectionBudget     outlier.Budget
 	ejectionCandidates []outlier.Server // buffer, reused from call to call
 	ejectionGrants     []float64        // buffer, reused from call to call
-	isEjectionLimited  bool             // the budget was too small for the outliers at the last check
+	isEjectionLimited  bool             // ejectionBudget was too small for all outliers at the last check
 
 	// Cooperation with the other routers.
 	gossipSender     gossip.Sender
@@ -79,7 +80,7 @@
 }
 
 // New returns a router with the settings, or a *SettingsError. The seed determines all random numbers of the router:
-// those of waits, of random choices, and of the phase of rejections.
+// those for waits, for random choices, and for the moments at which requests are shed.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -139,7 +140,8 @@
 	}
 }
 
-// newObjectives returns the latency objectives that apply before anything has been measured.
+// newObjectives returns the target and maximum latency that apply before the first samples. They follow from the
+// shortest LatencyObjective of all classes.
 func (r *Router) newObjectives() *objectives {
 	shortest := slices.MinFunc(r.settings.Classes, func(a, b Class) int {
 		return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
@@ -206,8 +208,8 @@
 // logf emits a formatted log line for the operators.
 func (r *Router) logf(format string, args ...any) { r.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// jitter returns a random duration below the bound (full jitter). It keeps routers that got the same update from acting
-// on it at the same moment.
+// jitter returns a random duration below the bound (full jitter). Random waits keep routers that got the same update
+// from acting on it at the same moment.
 func (r *Router) jitter(bound time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(max(bound, 1))))
 }
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -45,13 +45,13 @@
 }
 
 // TestRandomEventsKeepTheInvariants feeds legal random events to a router and checks the invariants that a single
-// router can keep. Each request gets one final answer, in time. An at-most-once request that was possibly executed is
-// not retried. A request has one attempt in flight at most. Nothing is sent to a server that is known to drain. Two
-// routers that get the same events must return the same actions.
+// router can keep. Each request gets one final answer, by its deadline. An at-most-once request that was possibly
+// executed is not retried. A request has one attempt in flight at most. Nothing is sent to a server that is known to
+// drain. Two routers that get the same events must return the same actions.
 func TestRandomEventsKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(20) {
 		settings := testSettings()
-		if seed%2 == 1 { // one router among many, with costs that make it close idle connections
+		if seed%2 == 1 { // with odd seeds: one router among many, with costs that make it close idle connections
 			settings.Nodes, settings.ConnectionCost, settings.HandshakeCost = 400, 0.03, 0.03
 		}
 		run := newRandomRun(t, seed, settings)
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -9,7 +9,7 @@
 func slotOf(key string) uint64 { return mix(hash(key)%slotCount + 1) }
 
 // keepsSlot reports whether a server may still get requests for the slot. An outlier keeps only a part of its slots,
-// and every router picks the same ones.
+// which is the same part at every router.
 func keepsSlot(srv *server, slot uint64) bool {
 	if fraction := srv.assessment.KeptFraction; fraction < 1 {
 		return unitInterval(mix(slot+srv.hash)) < fraction
@@ -26,8 +26,8 @@
 	return srv.isUnresponsive && (r.settings.MayHealthCheck || srv.breaker.IsOpen(r.now))
 }
 
-// isZoneCutOff reports whether the server is in another zone that is unreachable. Finding this out for each server of
-// the zone would cost a failed connect each time.
+// isZoneCutOff reports whether the server is in another zone that counts as unreachable as a whole. To find out about
+// each server of such a zone alone would cost failed connects at every one of them.
 func (r *Router) isZoneCutOff(srv *server) bool {
 	return r.settings.MayHealthCheck && srv.zone != r.ownZone && srv.zone.failedConnects >= zoneCutOffFailures
 }
--- a/internal/policy/routing_test.go
+++ b/internal/policy/routing_test.go
@@ -19,7 +19,7 @@
 // isFar reports whether a server is one of those that addFarServers adds.
 func isFar(id string) bool { return strings.HasPrefix(id, "far") }
 
-// TestOnlyKeysOfTheMissingServerChangeOwner checks that without one of the servers all keys of the other servers keep
+// TestOnlyKeysOfTheMissingServerChangeOwner checks that when one server is missing, the keys of all other servers keep
 // their owner.
 func TestOnlyKeysOfTheMissingServerChangeOwner(t *testing.T) {
 	ownersOf := func(servers ...string) map[string]string {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestUnreachableZoneGetsNoRequests checks that after a few failed connects no server of the zone gets any request,
-// until one of its servers responds.
+// TestUnreachableZoneGetsNoRequests checks that after a few failed connects to servers of one zone, no server of that
+// zone gets a request until one of them responds.
 func TestUnreachableZoneGetsNoRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "a"
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -28,10 +28,10 @@
 
 	// Slow start of the server, see slowstart.go.
 	slowStartFrom   Time    // start of the slow start; 0 if there was none
-	slowStartBefore Time    // slowStartFrom before the server was unresponsive
+	slowStartBefore Time    // slowStartFrom before the last outage; restored if there was no restart
 	connectRefused  bool    // a connect was refused while the server was unresponsive
-	hitsToClear     int     // hits still needed to show that the server did not restart; 0 if that is settled
-	offered         float64 // weighted requests that the server was a candidate for, those for hot keys in part
+	hitsToClear     int     // further hits that show that there was no restart; 0 if that is decided
+	offered         float64 // weighted number of requests that could have gone here; one for a hot key counts in part
 
 	assessment gossip.Assessment // comparison with the other servers, see outlier.go
 }
@@ -39,7 +39,7 @@
 // zone holds the state of a zone as a whole.
 type zone struct{ failedConnects int } // connects to the zone that failed in a row
 
-// zoneNamed returns the zone with the given name and adds an unknown one.
+// zoneNamed returns the zone with the given name, and adds it if it is unknown.
 func (r *Router) zoneNamed(name string) *zone {
 	known := r.zones[name]
 	if known == nil {
@@ -59,7 +59,8 @@
 	return !r.isOriginKind(srv) && srv.isListed && srv.State == Live
 }
 
-// capacityWeight returns the weight of the server's capacity in the distribution of keys; 1 if the list states none.
+// capacityWeight returns the server's weight in the distribution of keys, which is its capacity. The weight is 1 if
+// capacities are not used or the endpoint list states none.
 func (r *Router) capacityWeight(srv *server) float64 {
 	if r.settings.WeightByCapacity && srv.Capacity > 0 {
 		return srv.Capacity
@@ -67,7 +68,8 @@
 	return 1
 }
 
-// relativeCapacity returns the server's capacity divided by the mean of all; 1 if the list states no capacities.
+// relativeCapacity returns the server's capacity divided by the mean capacity of the active cache servers. It returns 1
+// if capacities are not used or the endpoint list states none.
 func (r *Router) relativeCapacity(srv *server) float64 {
 	if !r.settings.WeightByCapacity || srv.Capacity <= 0 || r.meanCapacity <= 0 {
 		return 1
@@ -75,7 +77,7 @@
 	return srv.Capacity / r.meanCapacity
 }
 
-// findOrAddServer returns the server with the given id and adds an unknown one.
+// findOrAddServer returns the server with the given id, and adds it if it is unknown.
 func (r *Router) findOrAddServer(id string) *server {
 	if srv := r.serverByID[id]; srv != nil {
 		return srv
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -14,7 +14,7 @@
 // The effects of a class of requests.
 const (
 	Idempotent   Effect = iota // may be retried at any time
-	Deduplicated               // servers of a DedupScope drop repeats within a window
+	Deduplicated               // the servers in DedupScope drop repeats within DedupWindow
 	AtMostOnce                 // may be retried only if no earlier attempt can have been executed
 )
 
@@ -32,11 +32,11 @@
 type Class struct {
 	Name             string
 	PriorityWeight   float64       // value of one answer, relative to other classes
-	LatencyObjective time.Duration // an answer within it earns the full weight
-	LateFraction     float64       // fraction of the weight that an answer after LatencyObjective earns
+	LatencyObjective time.Duration // an answer within this time earns the full PriorityWeight
+	LateFraction     float64       // fraction of PriorityWeight that an answer after LatencyObjective earns
 	Effect           Effect
 	DedupScope       DedupScope    // Deduplicated only: the servers that drop repeats
-	DedupWindow      time.Duration // Deduplicated only: how long after the possibly executed send repeats are dropped
+	DedupWindow      time.Duration // Deduplicated only: how long after a possibly executed send its repeats are dropped
 }
 
 // Tenant is a customer with a quota.
@@ -51,40 +51,41 @@
 	Zone              string // zone of this router
 	Classes           []Class
 	Tenants           []Tenant
-	OverQuotaFraction float64 // factor on the priority weight of requests beyond their tenant's quota
+	OverQuotaFraction float64 // multiplies the priority weight of requests beyond their tenant's quota
 	OriginKind        string  // Server.Kind of the origin; empty if servers fetch from the origin themselves
 	WeightByCapacity  bool    // keys are distributed in proportion to Server.Capacity
 	MustPoll          bool    // the router gets the endpoint list only if it subscribes
 
-	// Bounds on stale endpoint lists. A router without a watch that has not polled for MaxPollInterval counts as
-	// notified of all changes. Once DrainGrace has passed after it was notified that a server drains or is gone,
-	// nothing more may be sent to that server.
+	// Bounds on the use of a stale endpoint list. Once a router has known for DrainGrace that a server drains or is
+	// gone, it may send nothing more to that server. A router that has no watch and has not polled for MaxPollInterval
+	// is treated as if it had been notified of all changes.
 	MaxPollInterval, DrainGrace time.Duration
 
 	MayHealthCheck bool // HealthCheck actions are allowed
 	MayGossip      bool // Gossip actions are allowed
 	MayCancel      bool // Cancel actions are allowed
 
-	// Costs in points of the service. ConnectionCost is for 100 idle connections at each server, HandshakeCost for a
-	// new connection for each request, and CrossZoneCost for each request that crosses zones once. Zero means no cost.
+	// Costs, all in the service's own cost points. ConnectionCost is for 100 idle connections at each server,
+	// HandshakeCost for a new connection for each request, and CrossZoneCost for requests that each cross from one zone
+	// to another once. Zero means no cost.
 	ConnectionCost, HandshakeCost, CrossZoneCost float64
 
 	// AffinityBudget is the fraction of reads, up to 1, that may go to a server of this router's zone instead of the
-	// owner of their key. It applies if crossing zones has a cost. locality.DefaultAffinityBudget is the usual value.
+	// owner of their key. It applies if CrossZoneCost is above 0. locality.DefaultAffinityBudget is the usual value.
 	AffinityBudget float64
 
-	// MaxEjectedFraction is the fraction of the cache servers' capacity that may be out at once. Beyond it, outliers
-	// keep their keys. Servers that drain, are unresponsive or in slow start count, as do the slots that outliers
-	// give up. 0 means no bound.
+	// MaxEjectedFraction is the fraction of the cache servers' total capacity that may be out of use at once. Once it
+	// is reached, further outliers keep their keys. Capacity is out of use if its server drains, is unresponsive or in
+	// slow start, and if it belongs to slots that an outlier gives up. 0 means no bound.
 	MaxEjectedFraction float64
 
 	MaxAttempts   int           // maximum number of attempts of a request
 	MaxRetryAfter time.Duration // longest Retry-After that clients follow; 0 if none may be given
 	Tick          time.Duration // shortest time between two calls of Handle with different times
 
-	SlowStartFloor    float64       // minimum fraction of its capacity that a server has at its start
-	SlowStartDuration time.Duration // time after its start by which a server has all of its capacity
-	OverloadFactor    float64       // multiple of its current capacity that overloads a server in slow start
+	SlowStartFloor    float64       // fraction of its slots that a server gets as soon as it has started
+	SlowStartDuration time.Duration // time from its start until a server has all of its slots
+	OverloadFactor    float64       // a server in slow start is overloaded at this multiple of its current capacity
 }
 
 // SettingsError reports an invalid field of Settings.
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLowestPriorityWeightIsShedFirst checks that more classes of reads are shed the more fetches are slow, starting
-// with the lowest priority weight. Writes are never shed.
+// TestLowestPriorityWeightIsShedFirst checks which classes of reads are shed: first the one with the lowest priority
+// weight and, when more fetches are slow, further classes. Writes are never shed.
 func TestLowestPriorityWeightIsShedFirst(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -56,10 +56,10 @@
 	return rejected
 }
 
-// TestReadsBypassACrowdedCacheServer checks when reads bypass a cache server because it is crowded. A slow server, or
-// the one with a popular key, is not crowded as long as it answers well within the latency objective or has next to
-// nothing in flight. Reads of a crowded server go to the origin while the origin is quiet, and are rejected when it is
-// not.
+// TestReadsBypassACrowdedCacheServer checks when reads bypass a cache server because it is crowded (overloaded). A slow
+// server, or the owner of a popular key, is not crowded while it answers well within the latency objective or has
+// hardly any attempts in flight. Reads of a crowded server's keys go to the origin while the origin has a low load, and
+// are rejected otherwise.
 func TestReadsBypassACrowdedCacheServer(t *testing.T) {
 	for _, test := range []struct {
 		took         time.Duration
@@ -100,15 +100,15 @@
 	}
 }
 
-// TestOverQuotaRequestsAreShedFirst checks that under the same load requests beyond a tenant's quota are shed while
-// others are not.
+// TestOverQuotaRequestsAreShedFirst checks that at a load at which requests beyond a tenant's quota are shed, requests
+// within the quota are not shed.
 func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 10 { // these reads use up the tenant's quota at this router
 		driver.request("high", "k", ofTenant)
 	}
 	for _, srv := range driver.router.servers {
-		for i := range 200 { // the load is above the lowest threshold only, and the origin is not quiet
+		for i := range 200 { // the load exceeds only the lowest threshold; the origin has no spare capacity
 			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
 		}
 	}
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestRequestsWithinASmallQuotaAreNotOverIt checks that a tenant whose quota at this router is less than one request a
-// second does not exceed the quota with every single request.
+// TestRequestsWithinASmallQuotaAreNotOverIt checks a tenant whose part of the quota at this router is less than one
+// request a second. A single request now and then must not count as over the quota.
 func TestRequestsWithinASmallQuotaAreNotOverIt(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 40 // each router's part of the quota is half a request a second
@@ -149,16 +149,16 @@
 	}
 }
 
-// TestRoutersDoNotShedInStep checks that routers under the same load do not all reject the same misses, counted from
-// the first miss of each router.
+// TestRoutersDoNotShedInStep checks that routers under the same load do not all reject the miss with the same number,
+// as counted from the first miss of each router.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	firstRejected := map[int]int{} // number of routers, by the miss that each of them rejects first
+	firstRejected := map[int]int{} // number of routers, by the number of the miss that they reject first
 	for seed := range uint64(60) {
 		router, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		loaded := gauge{ // its utilisation is a fifth of the way from the threshold to where all misses are shed
+		loaded := gauge{ // at its utilisation, a fifth of the misses are shed
 			objectives: router.newObjectives(),
 			samples:    100,
 			overTarget: 120 * shedThresholds[degraded],
@@ -177,8 +177,8 @@
 }
 
 // TestLoadLevelShedsTheLowestPriorityWeight checks that while the node is behind with its own work, a part of the
-// requests that may be shed is rejected, the lowest priority weight first. Writes and critical reads are never
-// rejected for that.
+// requests that may be shed is rejected, those of the lowest priority weight first. Writes and critical reads are never
+// rejected for this reason.
 func TestLoadLevelShedsTheLowestPriorityWeight(t *testing.T) {
 	driver := newTrainedDriver(t)
 	countRejected := func(class string, change func(*Request)) (count int) {
@@ -206,8 +206,9 @@
 	}
 }
 
-// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold checks that reads bypass a crowded server while the origin is
-// quiet, even if the share of slow hits is far below the threshold for fetches.
+// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold checks that reads bypass a crowded server while the origin has
+// a low load. The fraction of slow hits at which they do is far below the fraction of slow fetches at which fetches are
+// shed.
 func TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold(t *testing.T) {
 	driver := newTrainedDriver(t)
 	crowded := driver.router.serverByID[driver.ownerOf("k")]
--- a/internal/policy/slotorder.go
+++ b/internal/policy/slotorder.go
@@ -7,33 +7,34 @@
 
 // slotOrder yields the cache servers that a request for a slot may go to, in the order of weighted rendezvous hashing.
 // The owner of the slot comes first. Routers agree on the order without communicating. An order is valid until the
-// router's next event, or until the router returns another one.
+// router's next event, or until the next call of orderOf.
 //
-// A first pass over all servers finds only the owner. Each further pass ranks a batch of servers, about twice as many
-// as the pass before. So a key that is spread over many servers costs little more than one that is not.
+// A first pass over all servers finds only the owner. Each further pass ranks the next batch of servers: it puts them
+// into a heap. A batch is about twice as large as the one before. So a key that is spread over many servers costs
+// little more than a key that is served by its owner alone.
 type slotOrder struct {
-	router    *Router
-	slot      uint64
-	req       *request
-	hasOwner  bool          // the owner has been yielded
-	last      float64       // score of the server that was yielded last
-	limit     float64       // all servers with lower scores have been ranked
-	step      float64       // how much limit grows in the next pass
-	isRanked  bool          // all servers have been ranked or yielded
-	remaining rankedServers // heap of the ranked servers that have not been yielded
+	router     *Router
+	slot       uint64
+	req        *request
+	hasOwner   bool          // next has returned the owner
+	last       float64       // score of the server that next returned last
+	limit      float64       // the passes so far covered all servers with lower scores
+	step       float64       // how much limit grows in the next pass
+	isComplete bool          // the passes so far covered all servers, so no further pass is needed
+	remaining  rankedServers // heap of the ranked servers that next has not returned yet
 }
 
-// firstRankedServers is the expected number of servers in the first ranked batch.
+// firstRankedServers is the expected number of servers in the first batch that is ranked after the owner.
 const firstRankedServers = 8
 
-// keyServer is a server that serves keys, with the values that show cheaply that its score for a slot is not low.
+// keyServer is a server that serves keys, with the values from which a lower bound of its score is cheap to compute.
 type keyServer struct {
 	hash      uint64
 	maxWeight float64 // upper bound of the server's rendezvous weight at any time
 	server    *server
 }
 
-// orderOf returns the order of the servers for a slot. Servers that the request may not go to are left out.
+// orderOf returns the order of the servers for a slot. It leaves out servers that the request may not go to.
 func (r *Router) orderOf(slot uint64, req *request) slotOrder {
 	step := firstRankedServers / max(r.totalWeight, minTotalWeight)
 	return slotOrder{router: r, slot: slot, req: req, step: step, remaining: r.ranked[:0]}
@@ -47,7 +48,7 @@
 		o.last, o.limit = score, score
 		return owner
 	}
-	for len(o.remaining) == 0 && !o.isRanked {
+	for len(o.remaining) == 0 && !o.isComplete {
 		o.rank()
 	}
 	if len(o.remaining) == 0 {
@@ -75,24 +76,25 @@
 	return best, lowest
 }
 
-// rank raises limit by a step and puts the servers below it into the heap, which must be empty.
+// rank raises limit by a step and puts the servers with scores from the old to the new limit into the heap, which must
+// be empty.
 func (o *slotOrder) rank() {
 	from := o.limit
 	o.limit += o.step
 	o.step *= 2
-	o.isRanked = true
+	o.isComplete = true
 	for i := range o.router.keyServers {
 		candidate := &o.router.keyServers[i]
 		draw := o.draw(candidate)
 		if 1-draw >= o.limit*candidate.maxWeight {
-			o.isRanked = false
+			o.isComplete = false
 			continue
 		}
 		score := o.score(candidate.server, draw)
 		switch {
 		case math.IsInf(score, 1): // the server's weight is 0: it has no slots yet
 		case score >= o.limit:
-			o.isRanked = false
+			o.isComplete = false
 		case score >= from && score > o.last && o.includes(candidate.server):
 			o.remaining = append(o.remaining, rankedServer{score: score, server: candidate.server})
 		}
--- a/internal/policy/slotorder_test.go
+++ b/internal/policy/slotorder_test.go
@@ -74,8 +74,8 @@
 // popularKey is the key that most requests of the fleet are for in checkGrowth.
 const popularKey = "popular"
 
-// checkGrowth fails the test if the cost of run grows faster than the number of servers. In front of sixteen times the
-// servers it may cost 4 times as much as in proportion to them, to allow for processor caches and logarithms.
+// checkGrowth fails the test if the time that run takes grows faster than the number of servers. With sixteen times as
+// many servers, run may take 16*4 times as long; the factor of 4 allows for processor caches and logarithms.
 func checkGrowth(t *testing.T, what string, run func(driver *routerDriver)) {
 	t.Helper()
 	const few, times, slack = 200, 16, 4
@@ -92,7 +92,7 @@
 }
 
 // TestCostOfAPopularKeyFollowsTheNumberOfServers guards against requests for a popular key that cost the square of the
-// number of servers (report 7e0653). Requests that waited for the same fetch cost as much.
+// number of servers (report 7e0653). Requests that waited for the same fetch had the same quadratic cost.
 func TestCostOfAPopularKeyFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "requests for a popular key", func(driver *routerDriver) {
 		for range 4 {
@@ -102,9 +102,9 @@
 	})
 }
 
-// TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers guards against the same quadratic cost in explanations that
-// operators ask for, in upkeep, and in outcomes with an ejection budget. Each of these blocked the event loop for as
-// long.
+// TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers guards against a cost that grows with the square of the
+// number of servers: in explanations that operators ask for, in upkeep, and in outcomes with an ejection budget. Each
+// of these used to block the event loop for as long as requests for a popular key did.
 func TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "an explanation", func(driver *routerDriver) { driver.router.Explain(driver.now, popularKey) })
 	checkGrowth(t, "upkeep with an ejection budget", func(driver *routerDriver) {
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestServersWithoutSlotsEndTheOrder checks that a slot order ends when only servers without slots are left. These are
-// servers that have just started, where slow start begins with a weight of 0.
+// TestServersWithoutSlotsEndTheOrder checks that a slot order ends when only servers without slots are left. A server
+// that has just started has no slots if SlowStartFloor is 0.
 func TestServersWithoutSlotsEndTheOrder(t *testing.T) {
 	driver := newManyServersDriver(t, 12)
 	driver.router.settings.SlowStartFloor = 0
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -3,8 +3,8 @@
 import "shelfproxy/internal/fleet/gossip"
 
 const (
-	slowStartSafety  = 0.7 // fraction of the overloading load that a warming server may get
-	servedPrior      = 0.1 // answers assumed per server, so that a new router uses warming servers
+	slowStartSafety  = 0.7 // a server in slow start gets up to this fraction of the load that would overload it
+	servedPrior      = 0.1 // hits assumed per server, so that a router without samples also uses servers in slow start
 	hitsProvingCache = 4   // hits without a miss that show that the server's cache survived
 )
 
@@ -22,10 +22,11 @@
 }
 
 // admitsDuringSlowStart reports whether a server in slow start may take the request. All routers together must not
-// overload the server by a hot key or a surge. So each router sends a safe fraction of what a server of this size
-// answers for it; a router with few samples raises the load at half the rate. A random draw decides, weighted by the
-// popularity of the key at all routers. Requests for a key not seen before may be admitted less often, because that key
-// may just begin to reach all routers.
+// overload the server by a hot key or a surge. So each router sends the server a safe fraction of the requests that a
+// server of the same capacity answers for this router. In a large fleet, where each router has few samples, that
+// fraction grows at half the rate. A random draw decides: the more popular the key is at all routers, the fewer of its
+// requests are admitted. A key that this router has not seen before may be one that all routers begin to get at this
+// moment, so its requests may be admitted less often.
 func (r *Router) admitsDuringSlowStart(srv *server, req *request) bool {
 	weight := r.slowStartWeight(srv)
 	meanServed := (r.servedTotal + servedPrior*r.requestWeight) * r.relativeCapacity(srv)
@@ -41,7 +42,7 @@
 
 // suspectRestart starts a slow start for a server that responds again, as if it had restarted. The slow start ends
 // early if hits show that its cache survived, and the endpoint list may correct the time of the restart. A refused
-// connect proves that the server's process was gone.
+// connect proves that the server's process was gone, so after a refused connect the hits are ignored.
 func (r *Router) suspectRestart(srv *server) {
 	srv.slowStartBefore, srv.slowStartFrom, srv.hitsToClear = srv.slowStartFrom, r.now, hitsProvingCache
 	if srv.connectRefused {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -9,15 +9,15 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// isAdmitted reports whether a server that warms up takes a request for the key, if it has been a candidate for as
-// many requests as offered says.
+// isAdmitted reports whether a server in slow start may take a request for the key. offered is the number of requests
+// that the server has been a candidate for.
 func (driver *routerDriver) isAdmitted(srv *server, key string, offered float64) bool {
 	srv.offered = offered
 	return driver.router.admitsDuringSlowStart(srv, &request{Request: Request{Key: key}})
 }
 
-// TestRestartedServerStaysWithinItsBudget checks that a server that restarted gets only a part of its keys, and all of
-// them once it is warm. A hot key must not overload the server while it warms up.
+// TestRestartedServerStaysWithinItsBudget checks that a server that restarted gets only a part of its keys at first,
+// and all of them after its slow start. A hot key must not overload the server during its slow start.
 func TestRestartedServerStaysWithinItsBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	countSent := func(requests int) (count int) {
@@ -65,7 +65,7 @@
 	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "s10"}
 	driver := newDriver(t, settings, ids...)
 	driver.restart("s1", "")
-	hot := driver.keyOwnedBy("s1", "h") // s1 owns this key also while it warms up
+	hot := driver.keyOwnedBy("s1", "h") // s1 owns this key even during its slow start
 	sent, offered := 0, 0
 	for seed := range uint64(settings.Nodes) {
 		driver := newDriver(t, settings, ids...)
@@ -89,19 +89,19 @@
 			}
 		}
 	}
-	// An average server gets a tenth of the requests. A server that warms up can serve at least a fifth of that, and
-	// the overload factor allows three times as much.
+	// An average server gets a tenth of the requests. A server in slow start can serve at least a fifth of that, and
+	// the overload factor allows three times that fifth.
 	if limit := offered / 10 * 2 * 3 / 10; sent == 0 || sent > limit {
 		t.Errorf("got %d of %d requests at a restarted server with a hot key, want some and at most %d", sent, offered, limit)
 	}
 }
 
-// TestPartsOfHotKeysCountAgainstTheSlowStartBudget checks that hot keys of other servers, when they are spread over a
-// server that warms up, stay within its slow start budget.
+// TestPartsOfHotKeysCountAgainstTheSlowStartBudget checks hot keys of other servers that are spread over a server in
+// slow start too. Their requests must not exceed what that server may get during its slow start (its budget).
 func TestPartsOfHotKeysCountAgainstTheSlowStartBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 	driver.restart("s1", "")
-	var hot []string // keys for which s1 comes second in the slot order while it warms up
+	var hot []string // keys for which s1, in slow start, comes second in the slot order
 	for i := 0; len(hot) < 3; i++ {
 		key := fmt.Sprint("h", i)
 		order := driver.router.orderOf(slotOf(key), &request{})
@@ -119,15 +119,16 @@
 		}
 		driver.endAttempt(id, Succeeded, 5*ms)
 	}
-	// If the keys were spread evenly, s1 would get an eighth of the requests: 75. While it warms up it can serve at
-	// least a fifth of that, and the overload factor is 3.
+	// If the keys were spread evenly, s1 would get an eighth of the requests: 75. In slow start, s1 can serve at least
+	// a fifth of that, and the overload factor of 3 allows three times that fifth.
 	if got > 45 {
 		t.Errorf("three hot keys: got %d of 600 requests at a server that warms up, want at most 45", got)
 	}
 }
 
-// TestSlowStartBudgetFollowsAnswersNotDemand checks that the slow start budget is based on answers, not on demand. In
-// a retry storm, clients repeat their requests again and again, and only one request in ten is answered.
+// TestSlowStartBudgetFollowsAnswersNotDemand checks that the load that a server may get during its slow start depends
+// on the number of answers of other servers, not on the number of requests. In a retry storm, clients repeat their
+// requests again and again, and only one request in ten is answered.
 func TestSlowStartBudgetFollowsAnswersNotDemand(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	for i := range 600 {
@@ -144,17 +145,17 @@
 			admitted++
 		}
 	}
-	// Each server answered 20 requests. Three times a fifth of that is 12, and the first few requests are admitted
-	// before the key is known as hot.
+	// Each server answered 20 requests. Three times a fifth of that is 12. The bound is higher, because the first few
+	// requests are admitted before the key counts as hot.
 	if admitted == 0 || admitted > 45 {
 		t.Errorf("got %d of 100 requests admitted while an average server answers 20, want 1 to 45", admitted)
 	}
 }
 
 // TestFleetDoesNotOverloadTheRestartedOwnerOfAHotKey checks a fleet of 300 routers when the owner of a hot key, which
-// gets a tenth of all requests, restarts. Each router would send its first request for the key to the owner, as it
-// knows of no other request for it. A third of the routers have only just started themselves. In any 1.5 s the owner
-// must get fewer requests than would overload it if it did not warm up in that time.
+// gets a tenth of all requests, restarts. Without a bound, each router would send its first request for the key to the
+// owner, because it knows of no other requests for that key. A third of the routers have only just started themselves.
+// In any 1.5 s the owner must get fewer requests than would overload it, even if its cache did not fill in that time.
 func TestFleetDoesNotOverloadTheRestartedOwnerOfAHotKey(t *testing.T) {
 	const (
 		steps, restartAt = 1400, 800
@@ -171,7 +172,7 @@
 		received := fleet.takeUndelivered()
 		for i, driver := range fleet.drivers {
 			fleet.tick(step, i, received, neverDown)
-			if (step+i)%20 != 0 { // 5 requests a second: a router gets the key twice only after two thirds of a second
+			if (step+i)%20 != 0 { // each router has 5 requests a second, a tenth of them for the hot key
 				continue
 			}
 			id, actions := driver.request("high", fleet.drawKey(true), nil)
@@ -184,7 +185,7 @@
 		}
 	}
 	settings := fleet.drivers[0].router.settings
-	fair := float64(requests) / steps * window / servers // requests that a warm server gets in a window
+	fair := float64(requests) / steps * window / servers // requests that a server with a full cache gets in a window
 	most, total := 0, sum(sent[restartAt:])
 	for step := restartAt; step+window <= steps; step++ {
 		most = max(most, sum(sent[step:step+window]))
@@ -219,9 +220,9 @@
 	}
 }
 
-// TestSlowStartAdmitsByPopularityAtAllRouters checks a router that had no request yet for a server that warms up. It
-// sends the server requests for an ordinary key. It sends only one in many of the requests for a key that is popular
-// at the other routers.
+// TestSlowStartAdmitsByPopularityAtAllRouters checks a router that has had no requests yet for a server in slow start.
+// The router sends the server requests for an ordinary key. Of the requests for a key that is popular at the other
+// routers, it sends the server only one in many.
 func TestSlowStartAdmitsByPopularityAtAllRouters(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 300
@@ -247,9 +248,9 @@
 	}
 }
 
-// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that a server that warms up takes no more requests after
-// half of the servers are removed than a moment before. The answers of a mean server are computed with the number of
-// servers at the time of each answer.
+// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that a server in slow start takes no more requests after
+// half of the servers are removed than a moment before. It would take more if past answers were divided by the new
+// number of servers, instead of the number at the time of each answer.
 func TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(8)...)
 	for i := range 400 {
@@ -279,9 +280,9 @@
 }
 
 // TestUnreachableServerIsDistinguishedFromRestartedOne checks how a router distinguishes a restarted server from one
-// that was only unreachable. A server that was unresponsive and answers again warms up, as it may have restarted. Hits
-// show that it was only unreachable. A connect that was refused meanwhile, a miss, or the endpoint list shows that it
-// restarted.
+// that was only unreachable. When an unresponsive server answers again, its slow start begins, as it may have
+// restarted. Hits show that the server was only unreachable. A connect that was refused meanwhile, a miss, or the
+// endpoint list shows that the server restarted.
 func TestUnreachableServerIsDistinguishedFromRestartedOne(t *testing.T) {
 	for name, test := range map[string]struct {
 		meanwhile     Reason // how an attempt ended while the server was unresponsive
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -9,25 +9,26 @@
 
 // How fast latency samples fade, and how many samples an estimate needs.
 const (
-	latencyWindow       = 1500 * time.Millisecond // a sample weighs 1/e after this long
+	latencyWindow       = 1500 * time.Millisecond // time in which the weight of a sample falls to 1/e
 	minLatencySamples   = 4.0                     // minimum number of samples from which utilisation is estimated
-	sparseLatencyWindow = 8 * time.Second         // like latencyWindow, while there are fewer than minLatencySamples
+	sparseLatencyWindow = 8 * time.Second         // replaces latencyWindow while there are fewer than minLatencySamples
 )
 
-// How the target latency is learned.
+// How the target latency, above which an answer counts as slow, is learned from quiet samples (see objectives).
 const (
-	quietSampleCount  = 64  // number of quiet samples kept
-	minQuietSamples   = 2   // number of quiet samples from which on the target is learned
-	relearnInterval   = 8   // once quietSampleCount is reached, learn again after every so many samples
-	targetPerMedian   = 3   // target latency as a multiple of the median quiet sample
+	quietSampleCount  = 64  // number of latest quiet samples that are kept
+	minQuietSamples   = 2   // number of quiet samples that are needed before the target is learned from them
+	relearnInterval   = 8   // from quietSampleCount on, the target is learned again once in so many quiet samples
+	targetPerMedian   = 3   // target latency as a multiple of the median of the quiet samples
 	maxPerTarget      = 2   // maximum latency as a multiple of the target
-	riseDivisor       = 50  // a learned latency rises by at most this fraction (1/50) at a time
-	calmUtilisation   = 0.2 // samples count as quiet while utilisation is below this
-	minTargetFraction = 0.5 // minimum target of cache servers, as a fraction of the shortest objective
+	riseDivisor       = 50  // a learned latency rises by at most 1/riseDivisor (1/50) of its value at a time
+	calmUtilisation   = 0.2 // below this utilisation the load counts as low, and latency samples as quiet
+	minTargetFraction = 0.5 // minimum target of cache servers, as a fraction of the shortest LatencyObjective
 )
 
-// objectives holds the target and the maximum latency, learned from quiet samples: those taken while few answers were
-// slow. Several servers may share them.
+// objectives holds two latencies: above target an answer counts as slow, and above max as very slow. Both are learned
+// from quiet samples, which are latencies measured while few answers were slow and no requests queued. Several servers
+// may share one objectives.
 type objectives struct {
 	quietSamples         [quietSampleCount]time.Duration // ring buffer of the most recent quiet samples
 	sampleCount          int                             // number of quiet samples so far
@@ -35,8 +36,9 @@
 	target, max          time.Duration
 }
 
-// learn adds a quiet sample and updates target and max. These fall at once but rise slowly, so that growing load is not
-// mistaken for normal latency. Before the first samples, the target is the shortest latency objective.
+// learn adds a quiet sample and updates target and max. Both fall at once but rise slowly, so that latency under
+// growing load is not mistaken for the normal one. Before the first samples, the target is the shortest
+// LatencyObjective.
 func (o *objectives) learn(latency time.Duration) {
 	o.quietSamples[o.sampleCount%quietSampleCount] = latency
 	o.sampleCount++
@@ -53,19 +55,19 @@
 	o.target, o.max = target, target*maxPerTarget
 }
 
-// gauge measures the utilisation of one server, or of several together. Utilisation is the share of recent answers that
-// were slower than the learned target.
+// gauge measures the utilisation of one server, or of several together (an aggregate). Utilisation is the fraction of
+// recent answers that were slower than the learned target latency.
 type gauge struct {
 	*objectives
 	inFlight  []*attempt // attempts that still wait for a response, oldest first
-	aggregate *gauge     // gauge of a zone or of all cache servers; nil for the latter and for the origin
-	hasQueue  bool       // requests queue for the server, so its samples are not quiet ones
+	aggregate *gauge     // gauge that also counts this one's samples; nil for the origin's and for cacheGauge
+	hasQueue  bool       // requests queue for the server, so its samples are not quiet
 
-	samples, overTarget, overMax float64 // recent samples: all, those over target, those over max
-	fadedAt                      Time    // when the samples were last faded
+	samples, overTarget, overMax float64 // weighted numbers of samples: all, slower than target, slower than max
+	fadedAt                      Time    // when the numbers were last reduced for age, see fade
 }
 
-// observe records the latency of an answer, or a failure, which counts as slower than the maximum.
+// observe records the latency of an answer, or a failure. A failure counts as slower than the maximum latency.
 func (g *gauge) observe(now Time, latency time.Duration, hasFailed bool) {
 	if !hasFailed && !g.hasQueue && g.slowFraction(now) < calmUtilisation {
 		g.learn(latency) // samples taken under load would raise the target
@@ -73,7 +75,7 @@
 	g.record(now, latency, hasFailed)
 }
 
-// record counts a sample in the gauge and in all of its aggregates.
+// record counts a sample in the gauge, in its aggregate, and in the aggregate of that.
 func (g *gauge) record(now Time, latency time.Duration, hasFailed bool) {
 	if g.aggregate != nil {
 		g.aggregate.record(now, latency, hasFailed)
@@ -94,8 +96,9 @@
 	g.samples, g.overTarget = g.samples+samples, g.overTarget+overTarget
 }
 
-// utilisation returns the shares of recent samples over the target and over the maximum. Attempts that have been in
-// flight for longer than these count too, because a stalled origin returns no answers that could be measured.
+// utilisation returns the fractions of recent samples that were slower than the target and than the maximum latency.
+// Attempts that have already been in flight for longer count as such samples, because a stalled origin returns no
+// answers that could be measured.
 func (g *gauge) utilisation(now Time) (overTarget, overMax float64) {
 	g.fade(now)
 	samples, slow, verySlow := g.samples, g.overTarget, g.overMax
@@ -110,7 +113,8 @@
 		}
 	}
 	if missing := minLatencySamples - samples; missing > 0 {
-		// The aggregate's shares replace missing samples. Without an aggregate the missing samples count as fast.
+		// Missing samples are assumed to be as slow as those of the aggregate. If there is no aggregate, they count as
+		// fast.
 		samples = minLatencySamples
 		if g.aggregate != nil {
 			overTarget, overMax = g.aggregate.utilisation(now)
@@ -120,17 +124,18 @@
 	return slow / samples, verySlow / samples
 }
 
-// slowFraction returns the share of recent samples over the target.
+// slowFraction returns the fraction of recent samples that were slower than the target latency.
 func (g *gauge) slowFraction(now Time) float64 {
 	slow, _ := g.utilisation(now)
 	return slow
 }
 
-// isUnused reports whether the gauge has no samples and no attempts in flight, so that it equals its aggregate.
+// isUnused reports whether the gauge has no samples and no attempts in flight. Its utilisation then is that of its
+// aggregate.
 func (g *gauge) isUnused() bool { return g.samples == 0 && len(g.inFlight) == 0 }
 
 // fade reduces the weight of earlier samples: fast while there are many, slowly once fewer than minLatencySamples are
-// left. One router among hundreds fetches only every few seconds and has to judge by its last few fetches.
+// left. One router among hundreds fetches only every few seconds and has to judge the origin by its last few fetches.
 func (g *gauge) fade(now Time) {
 	if g.samples > 0 && now > g.fadedAt {
 		left := decay.Fade(g.samples, now-g.fadedAt, latencyWindow, minLatencySamples, sparseLatencyWindow)
--- a/internal/policy/utilisation_test.go
+++ b/internal/policy/utilisation_test.go
@@ -12,8 +12,8 @@
 	return driver.router.origin.gauge.utilisation(driver.now)
 }
 
-// TestTargetIsLearnedOnlyInQuietTimes checks that slow answers of an overloaded origin do not raise the learned target
-// latency: overload must not be taken for the normal state.
+// TestTargetIsLearnedOnlyInQuietTimes checks that the target latency is learned only at low load. Slow answers of an
+// overloaded origin must not raise it: overload must not be taken for the normal state.
 func TestTargetIsLearnedOnlyInQuietTimes(t *testing.T) {
 	driver := newTrainedDriver(t)
 	before := driver.router.origin.gauge.target
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestFetchesInFlightCountAsSlow checks that attempts in flight for too long count as slow, as a stalled origin sends
-// no answers that could be measured.
+// TestFetchesInFlightCountAsSlow checks that attempts that have been in flight for longer than the target latency count
+// as slow, because a stalled origin sends no answers that could be measured.
 func TestFetchesInFlightCountAsSlow(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 20 {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestFewFetchesAreJudgedByTheLatest checks that a router with only one fetch every two seconds notices an overload,
-// and the end of it.
+// TestFewFetchesAreJudgedByTheLatest checks that a router with only one fetch every two seconds notices when an
+// overload of the origin begins and when it ends.
 func TestFewFetchesAreJudgedByTheLatest(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.now += time.Minute
