--- a/internal/testbed/scenario/default.go
+++ b/internal/testbed/scenario/default.go
@@ -7,26 +7,26 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Names of effects of classes in scenario files.
+// Values of Class.Effect in scenario files.
 const (
 	effectIdempotent   = "idempotent"
 	effectDeduplicated = "deduplicated"
 	effectAtMostOnce   = "at_most_once"
 )
 
-// Names of evictions of caches in scenario files.
+// Values of CacheServerKind.Eviction in scenario files.
 const (
 	evictLRU  = "lru"
 	evictFIFO = "fifo"
 )
 
-// cancelModes are the modes of cancellation by their names in scenario files.
+// cancelModes maps the values of CacheServerKind.Cancel in scenario files to cancel modes.
 var cancelModes = map[string]model.CancelMode{"none": model.CancelNone, "queued": model.CancelQueued, "all": model.CancelAll}
 
-// standardKind is the index of the kind in defaultKinds from which the kinds of a file take what they leave out.
+// standardKind is the index in defaultKinds of the kind whose values fill the fields that a kind in a file leaves out.
 const standardKind = 1
 
-// Default returns a system of moderate size without faults.
+// Default returns the default scenario, a system of moderate size without faults.
 func Default() *Scenario {
 	return &Scenario{
 		Name:   "default",
@@ -65,7 +65,7 @@
 	}
 }
 
-// defaultClasses returns a class of reads and two of writes.
+// defaultClasses returns one class of reads and two classes of writes.
 func defaultClasses() []Class {
 	return []Class{
 		{Name: "view-logbook", Share: 0.964, Work: milliseconds(95, 170), LatencyObjective: tomlDuration(1500 * time.Millisecond),
@@ -79,10 +79,10 @@
 	}
 }
 
-// tomlDuration returns a duration as a field of a scenario.
+// tomlDuration converts a duration to the type of the duration fields of a scenario.
 func tomlDuration(d time.Duration) tomlfile.Duration { return tomlfile.Duration(d) }
 
-// milliseconds returns a range of durations.
+// milliseconds returns the range of durations between two numbers of milliseconds.
 func milliseconds(least, most float64) Span {
 	return Span{time.Duration(least * float64(time.Millisecond)), time.Duration(most * float64(time.Millisecond))}
 }
--- a/internal/testbed/scenario/drawservers.go
+++ b/internal/testbed/scenario/drawservers.go
@@ -9,8 +9,8 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// drawCacheServers draws the kinds, and then the cache servers: as many of each kind and in each zone as the weights
-// say.
+// drawCacheServers draws the properties of the kinds, and then the cache servers. The numbers of cache servers of each
+// kind and in each zone are proportional to the weights.
 func (s *Scenario) drawCacheServers(stream streams) []model.CacheServerSpec {
 	kinds := make([]*model.CacheServerKind, len(s.Kinds))
 	kindWeights := make([]float64, len(s.Kinds))
@@ -35,7 +35,7 @@
 	return servers
 }
 
-// drawKind draws what the cache servers of a kind have in common.
+// drawKind draws the properties that all cache servers of a kind share.
 func (s *Scenario) drawKind(kind CacheServerKind, random *rand.Rand) *model.CacheServerKind {
 	cores := float64(kind.Cores)
 	return &model.CacheServerKind{
@@ -61,13 +61,13 @@
 	}
 }
 
-// apportion distributes places over weights in proportion, by the method of the largest remainder. It returns the
-// index of the weight for each place, in ascending order. If all weights are 0 the places are distributed evenly.
+// apportion distributes places in proportion to weights by the largest remainder method. It returns the index of a
+// weight for each place, in ascending order. If all weights are 0, the places are distributed evenly.
 func apportion(places int, weights []float64) []int {
 	total := sum(weights)
 	counts := make([]int, len(weights))
 	remainders := make([]float64, len(weights))
-	order := make([]int, len(weights)) // of the indices, by falling remainder
+	order := make([]int, len(weights)) // indices of the weights, by descending remainder
 	remaining := places
 	for i, weight := range weights {
 		exact := float64(places) * weight / total
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -11,20 +11,20 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Fault is an entry of the fault schedule. The fields are those of model.Fault and model.Selector.
+// Fault is an entry of the fault schedule. Its fields correspond to those of model.Fault and model.Selector.
 type Fault struct {
 	Kind         string            `toml:"kind"`
 	At           Span              `toml:"at"`
 	For          Span              `toml:"for"`
 	CacheServers []string          `toml:"boxes"`
-	OfKind       string            `toml:"of"` // kind of cache server
+	OfKind       string            `toml:"of"` // kind of the affected cache servers
 	Zone         string            `toml:"zone"`
 	Count        Range             `toml:"count"`
 	Share        Range             `toml:"share"`
 	Nodes        []int             `toml:"nodes"`
 	Factor       Range             `toml:"factor"`
-	Answers      Range             `toml:"answers"`  // fraction of the responses
-	Messages     Range             `toml:"messages"` // fraction of the messages
+	Answers      Range             `toml:"answers"`  // fraction of the responses that are corrupted
+	Messages     Range             `toml:"messages"` // fraction of the messages that are lost
 	Batch        Range             `toml:"batch"`
 	DrainFor     tomlfile.Duration `toml:"drain_for"`
 	SameAddr     Range             `toml:"same_address"`
@@ -32,7 +32,7 @@
 	Lag          Span              `toml:"lag"`
 }
 
-// requiredFields are the fields without which a kind of fault has no effect.
+// requiredFields lists the fields that each kind of fault requires, because it has no effect without them.
 var requiredFields = map[model.FaultKind][]string{
 	model.Deploy:          {"for", "batch"},
 	model.Shrink:          {"for"},
@@ -44,10 +44,10 @@
 	model.Flap:            {"period"},
 }
 
-// minPeriod is the shortest period of a fault or an arrival process.
+// minPeriod is the shortest period that a fault or an arrival process may have.
 const minPeriod = tomlfile.Duration(10 * time.Millisecond)
 
-// validateFault checks the fault of an index.
+// validateFault checks the fault at an index of the fault schedule.
 func (s *Scenario) validateFault(index int, fault Fault) error {
 	table := fmt.Sprintf("fault[%d].", index)
 	kind := slices.Index(model.FaultKinds[:], fault.Kind)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// validateFaultValues checks the fields that a fault has; table is the prefix of their names.
+// validateFaultValues checks the values in the fields of a fault. The field names in errors start with table.
 func (s *Scenario) validateFaultValues(table string, fault Fault) error {
 	hasKind := slices.ContainsFunc(s.Kinds, func(kind CacheServerKind) bool { return kind.Name == fault.OfKind })
 	hasZone := slices.Contains(s.Zones.Names, fault.Zone)
@@ -88,7 +88,7 @@
 	)
 }
 
-// draw draws the values of a fault.
+// draw returns the fault with a value drawn from each range.
 func (f Fault) draw(random *rand.Rand) model.Fault {
 	fault := model.Fault{
 		Kind: model.FaultKind(slices.Index(model.FaultKinds[:], f.Kind)),
--- a/internal/testbed/scenario/parse.go
+++ b/internal/testbed/scenario/parse.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Read reads a scenario from a file. An error names the file, the line and the field.
+// Read reads and validates a scenario file. An error in a field names the file, the line and the field.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -18,11 +18,12 @@
 	return Parse(path, text)
 }
 
-// Parse reads a scenario from a text. The path gives its name and is part of error messages.
+// Parse parses and validates the text of a scenario. The scenario is named after the file in path, unless the text sets
+// a name. Errors contain the path.
 func Parse(path string, text []byte) (*Scenario, error) {
 	scenario := Default()
 	scenario.Name = strings.TrimSuffix(path[strings.LastIndexByte(path, '/')+1:], ".toml")
-	// A list in the file replaces that of the defaults, it does not extend it.
+	// A list in the file replaces the default list instead of extending it.
 	defaultKinds, defaultClasses := scenario.Kinds, scenario.Classes
 	scenario.Kinds, scenario.Classes = nil, nil
 	file, err := tomlfile.Parse(path, text, scenario)
@@ -41,7 +42,7 @@
 	return scenario, scenario.validate()
 }
 
-// fillKinds gives the kinds of a file the values of the standard kind for the fields that they leave out.
+// fillKinds sets the fields that the kinds in a file leave out to the values of the standard kind.
 func (s *Scenario) fillKinds(standard CacheServerKind) {
 	from := reflect.ValueOf(standard)
 	for i := range s.Kinds {
--- a/internal/testbed/scenario/plan.go
+++ b/internal/testbed/scenario/plan.go
@@ -9,11 +9,11 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// Plan is a scenario with the values that a seed has drawn.
+// Plan is a scenario in which a seed has drawn a value from each range.
 type Plan struct {
 	Name       string
 	Seed       uint64
-	Length     time.Duration // of the load
+	Length     time.Duration // duration of the load
 	Spec       model.Spec
 	Nodes      Nodes
 	Invariants Invariants
@@ -22,10 +22,10 @@
 	Workload   workload.Spec
 }
 
-// SetLength sets the length of the load.
+// SetLength sets the duration of the load.
 func (p *Plan) SetLength(length time.Duration) { p.Length, p.Workload.Length = length, length }
 
-// Peak returns the highest rate that the load may have, in requests per second.
+// Peak returns an upper bound of the rate of the load, in requests per second: the sum of the peak rates of its processes.
 func (p *Plan) Peak() (rate float64) {
 	for _, process := range p.Workload.Processes {
 		rate += process.Rate
@@ -33,12 +33,12 @@
 	return rate
 }
 
-// streams returns the source of random numbers of each part of a plan. Each part has one of its own, so that a further
-// fault, for example, does not change the cache servers. The order of the draws within a part is part of the format: a
-// change of it changes the plans of all seeds.
+// streams returns the random number generator of a part of a plan. Each part has a generator of its own, so that a
+// further fault, for example, does not change the cache servers. The order of the draws within a part must not change,
+// because another order changes the plans of all seeds.
 type streams func(part string) *rand.Rand
 
-// Draw draws the plan of a seed.
+// Draw draws the plan of a seed. The same seed always gives the same plan.
 func (s *Scenario) Draw(seed uint64) *Plan {
 	stream := streams(func(part string) *rand.Rand { return model.RandomStream(seed, "scenario/"+part) })
 	plan := &Plan{Name: s.Name, Seed: seed, Length: s.Length.D(), Nodes: s.Nodes, Invariants: s.Invariants, Classes: s.Classes,
@@ -69,7 +69,8 @@
 	return plan
 }
 
-// drawOrigin draws the origin. It recognises repeated writes for the longest window of all classes.
+// drawOrigin draws the properties of the origin. The origin recognises repeated writes for the longest DedupWindow of all
+// classes.
 func (s *Scenario) drawOrigin(random *rand.Rand) model.OriginSpec {
 	spec := model.OriginSpec{
 		Median:             s.Origin.Median.Draw(random),
@@ -88,7 +89,7 @@
 	return spec
 }
 
-// drawNodes draws the number of nodes and assigns them to the zones in turn.
+// drawNodes draws the number of nodes and assigns the nodes to the zones in turn.
 func (s *Scenario) drawNodes(random *rand.Rand) []model.NodeSpec {
 	nodes := make([]model.NodeSpec, s.Nodes.Count.Int(random))
 	for i := range nodes {
@@ -97,8 +98,8 @@
 	return nodes
 }
 
-// nodeWeights returns the part of the load that each node gets. The load of a zone is divided among its nodes, that of
-// a zone without nodes among all.
+// nodeWeights returns the fraction of the load that each node gets. The load of a zone is divided evenly among the nodes
+// of the zone. The load of a zone without nodes is divided evenly among all nodes.
 func (s *Scenario) nodeWeights(nodes []model.NodeSpec) []float64 {
 	nodesInZone := map[string]int{}
 	for _, node := range nodes {
@@ -121,7 +122,7 @@
 	return weights
 }
 
-// drawWorkload draws what clients send. The steady rate is the first process.
+// drawWorkload draws the parameters of the load. The steady rate is the first arrival process.
 func (s *Scenario) drawWorkload(seed uint64, stream streams) workload.Spec {
 	random := stream("load")
 	steady := workload.ArrivalProcess{Kind: workload.Steady, Rate: s.Workload.Rate.Draw(random)}
@@ -151,7 +152,7 @@
 }
 
 func (a ArrivalProcess) draw(random *rand.Rand) workload.ArrivalProcess {
-	kind, _ := workload.ParseProcess(a.Kind) // validated when the scenario was read
+	kind, _ := workload.ParseProcess(a.Kind) // never fails: Parse has validated the kind
 	return workload.ArrivalProcess{Kind: kind, Rate: a.Rate.Draw(random), At: a.At.Draw(random), For: a.For.Draw(random),
 		Period: a.Period.D(), Class: a.Class}
 }
--- a/internal/testbed/scenario/ranges.go
+++ b/internal/testbed/scenario/ranges.go
@@ -12,10 +12,10 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Range is a number, or the range from which the seed draws one: 5 or [4, 6].
+// Range is a number, such as 5, or a range from which a seed draws a number, such as [4, 6].
 type Range struct{ Least, Most float64 }
 
-// UnmarshalTOML decodes either form. An error is a *tomlfile.ValueError.
+// UnmarshalTOML decodes a number or a range of numbers. Errors are of type *tomlfile.ValueError.
 func (r *Range) UnmarshalTOML(raw []byte) error {
 	var single struct{ V float64 }
 	if unmarshalValue(raw, &single) == nil {
@@ -30,22 +30,22 @@
 	return valueError(raw, "%s is neither a number nor a range [least, most]", raw)
 }
 
-// Draw draws a number.
+// Draw draws a number from the range.
 func (r Range) Draw(random *rand.Rand) float64 { return model.DrawBetween(random, r.Least, r.Most) }
 
-// Int draws an integer; all of the range have the same chance.
+// Int draws an integer from the range, bounds included. All integers are equally likely.
 func (r Range) Int(random *rand.Rand) int {
 	least, most := int(r.Least), int(r.Most)
 	return least + random.IntN(most-least+1)
 }
 
-// in reports whether all of the range is from least to most.
+// in reports whether the whole range is within least and most, bounds included.
 func (r Range) in(least, most float64) bool { return r.Least >= least && r.Most <= most }
 
-// Span is a duration, or the range from which the seed draws one: "5s" or ["4s", "6s"].
+// Span is a duration, such as "5s", or a range from which a seed draws a duration, such as ["4s", "6s"].
 type Span struct{ Least, Most time.Duration }
 
-// UnmarshalTOML decodes either form. An error is a *tomlfile.ValueError.
+// UnmarshalTOML decodes a duration or a range of durations. Errors are of type *tomlfile.ValueError.
 func (s *Span) UnmarshalTOML(raw []byte) error {
 	var texts []string
 	var single struct{ V string }
@@ -70,20 +70,20 @@
 	return nil
 }
 
-// Draw draws a duration.
+// Draw draws a duration from the range.
 func (s Span) Draw(random *rand.Rand) time.Duration {
 	return s.Least + time.Duration(random.Float64()*float64(s.Most-s.Least))
 }
 
-// in reports whether all of the range is from least to most.
+// in reports whether the whole range is within least and most, bounds included.
 func (s Span) in(least, most time.Duration) bool { return s.Least >= least && s.Most <= most }
 
-// valueError returns an error about the bytes of a value. The decoder reuses them, so they are copied.
+// valueError returns an error about a TOML value. The decoder reuses the bytes in raw, so valueError copies them.
 func valueError(raw []byte, format string, args ...any) error {
 	return &tomlfile.ValueError{Raw: bytes.Clone(raw), Text: fmt.Sprintf(format, args...)}
 }
 
-// unmarshalValue decodes the bytes of one value into the field V of a struct.
+// unmarshalValue decodes the bytes of one TOML value into the field V of the struct that target points to.
 func unmarshalValue(raw []byte, target any) error {
 	return toml.Unmarshal(append([]byte("V = "), raw...), target)
 }
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,16 +1,16 @@
-// Package scenario reads the files that describe what the testbed plays: the emulated system, the nodes, the load and
-// the faults. A file states only what differs from Default. Numbers and durations may be ranges, of which a seed draws
-// a value; Scenario.Draw makes the plan of a seed, which the emulator plays. Nothing here has a clock or any I/O but
-// reading the file.
+// Package scenario reads scenario files, which describe a test run: the emulated system, the nodes, the load and the
+// faults. A file states only what differs from Default. Numbers and durations may be ranges, from which a seed draws a
+// value. Scenario.Draw makes the plan of a seed, which the emulator runs. The package uses no clock, and no I/O except
+// to read the file.
 package scenario
 
 import "shelfproxy/internal/tomlfile"
 
-// Scenario is a scenario file as it was read, with the defaults for what it leaves out.
+// Scenario is the content of a scenario file, with default values for the fields that the file leaves out.
 type Scenario struct {
 	Name         string            `toml:"name"`
 	About        string            `toml:"about"`
-	Length       tomlfile.Duration `toml:"length"` // of the load
+	Length       tomlfile.Duration `toml:"length"` // duration of the load
 	Nodes        Nodes             `toml:"nodes"`
 	Zones        Zones             `toml:"zones"`
 	CacheServers CacheServers      `toml:"boxes"`
@@ -24,14 +24,14 @@
 	Workload     Load              `toml:"load"`
 	Fault        []Fault           `toml:"fault"`
 
-	file *tomlfile.File // for the lines of error messages
+	file *tomlfile.File // parsed file, which provides the line numbers in errors
 }
 
-// Nodes are the nodes that the scenario is for, and the limits in their configurations.
+// Nodes describes the nodes under test and the limits in their configurations.
 type Nodes struct {
 	Count          Range             `toml:"count"`
 	Cores          float64           `toml:"cores"`
-	CPUShare       float64           `toml:"cpu_share"` // of a processor that each process may use; 0: as much as there is
+	CPUShare       float64           `toml:"cpu_share"` // fraction of a processor that each node process may use; 0 is no limit
 	MemoryMB       int               `toml:"memory_mb"`
 	Sockets        int               `toml:"sockets"`
 	MaxOpen        int               `toml:"max_open"`
@@ -39,25 +39,25 @@
 	MaxStreams     int               `toml:"streams_per_connection"`
 	ConnectTimeout tomlfile.Duration `toml:"connect_timeout"`
 	ConnectionIdle tomlfile.Duration `toml:"connection_idle"`
-	RetryAfter     tomlfile.Duration `toml:"max_retry_after"` // 0: clients do not honour Retry-After
+	RetryAfter     tomlfile.Duration `toml:"max_retry_after"` // 0 means that clients do not honour Retry-After
 	HealthChecks   bool              `toml:"probes"`
 	Cancel         bool              `toml:"cancel"`
 }
 
-// Zones are the zones, and how the load and the cache servers are distributed over them.
+// Zones lists the zones and how the load and the cache servers are distributed over them.
 type Zones struct {
 	Names        []string  `toml:"names"`
-	Traffic      []float64 `toml:"traffic"` // weights of the load; evenly if empty
-	CacheServers []float64 `toml:"boxes"`   // weights of the cache servers; evenly if empty
+	Traffic      []float64 `toml:"traffic"` // weight of each zone in the load; evenly distributed if empty
+	CacheServers []float64 `toml:"boxes"`   // weight of each zone for the cache servers; evenly distributed if empty
 }
 
-// CacheServers is the number of cache servers, and of those that share a cell.
+// CacheServers holds the number of cache servers, and the number of cache servers that share a cell.
 type CacheServers struct {
 	Count    Range `toml:"count"`
 	CellSize Range `toml:"cell_size"`
 }
 
-// CacheServerKind is a kind of cache server. Work and rates are those of model.CacheServerKind.
+// CacheServerKind describes a kind of cache server. Work and rates are defined as in model.CacheServerKind.
 type CacheServerKind struct {
 	Name              string  `toml:"name"`
 	Share             float64 `toml:"share"`
@@ -68,21 +68,21 @@
 	SlowStartFloor    Range   `toml:"cold_from"`
 	SlowStartDuration Span    `toml:"warm_after"`
 	MemoryMB          Range   `toml:"memory_mb"`
-	Eviction          string  `toml:"eviction"` // lru or fifo
+	Eviction          string  `toml:"eviction"` // "lru" or "fifo"
 	Connections       Range   `toml:"connections"`
 	ConnectionWork    Span    `toml:"connection_work"`
 	HealthCheckWork   Span    `toml:"probe_work"`
 	MissWork          Range   `toml:"miss_work"`
 	ChokeAt           Range   `toml:"choke_at"`
 	Choke             Range   `toml:"choke"`
-	Cancel            string  `toml:"cancel"` // none, queued or all
+	Cancel            string  `toml:"cancel"` // "none", "queued" or "all"
 	DropExpired       bool    `toml:"drop_expired"`
 	ErrorRate         Range   `toml:"error_rate"`
 }
 
-// Origin is the origin, the database of record.
+// Origin describes the origin, which is the database of record.
 type Origin struct {
-	Zone             string `toml:"zone"` // the first one if empty
+	Zone             string `toml:"zone"` // zone of the origin; the first of Zones.Names if empty
 	Median           Span   `toml:"median"`
 	Sigma            Range  `toml:"sigma"`
 	Parallel         Range  `toml:"parallel"`
@@ -94,17 +94,17 @@
 	Cancel           bool   `toml:"cancel"`
 }
 
-// Discovery is the discovery service.
+// Discovery describes the discovery service.
 type Discovery struct {
 	Lag       Span              `toml:"lag"`
 	Call      tomlfile.Duration `toml:"call"`
 	PerEntry  tomlfile.Duration `toml:"line"`
 	Timeout   tomlfile.Duration `toml:"timeout"`
 	Heartbeat tomlfile.Duration `toml:"beat"`
-	Batch     tomlfile.Duration `toml:"batch"` // changes are published together at each multiple of this; 0: each at once
+	Batch     tomlfile.Duration `toml:"batch"` // changes are published at multiples of this interval; 0 publishes each at once
 }
 
-// Link is the network between the nodes and the servers.
+// Link describes the network between the nodes and the servers.
 type Link struct {
 	Same       Span              `toml:"same"`
 	Cross      Span              `toml:"cross"`
@@ -112,11 +112,11 @@
 	Retransmit tomlfile.Duration `toml:"retransmit"`
 }
 
-// Invariants are the tolerances of the invariants that the emulator checks.
+// Invariants holds the tolerances of the invariants that the emulator checks.
 type Invariants struct {
-	DrainWithin    tomlfile.Duration `toml:"drain_within"` // from the notification of a node
-	NotifyWithin   tomlfile.Duration `toml:"told_within"`  // a node counts as notified of a change after this time
-	Grace          tomlfile.Duration `toml:"grace"`        // added to every limit
+	DrainWithin    tomlfile.Duration `toml:"drain_within"` // time from the notification of a drain to the last new request
+	NotifyWithin   tomlfile.Duration `toml:"told_within"`  // time after which a node counts as notified of a change
+	Grace          tomlfile.Duration `toml:"grace"`        // tolerance that is added to every time limit
 	OverloadFactor float64           `toml:"fall_factor"`
 	OverloadWindow tomlfile.Duration `toml:"fall_after"`
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Every scenario in scenarios/ is valid, and a seed always draws the same plan from it.
+// Every scenario file in the folder scenarios is valid, and the same seed always draws the same plan from it.
 func TestShippedScenariosAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 6 {
@@ -112,7 +112,8 @@
 	return scenario.Draw(seed)
 }
 
-// A kind states what differs from the standard kind; weights say how many of each kind there are and where.
+// A kind in a file states only what differs from the standard kind. The weights decide how many cache servers there are of
+// each kind and in each zone.
 func TestCacheServersAreDrawnByTheWeightsOfKindsAndZones(t *testing.T) {
 	plan := drawPlan(t, kindsAndZones, 7)
 	kinds, zones := map[string]int{}, map[string]int{}
--- a/internal/testbed/scenario/validate.go
+++ b/internal/testbed/scenario/validate.go
@@ -10,7 +10,7 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Limits on what a scenario may ask of one machine.
+// Limits on the size of a scenario, so that one machine can run it.
 const (
 	minLength       = tomlfile.Duration(100 * time.Millisecond)
 	maxLength       = tomlfile.Duration(24 * time.Hour)
@@ -18,12 +18,12 @@
 	maxNodes        = 200
 	maxRate         = 100000 // requests per second
 	maxKeys         = 1e8
-	maxParallel     = 1e6 // requests that the origin executes at once
+	maxParallel     = 1e6 // requests that the origin executes at the same time
 	maxSlotsPerCore = 1e5
-	maxValueBytes   = 60 << 10 // room for the names in a value of 64 KB
+	maxValueBytes   = 60 << 10 // leaves room for the request id and the key that a value of 64 KB contains
 )
 
-// requirement is a condition on a field of a scenario, with the message if it is not met.
+// requirement is a condition on a field of a scenario, and the text of the error if the condition is not met.
 type requirement struct {
 	isMet       bool
 	field, text string
@@ -33,8 +33,8 @@
 	return requirement{isMet, field, fmt.Sprintf(format, args...)}
 }
 
-// firstError returns an error for the first requirement that is not met. The fields are those of a table; its prefix
-// is empty or ends with a dot.
+// firstError returns an error for the first requirement that is not met. The field names in errors start with table,
+// which is empty or ends with a dot.
 func (s *Scenario) firstError(table string, requirements ...requirement) error {
 	for _, requirement := range requirements {
 		if !requirement.isMet {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// validate checks that a scenario can be played. The error names the file, the line and the field.
+// validate checks that the scenario can be run. An error names the file, the line and the field.
 func (s *Scenario) validate() error {
 	if err := s.validateTables(); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// validateTables checks the tables that a scenario has once.
+// validateTables checks the tables that occur only once in a scenario.
 func (s *Scenario) validateTables() error {
 	zones := len(s.Zones.Names)
 	hasWeights := func(weights []float64) bool { return len(weights) == 0 || len(weights) == zones }
