--- a/internal/testbed/workload/doc.go
+++ b/internal/testbed/workload/doc.go
@@ -1,4 +1,4 @@
-// Package workload draws the requests of a load ahead of time: an open-loop schedule of arrivals that does not depend on
-// whether or when earlier ones are answered. It has no clock and no I/O; package clients sends what it draws. The rates of
-// several arrival processes add up. The same specification and seed give the same arrivals, request for request.
+// Package workload draws an open-loop schedule of requests: their arrival times do not depend on whether or when earlier
+// requests are answered. The package uses no clock and no I/O; package clients sends the requests. The rates of several
+// arrival processes add up. The same specification and seed always give the same requests.
 package workload
--- a/internal/testbed/workload/process.go
+++ b/internal/testbed/workload/process.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// ProcessKind is the form of an arrival process's rate over time.
+// ProcessKind says how the rate of an arrival process changes over time.
 type ProcessKind int
 
-// The kinds of arrival processes. Each adds its rate to that of the others between At and At+For; For 0 lasts until the end.
+// The kinds of arrival processes. A process adds its rate to those of the others between At and At+For. A process with a
+// For of 0 lasts until the end of the load.
 const (
-	Steady ProcessKind = iota // Rate all the time
-	Ramp                      // grows linearly from 0 to Rate
-	Surge                     // grows to Rate in a tenth of the time, stays for eight tenths, and falls to 0 again
-	Sine                      // between 0 and Rate, one cycle each Period, starting at half of Rate and rising
-	Burst                     // Rate for the first tenth of each Period, 0 for the rest
+	Steady ProcessKind = iota // the rate is always Rate
+	Ramp                      // the rate grows linearly from 0 to Rate
+	Surge                     // the rate grows to Rate in a tenth of the time, stays for eight tenths, and falls to 0 in the last tenth
+	Sine                      // the rate oscillates between 0 and Rate, one cycle each Period; it starts at half of Rate and rises
+	Burst                     // the rate is Rate in the first tenth of each Period and 0 in the rest
 	numProcessKinds
 )
 
-// ProcessKinds are the names of the kinds in scenario files.
+// ProcessKinds lists the names that the kinds have in scenario files.
 var ProcessKinds = [numProcessKinds]string{"steady", "ramp", "surge", "sine", "burst"}
 
-// String returns the name of the kind in scenario files.
+// String returns the name that the kind has in scenario files.
 func (k ProcessKind) String() string { return ProcessKinds[k] }
 
-// ParseProcess returns the kind with a name of ProcessKinds.
+// ParseProcess returns the kind with the given name, which must be one of ProcessKinds.
 func ParseProcess(name string) (ProcessKind, error) {
 	if i := slices.Index(ProcessKinds[:], name); i >= 0 {
 		return ProcessKind(i), nil
@@ -35,16 +36,16 @@
 	return 0, fmt.Errorf("%q is none of %s", name, strings.Join(ProcessKinds[:], ", "))
 }
 
-// ArrivalProcess is one part of the load: requests that arrive at a rate which changes over time.
+// ArrivalProcess is a part of the load whose rate changes over time.
 type ArrivalProcess struct {
 	Kind    ProcessKind
-	Rate    float64       // the highest rate, in requests a second
-	At, For time.Duration // when it starts, and how long it lasts; 0 lasts until the end of the load
-	Period  time.Duration // of Sine and Burst
-	Class   string        // name of the only class of its requests; empty draws from the mix
+	Rate    float64       // highest rate, in requests per second
+	At, For time.Duration // start and duration; a duration of 0 lasts until the end of the load
+	Period  time.Duration // length of a cycle of Sine and Burst
+	Class   string        // class of all requests of the process; if empty, each class is drawn by the weights
 }
 
-// rate returns the rate at a time of a load of some length, in requests a second.
+// rate returns the rate at a time in requests per second; length is the duration of the whole load.
 func (p ArrivalProcess) rate(now, length time.Duration) float64 {
 	duration := p.For
 	if duration <= 0 {
@@ -71,15 +72,15 @@
 	return p.Rate
 }
 
-// PopularKeys sends a fixed part of the requests to a few hot keys.
+// PopularKeys directs a fixed fraction of the requests to a few hot keys.
 type PopularKeys struct {
-	Fraction    float64       // part of all requests that goes to these keys, from 0 to 1
-	Keys        int           // number of keys, each drawn equally often
-	At, For     time.Duration // when it starts, and how long it lasts; 0 lasts until the end of the load
-	RotateEvery time.Duration // after each of these periods the keys are replaced by others; 0 is never
+	Fraction    float64       // fraction of all requests that go to these keys, from 0 to 1
+	Keys        int           // number of keys, all equally likely
+	At, For     time.Duration // start and duration; a duration of 0 lasts until the end of the load
+	RotateEvery time.Duration // interval after which other keys become popular; 0 never changes them
 }
 
-// keySet returns the number of the set of keys that is popular at a time; false if none is.
+// keySet returns the number of the set of keys that is popular at a time. It returns false if no set is popular then.
 func (p PopularKeys) keySet(now time.Duration) (set int, ok bool) {
 	elapsed := now - p.At
 	if elapsed < 0 || p.For > 0 && elapsed >= p.For {
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -8,51 +8,51 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// Class is a class of requests in the mix.
+// Class is a class of requests in the load.
 type Class struct {
 	Name                  string
-	Weight                float64 // weight in the mix, against the sum over all classes
-	HasIdempotencyKey     bool    // its requests carry an idempotency key
-	BytesLeast, BytesMost int     // size of the value of a write, drawn evenly between the two; 0 for reads
+	Weight                float64 // weight of the class, relative to the sum over all classes
+	HasIdempotencyKey     bool    // requests of the class carry an idempotency key
+	BytesLeast, BytesMost int     // range of the size of a written value, drawn uniformly; 0 for reads
 }
 
-// Spec is all that a schedule is drawn from.
+// Spec holds all parameters of a schedule.
 type Spec struct {
 	Seed        uint64
 	Length      time.Duration
 	Uniform     bool // evenly spaced arrivals instead of a Poisson process
 	Processes   []ArrivalProcess
 	Classes     []Class
-	Keys        int           // number of different keys
-	Skew        float64       // exponent of the Zipf distribution of the keys' popularity; above 1
-	Offset      float64       // offset of that distribution: the larger, the flatter its head; 1 or more
-	Drift       time.Duration // after each of these periods the ranks of all keys move on by one; 0 is never
+	Keys        int           // number of distinct keys
+	Skew        float64       // exponent of the Zipf distribution of the popularity of keys; above 1
+	Offset      float64       // offset of the Zipf distribution, 1 or more: the larger, the flatter its head
+	Drift       time.Duration // interval after which the rank of every key changes by one; 0 never changes the ranks
 	PopularKeys []PopularKeys
-	NodeWeights []float64 // part of the load that each node gets, against their sum
+	NodeWeights []float64 // weight of each node in the load, relative to the sum of the weights
 }
 
 // Arrival is one request of a schedule.
 type Arrival struct {
-	At             time.Duration // when it is due, after the start of the load
+	At             time.Duration // time at which the request is due, from the start of the load
 	Class          int           // index in Spec.Classes
 	Key            string
 	Node           int    // index in Spec.NodeWeights
-	Size           int    // bytes of the value of a write
-	IdempotencyKey string // empty for classes without
+	Size           int    // size of the value of a write, in bytes
+	IdempotencyKey string // empty for classes without idempotency keys
 }
 
-// Schedule draws arrivals in the order in which they are due. It is not safe for concurrent use.
+// Schedule draws arrivals in the order in which the requests are due. It is not safe for concurrent use.
 type Schedule struct {
 	spec     Spec
 	random   randomStreams
 	zipf     *rand.Zipf
-	now      time.Duration // when the last arrival was due
-	peakRate float64       // upper bound of the rate, in requests a second
-	fraction float64       // part of the next arrival that is accumulated, where arrivals are evenly spaced
+	now      time.Duration // time of the last arrival
+	peakRate float64       // upper bound of the rate, in requests per second
+	fraction float64       // integral of the rate minus the number of arrivals; for evenly spaced arrivals
 }
 
-// randomStreams are the random numbers of a schedule. Each kind of draw has a stream of its own, so that popular keys that
-// are added to a specification move no arrival.
+// randomStreams holds the random number generators of a schedule. Each kind of draw has a generator of its own, so that
+// popular keys that are added to a specification change no arrival time.
 type randomStreams struct {
 	times, mix, keys, rest, popularKeys *rand.Rand
 }
@@ -63,11 +63,11 @@
 }
 
 const (
-	minSkew   = 1.0001 // rand.NewZipf takes exponents above 1 only
+	minSkew   = 1.0001 // rand.NewZipf accepts only exponents above 1
 	minOffset = 1
 )
 
-// New prepares a schedule.
+// New returns the schedule of a specification.
 func New(spec Spec) *Schedule {
 	s := &Schedule{spec: spec, random: newRandomStreams(spec.Seed)}
 	s.zipf = rand.NewZipf(s.random.keys, max(spec.Skew, minSkew), max(spec.Offset, minOffset), uint64(max(0, spec.Keys-1)))
@@ -77,7 +77,7 @@
 	return s
 }
 
-// Rate returns the rate of all processes at a time, in requests a second.
+// Rate returns the sum of the rates of all processes at a time, in requests per second.
 func (s *Schedule) Rate(now time.Duration) (rate float64) {
 	for _, process := range s.spec.Processes {
 		rate += process.rate(now, s.spec.Length)
@@ -85,7 +85,7 @@
 	return rate
 }
 
-// Next returns the next arrival; false at the end of the load.
+// Next returns the next arrival. It returns false at the end of the load.
 func (s *Schedule) Next() (Arrival, bool) {
 	if s.peakRate <= 0 {
 		return Arrival{}, false
@@ -100,10 +100,11 @@
 	return s.draw(), true
 }
 
-// uniformStep is how finely an evenly spaced schedule follows a rate that changes.
+// uniformStep is the step in which advanceEvenly integrates a rate that changes.
 const uniformStep = time.Millisecond
 
-// advanceEvenly moves to the time at which the integral of the rate reaches the next whole number; false at the end.
+// advanceEvenly advances to the time at which the integral of the rate reaches the next whole number. It returns false at
+// the end of the load.
 func (s *Schedule) advanceEvenly() bool {
 	for s.fraction < 1 && s.now <= s.spec.Length {
 		s.fraction += s.Rate(s.now) * uniformStep.Seconds()
@@ -115,8 +116,9 @@
 	return s.now <= s.spec.Length
 }
 
-// advancePoisson moves to the next arrival of a Poisson process by thinning: candidates come at the peak rate, and each is
-// kept with the probability of the present rate against it (Lewis and Shedler, 1979). It is false at the end.
+// advancePoisson advances to the next arrival of a Poisson process by thinning (Lewis and Shedler, 1979): candidates arrive
+// at the peak rate, and each is kept with a probability of the current rate divided by the peak rate. It returns false at
+// the end of the load.
 func (s *Schedule) advancePoisson() bool {
 	for {
 		s.now += time.Duration(s.random.times.ExpFloat64() / s.peakRate * float64(time.Second))
@@ -129,7 +131,8 @@
 	}
 }
 
-// draw draws the request that arrives now. The order of the draws is part of what a seed means.
+// draw draws the request that arrives now. The order of the draws must not change, because another order changes the
+// schedules of all seeds.
 func (s *Schedule) draw() Arrival {
 	arrival := Arrival{At: s.now, Class: s.drawClass(), Key: s.drawKey(), Node: s.drawNode()}
 	class := s.spec.Classes[arrival.Class]
@@ -143,7 +146,8 @@
 	return arrival
 }
 
-// drawClass draws a process by its part of the present rate and returns its class, or one of the mix if it has none.
+// drawClass draws an arrival process in proportion to the current rates and returns the class of the process. If the
+// process has none, drawClass draws a class by its weight.
 func (s *Schedule) drawClass() int {
 	position := s.random.mix.Float64() * s.Rate(s.now)
 	for _, process := range s.spec.Processes {
@@ -163,7 +167,7 @@
 	return drawWeighted(s.random.rest, len(s.spec.NodeWeights), func(i int) float64 { return s.spec.NodeWeights[i] })
 }
 
-// drawWeighted draws an index below n, each with the probability of its weight against the sum of all.
+// drawWeighted draws an index below n. The probability of an index is its weight divided by the sum of all weights.
 func drawWeighted(random *rand.Rand, n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
@@ -178,7 +182,7 @@
 	return max(0, n-1)
 }
 
-// drawKey draws a popular key or one by its rank. It draws the same random numbers either way.
+// drawKey draws a popular key, or a key by its rank. Both cases consume the same random numbers.
 func (s *Schedule) drawKey() string {
 	rank := s.zipf.Uint64()
 	position, member := s.random.popularKeys.Float64(), s.random.popularKeys.Uint64()
--- a/internal/testbed/workload/schedule_test.go
+++ b/internal/testbed/workload/schedule_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// testSpec is a load of 20 s with two classes and two nodes.
+// testSpec returns the specification of a load of 20 s with two classes and two nodes.
 func testSpec(processes ...ArrivalProcess) Spec {
 	return Spec{Seed: 3, Length: 20 * time.Second, Processes: processes, Keys: 1000, Skew: 1.2, NodeWeights: []float64{3, 1},
 		Classes: []Class{{Name: "read", Weight: 9}, {Name: "sign", Weight: 1, HasIdempotencyKey: true, BytesLeast: 10, BytesMost: 20}}}
 }
 
-// drawAll draws a schedule to its end.
+// drawAll returns all arrivals of a schedule.
 func drawAll(spec Spec) (arrivals []Arrival) {
 	for schedule := New(spec); ; {
 		arrival, ok := schedule.Next()
@@ -25,7 +25,7 @@
 	}
 }
 
-// countBetween counts the arrivals that are due from one time until another.
+// countBetween counts the arrivals that are due at from or later, and before until.
 func countBetween(arrivals []Arrival, from, until time.Duration) (count float64) {
 	for _, arrival := range arrivals {
 		if arrival.At >= from && arrival.At < until {
