--- a/internal/testbed/trace/append_test.go
+++ b/internal/testbed/trace/append_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// appendTo opens a trace to add to it, as a program that keeps adding to one file would. It cuts off an incomplete last
-// block and returns the metadata and the number of bytes that it cut off.
+// appendTo opens an existing trace to add requests, as a program does that always records to the same file. It truncates an
+// incomplete last block and returns the metadata and the number of bytes that it removed.
 func appendTo(t testing.TB, path string) (*Writer, Meta, int64) {
 	t.Helper()
 	reader, err := Open(path)
@@ -29,10 +29,10 @@
 	if err != nil {
 		t.Fatalf("open %s for writing: %v", path, err)
 	}
-	if err := file.Truncate(reader.goodEnd); err != nil {
+	if err := file.Truncate(reader.lastBlockEnd); err != nil {
 		t.Fatalf("cut off the end of %s: %v", path, err)
 	}
-	if _, err := file.Seek(reader.goodEnd, io.SeekStart); err != nil {
+	if _, err := file.Seek(reader.lastBlockEnd, io.SeekStart); err != nil {
 		t.Fatalf("seek to the end of %s: %v", path, err)
 	}
 	return newWriter(file), reader.Meta, reader.Torn()
--- a/internal/testbed/trace/change.go
+++ b/internal/testbed/trace/change.go
@@ -11,19 +11,19 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// ErrInvalidSpeed is the error of a speed that is not above 0.
+// ErrInvalidSpeed is returned for a speed that is not above 0.
 var ErrInvalidSpeed = errors.New("the speed must be above 0")
 
-// Change returns the request to write in place of another; false drops it.
+// Change returns the request to write instead of its argument. If it returns false, the request is dropped.
 type Change func(workload.Arrival) (workload.Arrival, bool)
 
-// Copy writes the requests of a trace, changed, to a new file and returns how many it wrote.
+// Copy applies a change to the requests of a trace, writes them to a new file and returns how many requests it wrote.
 func Copy(from, to string, change Change) (written int, err error) {
 	reader, err := Open(from)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = reader.Close() }() // it was only read
+	defer func() { _ = reader.Close() }() // the file was only read
 	writer, err := Create(to, reader.Meta)
 	if err != nil {
 		return 0, err
@@ -45,7 +45,8 @@
 	}
 }
 
-// Cut keeps the requests due from one time, which becomes the start, until another; 0 is the end of the trace.
+// Cut keeps the requests that are due at from or later, and before until. The time from becomes the start of the new trace.
+// If until is 0, Cut keeps all requests to the end of the trace.
 func Cut(from, until time.Duration) Change {
 	return func(arrival workload.Arrival) (workload.Arrival, bool) {
 		keep := arrival.At >= from && (until <= 0 || arrival.At < until)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Anonymise replaces every key by a hash, salted so that nobody can look a key up. Equal keys stay equal.
+// Anonymise replaces every key by a salted hash, so that nobody without the salt can look a key up. Equal keys stay equal.
 func Anonymise(salt string) Change {
 	hash := func(key string) string {
 		if key == "" {
--- a/internal/testbed/trace/golden_test.go
+++ b/internal/testbed/trace/golden_test.go
@@ -9,7 +9,8 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// Trace files of earlier releases are read, and the same bytes are written.
+// Guards against a change of the file format: trace files of earlier releases must stay readable, and the same requests
+// must give the same bytes.
 func TestGoldenTrace(t *testing.T) {
 	arrivals := []workload.Arrival{
 		{At: 1500 * time.Microsecond, Class: 0, Key: "anna", Node: 1, Size: 300},
--- a/internal/testbed/trace/inspect.go
+++ b/internal/testbed/trace/inspect.go
@@ -12,22 +12,22 @@
 type Info struct {
 	Meta          Meta
 	Requests      int
-	Length        time.Duration // when the last request was due
-	ByClass       []int         // number of requests, by the number of their class
-	Keys          int           // number of different keys
-	HottestKey    string        // the key with the most requests, the first in the alphabet of several
-	HottestPart   float64       // part of all requests that went to it, from 0 to 1
-	BusiestSecond int           // requests in the second with the most
-	TornBytes     int64         // of an incomplete last block
+	Length        time.Duration // time at which the last request was due
+	ByClass       []int         // number of requests of each class, by class number
+	Keys          int           // number of distinct keys
+	HottestKey    string        // key with the most requests; of several, the first in alphabetical order
+	HottestPart   float64       // fraction of all requests that have the hottest key, from 0 to 1
+	BusiestSecond int           // number of requests in the second with the most requests
+	TornBytes     int64         // size of an incomplete last block; 0 if the last block is complete
 }
 
-// Inspect reads a trace to its end.
+// Inspect reads a whole trace and describes its content.
 func Inspect(path string) (Info, error) {
 	reader, err := Open(path)
 	if err != nil {
 		return Info{}, err
 	}
-	defer func() { _ = reader.Close() }() // it was only read
+	defer func() { _ = reader.Close() }() // the file was only read
 	info := Info{Meta: reader.Meta, ByClass: make([]int, len(reader.Meta.Classes))}
 	byKey, bySecond := map[string]int{}, map[time.Duration]int{}
 	for {
--- a/internal/testbed/trace/jsonlines.go
+++ b/internal/testbed/trace/jsonlines.go
@@ -11,7 +11,7 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// jsonRequest is a request as a line of JSON.
+// jsonRequest is the JSON form of a request; each line of an exported trace has one.
 type jsonRequest struct {
 	ScheduledMicroseconds int64  `json:"due_us"`
 	Class                 string `json:"class"`
@@ -25,13 +25,13 @@
 	return time.Duration(j.ScheduledMicroseconds) * time.Microsecond
 }
 
-// Export writes a trace as lines of JSON.
+// Export writes the requests of a trace as lines of JSON.
 func Export(path string, out io.Writer) error {
 	reader, err := Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = reader.Close() }() // it was only read
+	defer func() { _ = reader.Close() }() // the file was only read
 	encoder := json.NewEncoder(out)
 	for {
 		arrival, err := reader.Next()
@@ -65,7 +65,7 @@
 	return len(arrivals), errors.Join(err, writer.Close())
 }
 
-// parseRequests reads lines of JSON. Classes are numbered in the order in which they first come.
+// parseRequests reads lines of JSON. Classes are numbered in the order in which they first occur.
 func parseRequests(in io.Reader) (Meta, []workload.Arrival, error) {
 	decoder := json.NewDecoder(in)
 	decoder.DisallowUnknownFields()
@@ -91,18 +91,18 @@
 	}
 }
 
-// validate checks a request that follows one that was due at last.
+// validate checks a request. The previous request was due at last.
 func (j jsonRequest) validate(last time.Duration) error {
 	switch {
 	case j.Class == "" || j.Key == "" || j.ScheduledMicroseconds < 0 || j.Size < 0 || j.Node < 0:
-		return errors.New("class, key, due_us, size or node makes no sense")
+		return errors.New("class, key, due_us, size or node is missing or out of range")
 	case j.scheduledAt() < last:
-		return errors.New("due before the one ahead of it")
+		return errors.New("due before the previous request")
 	}
 	return nil
 }
 
-// classNumber returns the number of a class, which it adds if it is new.
+// classNumber returns the number of a class. It adds the class to the metadata if the class is new.
 func (m *Meta) classNumber(name string) int {
 	number := slices.Index(m.Classes, name)
 	if number < 0 {
--- a/internal/testbed/trace/reader.go
+++ b/internal/testbed/trace/reader.go
@@ -13,28 +13,28 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// ErrNotTrace is the error of a file that does not begin as a trace does.
+// ErrNotTrace is returned for a file that does not begin with the magic bytes of a trace.
 var ErrNotTrace = errors.New("is no trace")
 
-// ErrCorrupt is the error of a block that cannot be decoded, though it is not the last.
+// ErrCorrupt is returned for a block that cannot be decoded and is not an incomplete last block.
 var ErrCorrupt = errors.New("corrupt block")
 
-// errTorn is the end of a file in the middle of a block.
+// errTorn is returned if the file ends in the middle of a block.
 var errTorn = errors.New("the last block is incomplete")
 
-// Reader reads a trace from its start. It is not safe for concurrent use.
+// Reader reads the requests of a trace from the start of its file. It is not safe for concurrent use.
 type Reader struct {
 	Meta Meta
 
-	file    *os.File
-	buffer  *bufio.Reader
-	size    int64 // of the file
-	offset  int64 // of the next block
-	goodEnd int64 // end of the last complete block
+	file         *os.File
+	buffer       *bufio.Reader
+	size         int64 // size of the file, in bytes
+	offset       int64 // offset of the next block in the file
+	lastBlockEnd int64 // offset of the end of the last complete block
 
-	pending uint64 // requests of the current block that were not read yet
+	pending uint64 // number of requests in the current block that were not read yet
 	decoder decoder
-	lastAt  time.Duration // of the request before, in the current block
+	lastAt  time.Duration // due time of the previous request in the current block
 }
 
 // Open opens a trace and reads its metadata.
@@ -45,13 +45,13 @@
 	}
 	reader := &Reader{file: file, buffer: bufio.NewReaderSize(file, 1<<16), offset: int64(len(magic))}
 	if err := reader.begin(); err != nil {
-		_ = file.Close() // nothing was written; the first error says more
+		_ = file.Close() // the file was only read; the error of begin matters more
 		return nil, fmt.Errorf("trace: %s: %w", path, err)
 	}
 	return reader, nil
 }
 
-// begin reads what a trace starts with: the magic bytes and the metadata.
+// begin reads the magic bytes and the metadata at the start of a trace.
 func (r *Reader) begin() error {
 	info, err := r.file.Stat()
 	if err != nil {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// readBlock reads the content of the next block. The error is io.EOF at the end of the file and errTorn before an
-// incomplete last block.
+// readBlock reads the content of the next block. It returns io.EOF at the end of the file, and errTorn if the next block is
+// an incomplete last block.
 func (r *Reader) readBlock() ([]byte, error) {
 	if r.offset == r.size {
 		return nil, io.EOF
@@ -92,7 +92,7 @@
 	length := int64(header.length)
 	end := r.offset + blockHeaderSize + length
 	if end > r.size {
-		return nil, errTorn // or the length is corrupt, which cannot be told apart
+		return nil, errTorn // a corrupt length gives the same result and cannot be distinguished
 	}
 	if length > maxBlockSize {
 		return nil, fmt.Errorf("%w at byte %d: its length is %d bytes", ErrCorrupt, r.offset, length)
@@ -107,11 +107,11 @@
 		}
 		return nil, fmt.Errorf("%w at byte %d: wrong checksum", ErrCorrupt, r.offset)
 	}
-	r.offset, r.goodEnd = end, end
+	r.offset, r.lastBlockEnd = end, end
 	return content, nil
 }
 
-// Next returns the next request. The error is io.EOF at the end, which is also before an incomplete last block.
+// Next returns the next request. It returns io.EOF after the last complete block.
 func (r *Reader) Next() (workload.Arrival, error) {
 	for r.pending == 0 {
 		if err := r.nextBlock(); err != nil {
@@ -127,12 +127,12 @@
 	arrival.Key = r.decoder.text()
 	arrival.IdempotencyKey = r.decoder.text()
 	if r.decoder.failed || arrival.Class < 0 || arrival.Class >= len(r.Meta.Classes) || arrival.At < 0 {
-		return workload.Arrival{}, fmt.Errorf("trace: %w before byte %d: a request makes no sense", ErrCorrupt, r.offset)
+		return workload.Arrival{}, fmt.Errorf("trace: %w before byte %d: a request cannot be decoded", ErrCorrupt, r.offset)
 	}
 	return arrival, nil
 }
 
-// nextBlock makes the next block the current one.
+// nextBlock reads the next block and makes it the current block.
 func (r *Reader) nextBlock() error {
 	content, err := r.readBlock()
 	switch {
@@ -149,13 +149,13 @@
 	return nil
 }
 
-// Torn returns the number of bytes after the last complete block, once Next has returned io.EOF.
-func (r *Reader) Torn() int64 { return r.size - r.goodEnd }
+// Torn returns the number of bytes after the last complete block. The result is valid once Next has returned io.EOF.
+func (r *Reader) Torn() int64 { return r.size - r.lastBlockEnd }
 
 // Close closes the file.
 func (r *Reader) Close() error { return r.file.Close() }
 
-// decoder decodes the fields of the requests of a block. Once a field could not be decoded, failed stays set.
+// decoder decodes the fields of the requests in a block. After the first field that cannot be decoded, failed stays true.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/internal/testbed/trace/replay.go
+++ b/internal/testbed/trace/replay.go
@@ -9,19 +9,19 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// Replay gives out the requests of a trace for the classes and nodes of another plan.
+// Replay returns the requests of a trace, mapped to the classes and nodes of a plan.
 type Replay struct {
-	// OnError, if set, is called with the error that ends a replay before the end of its trace.
+	// OnError, if set, is called with the error that ends the replay before the end of the trace.
 	OnError func(error)
 
 	reader  *Reader
-	classes []int // numbers of the plan's classes, by the numbers of the trace's
+	classes []int // class numbers in the plan, by class number in the trace
 	nodes   int
 	scale   Change
 }
 
-// NewReplay prepares a replay at a speed, 2 being twice as fast. The plan must have every class of the trace; its nodes
-// take the requests of the trace's nodes in turn.
+// NewReplay prepares a replay at a speed; 2 is twice as fast. The plan must have every class of the trace. Node i of the
+// trace is mapped to node i modulo the number of nodes of the plan.
 func NewReplay(reader *Reader, classes []string, nodes int, speed float64) (*Replay, error) {
 	numbers := make([]int, len(reader.Meta.Classes))
 	for i, name := range reader.Meta.Classes {
@@ -35,7 +35,7 @@
 	return &Replay{reader: reader, classes: numbers, nodes: nodes, scale: Scale(speed)}, nil
 }
 
-// Next returns the next request; false at the end or after an error.
+// Next returns the next request. It returns false at the end of the trace or after an error.
 func (r *Replay) Next() (workload.Arrival, bool) {
 	arrival, err := r.reader.Next()
 	if err != nil {
--- a/internal/testbed/trace/trace.go
+++ b/internal/testbed/trace/trace.go
@@ -1,16 +1,19 @@
-// Package trace keeps the requests of a load, with the times at which they were due, in a file, so that they can be
-// inspected, cut, scaled, anonymised and replayed. It knows arrivals, not sockets.
+// Package trace stores the requests of a load in a file, with the times at which they were due, so that the requests can
+// be inspected, cut, scaled, anonymised and replayed. The package reads and writes files only; it sends no requests.
 //
 // A file begins with the eight bytes "SLTRACE1", the last of which is the version. Blocks follow, each with its length
-// (4 bytes, little-endian), the CRC32C of its content (4 bytes) and its content. The first block is the metadata, as
-// JSON; each other one holds requests, in the order in which they were due:
+// (4 bytes, little-endian), the CRC32C of its content (4 bytes) and its content. The first block contains the metadata as
+// JSON. Each other block contains requests, in the order in which they were due:
 //
-//	number of requests   uvarint
-//	for each: microseconds since the one before (since 0 for the first of a block: since the start), class, node,
-//	size: uvarint each; length and bytes of the key; length and bytes of the idempotency key
+//	number of requests: uvarint
+//	for each request:
+//	    microseconds since the previous request in the block (for the first: since the start of the load): uvarint
+//	    class, node and size: uvarint each
+//	    length (uvarint) and bytes of the key
+//	    length (uvarint) and bytes of the idempotency key
 //
-// Blocks are only ever added at the end. An incomplete last block, left by a writer that was interrupted, is ignored by a
-// reader and reported by Torn; a corrupt block with others behind it is an error.
+// Blocks are only added at the end of the file. If a writer was interrupted, the last block may be incomplete: a reader
+// ignores such a block, and Torn reports its size. A corrupt block with further blocks behind it is an error.
 package trace
 
 import (
@@ -20,26 +23,26 @@
 )
 
 const (
-	magic        = "SLTRACE1" // of which the last byte is the version
+	magic        = "SLTRACE1" // the last byte is the version of the format
 	versionIndex = len(magic) - 1
 
-	blockHeaderSize  = 8        // bytes of the length and the checksum of a block
-	requestsPerBlock = 256      // requests in a full block
-	maxBlockSize     = 16 << 20 // bytes of the content of a block
-	maxTextSize      = 64 << 10 // bytes of a key or an idempotency key
+	blockHeaderSize  = 8        // size of the length and the checksum of a block, in bytes
+	requestsPerBlock = 256      // number of requests in a full block
+	maxBlockSize     = 16 << 20 // maximum size of the content of a block, in bytes
+	maxTextSize      = 64 << 10 // maximum size of a key or an idempotency key, in bytes
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Meta is the metadata of a trace.
 type Meta struct {
-	Classes   []string  `json:"classes"` // names of the classes, by the numbers that requests have
+	Classes   []string  `json:"classes"` // names of the classes, by class number
 	Nodes     int       `json:"nodes"`
-	From      string    `json:"from,omitempty"` // where the trace came from, in the words of its author
+	From      string    `json:"from,omitempty"` // free text that says where the trace comes from
 	StartedAt time.Time `json:"began,omitzero"`
 }
 
-// blockHeader is the length and the checksum of a block's content.
+// blockHeader holds the length and the checksum of the content of a block.
 type blockHeader struct {
 	length   uint32
 	checksum uint32
--- a/internal/testbed/trace/trace_test.go
+++ b/internal/testbed/trace/trace_test.go
@@ -19,7 +19,7 @@
 
 var testMeta = Meta{Classes: []string{"read", "sign"}, Nodes: 2, From: "test"}
 
-// testArrivals are n requests of both classes and nodes, one every 3 ms, for seven keys.
+// testArrivals returns n requests, one every 3 ms, which take turns in both classes, both nodes and seven keys.
 func testArrivals(n int) (arrivals []workload.Arrival) {
 	for i := range n {
 		arrivals = append(arrivals, workload.Arrival{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7),
@@ -37,7 +37,7 @@
 	addAll(t, writer, arrivals)
 }
 
-// addAll adds requests and closes the writer.
+// addAll adds requests to a writer and closes the writer.
 func addAll(t testing.TB, writer *Writer, arrivals []workload.Arrival) {
 	t.Helper()
 	for i, arrival := range arrivals {
@@ -108,8 +108,8 @@
 	})
 }
 
-// A file that ends anywhere in its last block is read up to the block before, and can be added to once the incomplete block
-// was cut off.
+// Guards against a trace that is unusable after its writer was interrupted. If the file ends anywhere in its last block, all
+// blocks before are read, and requests can be added after the incomplete block was truncated.
 func TestIncompleteLastBlockIsIgnoredAndReported(t *testing.T) {
 	dir := t.TempDir()
 	arrivals := testArrivals(requestsPerBlock + 10)
@@ -134,7 +134,7 @@
 		}
 	}
 	corrupt := bytes.Clone(content)
-	corrupt[firstBlockSize-3] ^= 1 // in a block with another behind it
+	corrupt[firstBlockSize-3] ^= 1 // in a block that another block follows
 	path := filepath.Join(dir, "corrupt")
 	writeFile(t, path, corrupt)
 	if _, _, err := readTrace(path); !errors.Is(err, ErrCorrupt) {
@@ -239,7 +239,7 @@
 	}
 }
 
-// Whatever bytes a file has, reading it ends, with an error or without one.
+// A reader must reach the end of any file, with or without an error, whatever bytes the file contains.
 func FuzzReader(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "seed")
 	writeTrace(f, path, testArrivals(300))
--- a/internal/testbed/trace/writer.go
+++ b/internal/testbed/trace/writer.go
@@ -17,11 +17,11 @@
 	file     *os.File
 	buffer   *bufio.Writer
 	block    []byte        // the encoded requests of the current block
-	requests int           // in the current block
-	lastAt   time.Duration // of the last request in the current block
+	requests int           // number of requests in the current block
+	lastAt   time.Duration // due time of the last request in the current block
 }
 
-// Create starts a trace in a new file; a file that exists is an error.
+// Create starts a trace in a new file. It fails if the file exists.
 func Create(path string, meta Meta) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o644)
 	if err != nil {
@@ -36,7 +36,7 @@
 
 func newWriter(file *os.File) *Writer { return &Writer{file: file, buffer: bufio.NewWriter(file)} }
 
-// begin writes what a trace starts with: the magic bytes and the metadata.
+// begin writes the magic bytes and the metadata at the start of a trace.
 func (w *Writer) begin(meta Meta) error {
 	text, err := json.Marshal(meta)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return w.buffer.Flush()
 }
 
-// Add adds a request. Requests are added in the order in which they were due; one that is added out of order counts as
-// due together with the one before it.
+// Add adds a request. Requests must be added in the order in which they were due. A request that is due before the
+// previous request is written with the due time of the previous request.
 func (w *Writer) Add(arrival workload.Arrival) error {
 	if w.requests == 0 {
 		w.lastAt = 0
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// flush writes the current block, if it holds requests, and begins another.
+// flush writes the current block, if it contains requests, and begins a new block.
 func (w *Writer) flush() error {
 	if w.requests == 0 {
 		return nil
