--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -1,6 +1,6 @@
-// Package clients sends a load to nodes. Requests follow a schedule that is drawn ahead, whether or not earlier ones have
-// been answered, and latency counts from the time at which each was due, so that a server that stalls cannot hide it. The
-// package looks at answers as a client would and reports them to an Observer.
+// Package clients sends a load to nodes. It sends each request when the schedule says that the request is due, whether or not
+// earlier requests were answered. Latency is measured from the due time, so that a stall of the server is not hidden. The
+// package decodes answers as a client does and reports them to an Observer.
 package clients
 
 import (
@@ -18,56 +18,59 @@
 // Node is a node as clients see it. Its functions may be called at any time, from several goroutines.
 type Node struct {
 	Address string
-	// Process returns a function that reports whether the process that runs now was told to end, so that it may close
-	// connections between requests. Nil says that no process is ever told to end.
+	// Process returns a function for the process that runs now. That function reports whether the process was told to end;
+	// such a process may close connections between requests. If Process is nil, no process is ever told to end.
 	Process func() (isStopping func() bool)
-	// InUse reports whether the front hands out connections to the node. Nil says that it always does.
+	// InUse reports whether the front end connects clients to the node. If InUse is nil, the front end always does.
 	InUse func() bool
 }
 
-// Observer is notified of what clients see. Its methods are called from several goroutines and must return quickly.
+// Observer is notified of the requests, answers and ends of connections that clients see. Its methods are called from several
+// goroutines and must return quickly.
 type Observer interface {
-	// RequestSent: the last byte of a request is about to be written to a node; its client waits for timeout from now on.
+	// RequestSent is called just before a request is written to a node. The client waits for timeout from this call on.
 	RequestSent(id, class string, node int, timeout time.Duration)
-	// RequestAnswered: the last byte of a final answer was read.
+	// RequestAnswered is called after the last byte of a final answer was read.
 	RequestAnswered(id string, kind invariants.Final, value []byte)
-	// ConnectionEnded: the node closed the connection instead of answering. If maybeUnread, it may never have read the
-	// request.
+	// ConnectionEnded is called after the node closed the connection instead of answering. If maybeUnread is true, the node
+	// may never have read the request.
 	ConnectionEnded(id string, maybeUnread bool)
 }
 
 // Options say how a load is sent.
 type Options struct {
 	Nodes    []Node
-	Observer Observer // may be nil
-	// ClosedLoop, if above 0, is a number of clients that send the same requests in a closed loop instead: each sends its
-	// next request when it has the answer to the last. It shows what such a loop hides.
+	Observer Observer // may be nil, to observe nothing
+	// ClosedLoop, if above 0, is the number of clients that send the same requests in a closed loop instead: each client
+	// sends its next request when its last request was answered. The results show what a closed loop hides.
 	ClosedLoop int
-	// Source, if set, returns the next request in place of the plan's schedule, until it returns false. Classes and nodes are
-	// those of the plan. Calls do not overlap.
+	// Source, if set, provides the requests instead of the plan's schedule. It returns false at the end. Class and node
+	// numbers are those of the plan. Calls do not overlap.
 	Source func() (workload.Arrival, bool)
 	// Record, if set, is called with every request that Source or the schedule returned. Calls do not overlap.
 	Record func(workload.Arrival)
-	// MaxInFlight bounds the requests in flight; one more is not sent and makes the run invalid. 0 is DefaultMaxInFlight.
+	// MaxInFlight bounds the number of requests in flight. A request beyond the bound is not sent and makes the run invalid.
+	// 0 means DefaultMaxInFlight.
 	MaxInFlight int
 }
 
-// DefaultMaxInFlight is the bound of the requests in flight where the options give none.
+// DefaultMaxInFlight is the default of Options.MaxInFlight.
 const DefaultMaxInFlight = 50000
 
-// Class is the result of a class of requests.
+// Class holds the results of a class of requests.
 type Class struct {
 	Name            string
 	Scheduled       int64 // requests that were due
 	Served          int64
-	WithinObjective int64 // of those served, within the latency objective
+	WithinObjective int64 // served requests that met the latency objective
 	Rejected        int64
 	Failed          int64
-	Unanswered      int64 // sent and never answered
-	Unsent          int64 // for which no node could be reached, or that were beyond MaxInFlight
-	// Latency is of the requests that were served, in microseconds from when they were due.
+	Unanswered      int64 // requests that were sent and never answered
+	Unsent          int64 // requests for which no node could be reached, or that were beyond MaxInFlight
+	// Latency is the latency of served requests, in microseconds from their due times.
 	Latency *hdrhistogram.Histogram
-	// Service is of the same requests, in microseconds from when they were sent, which leaves out their delay before that.
+	// Service is the service time of served requests, in microseconds from the time at which they were sent. It leaves out
+	// the delay between due time and sending.
 	Service *hdrhistogram.Histogram
 }
 
@@ -77,23 +80,23 @@
 	options Options
 	start   time.Time
 	pool    *connectionPool
-	running sync.WaitGroup // goroutines of requests or of closed-loop clients
+	running sync.WaitGroup // goroutines that send requests or run closed-loop clients
 
 	generator generator
 
 	mu      sync.Mutex
 	classes []Class
-	crossed int64 // requests that may have crossed the end of a connection that was idle for less than racingIdle
+	crossed int64 // requests that may have crossed the end of a connection that was idle for less than longIdle
 }
 
-// Crossed returns how many requests may have crossed the end of a connection that was hardly idle.
+// Crossed returns how many requests may have crossed the end of a connection that was idle for less than longIdle.
 func (c *Clients) Crossed() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.crossed
 }
 
-// New prepares the load of a plan.
+// New returns Clients that are ready to send the load of a plan.
 func New(plan *scenario.Plan, options Options) *Clients {
 	if options.MaxInFlight == 0 {
 		options.MaxInFlight = DefaultMaxInFlight
@@ -105,8 +108,8 @@
 	return c
 }
 
-// Run sends the load until it ends or the context does, and returns when every request has its answer or was given up. It
-// may be called once.
+// Run sends the load until the load or the context ends. It returns when every request was answered or given up. Run may be
+// called only once.
 func (c *Clients) Run(ctx context.Context) {
 	c.start = time.Now()
 	c.generator.begin()
@@ -135,7 +138,7 @@
 // Generator returns the figures of the load generator itself so far.
 func (c *Clients) Generator() Generator { return c.generator.report() }
 
-// count changes the result of a request's class.
+// count applies a change to the results of a request's class.
 func (c *Clients) count(r request, change func(*Class)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/clients/clients_test.go
+++ b/internal/testbed/clients/clients_test.go
@@ -17,12 +17,12 @@
 // serviceTime is how long a test server takes for a command.
 const serviceTime = 2 * time.Millisecond
 
-// stall is a time in which a server answers nothing, counted from its first command.
+// stall is an interval in which a server answers nothing. Its start, at, counts from the first command.
 type stall struct {
 	at, duration time.Duration
 }
 
-// startServer starts a server that answers every command with a value, but for a stall. It returns the address.
+// startServer starts a server that answers every command with a value, except during a stall. It returns the address.
 func startServer(t *testing.T, stall stall) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -31,7 +31,7 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	firstCommand := sync.OnceValue(time.Now)
-	go func() { // ends with the listener
+	go func() { // ends when the listener is closed
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -88,8 +88,9 @@
 effect = "idempotent"
 `
 
-// A stall of 2 s shows in the percentiles, and in the timeline at its place, when requests are sent as they are due. A closed
-// loop sends next to nothing meanwhile, and its percentiles hide the stall.
+// Guards against a load generator that hides a stall of the server. An open loop sends requests when they are due, so a stall
+// of 2 s shows in the percentiles and at its place in the timeline. A closed loop sends almost nothing during the stall, so
+// its percentiles hide the stall.
 func TestOpenLoopShowsAStallThatAClosedLoopHides(t *testing.T) {
 	t.Parallel()
 	twoSeconds := stall{at: time.Second, duration: 2 * time.Second}
--- a/internal/testbed/clients/connection.go
+++ b/internal/testbed/clients/connection.go
@@ -16,11 +16,11 @@
 type connection struct {
 	net.Conn
 	reader     *bufio.Reader
-	answeredAt time.Time   // of the last answer; zero before the first
-	isStopping func() bool // whether the process at the other end was told to end
+	answeredAt time.Time   // time of the last answer; zero before the first
+	isStopping func() bool // reports whether the node's process was told to end
 }
 
-// isStale reports whether the node has closed a connection that was idle. A client notices that before it writes.
+// isStale reports whether the node has closed the idle connection. A client checks this before it writes.
 func (c *connection) isStale() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	return err != nil || socketstate.IsReadable(raw)
@@ -37,18 +37,19 @@
 	return readAnswer(c.reader)
 }
 
-// connectionPool keeps idle connections by node. It is safe for concurrent use.
+// connectionPool holds the idle connections to each node. It is safe for concurrent use.
 type connectionPool struct {
 	nodes []Node
 	mu    sync.Mutex
-	idle  [][]*connection // by node; the one used last is at the end
+	idle  [][]*connection // by node; the most recently used connection is last
 }
 
 func newConnectionPool(nodes []Node) *connectionPool {
 	return &connectionPool{nodes: nodes, idle: make([][]*connection, len(nodes))}
 }
 
-// take returns the idle connection to a node that was used last, or a new one. Its user puts it back or closes it.
+// take returns the most recently used idle connection to a node, or a new connection. The caller must put the connection
+// back or close it.
 func (p *connectionPool) take(node int) (*connection, error) {
 	for conn := p.takeIdle(node); conn != nil; conn = p.takeIdle(node) {
 		if !conn.isStale() {
@@ -61,7 +62,7 @@
 		isStopping = process()
 	}
 	dialer := net.Dialer{Timeout: connectTimeout}
-	// No context: a request that was taken up is finished, also when the run is interrupted.
+	// The context of the run is not used: a request that was begun is finished, even if the run is interrupted.
 	conn, err := dialer.DialContext(context.Background(), "tcp", p.nodes[node].Address)
 	if err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 	return &connection{Conn: conn, reader: bufio.NewReader(conn), isStopping: isStopping}, nil
 }
 
-// takeIdle returns the idle connection that was used last; nil if there is none.
+// takeIdle returns the most recently used idle connection to a node, or nil if there is none.
 func (p *connectionPool) takeIdle(node int) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +94,7 @@
 	defer p.mu.Unlock()
 	for node, connections := range p.idle {
 		for _, conn := range connections {
-			_ = conn.Close() // nothing is owed on it
+			_ = conn.Close() // no answer is outstanding on an idle connection
 		}
 		p.idle[node] = nil
 	}
--- a/internal/testbed/clients/generator.go
+++ b/internal/testbed/clients/generator.go
@@ -13,35 +13,35 @@
 
 // Limits beyond which a generator counts as having fallen behind its schedule.
 const (
-	lateAfter       = 10 * time.Millisecond  // a request that is sent later than this counts as late
-	maxLateFraction = 0.01                   // of the requests
-	maxLag          = 500 * time.Millisecond // of any request
-	maxCPUFraction  = 0.9                    // of the processors that the program may use
-	maxGCFraction   = 0.02                   // of the time, in pauses of the garbage collector
+	lateAfter       = 10 * time.Millisecond  // a request that is sent later than this after its due time counts as late
+	maxLateFraction = 0.01                   // highest valid fraction of late requests
+	maxLag          = 500 * time.Millisecond // highest valid lag of a request
+	maxCPUFraction  = 0.9                    // highest valid fraction of the processor time that is available to the program
+	maxGCFraction   = 0.02                   // highest valid fraction of the elapsed time in pauses of the garbage collector
 )
 
-// Generator is how the load generator itself did: what was sent late, what it used, and whether the latencies may be
-// believed.
+// Generator holds the figures of the load generator itself: requests that were sent late, and resources that the generator
+// used. They show whether the measured latencies are valid.
 type Generator struct {
 	Sent        int64
-	Late        int64                   // sent more than 10 ms late
-	Overflow    int64                   // not sent, as too many were in flight
-	Lag         *hdrhistogram.Histogram // microseconds from when a request was due until it was taken up
+	Late        int64                   // requests that were sent more than 10 ms late
+	Overflow    int64                   // requests that were not sent because too many were in flight
+	Lag         *hdrhistogram.Histogram // microseconds from the due time of a request until the generator began to send it
 	MaxInFlight int                     // highest number of requests in flight
-	CPU         time.Duration           // processor time of the program
+	CPU         time.Duration           // processor time that the program used during the run
 	Elapsed     time.Duration
-	GCPauses    time.Duration // of the garbage collector, in sum
-	Timeline    []Interval    // by when requests were due
-	Step        time.Duration // length of an interval of the timeline
+	GCPauses    time.Duration // sum of the pauses of the garbage collector
+	Timeline    []Interval    // served requests, by the interval in which they were due
+	Step        time.Duration // duration of an interval of the timeline
 }
 
-// Interval is an interval of the timeline.
+// Interval holds the results of the requests that were due in one interval of the timeline.
 type Interval struct {
 	Served  int64
-	Latency *hdrhistogram.Histogram // microseconds from when requests were due
+	Latency *hdrhistogram.Histogram // microseconds from the due times of the requests
 }
 
-// Invalid returns why the latencies may not be believed; nothing if they may.
+// Invalid returns the reasons why the measured latencies are not valid, or nothing if they are valid.
 func (g Generator) Invalid() (reasons []string) {
 	if g.Sent > 0 && float64(g.Late) > maxLateFraction*float64(g.Sent) {
 		reasons = append(reasons, fmt.Sprintf("%d of %d requests were sent over %s late", g.Late, g.Sent, lateAfter))
@@ -61,16 +61,16 @@
 	return reasons
 }
 
-// maxIntervals bounds the timeline of a long run, whose intervals are longer.
+// maxIntervals bounds the number of intervals in the timeline. The intervals of a long run are longer.
 const maxIntervals = 600
 
-// generator measures a load generator. Its methods are safe for concurrent use.
+// generator collects the figures of a load generator. Its methods are safe for concurrent use.
 type generator struct {
 	mu       sync.Mutex
 	figures  Generator
 	inFlight int
 	began    time.Time
-	before   usage // of the program, when the run began
+	before   usage // usage of the program at the start of the run
 }
 
 func newGenerator(length time.Duration) generator {
@@ -81,7 +81,7 @@
 	return generator{figures: Generator{Lag: newHistogram(), Step: step}}
 }
 
-// usage is what the program has used since its start.
+// usage is the processor time and the sum of the garbage collector's pauses since the start of the program.
 type usage struct{ cpu, gcPauses time.Duration }
 
 func readUsage() (used usage) {
@@ -110,7 +110,8 @@
 	g.figures.Elapsed = time.Since(g.began)
 }
 
-// requestStarted counts a request that is taken up, with its lag behind the schedule; false where too many are in flight.
+// requestStarted counts a request that is about to be sent, and its lag behind the schedule. It returns false, and counts an
+// overflow, if maxInFlight requests are in flight already.
 func (g *generator) requestStarted(lag time.Duration, maxInFlight int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,7 +135,7 @@
 	g.inFlight--
 }
 
-// requestServed adds a request to the interval in which it was due.
+// requestServed adds a served request to the interval of the timeline in which the request was due.
 func (g *generator) requestServed(scheduledAt, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,7 +147,7 @@
 	record(g.figures.Timeline[i].Latency, latency)
 }
 
-// report returns a copy of the figures.
+// report returns a deep copy of the figures.
 func (g *generator) report() Generator {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/clients/histogram.go
+++ b/internal/testbed/clients/histogram.go
@@ -7,9 +7,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms are of microseconds.
+// Range and precision of the histograms, whose values are in microseconds.
 const (
-	maxLatency        = 2 * time.Minute // longer ones count as this
+	maxLatency        = 2 * time.Minute // longer latencies are recorded as maxLatency
 	significantDigits = 2
 )
 
@@ -18,14 +18,15 @@
 }
 
 func record(histogram *hdrhistogram.Histogram, latency time.Duration) {
-	_ = histogram.RecordValue(min(max(1, latency.Microseconds()), maxLatency.Microseconds())) // in range, which is its only error
+	_ = histogram.RecordValue(min(max(1, latency.Microseconds()), maxLatency.Microseconds())) // the value is in range, so there is no error
 }
 
 func copyHistogram(histogram *hdrhistogram.Histogram) *hdrhistogram.Histogram {
 	return hdrhistogram.Import(histogram.Export())
 }
 
-// Millis formats a quantile, from 0 to 100, of a histogram of microseconds in milliseconds; "-" if it is empty.
+// Millis formats a percentile, from 0 to 100, of a histogram of microseconds in milliseconds. It returns "-" if the
+// histogram is empty.
 func Millis(histogram *hdrhistogram.Histogram, quantile float64) string {
 	if histogram.TotalCount() == 0 {
 		return "-"
--- a/internal/testbed/clients/loops.go
+++ b/internal/testbed/clients/loops.go
@@ -11,14 +11,14 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// request is an arrival with the id that it is sent under.
+// request is an arrival with its request id.
 type request struct {
 	workload.Arrival
 	id string
 }
 
-// requests returns a function that gives out the requests of the source or the schedule, until it returns false. Ids start
-// with a random number, so that those of several runs differ.
+// requests returns a function that returns the requests of Options.Source or, without a source, of the schedule. The function
+// returns false at the end. Request ids start with a random number, so that the ids of several runs differ.
 func (c *Clients) requests() func() (request, bool) {
 	source := c.options.Source
 	if source == nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// runOpenLoop sends each request when it is due, whether or not the ones before were answered.
+// runOpenLoop sends each request when it is due, whether or not earlier requests were answered.
 func (c *Clients) runOpenLoop(ctx context.Context, next func() (request, bool)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -58,7 +58,7 @@
 	}
 }
 
-// runClosedLoop starts clients that each send a request as soon as the one before has its answer.
+// runClosedLoop starts clients that each send their next request as soon as their last request was answered.
 func (c *Clients) runClosedLoop(ctx context.Context, next func() (request, bool)) {
 	if c.plan.Peak() <= 0 {
 		return
@@ -72,7 +72,7 @@
 				if !ok {
 					return
 				}
-				r.At = time.Since(c.start) // due when its client has time for it, which is what a closed loop hides
+				r.At = time.Since(c.start) // due when its client is free, which is why a closed loop hides stalls
 				c.generator.requestStarted(0, c.options.MaxInFlight)
 				c.send(r)
 				c.generator.requestEnded()
@@ -81,15 +81,15 @@
 	}
 }
 
-// sharedSource gives out requests to several clients.
+// sharedSource distributes requests to several clients. It is safe for concurrent use.
 type sharedSource struct {
 	clients *Clients
 	mu      sync.Mutex
 	next    func() (request, bool)
 }
 
-// take returns the next request. A schedule that has ended, because the clients are faster than it, begins anew with another
-// seed; a source of the options does not.
+// take returns the next request. If the clients are faster than the schedule and have reached its end, take continues with
+// the schedule of another seed. At the end of Options.Source, take returns false.
 func (s *sharedSource) take() (request, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/clients/protocol.go
+++ b/internal/testbed/clients/protocol.go
@@ -12,10 +12,10 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// maxValueSize bounds the value of an answer, in bytes.
+// maxValueSize is the maximum size of the value in an answer, in bytes.
 const maxValueSize = 1 << 20
 
-// command encodes a request as a node's protocol has it.
+// command encodes a request as a RESP2 command for a node.
 func (r request) command(class scenario.Class) []byte {
 	extras := fmt.Sprintf("c=%s,d=%d", class.Name, class.Deadline.D().Milliseconds())
 	if r.IdempotencyKey != "" {
@@ -30,10 +30,10 @@
 // answer is a node's final answer to a request.
 type answer struct {
 	kind  invariants.Final
-	value []byte // of a request that was served
+	value []byte // value of a served request
 }
 
-// readAnswer reads one answer. A nil value and an error line other than -BUSY count as failed.
+// readAnswer reads one answer. A nil value, and any line that is neither a value nor -BUSY, count as failed.
 func readAnswer(reader *bufio.Reader) (answer, error) {
 	header, err := reader.ReadString('\n')
 	if err != nil {
@@ -53,7 +53,7 @@
 	return answer{kind: invariants.Failed}, nil
 }
 
-// readArray reads the elements of an array, of which the first is the answer.
+// readArray reads the elements of an array. The first element is the answer.
 func readArray(reader *bufio.Reader, length string) (answer, error) {
 	elements, err := strconv.Atoi(length)
 	if err != nil || elements < 1 {
@@ -68,7 +68,7 @@
 	return first, err
 }
 
-// readValue reads the bytes of a bulk string and the line end behind them.
+// readValue reads the bytes of a bulk string and the line end after them.
 func readValue(reader *bufio.Reader, length string) (answer, error) {
 	size, err := strconv.Atoi(length)
 	if err != nil || size < 0 || size > maxValueSize {
--- a/internal/testbed/clients/send.go
+++ b/internal/testbed/clients/send.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	maxAttempts  = 3                      // times that a request is sent if nodes do not read it
-	attemptPause = 50 * time.Millisecond  // before another attempt, as a front takes a moment to notice that a node is down
-	readSlack    = 500 * time.Millisecond // how much longer than its deadline and grace an answer is read for
-	// racingIdle is how long a connection must have been idle for its end to count as a close between two requests.
-	racingIdle = time.Second
-	// racingClose is how soon after a request its connection must have ended for the two to have crossed. The platform
-	// allows a node to be held up for 150 ms, and the testbed is late itself.
-	racingClose = 300 * time.Millisecond
-	// crossingClose is the same for a connection that was idle for less than racingIdle: a node with little capacity may close it.
-	crossingClose = 50 * time.Millisecond
+	maxAttempts  = 3                      // number of times that a request is sent, as long as no node has read it
+	attemptPause = 50 * time.Millisecond  // pause before another attempt: a front end takes a moment to notice that a node is down
+	readSlack    = 500 * time.Millisecond // time for which an answer is awaited beyond the deadline and its grace
+	// longIdle is the idle time from which on the end of a connection counts as a close between two requests.
+	longIdle = time.Second
+	// crossingWindow is the longest time from a request to the end of its connection in which the two may have crossed: the
+	// node closed the connection before it could read the request. The platform allows a node to be stalled for 150 ms,
+	// and the testbed itself may be late.
+	crossingWindow = 300 * time.Millisecond
+	// shortIdleCrossingWindow replaces crossingWindow for a connection that was idle for less than longIdle. A node with little
+	// capacity may close such a connection.
+	shortIdleCrossingWindow = 50 * time.Millisecond
 )
 
-// send sends a request, also a few times if nodes do not read it, and counts its result.
+// send sends a request and counts its result. As long as no node can be reached or has read the request, send tries again, up
+// to maxAttempts times in all.
 func (c *Clients) send(r request) {
 	c.count(r, func(class *Class) { class.Scheduled++ })
 	for attempt := range maxAttempts {
 		if attempt > 0 {
-			r.id += "r" // every attempt has an id of its own
+			r.id += "r" // every attempt has its own request id
 		}
 		if c.attempt(r) {
 			return
@@ -36,8 +39,8 @@
 	c.count(r, func(class *Class) { class.Unsent++ })
 }
 
-// attempt sends a request once and counts its result. It is false, with nothing counted, where the node never read the
-// request, which may then be sent again.
+// attempt sends a request once and counts its result. It returns false, and counts nothing, if the node may never have read
+// the request. Such a request may be sent again.
 func (c *Clients) attempt(r request) (isFinal bool) {
 	node, ok := c.pickNode(r.Node)
 	if !ok {
@@ -56,7 +59,7 @@
 	sentAt := time.Now()
 	answer, err := conn.exchange(r.command(class), sentAt.Add(class.Deadline.D()+c.plan.Invariants.Grace.D()+readSlack))
 	if err != nil {
-		_ = conn.Close() // it has failed already
+		_ = conn.Close() // the connection has failed already
 		return c.connectionFailed(r, conn, sentAt, err)
 	}
 	if observer := c.options.Observer; observer != nil {
@@ -68,7 +71,8 @@
 	return true
 }
 
-// pickNode returns the node that the front gives a client: the one drawn, or the next one in use.
+// pickNode returns the node to which the front end connects a client: the drawn node or, if that is not in use, the next
+// node that is.
 func (c *Clients) pickNode(drawn int) (node int, ok bool) {
 	nodes := c.options.Nodes
 	for i := range nodes {
@@ -80,7 +84,8 @@
 	return 0, false
 }
 
-// countAnswer counts an answer with its latency, from when the request was due, and its service time, from when it was sent.
+// countAnswer counts an answer. The latency is measured from the due time of the request, and the service time from the time
+// at which the request was sent.
 func (c *Clients) countAnswer(r request, class scenario.Class, kind invariants.Final, latency, service time.Duration) {
 	c.count(r, func(result *Class) {
 		switch kind {
@@ -100,31 +105,31 @@
 	})
 }
 
-// longestCrossing returns how soon after a request its connection must have ended for the node perhaps not to have read it. What the
-// node did read shows in its own account at the end of a run.
-func longestCrossing(conn *connection, sentAt time.Time) time.Duration {
+// crossingWindowFor returns the longest time from a request to the end of its connection in which the node may not have read
+// the request. Requests that the node did read appear in the node's own counters at the end of a run.
+func crossingWindowFor(conn *connection, sentAt time.Time) time.Duration {
 	switch {
 	case conn.isStopping():
-		return racingClose
-	case conn.answeredAt.IsZero(): // new: nothing has ended between two requests
+		return crossingWindow
+	case conn.answeredAt.IsZero(): // a new connection cannot have been closed between two requests
 		return 0
-	case sentAt.Sub(conn.answeredAt) > racingIdle:
-		return racingClose
+	case sentAt.Sub(conn.answeredAt) > longIdle:
+		return crossingWindow
 	}
-	return crossingClose
+	return shortIdleCrossingWindow
 }
 
-// connectionFailed counts a request whose connection ended, or stayed silent, in place of an answer. It is false where the
-// node may not have read the request.
+// connectionFailed counts a request whose connection ended or timed out before an answer came. It returns false, and counts
+// no result, if the node may not have read the request.
 func (c *Clients) connectionFailed(r request, conn *connection, sentAt time.Time, err error) (isFinal bool) {
 	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() { // the invariants find the missing answer at the deadline
+	if errors.As(err, &timeout) && timeout.Timeout() { // the invariant checker finds the missing answer at the deadline
 		c.count(r, func(class *Class) { class.Unanswered++ })
 		return true
 	}
-	limit := longestCrossing(conn, sentAt)
+	limit := crossingWindowFor(conn, sentAt)
 	maybeUnread := time.Since(sentAt) <= limit
-	if maybeUnread && limit == crossingClose {
+	if maybeUnread && limit == shortIdleCrossingWindow {
 		c.mu.Lock()
 		c.crossed++
 		c.mu.Unlock()
--- a/internal/testbed/clients/tables.go
+++ b/internal/testbed/clients/tables.go
@@ -9,11 +9,11 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// barWidth is the length of the bar of the longest latency in the timeline, in characters.
+// barWidth is the length of the longest bar in the timeline, in characters. It stands for the longest latency.
 const barWidth = 40
 
-// WriteClasses writes a table of the results of all classes. Latency counts from when requests were due, service from when
-// they were sent.
+// WriteClasses writes a table of the results of all classes. Latency is measured from the time at which a request was due,
+// and service from the time at which the request was sent.
 func WriteClasses(out io.Writer, classes []Class) error {
 	table := tablewriter.NewWriter(out)
 	table.Header("class", "due", "served", "in objective", "rejected", "failed", "lost", "p50 ms", "p90 ms", "p99 ms", "max ms", "p99 of service")
@@ -27,7 +27,7 @@
 	return table.Render()
 }
 
-// Write writes the timeline of latencies and the figures of the generator.
+// Write writes the timeline of latencies, the figures of the generator and the reasons, if any, why the run is not valid.
 func (g Generator) Write(out io.Writer) error {
 	if err := g.writeTimeline(out); err != nil {
 		return err
