--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo plays a whole scenario: an emulated portal, real nodes as child processes, a light load, and a summary at the
-// end. Whichever way a run ends, it ends every process and closes every socket that it started.
+// Package demo runs a whole scenario: an emulated system, real nodes as child processes, a light load and a summary at the end.
+// However a run ends, it stops every process that it started and closes every socket that it opened.
 package demo
 
 import (
@@ -22,38 +22,39 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// Options say what is played and how.
+// Options says which plan is run and how.
 type Options struct {
 	Plan     *scenario.Plan
-	Program  string // path of the node's program; found or built where it is empty
-	Dir      string // directory for configurations and logs, which must exist
+	Program  string // path of the node's program; if empty, the program is found or built
+	Dir      string // existing directory for configurations and logs
 	Log      *slog.Logger
-	Out      io.Writer     // for the progress
-	Live     bool          // redraw a table in place, for an Out that is a terminal
-	Every    time.Duration // between two reports of the progress
-	Restarts int           // how often every node is restarted in turn during the load
+	Out      io.Writer     // receives the progress
+	Live     bool          // redraw a table in place, if Out is a terminal
+	Every    time.Duration // interval between two reports of the progress
+	Restarts int           // number of times that every node is restarted during the load, in turn
 	NodeArgs []string
-	Rollout  *Rollout // if set, the fleet goes to another release by its own agreement
-	// Disturb, if set, is called beside the load with the processes that are in use at a time. It returns when the context ends.
+	Rollout  *Rollout // if set, the nodes roll out another release among themselves
+	// Disturb, if set, runs concurrently with the load, for example to stop nodes. running returns the processes that are in use
+	// when it is called. Disturb must return when the context ends.
 	Disturb func(ctx context.Context, running func() []*nodes.Process)
 }
 
-// NodeResult is what the processes of a node used.
+// NodeResult holds the resources that the processes of a node used.
 type NodeResult struct {
 	Name, Zone string
 	nodes.Usage
 }
 
-// Result is the result of a run.
+// Result holds the results of a run.
 type Result struct {
 	Plan        *scenario.Plan
-	Interrupted bool // the context ended the run
+	Interrupted bool // the context ended before the run was complete
 	Classes     []clients.Class
 	Generator   clients.Generator
 	Summary     emulator.Summary
 	Nodes       []NodeResult
 	Elapsed     time.Duration
-	Failures    []error // of nodes that did not start or end as they should, or of the rollout
+	Failures    []error // failures to start or stop nodes, to roll out, or to answer requests
 	Rollout     *RolloutResult
 }
 
@@ -61,22 +62,22 @@
 func (r *Result) IsClean() bool { return len(r.Summary.Violations) == 0 && len(r.Failures) == 0 }
 
 const (
-	startTimeout = 20 * time.Second // for nodes to answer after their start
-	stopTimeout  = 15 * time.Second // for a node to end after SIGTERM
+	startTimeout = 20 * time.Second // time in which nodes must answer after their start
+	stopTimeout  = 15 * time.Second // time in which a node must exit after SIGTERM
 )
 
-// run is a scenario that is being played.
+// run is the state of one run of a scenario.
 type run struct {
 	options    Options
 	began      time.Time
 	program    string
 	emulator   *emulator.Emulator
-	faultProxy *faultproxy.Proxy // between the nodes of a rollout; nil without one
+	faultProxy *faultproxy.Proxy // carries the datagrams between the nodes in a rollout; nil without a rollout
 	instances  []*instance
-	rollout    *rollout // nil without one
+	rollout    *rollout // nil without a rollout
 }
 
-// Run plays a plan. When the context ends, it stops early and still returns the result so far.
+// Run runs a plan. If the context ends during the load, Run stops early and returns the result so far.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	r := &run{options: options, began: time.Now(), program: options.Program}
 	defer r.close()
@@ -94,7 +95,7 @@
 	return r.finish(ctx, load, failures), nil
 }
 
-// prepare finds the program, opens the sockets of the emulated portal and writes the nodes' configurations.
+// prepare finds the program, opens the sockets of the emulated system and writes the nodes' configurations.
 func (r *run) prepare(ctx context.Context) (err error) {
 	if r.program == "" {
 		if r.program, err = nodes.FindProgram(ctx, r.options.Dir); err != nil {
@@ -127,11 +128,11 @@
 	return nil
 }
 
-// close ends what prepare and startNodes started, also after an error.
+// close stops and closes everything that prepare and startNodes started, also after an error.
 func (r *run) close() {
 	for _, instance := range r.instances {
 		if process := instance.currentProcess(); process != nil {
-			_ = process.Stop(stopTimeout) // finish reports failures of an orderly end
+			_ = process.Stop(stopTimeout) // failures of a regular end are reported by finish
 		}
 	}
 	if r.emulator != nil {
@@ -142,7 +143,7 @@
 	}
 }
 
-// startNodes starts all nodes at once and waits until they answer.
+// startNodes starts all nodes concurrently and waits until they answer.
 func (r *run) startNodes(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -162,7 +163,7 @@
 	return starting.Wait()
 }
 
-// clientNodes are the nodes as clients see them.
+// clientNodes returns the nodes as clients see them.
 func (r *run) clientNodes() []clients.Node {
 	var clientNodes []clients.Node
 	for _, instance := range r.instances {
@@ -172,27 +173,28 @@
 	return clientNodes
 }
 
-// playLoad runs the load, beside it the progress and what the options do to the nodes, and waits for all of them.
+// playLoad runs the load. Concurrently, it shows the progress and runs the restarts, the rollout and Options.Disturb. It waits for
+// all of them.
 func (r *run) playLoad(ctx context.Context, load *clients.Clients) (failures []error) {
-	loadEnded := make(chan struct{}) // closed below
-	var beside sync.WaitGroup
-	beside.Go(func() { r.showProgress(load, loadEnded) })
+	loadEnded := make(chan struct{}) // closed after load.Run
+	var background sync.WaitGroup
+	background.Go(func() { r.showProgress(load, loadEnded) })
 	var restartErr, rolloutErr error
 	if r.options.Restarts > 0 {
-		beside.Go(func() { restartErr = r.restartNodes(ctx, loadEnded) })
+		background.Go(func() { restartErr = r.restartNodes(ctx, loadEnded) })
 	}
 	if r.rollout != nil {
-		beside.Go(func() { rolloutErr = r.rollout.rollOut(ctx, loadEnded) })
+		background.Go(func() { rolloutErr = r.rollout.rollOut(ctx, loadEnded) })
 	}
-	disturbance, endDisturbance := context.WithCancel(ctx)
-	defer endDisturbance()
+	disturbCtx, endDisturb := context.WithCancel(ctx)
+	defer endDisturb()
 	if r.options.Disturb != nil {
-		beside.Go(func() { r.options.Disturb(disturbance, r.runningProcesses) })
+		background.Go(func() { r.options.Disturb(disturbCtx, r.runningProcesses) })
 	}
 	load.Run(ctx)
-	endDisturbance()
+	endDisturb()
 	close(loadEnded)
-	beside.Wait()
+	background.Wait()
 	for _, err := range []error{restartErr, rolloutErr} {
 		if err != nil {
 			failures = append(failures, err)
@@ -201,7 +203,7 @@
 	return failures
 }
 
-// runningProcesses returns the present process of each instance that is in use.
+// runningProcesses returns the current process of each instance that is in use.
 func (r *run) runningProcesses() (processes []*nodes.Process) {
 	for _, instance := range r.instances {
 		if instance.isInUse.Load() {
@@ -221,12 +223,13 @@
 		result.Rollout = &r.rollout.result
 		result.Rollout.Datagrams, result.Rollout.Bytes = r.faultProxy.Carried()
 		if most, budget := result.Rollout.MostOut, r.options.Rollout.Budget; most > budget {
-			result.Failures = append(result.Failures, fmt.Errorf("%d nodes were out of service at once by agreement, the budget is %d", most, budget))
+			result.Failures = append(result.Failures, fmt.Errorf("the rollout took %d nodes out of service at the same time, the budget is %d", most, budget))
 		}
 	}
 	result.Failures = append(result.Failures, r.stopNodes()...)
 	result.Failures = append(result.Failures, r.checkConnectionEnds()...)
-	// A request that was sent in the last moment and not answered shows at its deadline, when its client has given it up.
+	// A request that was sent at the end of the load and not answered violates an invariant once its deadline has passed. Its
+	// client has waited until then, so advancing the checker to the current time finds the violation.
 	r.emulator.Do(func(now time.Duration, _ *model.System, check *invariants.Checker) { check.Advance(now) })
 	result.Classes, result.Generator = load.Classes(), load.Generator()
 	result.Failures = append(result.Failures, checkCrossings(load.Crossed(), result.Classes)...)
@@ -235,7 +238,7 @@
 	return result
 }
 
-// stopNodes stops all nodes at once.
+// stopNodes stops all nodes concurrently.
 func (r *run) stopNodes() (failures []error) {
 	var mu sync.Mutex
 	var stopping sync.WaitGroup
@@ -253,13 +256,13 @@
 	return failures
 }
 
-// maxRandomSeed bounds the seeds that RandomSeed draws, so that they are short to type.
+// maxRandomSeed bounds the seeds that RandomSeed returns, so that they are short to type.
 const maxRandomSeed = 1_000_000
 
-// RandomSeed returns a seed for a run that names none.
+// RandomSeed returns a seed for a run whose user did not choose one.
 func RandomSeed() uint64 { return uint64(time.Now().UnixNano()) % maxRandomSeed }
 
-// TempDir makes a directory for a run, which the caller removes.
+// TempDir makes a temporary directory for a run. The caller must remove it.
 func TempDir() (string, error) {
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
--- a/internal/testbed/demo/instance.go
+++ b/internal/testbed/demo/instance.go
@@ -13,31 +13,32 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// frontNoticeDelay is how long a front takes to notice that a node drains.
+// frontNoticeDelay is the time after which the emulated front end notices that a node drains and sends no more clients there.
 const frontNoticeDelay = 300 * time.Millisecond
 
 // instance is a node of the run. A restart replaces its process.
 type instance struct {
 	emulator.NodeConfig
-	isInUse atomic.Bool // the front hands out connections to it
+	isInUse atomic.Bool // the front end connects clients to the instance
 
 	mu      sync.Mutex
 	process *nodes.Process
 
-	// The goroutine that restarts or rolls the instance owns these; others read them once it has ended.
-	earlierCPU    time.Duration // processor time of the processes before the present one
-	drainingSince time.Time     // when it began to drain for the rollout; zero while it does not
+	// Only the goroutine that restarts the instance or rolls it out uses the fields below until it ends. Other goroutines read
+	// them after that.
+	earlierCPU    time.Duration // processor time of the processes before the current one
+	drainingSince time.Time     // when the instance began to drain for the rollout; zero while it does not drain
 }
 
-// currentProcess returns the present process; nil before the first start.
+// currentProcess returns the current process of the instance. It returns nil before the first start.
 func (in *instance) currentProcess() *nodes.Process {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.process
 }
 
-// start starts a process, waits until it answers and puts the instance in use. The process keeps to the limits on descriptors and,
-// if there is one, on its share of a processor.
+// start starts a process, waits until the process answers and puts the instance in use. The process is subject to the limit on
+// descriptors and, if the limits have one, to the limit on its share of a processor.
 func (in *instance) start(ctx context.Context, program string, args []string, limits scenario.Nodes) error {
 	process, err := nodes.Start(nodes.Command{Program: program, Args: args, Name: in.Name, Listen: in.Listen, Config: in.Path,
 		Sockets: limits.Sockets})
@@ -57,14 +58,15 @@
 	return nil
 }
 
-// usage returns what all processes of the instance used, with the memory and descriptors of the present one.
+// usage returns the processor time of all processes of the instance, with the memory and descriptors of the current process.
 func (in *instance) usage() nodes.Usage {
 	usage := in.currentProcess().Usage()
 	usage.CPU += in.earlierCPU
 	return usage
 }
 
-// restartNodes restarts every node in turn, evenly over the load. It returns early when the load ends.
+// restartNodes restarts every node in turn, Options.Restarts times, evenly spread over the load. It returns early if the load
+// ends.
 func (r *run) restartNodes(ctx context.Context, loadEnded <-chan struct{}) error {
 	interval := r.options.Plan.Length / time.Duration(r.options.Restarts*len(r.instances)+1)
 	for range r.options.Restarts {
@@ -82,10 +84,11 @@
 	return nil
 }
 
-// restart ends the process of an instance as an operator would, with the front noticing a moment later, and starts another.
+// restart ends the process of an instance by SIGTERM, as an operator does, and starts the next process. The front end notices
+// the end after frontNoticeDelay.
 func (r *run) restart(ctx context.Context, in *instance) error {
 	process := in.currentProcess()
-	_ = process.Signal(syscall.SIGTERM) // it fails if the process has ended, which Stop reports
+	_ = process.Signal(syscall.SIGTERM) // fails only if the process has ended, which Stop reports
 	time.Sleep(frontNoticeDelay)
 	in.isInUse.Store(false)
 	in.earlierCPU += process.Usage().CPU
@@ -95,7 +98,7 @@
 	return r.startNext(ctx, in, r.options.NodeArgs)
 }
 
-// startNext starts the next process of an instance whose last one has ended.
+// startNext starts the next process of an instance whose last process has ended.
 func (r *run) startNext(ctx context.Context, in *instance, args []string) error {
 	r.emulator.Report(func(_ time.Duration, check *invariants.Checker) { check.NodeRestarted(in.Number) })
 	if err := r.emulator.WriteConfig(in.NodeConfig); err != nil {
--- a/internal/testbed/demo/observer.go
+++ b/internal/testbed/demo/observer.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// observer passes on what clients see to the emulator's invariants. It implements clients.Observer.
+// observer reports what clients see to the emulator, which checks the invariants. It implements clients.Observer.
 type observer struct{ emulator *emulator.Emulator }
 
 // RequestSent implements clients.Observer.
@@ -19,8 +19,8 @@
 
 // RequestAnswered implements clients.Observer.
 func (o observer) RequestAnswered(id string, kind invariants.Final, value []byte) {
-	madeFor := wireformat.RequestOfValue(value)
-	o.emulator.Report(func(now time.Duration, check *invariants.Checker) { check.RequestAnswered(now, id, kind, madeFor) })
+	answeredID := wireformat.RequestOfValue(value)
+	o.emulator.Report(func(now time.Duration, check *invariants.Checker) { check.RequestAnswered(now, id, kind, answeredID) })
 }
 
 // ConnectionEnded implements clients.Observer.
--- a/internal/testbed/demo/owed.go
+++ b/internal/testbed/demo/owed.go
@@ -9,38 +9,39 @@
 	"shelfproxy/internal/testbed/clients"
 )
 
-// countersLine is what this package reads of the line that a node logs with its counters as it ends.
+// countersLine has the fields that this package reads from the line of counters that a node logs when it exits.
 type countersLine struct {
-	Event       string `json:"event"`
-	ClosedOwing int64  `json:"listener_closed_owing"`
+	Event            string `json:"event"`
+	ClosedUnanswered int64  `json:"listener_closed_owing"`
 }
 
-// requestsClosedUnanswered returns how many requests the processes of an instance had read and not answered as they ended the
-// connection, by their own account: clients can't tell these from requests that crossed the end of a connection unread.
+// requestsClosedUnanswered returns how many requests the processes of an instance had read and not answered when they closed
+// the connection. It reads the counters in the instance's log, because clients cannot distinguish these requests from unread
+// requests that crossed the end of a connection.
 func requestsClosedUnanswered(logPath string) (requests int64, err error) {
 	file, err := os.Open(logPath)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		var line countersLine
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Event == "counters" {
-			requests += line.ClosedOwing
+			requests += line.ClosedUnanswered
 		}
 	}
 	return requests, lines.Err()
 }
 
-// Bounds of the requests that cross the end of a connection that was hardly idle: it takes the moment between a node's look for unread
-// bytes and the end. A node that does not look has more.
+// Bounds of the requests that may cross the end of a connection that was idle only briefly. A request does so only if it arrives
+// after the node has checked for unread bytes and before the node closes the connection. A node that does not check has more.
 const (
 	maxCrossed     = 2
-	maxCrossedPart = 0.01 // of all requests
+	maxCrossedPart = 0.01 // fraction of all requests
 )
 
-// checkCrossings returns a failure if more requests crossed the ends of connections than such moments explain.
+// checkCrossings returns a failure if the number of requests that crossed the end of a connection exceeds both bounds.
 func checkCrossings(crossed int64, classes []clients.Class) []error {
 	requests := int64(0)
 	for i := range classes {
@@ -49,10 +50,10 @@
 	if crossed <= maxCrossed || float64(crossed) <= maxCrossedPart*float64(requests) {
 		return nil
 	}
-	return []error{fmt.Errorf("connections of clients ended under %d of %d requests", crossed, requests)}
+	return []error{fmt.Errorf("%d of %d requests crossed the end of a connection, more than allowed", crossed, requests)}
 }
 
-// checkConnectionEnds returns a failure for each instance that read requests and ended their connections without an answer.
+// checkConnectionEnds returns a failure for each instance that read requests and closed their connections without an answer.
 func (r *run) checkConnectionEnds() (failures []error) {
 	for _, instance := range r.instances {
 		process := instance.currentProcess()
--- a/internal/testbed/demo/owed_test.go
+++ b/internal/testbed/demo/owed_test.go
@@ -8,7 +8,8 @@
 	"shelfproxy/internal/testbed/clients"
 )
 
-// TestRequestsClosedUnansweredOfAllProcesses: an instance that was restarted has a line of counters of each process.
+// Guards against a count that covers only one process of an instance. The log of a restarted instance has a line of counters
+// for each of its processes.
 func TestRequestsClosedUnansweredOfAllProcesses(t *testing.T) {
 	const log = `{"event":"started","listener_closed_owing":9}
 {"event":"counters","listener_closed_owing":2}
@@ -24,7 +25,8 @@
 	}
 }
 
-// TestCrossingsAreBounded: a node that ends connections without a look for unread bytes is found.
+// Guards against a node that closes connections without a check for unread bytes. More requests than allowed then cross the
+// end of a connection, and the run must fail.
 func TestCrossingsAreBounded(t *testing.T) {
 	classes := []clients.Class{{Scheduled: 400}, {Scheduled: 100}}
 	for crossed, isFailure := range map[int64]bool{0: false, 2: false, 5: false, 6: true} {
--- a/internal/testbed/demo/progress.go
+++ b/internal/testbed/demo/progress.go
@@ -13,7 +13,7 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// progress is the state of a run at a moment.
+// progress is a snapshot of the state of a run.
 type progress struct {
 	now, length time.Duration
 	classes     []clients.Class
@@ -21,8 +21,8 @@
 	violations  int
 }
 
-// showProgress writes the state of the run now and then, until the load ends: as a table that is redrawn in place on a
-// terminal, and else as a line.
+// showProgress writes the state of the run at intervals of Options.Every until the load ends. If Options.Live is set, it
+// redraws a table in place; otherwise it writes one line each time.
 func (r *run) showProgress(load *clients.Clients, loadEnded <-chan struct{}) {
 	ticker := time.NewTicker(r.options.Every)
 	defer ticker.Stop()
@@ -48,7 +48,7 @@
 	}
 }
 
-// redraw replaces the lines that were drawn before and returns how many it drew.
+// redraw erases the lines that were drawn before, writes the new state and returns the number of lines that it wrote.
 func (p progress) redraw(out io.Writer, linesDrawn int) int {
 	eraseLines := ""
 	if linesDrawn > 0 {
--- a/internal/testbed/demo/rollout.go
+++ b/internal/testbed/demo/rollout.go
@@ -18,40 +18,41 @@
 	"shelfproxy/internal/testbed/faultproxy"
 )
 
-// Rollout has the whole fleet go to another release by its own agreement, under the load, while the datagrams between its
-// nodes meet faults.
+// Rollout describes a rollout under load: the nodes agree among themselves which of them restart with another release at a
+// time, while faults affect the datagrams between them.
 type Rollout struct {
-	Budget int // nodes that may be out of service at once
+	Budget int // number of nodes that may be out of service at the same time
 	Faults faultproxy.Faults
-	Stall  time.Duration // how long the first node that may drain is stopped at that moment
-	After  time.Duration // when the release is ordered, from the start of the load
+	Stall  time.Duration // how long the first node that drains is paused by SIGSTOP; 0 pauses no node
+	After  time.Duration // time from the start of the load to the order of the release
 }
 
 // RolloutResult is the result of a rollout.
 type RolloutResult struct {
-	MostOut   int           // highest number of nodes out of service at once by agreement
-	Elapsed   time.Duration // from the order until every node ran the next release and was ready
-	Done      int           // nodes that run the next release and are ready
-	Slowest   time.Duration // longest time that a node was out of service
-	Datagrams int           // between the nodes
-	Bytes     int           // of these datagrams
-	WasHalted bool          // a node has halted the rollout
+	MostOut   int           // highest number of nodes that the rollout took out of service at the same time
+	Elapsed   time.Duration // time from the order until every node ran the next release and was ready
+	Done      int           // number of nodes that run the next release and are ready
+	Slowest   time.Duration // longest time for which a node was out of service
+	Datagrams int           // number of datagrams between the nodes
+	Bytes     int           // total size of these datagrams
+	WasHalted bool          // whether a node halted the rollout
 }
 
-// Releases of a rollout.
+// Releases before and after the rollout.
 const (
 	releaseBefore = "r1"
 	releaseAfter  = "r2"
 )
 
 const (
-	rolloutPoll = 5 * time.Millisecond // between two looks at the nodes
-	// rolloutSlack is how much longer than the load a rollout may take, for busy machines.
+	rolloutPoll = 5 * time.Millisecond // interval between two checks of the nodes
+	// rolloutSlack is how much longer than the load a rollout may take, because the machine may be busy.
 	rolloutSlack       = time.Minute
-	controlCallTimeout = time.Second // of an operator's call
+	controlCallTimeout = time.Second // timeout of a call to a node's control socket
 )
 
-// operatorFile is the operators' file of a node, with the budget, the release and the path of its control socket.
+// operatorFile is the format of a node's operators' file. Its operands are the budget, the release and the path of the control
+// socket.
 const operatorFile = `[log]
 level = "debug"
 [rollout]
@@ -65,20 +66,21 @@
 least_judged = 50
 `
 
-// rollout orders a release, and follows the nodes and restarts them as their supervisor would. One goroutine runs it.
+// rollout orders a release, follows the logs of the nodes, and restarts drained nodes as their supervisor would. Only one
+// goroutine uses it.
 type rollout struct {
 	*run
-	nodes     []rolloutNode // by the number of the instance
-	orderedAt time.Time     // zero before the order
-	isStalled bool          // the stall of the options has happened
+	nodes     []rolloutNode // by instance number
+	orderedAt time.Time     // when the release was ordered; zero before
+	isStalled bool          // whether a node was already paused for Rollout.Stall
 	result    RolloutResult
 }
 
 // rolloutNode is the state of a node in a rollout.
 type rolloutNode struct {
-	release   string    // that its process was started with
-	outSince  time.Time // when it went out of service; zero while it is in service
-	logOffset int64     // bytes of its log that were read
+	release   string    // release with which the node's process was started
+	outSince  time.Time // when the node went out of service; zero while it is in service
+	logOffset int64     // number of bytes of the node's log that were read
 }
 
 func (n *rolloutNode) isOut() bool { return !n.outSince.IsZero() }
@@ -95,15 +97,15 @@
 	return filepath.Join(ro.options.Dir, fmt.Sprintf("n%d.ctl", node))
 }
 
-// nodeArgs writes a node's operators' file for a release and returns the arguments that name it.
+// nodeArgs writes a node's operators' file for a release and returns the node's arguments, which include the path of the file.
 func (ro *rollout) nodeArgs(node int, release string) ([]string, error) {
 	path := filepath.Join(ro.options.Dir, fmt.Sprintf("n%d.toml", node))
 	content := fmt.Sprintf(operatorFile, ro.options.Rollout.Budget, release, ro.controlSocket(node))
 	return append([]string{"--file", path}, ro.options.NodeArgs...), os.WriteFile(path, []byte(content), 0o600)
 }
 
-// rollOut orders the release and follows the nodes until all are ready on it. It is an error if they are not some time after the
-// load has ended.
+// rollOut orders the release and follows the nodes until all of them run the release and are ready. It fails if that takes
+// longer than rolloutSlack after the end of the load.
 func (ro *rollout) rollOut(ctx context.Context, loadEnded <-chan struct{}) error {
 	select {
 	case <-time.After(ro.options.Rollout.After):
@@ -131,7 +133,8 @@
 	}
 }
 
-// step orders the release once all nodes are ready, and follows every node.
+// step orders the release once all nodes are ready. It reads the new log entries of every node and restarts the nodes that have
+// drained and exited.
 func (ro *rollout) step(ctx context.Context) error {
 	if ro.orderedAt.IsZero() && ro.readyNodes(ctx, 0) == len(ro.instances) {
 		if err := ro.order(ctx); err != nil {
@@ -158,7 +161,7 @@
 	return nil
 }
 
-// countNodes updates the numbers of nodes that are out of service and done.
+// countNodes updates the number of nodes that are done and the highest number of nodes out of service.
 func (ro *rollout) countNodes() {
 	out := 0
 	ro.result.Done = 0
@@ -177,14 +180,14 @@
 	return ro.result.Done == len(ro.instances) && !ro.orderedAt.IsZero()
 }
 
-// Events of a node's log, as they are written there.
+// Events in a node's log, in the form in which they are written.
 const (
 	eventDrains = `"event":"rollout_leaves"`
-	eventReady  = `"event":"rollout_fit","node":%d,` // of the node with this number
+	eventReady  = `"event":"rollout_fit","node":%d,` // logged when node %d is ready
 	eventHalted = `"event":"rollout_halted"`
 )
 
-// readLog follows the rollout in what a node has logged since the last call.
+// readLog reads the log entries of a node since the last call and updates the state of the rollout.
 func (ro *rollout) readLog(node int) error {
 	ready := fmt.Sprintf(eventReady, node)
 	state := &ro.nodes[node]
@@ -204,13 +207,13 @@
 	return nil
 }
 
-// newLogEntries returns the complete lines that a node's log has gained.
+// newLogEntries returns the complete lines that were added to a node's log since the last call.
 func (ro *rollout) newLogEntries(node int) (entries []string) {
 	file, err := os.Open(ro.instances[node].currentProcess().LogPath)
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	if _, err := file.Seek(ro.nodes[node].logOffset, io.SeekStart); err != nil {
 		return nil
 	}
@@ -218,14 +221,14 @@
 	for {
 		entry, err := reader.ReadString('\n')
 		if err != nil {
-			return entries // an incomplete line is read the next time
+			return entries // the next call reads an incomplete line again
 		}
 		ro.nodes[node].logOffset += int64(len(entry))
 		entries = append(entries, entry)
 	}
 }
 
-// nodeDrains records that a node drains, and stops the first one for the stall of the options.
+// nodeDrains records that a node drains. It pauses the first node that drains for Rollout.Stall.
 func (ro *rollout) nodeDrains(node int) error {
 	instance := ro.instances[node]
 	process := instance.currentProcess()
@@ -240,12 +243,12 @@
 		return fmt.Errorf("stall node %d: %w", node, err)
 	}
 	time.AfterFunc(ro.options.Rollout.Stall, func() {
-		_ = process.Signal(syscall.SIGCONT) // it fails if the process has ended, which step notices
+		_ = process.Signal(syscall.SIGCONT) // fails only if the process has ended, which step notices
 	})
 	return nil
 }
 
-// startNextRelease starts the next process of a node that has drained and ended.
+// startNextRelease starts a process of the next release for a node that has drained and exited.
 func (ro *rollout) startNextRelease(ctx context.Context, node int) error {
 	instance := ro.instances[node]
 	process := instance.currentProcess()
@@ -262,8 +265,8 @@
 	return ro.startNext(ctx, instance, args)
 }
 
-// callControl makes an operator's call at the control socket of a node and decodes its answer. The end of the context does
-// not cancel it: a run that is interrupted still finishes its calls.
+// callControl sends a request to the control socket of a node, as an operator does, and decodes the answer. The end of the
+// context does not cancel the request: a run that is interrupted still finishes its calls.
 func (ro *rollout) callControl(ctx context.Context, node int, method, path string, answer any) error {
 	client := http.Client{Timeout: controlCallTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -277,14 +280,14 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // the body was only read
 	if response.StatusCode != http.StatusOK {
 		return errors.New(response.Status)
 	}
 	return json.NewDecoder(response.Body).Decode(answer)
 }
 
-// readyNodes returns how many nodes are ready as far as a node knows; 0 if that node does not answer.
+// readyNodes asks a node how many nodes of the fleet are ready. It returns 0 if the node does not answer.
 func (ro *rollout) readyNodes(ctx context.Context, node int) int {
 	var status struct {
 		Ready int `json:"fit"`
--- a/internal/testbed/demo/summary.go
+++ b/internal/testbed/demo/summary.go
@@ -43,7 +43,7 @@
 	return table.Render()
 }
 
-// writeTestbed writes what requests cost the nodes, and how far the testbed itself kept its schedule.
+// writeTestbed writes the cost of requests on the nodes, and how late the testbed itself was against its schedule.
 func (r *Result) writeTestbed(out io.Writer) {
 	cpu := time.Duration(0)
 	for _, node := range r.Nodes {
@@ -63,7 +63,8 @@
 		r.Done, nodes, r.Elapsed.Seconds(), r.MostOut, r.Slowest.Seconds(), r.Datagrams, r.Bytes, r.WasHalted)
 }
 
-// writeVerdict writes what makes the run invalid or unclean, and one line whether it is clean.
+// writeVerdict writes the reasons why the run is invalid, the failures and violations, and a last line that says whether the
+// run is clean.
 func (r *Result) writeVerdict(out io.Writer) {
 	for _, reason := range r.Generator.Invalid() {
 		fmt.Fprintln(out, "the latencies are not to be believed:", reason)
--- a/internal/testbed/loadrunner/loadrunner.go
+++ b/internal/testbed/loadrunner/loadrunner.go
@@ -1,5 +1,5 @@
-// Package loadrunner sends the load of a plan, or of a trace in its place, to nodes that run already, and may record what it
-// sends as a trace.
+// Package loadrunner sends the load of a plan, or the requests of a trace instead, to nodes that are already running. It can
+// record the requests that it sends as a trace.
 package loadrunner
 
 import (
@@ -13,27 +13,27 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// Options say what is sent where.
+// Options says which requests are sent, and to which nodes.
 type Options struct {
-	Plan        *scenario.Plan // which Run changes: the nodes share the load evenly
-	Addresses   []string       // of the nodes
-	Rate        float64        // steady rate in requests a second, if above 0, in place of the plan's
-	ClosedLoop  int            // if above 0, the number of clients of a closed loop that is run instead of an open one
-	RecordPath  string         // if set, a new file for a trace of the requests
-	RecordFrom  string         // where that trace says that it comes from
-	ReplayPath  string         // if set, a trace whose requests are sent in place of the plan's
-	ReplaySpeed float64        // of the replay; 2 is twice as fast
-	// OnReplayError, if set, is called with the error that ends a replay before the end of its trace.
+	Plan        *scenario.Plan // plan of the load; Run changes it so that the nodes share the load evenly
+	Addresses   []string       // addresses of the nodes
+	Rate        float64        // if above 0, the steady rate in requests per second that replaces the plan's
+	ClosedLoop  int            // if above 0, the number of clients of a closed loop, which replaces the open loop
+	RecordPath  string         // if set, path of a new file to which the requests are recorded as a trace
+	RecordFrom  string         // text in the recorded trace that says where the trace comes from
+	ReplayPath  string         // if set, path of a trace whose requests are sent instead of the plan's
+	ReplaySpeed float64        // speed of the replay; 2 is twice as fast
+	// OnReplayError, if set, is called with the error that ends a replay before the end of the trace.
 	OnReplayError func(error)
 }
 
-// Result is the result of a load.
+// Result holds the results of a load.
 type Result struct {
 	Classes   []clients.Class
 	Generator clients.Generator
 }
 
-// Run sends the load until its end or that of the context. An error says that a trace could not be read or recorded.
+// Run sends the load until the load or the context ends. It returns an error if a trace cannot be opened or recorded.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	plan := options.Plan
 	if options.Rate > 0 {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = reader.Close() }() // it was only read
+		defer func() { _ = reader.Close() }() // the file was only read
 		clientOptions.Source = replay.Next
 	}
 	var recordErr error
@@ -75,7 +75,7 @@
 	}
 	replay, err := trace.NewReplay(reader, classNames(options.Plan), len(options.Addresses), options.ReplaySpeed)
 	if err != nil {
-		_ = reader.Close() // it was only read
+		_ = reader.Close() // the file was only read
 		return nil, nil, err
 	}
 	replay.OnError = options.OnReplayError
