--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy stands between the nodes of a fleet and does to their datagrams what networks do: it drops, delays,
-// duplicates, corrupts and reorders them, and partitions nodes from each other. Each node sees every other one under an
-// address of that pair alone, as on the platform, so no datagram gets past the proxy.
+// Package faultproxy forwards the datagrams between the nodes of a fleet and emulates network faults: it drops, delays,
+// duplicates, corrupts and reorders datagrams, and partitions nodes from each other. As on the platform, each node reaches
+// every other node at an address that only this pair of nodes uses, so no datagram bypasses the proxy.
 package faultproxy
 
 import (
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// Faults are the faults of the network; the zero value is a network without any. Each of the first three is the
-// probability, from 0 to 1, that it happens to a datagram.
+// Faults describes the faults of the network; the zero value is a network without faults. Dropped, Duplicated and Corrupted
+// are probabilities, from 0 to 1, that this happens to a datagram.
 type Faults struct {
 	Dropped, Duplicated, Corrupted float64
-	Delay                          time.Duration // upper bound of a random delay, by which datagrams overtake each other
+	Delay                          time.Duration // upper bound of a random delay of each datagram, which also reorders datagrams
 }
 
 // Proxy forwards datagrams until it is closed. It is safe for concurrent use.
 type Proxy struct {
 	faults  Faults
-	sockets [][]*net.UDPConn // by the node that sends to the address, and the node that it stands for; see open
-	nodes   []*net.UDPAddr   // where the nodes listen
+	sockets [][]*net.UDPConn // by sending node, and by the node that the socket's address stands for; see open
+	nodes   []*net.UDPAddr   // addresses at which the nodes listen
 
 	mu            sync.Mutex
 	random        *rand.Rand
@@ -32,26 +32,26 @@
 	bytes         int
 }
 
-// direction is what one node sends to another.
+// direction identifies the datagrams that one node sends to another, by the numbers of the nodes.
 type direction struct{ from, to int }
 
 const (
-	// nodePort is the port at which nodes listen. Each has an IP address of its own.
+	// nodePort is the port at which all nodes listen. Each node has an IP address of its own.
 	nodePort = 7946
-	// maxNodes is the number of nodes that a part 127.x.0.0/16 of the loopback network has room for.
+	// maxNodes is the number of nodes for which a network 127.x.0.0/16 has enough addresses.
 	maxNodes = 250
-	// broadcastHost is the last byte of the address from which a node reaches all others.
+	// broadcastHost is the last byte of the address at which a node reaches all other nodes.
 	broadcastHost = 254
-	// maxDatagram is the size of the largest datagram that is forwarded whole, in bytes.
+	// maxDatagram is the maximum size of a datagram, in bytes. Longer datagrams are truncated.
 	maxDatagram = 2048
-	// bindAttempts is how many parts of the loopback network are tried before New fails.
+	// bindAttempts is the number of networks 127.x.0.0/16 that New tries before it fails.
 	bindAttempts = 20
-	// firstNetwork and numNetworks are the second bytes of the parts from which one is drawn.
+	// firstNetwork and numNetworks define the range from which New draws the x of 127.x.0.0/16.
 	firstNetwork, numNetworks = 64, 150
 )
 
-// New opens the addresses between nodes, 250 at most, in a part of 127.0.0.0/8 that nobody else uses. The seed decides
-// which datagrams the faults hit, as far as the order in which they arrive allows. Close ends it.
+// New starts a proxy between the given number of nodes, at most 250, in an unused part of 127.0.0.0/8. The seed and the
+// order in which datagrams arrive decide which datagrams the faults affect. Close stops the proxy.
 func New(nodes int, faults Faults, seed uint64) (*Proxy, error) {
 	if nodes < 1 || nodes > maxNodes {
 		return nil, fmt.Errorf("fault proxy: %d nodes, must be from 1 to %d", nodes, maxNodes)
@@ -69,7 +69,7 @@
 }
 
 // open binds the addresses of all pairs of nodes in 127.network.0.0/16. Node i listens at 127.network.i+1.i+1 and sends
-// to node j at 127.network.i+1.j+1. The socket of a node with itself is the one by which it reaches all others.
+// to node j at 127.network.i+1.j+1. The socket of a node to itself is the address at which it reaches all other nodes.
 func (p *Proxy) open(nodes int, network byte) error {
 	address := func(node, host int) *net.UDPAddr {
 		return &net.UDPAddr{IP: net.IPv4(127, network, byte(node+1), byte(host)), Port: nodePort}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// start begins to forward, with one goroutine for each socket. A goroutine ends when Close closes its socket.
+// start starts to forward datagrams, with one goroutine for each socket. A goroutine ends when Close closes its socket.
 func (p *Proxy) start() {
 	for i := range p.nodes {
 		for j := range p.nodes {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Addresses returns what a node is configured with: where it listens, the addresses of all nodes in their order, its own
-// among them, and the address by which it reaches all others.
+// Addresses returns the addresses for the configuration of a node: the address at which it listens, the addresses of all
+// nodes by node number, including its own, and the address at which it reaches all other nodes.
 func (p *Proxy) Addresses(node int) (listen string, peers []string, all string) {
 	for peer, socket := range p.sockets[node] {
 		if peer == node {
@@ -114,7 +114,8 @@
 	return p.nodes[node].String(), peers, p.sockets[node][node].LocalAddr().String()
 }
 
-// forwardFrom forwards what a node sends to another one, or to all others if they are the same.
+// forwardFrom forwards the datagrams that a node sends to another node. If from and to are equal, it forwards the datagrams
+// to all other nodes.
 func (p *Proxy) forwardFrom(from, to int) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -134,20 +135,20 @@
 	}
 }
 
-// forward delivers a datagram as the faults have it.
+// forward delivers a datagram, after the faults that are drawn for it.
 func (p *Proxy) forward(path direction, datagram []byte) {
-	data := slices.Clone(datagram) // the caller reuses its buffer before the delay has passed
+	data := slices.Clone(datagram) // the caller reuses the buffer before the delay has passed
 	copies, delay := p.drawFaults(path, data)
 	for range copies {
 		time.AfterFunc(delay, func() {
-			// The node sees the address that stands for the sender. A node that is not running can't be reached, and
-			// datagrams may be lost.
+			// The receiver sees the address that stands for the sender. Errors are ignored: a node that is not running
+			// cannot be reached, and datagrams may be lost.
 			_, _ = p.sockets[path.to][path.from].WriteToUDP(data, p.nodes[path.to])
 		})
 	}
 }
 
-// drawFaults counts a datagram and draws the faults that hit it. It may corrupt the data.
+// drawFaults counts a datagram and draws the faults that affect it. It may corrupt the data.
 func (p *Proxy) drawFaults(path direction, data []byte) (copies int, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +169,7 @@
 	return copies, delay
 }
 
-// Split partitions the first nodes from the others, in both directions; 0 ends all partitions.
+// Split partitions the first nodes from the other nodes, in both directions. A number of 0 ends all partitions.
 func (p *Proxy) Split(nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,7 +180,7 @@
 	}
 }
 
-// Isolate partitions a node from all others, in both directions, or ends its partitions.
+// Isolate partitions a node from all other nodes, in both directions. If isIsolated is false, it ends these partitions.
 func (p *Proxy) Isolate(node int, isIsolated bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,19 +190,20 @@
 	}
 }
 
-// Carried returns how many datagrams arrived so far, and their bytes. One to all nodes counts once for each receiver.
+// Carried returns how many datagrams the proxy received so far, and their total size in bytes. A datagram to all nodes counts
+// once for each receiver.
 func (p *Proxy) Carried() (datagrams, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.datagrams, p.bytes
 }
 
-// Close closes all addresses. Datagrams that are still delayed are lost.
+// Close closes all sockets. Datagrams whose delay has not passed are lost.
 func (p *Proxy) Close() {
 	for _, row := range p.sockets {
 		for _, socket := range row {
 			if socket != nil {
-				_ = socket.Close() // a second call finds it closed
+				_ = socket.Close() // fails only if Close was called before
 			}
 		}
 	}
--- a/internal/testbed/faultproxy/proxy_test.go
+++ b/internal/testbed/faultproxy/proxy_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// receiveTimeout only bounds how long a failing test takes.
+	// receiveTimeout bounds the wait for a datagram, and so the duration of a test that fails.
 	receiveTimeout = 10 * time.Second
-	// silence is how long a test waits for what must not arrive.
-	silence = 100 * time.Millisecond
+	// noDatagramWait is the time in which no datagram may arrive if a test expects none.
+	noDatagramWait = 100 * time.Millisecond
 )
 
-// testNode is a node at its address behind a proxy.
+// testNode is the socket of a node behind a proxy, with the addresses that it sends to.
 type testNode struct {
 	*net.UDPConn
 	peers []string
@@ -61,7 +61,7 @@
 	}
 }
 
-// receive returns the next datagram and its sender; "" is none within the timeout.
+// receive returns the next datagram and the address of its sender. It returns "" if none arrives within the timeout.
 func (n testNode) receive(t *testing.T, timeout time.Duration) (text, from string) {
 	t.Helper()
 	if err := n.SetReadDeadline(time.Now().Add(timeout)); err != nil {
@@ -87,7 +87,7 @@
 
 func (n testNode) wantNothing(t *testing.T) {
 	t.Helper()
-	if text, from := n.receive(t, silence); text != "" {
+	if text, from := n.receive(t, noDatagramWait); text != "" {
 		t.Errorf("received %q from %s, want nothing", text, from)
 	}
 }
--- a/internal/testbed/overhead/client.go
+++ b/internal/testbed/overhead/client.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	keys              = 512 // that clients ask for in turn
+	keys              = 512 // number of keys that each client requests in turn
 	maxLatency        = time.Minute
 	significantDigits = 3
 )
@@ -24,15 +24,15 @@
 	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
-// client sends requests one after another over one connection.
+// client sends requests over one connection, one at a time.
 type client struct {
-	id       string // prefix of its requests' ids
+	id       string // prefix of the request ids
 	requests int64
 	latency  *hdrhistogram.Histogram
 }
 
-// sendRequests sends requests from several clients in a closed loop: the question is what a request costs, not how a queue
-// grows. It returns the number of requests and their latencies.
+// sendRequests sends requests from several clients in a closed loop, because it measures the cost of a request and not the
+// growth of a queue. It returns the number of requests and their latencies.
 func sendRequests(ctx context.Context, address string, clients int, span time.Duration, tag string) (int64, *hdrhistogram.Histogram, error) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -56,7 +56,7 @@
 	return requests, latency, firstErr
 }
 
-// run sends requests until the end or that of the context.
+// run sends requests until the time end or the end of the context.
 func (c *client) run(ctx context.Context, address string, end time.Time) error {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// readValue reads a value, alone as a node answers or first in an array of three as a cache server does.
+// readValue reads a value. A node answers with the value alone, and a cache server with an array of three elements that starts
+// with the value.
 func readValue(reader *bufio.Reader) error {
 	header, err := reader.ReadString('\n')
 	if err != nil {
@@ -93,14 +94,14 @@
 	}
 	moreElements := 0
 	if header == "*3\r\n" {
-		moreElements = 2 // "hit", and no load report
+		moreElements = 2 // "hit" and a nil load report
 		if header, err = reader.ReadString('\n'); err != nil {
 			return err
 		}
 	}
 	var size int
 	if _, err := fmt.Sscanf(header, "$%d", &size); err != nil || size < 0 {
-		return fmt.Errorf("answer %q", strings.TrimSpace(header))
+		return fmt.Errorf("unexpected answer %q", strings.TrimSpace(header))
 	}
 	if _, err := reader.Discard(size + len("\r\n")); err != nil {
 		return err
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// skipElement reads a bulk string of one line, or a nil one.
+// skipElement reads and drops a nil, or a bulk string that is one line long.
 func skipElement(reader *bufio.Reader) error {
 	header, err := reader.ReadString('\n')
 	if err == nil && header[0] == '$' && header != "$-1\r\n" {
--- a/internal/testbed/overhead/config.go
+++ b/internal/testbed/overhead/config.go
@@ -8,7 +8,8 @@
 
 type object = map[string]any
 
-// writeNodeConfig writes the configuration of a node that knows one cache server, from the list that it has from the start.
+// writeNodeConfig writes the configuration of a node. The node knows one cache server from the initial endpoint list in the
+// configuration.
 func writeNodeConfig(path, listen, cacheServer string) error {
 	text, err := json.Marshal(object{"name": "overhead", "listen": listen, "discovery": "127.0.0.1:1", "seed": "1",
 		"limits": object{"cores": 1.0, "memory_mb": 192, "sockets": 4096},
--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -1,7 +1,7 @@
-// Package overhead measures what a node costs: the same clients send requests to a cache server straight, through a program
-// that only copies bytes both ways, and through a node, in turns within one run. Each of the three is a process of its own,
-// so that its processor time can be read. Ratios to the copying program compare builds and machines; the figures alone do
-// not.
+// Package overhead measures the cost of a node. The same clients send requests to a cache server on three paths, in turn
+// within one run: directly, through a program that only copies bytes, and through a node. The cache server, the copying
+// program and the node are separate processes, so that their processor time can be read. Ratios to the copying program can
+// be compared between builds and machines; absolute figures cannot.
 package overhead
 
 import (
@@ -17,62 +17,62 @@
 	"shelfproxy/internal/testbed/nodes"
 )
 
-// Options say how to measure.
+// Options says how to measure.
 type Options struct {
-	Self      string        // path of the program that runs CacheServerVerb and CopyVerb
+	Self      string        // path of the program that implements CacheServerVerb and CopyVerb
 	Node      string        // path of the node's program
-	Dir       string        // directory for configurations and logs, which must exist
-	Clients   int           // that send requests at a time
-	Rounds    int           // after one to warm up
-	Span      time.Duration // length of a path in a round
-	ValueSize int           // bytes of a value
+	Dir       string        // existing directory for configurations and logs
+	Clients   int           // number of clients that send requests concurrently
+	Rounds    int           // number of measured rounds, after one round to warm up
+	Span      time.Duration // duration of the load on each path in a round
+	ValueSize int           // size of a value, in bytes
 }
 
-// Verbs with which Options.Self is started, each with two arguments.
+// Subcommands with which Options.Self is started, each with two arguments.
 const (
-	CacheServerVerb = "overhead-box"    // arguments of ServeCache: its address and the size of values
-	CopyVerb        = "overhead-splice" // arguments of ServeCopy: its address and that of the cache server
+	CacheServerVerb = "overhead-box"    // runs ServeCache; arguments: listen address and size of values
+	CopyVerb        = "overhead-splice" // runs ServeCopy; arguments: listen address and address of the cache server
 )
 
-// Paths of a request to the cache server, by their numbers.
+// Paths that a request can take to the cache server.
 const (
-	pathStraight = iota
+	pathDirect = iota
 	pathCopy
 	pathNode
 	numPaths
 )
 
 // Ways are the names of the paths that requests take to the cache server, in the order of the results.
-var Ways = [numPaths]string{pathStraight: "straight", pathCopy: "splice", pathNode: "node"}
+var Ways = [numPaths]string{pathDirect: "straight", pathCopy: "splice", pathNode: "node"}
 
 const (
-	startTimeout = 20 * time.Second // for a process to answer after its start
-	stopTimeout  = 10 * time.Second // for a process to end after SIGTERM
+	startTimeout = 20 * time.Second // time in which a process must answer after its start
+	stopTimeout  = 10 * time.Second // time in which a process must exit after SIGTERM
 )
 
-// Result is the result of a path, over all rounds.
+// Result holds the results of a path over all measured rounds.
 type Result struct {
 	Way      string // name of the path
 	Requests int64
 	Elapsed  time.Duration
-	CPU      time.Duration           // processor time of the process on the path; 0 for the straight one
-	Memory   int64                   // highest resident bytes of that process
-	Latency  *hdrhistogram.Histogram // microseconds
+	CPU      time.Duration           // processor time of the process on the path; 0 for the direct path
+	Memory   int64                   // highest resident memory of the process on the path, in bytes
+	Latency  *hdrhistogram.Histogram // latencies in microseconds
 }
 
-// Rate returns the requests a second.
+// Rate returns the number of requests per second.
 func (r Result) Rate() float64 { return float64(r.Requests) / max(r.Elapsed.Seconds(), 1e-9) }
 
-// CPUPerRequest returns the processor time that a request took on the path.
+// CPUPerRequest returns the processor time per request of the process on the path.
 func (r Result) CPUPerRequest() time.Duration { return r.CPU / time.Duration(max(r.Requests, 1)) }
 
-// setup is the processes of a measurement, by path: at each path's address one process answers.
+// setup holds the process of each path and the address at which the process answers.
 type setup struct {
 	addresses [numPaths]string
 	processes [numPaths]*nodes.Process
 }
 
-// Run measures all paths, in turns, and stops the processes that it started.
+// Run starts the processes, measures all paths in turn and stops the processes.
 func Run(ctx context.Context, options Options) ([]Result, error) {
 	s, err := newSetup(ctx)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return s, nil
 }
 
-// freeAddress returns an address on loopback that was free a moment ago.
+// freeAddress returns a loopback address whose port was free when freeAddress looked for it. Another process may take it.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,13 +124,13 @@
 
 // start starts the cache server, the copying program and the node.
 func (s *setup) start(ctx context.Context, options Options) error {
-	cacheServer := s.addresses[pathStraight]
+	cacheServer := s.addresses[pathDirect]
 	nodeConfig := filepath.Join(options.Dir, "node.json")
 	if err := writeNodeConfig(nodeConfig, s.addresses[pathNode], cacheServer); err != nil {
 		return err
 	}
 	commands := [numPaths]nodes.Command{
-		pathStraight: {Program: options.Self, Name: "box", Config: filepath.Join(options.Dir, "box.json"),
+		pathDirect: {Program: options.Self, Name: "box", Config: filepath.Join(options.Dir, "box.json"),
 			Args: []string{CacheServerVerb, cacheServer, strconv.Itoa(options.ValueSize)}},
 		pathCopy: {Program: options.Self, Name: "splice", Config: filepath.Join(options.Dir, "splice.json"),
 			Args: []string{CopyVerb, s.addresses[pathCopy], cacheServer}},
@@ -150,12 +150,12 @@
 func (s *setup) stop() {
 	for _, process := range s.processes {
 		if process != nil {
-			_ = process.Stop(stopTimeout) // the measurement has its result
+			_ = process.Stop(stopTimeout) // an error no longer affects the result
 		}
 	}
 }
 
-// measure sends requests on a path for the span of the options.
+// measure sends requests on a path for Options.Span and returns the result.
 func (s *setup) measure(ctx context.Context, path int, options Options, tag string) (Result, error) {
 	before := s.processes[path].Usage()
 	began := time.Now()
@@ -167,14 +167,14 @@
 		return Result{}, ctx.Err()
 	}
 	result := Result{Requests: requests, Elapsed: time.Since(began), Latency: latency}
-	if path != pathStraight {
+	if path != pathDirect {
 		after := s.processes[path].Usage()
 		result.CPU, result.Memory = after.CPU-before.CPU, after.Memory
 	}
 	return result, nil
 }
 
-// add adds the result of a round.
+// add adds the result of a round to the total.
 func (r *Result) add(round Result) {
 	r.Requests += round.Requests
 	r.Elapsed += round.Elapsed
--- a/internal/testbed/overhead/servers.go
+++ b/internal/testbed/overhead/servers.go
@@ -13,14 +13,14 @@
 
 const copyBufferSize = 16 << 10
 
-// ServeCache serves as a cache server that has every key and answers at once, until the context ends.
+// ServeCache runs a cache server that has every key and answers immediately, until the context ends.
 func ServeCache(ctx context.Context, address string, valueSize int) error {
 	value := strings.Repeat("x", valueSize)
 	hit := fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", valueSize, value)
 	return serve(ctx, address, func(conn net.Conn) { answerAll(conn, hit) })
 }
 
-// answerAll answers the commands of a connection until it ends.
+// answerAll answers the commands of a connection until the connection ends.
 func answerAll(conn net.Conn, hit []byte) {
 	reader, writer := redcon.NewReader(conn), bufio.NewWriter(conn)
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// ServeCopy copies bytes between its clients and another address, until the context ends.
+// ServeCopy copies bytes in both directions between its clients and the address to, until the context ends.
 func ServeCopy(ctx context.Context, address, to string) error {
 	return serve(ctx, address, func(client net.Conn) {
 		server, err := (&net.Dialer{}).DialContext(ctx, "tcp", to)
@@ -49,7 +49,7 @@
 			return
 		}
 		defer func() { _ = server.Close() }()
-		go func() { // ends when the client's side ends, which serve closes
+		go func() { // ends when the client's connection ends, which serve closes
 			copyBytes(server, client)
 			_ = server.Close()
 		}()
@@ -57,13 +57,14 @@
 	})
 }
 
-// copyBytes copies through a buffer until either side ends. The kernel's own splice, which io.Copy would use, is no measure
-// for a program that reads what it passes on.
+// copyBytes copies through a buffer until either side ends. It avoids io.Copy, which would use the splice call of the kernel:
+// a program that never reads the bytes is no fair comparison for a node, which reads what it forwards.
 func copyBytes(to io.Writer, from io.Reader) {
 	_, _ = io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, copyBufferSize))
 }
 
-// serve calls handle in a goroutine for each connection, which it closes afterwards, until the context ends.
+// serve accepts connections until the context ends. It calls handle in a goroutine for each connection and then closes the
+// connection.
 func serve(ctx context.Context, address string, handle func(net.Conn)) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -78,7 +79,7 @@
 			}
 			return err
 		}
-		go func() { // ends with the connection, at the latest with the program
+		go func() { // ends when the connection ends, or when the program exits
 			defer func() { _ = conn.Close() }()
 			handle(conn)
 		}()
--- a/internal/testbed/overhead/table.go
+++ b/internal/testbed/overhead/table.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/testbed/clients"
 )
 
-// Write writes the results of Run as a table, with ratios to the program that copies bytes.
+// Write writes the results of Run as a table, with ratios to the program that only copies bytes.
 func Write(out io.Writer, results []Result) error {
 	table := tablewriter.NewWriter(out)
 	table.Header("way", "requests a second", "p50 ms", "p99 ms", "processor a request, us", "memory MB", "rate / splice", "p99 / splice", "processor / splice")
@@ -30,7 +30,7 @@
 	return table.Render()
 }
 
-// ratio formats a ratio; "-" where one of the figures is missing.
+// ratio formats value divided by base. It returns "-" if one of them is missing.
 func ratio(value, base float64) string {
 	if base <= 0 || value <= 0 {
 		return "-"
