--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -19,14 +19,14 @@
 const (
 	defaultScenario = "demo"
 
-	liveInterval   = 500 * time.Millisecond // between two reports of the progress on a terminal
-	reportInterval = 2 * time.Second        // between two of them elsewhere
+	liveInterval   = 500 * time.Millisecond // interval between two reports of the progress on a terminal
+	reportInterval = 2 * time.Second        // interval between two reports of the progress elsewhere
 
-	rolloutDelay = 20 * time.Millisecond // of the datagrams during a rollout
-	rolloutAfter = 2 * time.Second       // when the release is ordered, from the start of the load
+	rolloutDelay = 20 * time.Millisecond // upper bound of the random delay of datagrams during a rollout
+	rolloutAfter = 2 * time.Second       // time from the start of the load to the order of the release
 )
 
-// demoFlags are the flags of demo.
+// demoFlags are the flags of the command demo.
 type demoFlags struct {
 	scenarioFlags
 	program, dir string
@@ -37,17 +37,17 @@
 func (flags *demoFlags) add(cmd *cobra.Command) {
 	flags.scenarioFlags.add(cmd)
 	set := cmd.Flags()
-	set.StringVar(&flags.program, "node", "", "the node's program; by default the one beside this one, or else built")
+	set.StringVar(&flags.program, "node", "", "path of the node's program; by default the one next to this program or, if there is none, a new build")
 	set.StringVar(&flags.dir, "dir", "", "directory for configurations and logs; by default a temporary one")
-	set.IntVar(&flags.rollout.Budget, "roll", 0, "have the fleet go to another release by its own agreement, with this many nodes out of service at once")
-	set.Float64Var(&flags.rollout.Faults.Dropped, "roll-lost", 0, "part of the datagrams between nodes that is lost meanwhile, and the part that is duplicated")
-	set.DurationVar(&flags.rollout.Stall, "roll-stall", 0, "stop the first node that drains for this long, at that moment")
-	set.IntVar(&flags.restarts, "restarts", 0, "how often every node is restarted in turn")
+	set.IntVar(&flags.rollout.Budget, "roll", 0, "roll out another release, with at most this many nodes out of service at the same time")
+	set.Float64Var(&flags.rollout.Faults.Dropped, "roll-lost", 0, "fraction of the datagrams between nodes that are lost during the rollout; the same fraction is duplicated")
+	set.DurationVar(&flags.rollout.Stall, "roll-stall", 0, "pause the first node that drains for this long")
+	set.IntVar(&flags.restarts, "restarts", 0, "number of times that every node is restarted, in turn")
 }
 
 func demoCommand() *cobra.Command {
 	var flags demoFlags
-	cmd := &cobra.Command{Use: "demo [SCENARIO]", Short: "Play a whole scenario: emulated portal, real nodes, a light load and a summary",
+	cmd := &cobra.Command{Use: "demo [SCENARIO]", Short: "Run a whole scenario: emulated system, real nodes, a light load and a summary",
 		Example: "  testbed demo\n  testbed demo rush --seed 7\n  testbed demo calm --restarts 1 --node bin/shelfproxy\n" +
 			"  testbed demo roll --roll 4 --roll-lost 0.1",
 		Args: cobra.MaximumNArgs(1), ValidArgsFunction: completeScenario,
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// playDemo plays a scenario and prints its progress and its summary.
+// playDemo runs a scenario and prints its progress and its summary.
 func playDemo(ctx context.Context, out io.Writer, scenarioName string, flags *demoFlags) error {
 	plan, logging, err := flags.plan(scenarioName)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// runDir makes the directory of the flags, or a temporary one that remove removes where they have none.
+// runDir makes the directory at path. If path is empty, it makes a temporary directory, which remove deletes.
 func runDir(path string) (dir string, remove func(), err error) {
 	if path != "" {
 		return path, func() {}, os.MkdirAll(path, 0o755)
@@ -103,7 +103,7 @@
 	if dir, err = demo.TempDir(); err != nil {
 		return "", nil, err
 	}
-	return dir, func() { _ = os.RemoveAll(dir) }, nil // a directory that stays does no harm
+	return dir, func() { _ = os.RemoveAll(dir) }, nil // a directory that remains does no harm
 }
 
 func isTerminal(out io.Writer) bool {
@@ -111,7 +111,7 @@
 	return ok && term.IsTerminal(int(file.Fd()))
 }
 
-// rolloutOptions returns the rollout that the flags ask for; nil if they do not.
+// rolloutOptions returns the options of the rollout that the flags request, or nil if they request none.
 func (flags *demoFlags) rolloutOptions() *demo.Rollout {
 	if flags.rollout.Budget == 0 {
 		return nil
--- a/cmd/testbed/emulate.go
+++ b/cmd/testbed/emulate.go
@@ -16,7 +16,7 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// emulateFlags are the flags of emulate.
+// emulateFlags are the flags of the command emulate.
 type emulateFlags struct {
 	scenarioFlags
 	dir, summary, trace string
@@ -27,16 +27,16 @@
 	flags.scenarioFlags.add(cmd)
 	set := cmd.Flags()
 	set.StringVar(&flags.dir, "dir", "lab-run", "directory for the nodes' configurations")
-	set.IntVar(&flags.basePort, "base-port", 0, "node i listens at this port plus i, its discovery at 100 more; 0 takes free ports")
+	set.IntVar(&flags.basePort, "base-port", 0, "node i listens at this port plus i, its discovery service at this port plus 100 plus i; 0 uses free ports")
 	set.StringVar(&flags.summary, "summary", "", "write the summary of the run to this file, as JSON")
 	set.StringVar(&flags.trace, "trace", "", "write the model's event log to this file")
 }
 
 func emulateCommand() *cobra.Command {
 	var flags emulateFlags
-	cmd := &cobra.Command{Use: "emulate SCENARIO", Short: "Emulate the portal of a scenario until Ctrl-C, for nodes started by hand",
-		Long: "emulate plays the portal of a scenario until Ctrl-C or the end of --length, for nodes that are started by\n" +
-			"hand. It writes a configuration for each node to --dir; start one with LB_CONFIG=DIR/n0.json shelfproxy.",
+	cmd := &cobra.Command{Use: "emulate SCENARIO", Short: "Emulate the system of a scenario until Ctrl-C, for nodes that are started by hand",
+		Long: "emulate runs the emulated system of a scenario until Ctrl-C or the end of --length, for nodes that are\n" +
+			"started by hand. It writes a configuration for each node to --dir; start one with LB_CONFIG=DIR/n0.json shelfproxy.",
 		Example: "  testbed emulate deploy --dir run --base-port 7000\n  LB_CONFIG=run/n0.json shelfproxy",
 		Args:    cobra.ExactArgs(1), ValidArgsFunction: completeScenario,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// runEmulator runs the emulator until the context ends or the length of the flags is over.
+// runEmulator runs the emulator until the context ends or the time of --length is over.
 func runEmulator(ctx context.Context, out io.Writer, plan *scenario.Plan, logging logs.Options, flags *emulateFlags) (emulator.Summary, error) {
 	if err := os.MkdirAll(flags.dir, 0o755); err != nil {
 		return emulator.Summary{}, err
@@ -90,7 +90,8 @@
 	return emulation.Summary(), nil
 }
 
-// reportEmulation writes the summary to its file, if it has a path, and prints it. The error is that of a violation, if any.
+// reportEmulation prints the summary and, if path is not empty, writes it to a file. It returns an error if an invariant was
+// violated.
 func reportEmulation(out io.Writer, summary emulator.Summary, path string) error {
 	if path != "" {
 		if err := writeJSON(path, summary); err != nil {
--- a/cmd/testbed/eventlog.go
+++ b/cmd/testbed/eventlog.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// openTrace creates the file of --trace and returns the function that writes an entry of the event log to it; nil where the
-// path is empty. closeTrace closes the file.
+// openTrace creates the file of --trace. trace writes an entry of the event log to the file; it is nil if the path is empty.
+// closeTrace closes the file.
 func openTrace(path string) (trace func([]byte), closeTrace func(), err error) {
 	if path == "" {
 		return nil, func() {}, nil
@@ -19,7 +19,8 @@
 	return writeEntries(file), func() { _ = file.Close() }, nil
 }
 
-// writeEntries writes each entry as it comes. A log that cannot be written does not end the run.
+// writeEntries returns a function that writes each entry of the event log immediately. It ignores errors, so that a log that
+// cannot be written does not end the run.
 func writeEntries(out io.Writer) func([]byte) {
 	return func(entry []byte) { _, _ = out.Write(entry) }
 }
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -16,7 +16,7 @@
 	"shelfproxy/internal/testbed/loadrunner"
 )
 
-// loadFlags are the flags of load.
+// loadFlags are the flags of the command load.
 type loadFlags struct {
 	scenarioFlags
 	to             []string
@@ -29,11 +29,11 @@
 	flags.scenarioFlags.add(cmd)
 	set := cmd.Flags()
 	set.StringSliceVar(&flags.to, "to", nil, "addresses of the nodes, which share the load evenly")
-	set.IntVar(&flags.closed, "closed", 0, "send in a closed loop of this many clients instead")
-	set.Float64Var(&flags.rate, "rate", 0, "steady rate in requests a second, in place of the scenario's")
-	set.StringVar(&flags.record, "record", "", "write the requests to this new file, as a trace")
-	set.StringVar(&flags.replay, "replay", "", "send the requests of this trace in place of the scenario's; its classes must be the scenario's")
-	set.Float64Var(&flags.speed, "speed", 1, "replay a trace this many times as fast")
+	set.IntVar(&flags.closed, "closed", 0, "send the requests in a closed loop of this many clients; 0 sends them in an open loop")
+	set.Float64Var(&flags.rate, "rate", 0, "steady rate in requests per second, instead of the scenario's")
+	set.StringVar(&flags.record, "record", "", "record the requests as a trace, in this new file")
+	set.StringVar(&flags.replay, "replay", "", "send the requests of this trace instead of the scenario's; the scenario must have its classes")
+	set.Float64Var(&flags.speed, "speed", 1, "speed of the replay; 2 is twice as fast")
 	if err := cmd.MarkFlagRequired("to"); err != nil {
 		panic(err) // the flag is defined above
 	}
@@ -41,12 +41,12 @@
 
 func loadCommand() *cobra.Command {
 	var flags loadFlags
-	cmd := &cobra.Command{Use: "load SCENARIO", Short: "Send the load of a scenario to nodes that run already",
-		Long: "load sends the load of a scenario to nodes that run already, on a schedule drawn ahead, whether or not answers\n" +
-			"come back. Latency counts from when each request was due. A run in which the generator fell behind is not\n" +
-			"valid: it says why and exits with 5.",
+	cmd := &cobra.Command{Use: "load SCENARIO", Short: "Send the load of a scenario to nodes that are already running",
+		Long: "load sends the load of a scenario to nodes that are already running. It sends each request when the schedule\n" +
+			"says so, whether or not earlier requests were answered, and measures latency from that time. A run in which\n" +
+			"the generator fell behind its schedule is not valid: load prints the reasons and exits with 5.",
 		Example: "  testbed load calm --to 127.0.0.1:7000,127.0.0.1:7001 --rate 500 --length 30s\n" +
-			"  testbed load calm --to 127.0.0.1:7000 --closed 16     # a closed loop, to see what it hides",
+			"  testbed load calm --to 127.0.0.1:7000 --closed 16     # a closed loop, for comparison",
 		Args: cobra.ExactArgs(1), ValidArgsFunction: completeScenario,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return sendLoad(cmd.Context(), cmd.OutOrStdout(), args[0], &flags)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed emulates the portal that nodes serve, on loopback: cache servers, the origin, discovery, the network
-// between them and faults. It also sends loads and simulates fleets on a virtual clock. See docs/testbed.md.
+// Command testbed emulates the system around nodes on loopback: cache servers, the origin, discovery, the network between
+// them, and faults. It also sends loads and simulates fleets on a virtual clock. See docs/testbed.md.
 package main
 
 import (
@@ -21,13 +21,13 @@
 
 // Exit codes, for scripts.
 const (
-	exitFailed      = 1   // the run could not be carried out
+	exitFailed      = 1   // the run could not be completed
 	exitScenario    = 2   // the scenario is invalid
-	exitInvariant   = 3   // the run was carried out and an invariant was violated
-	exitPort        = 4   // a port of the command line is taken
-	exitInvalid     = 5   // the load generator fell behind: its figures are not to be believed
+	exitInvariant   = 3   // the run was completed and an invariant was violated
+	exitPort        = 4   // a port that the command line requires is in use
+	exitInvalid     = 5   // the load generator fell behind its schedule, so the measured latencies are not valid
 	exitUsage       = 64  // the command line is invalid
-	exitInterrupted = 130 // ended by Ctrl-C, everything stopped
+	exitInterrupted = 130 // Ctrl-C or SIGTERM ended the run, and all processes were stopped
 )
 
 func main() {
@@ -44,7 +44,7 @@
 	os.Exit(code)
 }
 
-// exitCode returns the code that the program ends with after an error.
+// exitCode returns the exit code of the program for an error.
 func exitCode(err error) int {
 	var portTaken *emulator.PortTakenError
 	switch {
@@ -59,12 +59,12 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "testbed",
-		Short: "An emulated portal for shelfproxy, on loopback",
-		Long: "testbed plays the portal that shelfproxy nodes serve: cache servers, the origin, discovery, the network\n" +
-			"between them and faults, all on loopback and checked against the invariants of the service.\n" +
-			"Scenarios are files, or names of those that are shipped: " + strings.Join(scenarios.Names(), ", ") + ".\n\n" +
-			"Exit codes: 0 no fault found, 1 the run failed, 2 the scenario is invalid, 3 an invariant was violated,\n" +
-			"4 a port is taken, 5 the load generator fell behind, 64 the command line is invalid, 130 interrupted.",
+		Short: "Emulate the system around shelfproxy nodes, on loopback",
+		Long: "testbed emulates the system around shelfproxy nodes: cache servers, the origin, discovery, the network\n" +
+			"between them and faults, all on loopback. It checks every run against the invariants of the service.\n" +
+			"A scenario is a file, or the name of a built-in scenario: " + strings.Join(scenarios.Names(), ", ") + ".\n\n" +
+			"Exit codes: 0 no violation found, 1 the run failed, 2 the scenario is invalid, 3 an invariant was violated,\n" +
+			"4 a port is in use, 5 the load generator fell behind, 64 the command line is invalid, 130 interrupted.",
 		Example: "  testbed demo\n  testbed demo rush --seed 7\n  testbed check my.toml\n" +
 			"  testbed emulate deploy --dir run --base-port 7000",
 		Version: version(), SilenceUsage: true, SilenceErrors: true,
@@ -74,10 +74,10 @@
 	return root
 }
 
-// revisionLength is how much of the revision a version shows.
+// revisionLength is the number of characters of the VCS revision that the version shows.
 const revisionLength = 12
 
-// version describes the build, from what the tool chain recorded in it.
+// version describes the build: the VCS revision, if the Go toolchain recorded it, and the version of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/testbed/overhead.go
+++ b/cmd/testbed/overhead.go
@@ -17,36 +17,36 @@
 	"shelfproxy/internal/testbed/overhead"
 )
 
-// overheadCommands are the measurement and, hidden, the processes that it starts.
+// overheadCommands returns the command overhead and the hidden commands of the processes that overhead starts.
 func overheadCommands() []*cobra.Command {
 	return []*cobra.Command{overheadCommand(), cacheServerCommand(), copyCommand()}
 }
 
 func overheadCommand() *cobra.Command {
 	var options overhead.Options
-	cmd := &cobra.Command{Use: "overhead", Short: "Measure what a node costs beside a program that only copies bytes",
-		Long: "overhead sends requests to a cache server that answers at once: straight, through a program that only copies\n" +
-			"bytes, and through a node, in turns within one run. The ratios to the copying program are the project's figure\n" +
-			"of performance.",
+	cmd := &cobra.Command{Use: "overhead", Short: "Measure the cost of a node against a program that only copies bytes",
+		Long: "overhead sends requests to a cache server that answers immediately: directly, through a program that only copies\n" +
+			"bytes, and through a node, in turn within one run. The ratios to the copying program are the project's\n" +
+			"performance figures.",
 		Example: "  testbed overhead\n  testbed overhead --clients 128 --rounds 5 --node bin/shelfproxy", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return exit.With(exitFailed, measureOverhead(cmd.Context(), cmd.OutOrStdout(), options))
 		}}
 	set := cmd.Flags()
-	set.StringVar(&options.Node, "node", "", "the node's program; by default the one beside this one, or else built")
-	set.IntVar(&options.Clients, "clients", 32, "number of clients that send requests at a time")
-	set.IntVar(&options.Rounds, "rounds", 3, "number of rounds, after one to warm up")
-	set.DurationVar(&options.Span, "span", 2*time.Second, "length of a way in a round")
-	set.IntVar(&options.ValueSize, "bytes", 400, "size of a value")
+	set.StringVar(&options.Node, "node", "", "path of the node's program; by default the one next to this program or, if there is none, a new build")
+	set.IntVar(&options.Clients, "clients", 32, "number of clients that send requests concurrently")
+	set.IntVar(&options.Rounds, "rounds", 3, "number of measured rounds, after one round to warm up")
+	set.DurationVar(&options.Span, "span", 2*time.Second, "duration of the load on each path in a round")
+	set.IntVar(&options.ValueSize, "bytes", 400, "size of a value, in bytes")
 	return cmd
 }
 
-// measureOverhead runs the measurement in a directory of its own and prints the result.
+// measureOverhead runs the measurement in a temporary directory and prints the results.
 func measureOverhead(ctx context.Context, out io.Writer, options overhead.Options) (err error) {
 	if options.Dir, err = demo.TempDir(); err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(options.Dir) }() // a directory that stays does no harm
+	defer func() { _ = os.RemoveAll(options.Dir) }() // a directory that remains does no harm
 	if options.Self, err = os.Executable(); err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 func copyCommand() *cobra.Command {
 	return &cobra.Command{Use: overhead.CopyVerb + " ADDRESS TO", Hidden: true, Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			runtime.GOMAXPROCS(1) // as a node has
+			runtime.GOMAXPROCS(1) // a node also runs on one processor
 			return exit.With(exitFailed, overhead.ServeCopy(cmd.Context(), args[0], args[1]))
 		}}
 }
--- a/cmd/testbed/scenario.go
+++ b/cmd/testbed/scenario.go
@@ -16,7 +16,7 @@
 	"shelfproxy/scenarios"
 )
 
-// scenarioFlags are the flags of the commands that play a scenario.
+// scenarioFlags are the flags of all commands that run a scenario.
 type scenarioFlags struct {
 	seed      uint64
 	length    time.Duration
@@ -26,13 +26,13 @@
 
 func (flags *scenarioFlags) add(cmd *cobra.Command) {
 	set := cmd.Flags()
-	set.Uint64Var(&flags.seed, "seed", 0, "draws the figures that are ranges; 0 draws a seed, too")
-	set.DurationVar(&flags.length, "length", 0, "length of the load, in place of the scenario's")
+	set.Uint64Var(&flags.seed, "seed", 0, "seed that draws values from ranges; 0 uses a random seed")
+	set.DurationVar(&flags.length, "length", 0, "duration of the load, instead of the scenario's")
 	set.StringVar(&flags.logLevel, "log-level", "warn", "debug, info, warn or error")
 	set.StringVar(&flags.logFormat, "log-format", "auto", "auto, text or json")
 }
 
-// plan reads a scenario and draws a plan of it. It draws a seed if the flags have none.
+// plan reads a scenario and draws its plan. If no seed is given, it uses a random one.
 func (flags *scenarioFlags) plan(name string) (*scenario.Plan, logs.Options, error) {
 	level, err := logs.Level(flags.logLevel)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return plan, logs.Options{Level: level, Format: flags.logFormat}, nil
 }
 
-// readScenario reads a scenario by the name of one that is shipped, or from a file.
+// readScenario reads the built-in scenario with the given name or, if there is none, the file at the path name.
 func readScenario(name string) (*scenario.Scenario, error) {
 	if text, ok := scenarios.Text(name); ok {
 		parsed, err := scenario.Parse(name+".toml", text)
@@ -65,7 +65,7 @@
 	return parsed, exit.With(exitScenario, err)
 }
 
-// completeScenario completes the names of shipped scenarios; files are left to the shell.
+// completeScenario completes the names of built-in scenarios. The shell completes file names.
 func completeScenario(_ *cobra.Command, args []string, _ string) ([]string, cobra.ShellCompDirective) {
 	if len(args) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -74,7 +74,7 @@
 }
 
 func listCommand() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List the scenarios that are shipped", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "list", Short: "List the built-in scenarios", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, name := range scenarios.Names() {
 				parsed, err := readScenario(name)
@@ -89,7 +89,7 @@
 
 func checkCommand() *cobra.Command {
 	var seed uint64
-	cmd := &cobra.Command{Use: "check SCENARIO...", Short: "Validate scenarios and print what a seed draws of them",
+	cmd := &cobra.Command{Use: "check SCENARIO...", Short: "Validate scenarios and print the values that a seed draws",
 		Example: "  testbed check my.toml\n  testbed check rush --seed 7", Args: cobra.MinimumNArgs(1), ValidArgsFunction: completeScenario,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, name := range args {
@@ -107,6 +107,6 @@
 			}
 			return nil
 		}}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "draws the figures that are ranges")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed that draws values from ranges")
 	return cmd
 }
--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -19,33 +19,33 @@
 )
 
 const (
-	progressEvery = 1000 // seeds between two lines of progress
-	maxShrunk     = 5    // violating runs that --shrink makes smaller
+	progressEvery = 1000 // number of seeds between two lines of progress
+	maxShrunk     = 5    // maximum number of violating runs that --shrink makes smaller
 
-	traceToTerminal = "-" // value of --trace
+	traceToTerminal = "-" // value of --trace that writes the event log to the terminal
 )
 
-// simulateFlags are the flags of simulate.
+// simulateFlags are the flags of the command simulate.
 type simulateFlags struct {
 	seeds, from, replay               uint64
 	workers                           int
 	skip, trace                       string
-	isReplay                          bool // --replay was given; its value may be 0
+	isReplay                          bool // --replay was given, possibly with the value 0
 	shrink, reports, firstOnly, fleet bool
 }
 
 func (flags *simulateFlags) add(cmd *cobra.Command) {
 	set := cmd.Flags()
-	set.Uint64Var(&flags.seeds, "seeds", 1000, "number of seeds to play")
+	set.Uint64Var(&flags.seeds, "seeds", 1000, "number of seeds to run")
 	set.Uint64Var(&flags.from, "from", 0, "the first seed")
 	set.IntVar(&flags.workers, "jobs", runtime.GOMAXPROCS(0), "number of runs in parallel")
-	set.Uint64Var(&flags.replay, "replay", 0, "play this seed alone")
-	set.StringVar(&flags.skip, "skip", "", "with --replay: numbers of the parts to leave out, as --shrink prints them")
-	set.StringVar(&flags.trace, "trace", "", "with --replay: write the event log to this file, - for the terminal")
-	set.BoolVar(&flags.shrink, "shrink", false, "leave out parts that are not needed to violate the same invariant")
+	set.Uint64Var(&flags.replay, "replay", 0, "run only this seed")
+	set.StringVar(&flags.skip, "skip", "", "with --replay: comma-separated numbers of the parts to leave out, as --shrink prints them")
+	set.StringVar(&flags.trace, "trace", "", "with --replay: write the event log to this file; - writes it to the terminal")
+	set.BoolVar(&flags.shrink, "shrink", false, "make violating runs smaller: leave out all parts that are not needed to violate the same invariant")
 	set.BoolVar(&flags.firstOnly, "first", false, "stop at the first seed that violates an invariant")
-	set.BoolVar(&flags.fleet, "fleet", false, "play what nodes agree on among themselves: leases, rollouts, membership")
-	set.BoolVar(&flags.reports, "reports", false, "print a line for every seed, also where no invariant was violated")
+	set.BoolVar(&flags.fleet, "fleet", false, "simulate agreements among nodes instead of requests: leases, rollouts, membership")
+	set.BoolVar(&flags.reports, "reports", false, "print a line for every seed, even if no invariant was violated")
 }
 
 func (flags *simulateFlags) simulation() seedrunner.Simulation {
@@ -57,9 +57,9 @@
 
 func simulateCommand() *cobra.Command {
 	var flags simulateFlags
-	cmd := &cobra.Command{Use: "simulate", Short: "Play fleets on a virtual clock, with faults drawn by seeds, and check every invariant after every step",
-		Long: "simulate plays whole fleets on a virtual clock: the real cores of nodes against the testbed's model, over a simulated\n" +
-			"network, one run for each seed. A run is the same each time, byte for byte. Exit code 3 says that an invariant was violated.",
+	cmd := &cobra.Command{Use: "simulate", Short: "Run fleets on a virtual clock, with faults drawn by seeds, and check every invariant after every step",
+		Long: "simulate runs whole fleets on a virtual clock: the real cores of nodes against the testbed's model, over a simulated\n" +
+			"network, one run for each seed. A seed always gives the same run, byte for byte. Exit code 3 means that an invariant was violated.",
 		Example: "  testbed simulate --seeds 10000\n  testbed simulate --fleet --seeds 10000\n  testbed simulate --replay 4711 --trace run.txt\n  testbed simulate --seeds 500 --shrink",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -72,7 +72,7 @@
 	return cmd
 }
 
-// simulateSeeds plays all seeds and prints the violating runs, the progress and a summary.
+// simulateSeeds runs all seeds and prints the violating runs, the progress and a summary.
 func simulateSeeds(ctx context.Context, out io.Writer, flags *simulateFlags) error {
 	summary := seedrunner.Run(ctx, flags.simulation(), seedrunner.Options{
 		First: flags.from, Count: flags.seeds, Workers: flags.workers, StopAtViolation: flags.firstOnly,
@@ -113,7 +113,7 @@
 	fmt.Fprintf(out, "shrunk: --replay %d --skip %s: %s\n", report.Seed, simulation.FormatSkip(skip), shrunk)
 }
 
-// replaySeed plays one seed and prints its report with every violation.
+// replaySeed runs one seed and prints its report with every violation.
 func replaySeed(out io.Writer, flags *simulateFlags) error {
 	skip, err := parseSkip(flags.skip)
 	if err != nil {
@@ -148,7 +148,7 @@
 	for _, word := range strings.FieldsFunc(list, func(r rune) bool { return r == ',' }) {
 		part, err := strconv.Atoi(word)
 		if err != nil {
-			return nil, fmt.Errorf("--skip: %q is no number", word)
+			return nil, fmt.Errorf("--skip: %q is not a number", word)
 		}
 		skip[part] = true
 	}
--- a/cmd/testbed/trace.go
+++ b/cmd/testbed/trace.go
@@ -13,12 +13,12 @@
 )
 
 func traceCommand() *cobra.Command {
-	root := &cobra.Command{Use: "trace", Short: "Inspect traces and make others from them"}
+	root := &cobra.Command{Use: "trace", Short: "Inspect and convert traces"}
 	root.AddCommand(traceCutCommand(), traceScaleCommand(), traceAnonymiseCommand(), traceInfoCommand(), traceExportCommand(), traceImportCommand())
 	return root
 }
 
-// traceCopyCommand is a command that copies a trace with a change.
+// traceCopyCommand returns a command that copies a trace and applies a change to its requests.
 func traceCopyCommand(verb, short string, change func() (trace.Change, error)) *cobra.Command {
 	return &cobra.Command{Use: verb + " FROM TO", Short: short, Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -31,7 +31,7 @@
 		}}
 }
 
-// printRequests prints how many requests a new trace has, unless it could not be made.
+// printRequests prints the number of requests in a new trace, unless err says that the trace could not be made.
 func printRequests(out io.Writer, requests int, err error) error {
 	if err != nil {
 		return exit.With(exitFailed, err)
@@ -43,8 +43,8 @@
 func traceCutCommand() *cobra.Command {
 	var from, to time.Duration
 	cmd := traceCopyCommand("cut", "Keep the requests due between two times", func() (trace.Change, error) { return trace.Cut(from, to), nil })
-	cmd.Flags().DurationVar(&from, "from", 0, "becomes the start")
-	cmd.Flags().DurationVar(&to, "to", 0, "the end; 0 is that of the trace")
+	cmd.Flags().DurationVar(&from, "from", 0, "time in the old trace at which the new trace starts")
+	cmd.Flags().DurationVar(&to, "to", 0, "time in the old trace at which the new trace ends; 0 is the end of the old trace")
 	return cmd
 }
 
@@ -56,7 +56,7 @@
 		}
 		return trace.Scale(speed), nil
 	})
-	cmd.Flags().Float64Var(&speed, "speed", 1, "this many times as fast")
+	cmd.Flags().Float64Var(&speed, "speed", 1, "speed of the new trace; 2 is twice as fast")
 	return cmd
 }
 
@@ -64,11 +64,11 @@
 	var salt string
 	cmd := traceCopyCommand("anonymise", "Replace keys by hashes", func() (trace.Change, error) {
 		if salt == "" {
-			return nil, errors.New("--salt: give one that nobody else knows")
+			return nil, errors.New("--salt: missing; choose a secret text")
 		}
 		return trace.Anonymise(salt), nil
 	})
-	cmd.Flags().StringVar(&salt, "salt", "", "goes into every hash")
+	cmd.Flags().StringVar(&salt, "salt", "", "secret text that is part of every hash")
 	return cmd
 }
 
