--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -42,8 +42,8 @@
 	numPaths
 )
 
-// Ways are the names of the paths that requests take to the cache server, in the order of the results.
-var Ways = [numPaths]string{pathDirect: "straight", pathCopy: "splice", pathNode: "node"}
+// PathNames are the names of the paths that requests take to the cache server, in the order of the results.
+var PathNames = [numPaths]string{pathDirect: "straight", pathCopy: "splice", pathNode: "node"}
 
 const (
 	startTimeout = 20 * time.Second // time in which a process must answer after its start
@@ -84,7 +84,7 @@
 	}
 	results := make([]Result, numPaths)
 	for path := range results {
-		results[path] = Result{Way: Ways[path], Latency: newHistogram()}
+		results[path] = Result{Way: PathNames[path], Latency: newHistogram()}
 	}
 	for round := range options.Rounds + 1 {
 		for path := range results {
@@ -161,7 +161,7 @@
 	began := time.Now()
 	requests, latency, err := sendRequests(ctx, s.addresses[path], options.Clients, options.Span, tag)
 	if err != nil {
-		return Result{}, fmt.Errorf("%s: %w", Ways[path], err)
+		return Result{}, fmt.Errorf("%s: %w", PathNames[path], err)
 	}
 	if ctx.Err() != nil {
 		return Result{}, ctx.Err()
--- a/tests/testbed_test.go
+++ b/tests/testbed_test.go
@@ -237,7 +237,7 @@
 		t.Fatalf("testbed overhead: %v: %s", err, output)
 	}
 	const rate, p99 = 2, 4 // indexes of columns
-	for _, way := range overhead.Ways {
+	for _, way := range overhead.PathNames {
 		row := ""
 		for line := range strings.Lines(string(output)) {
 			if strings.Contains(line, " "+way+" ") {
