--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -52,7 +52,7 @@
 
 // Result holds the results of a path over all measured rounds.
 type Result struct {
-	Way      string // name of the path
+	Path     string // name of the path
 	Requests int64
 	Elapsed  time.Duration
 	CPU      time.Duration           // processor time of the process on the path; 0 for the direct path
@@ -84,7 +84,7 @@
 	}
 	results := make([]Result, numPaths)
 	for path := range results {
-		results[path] = Result{Way: PathNames[path], Latency: newHistogram()}
+		results[path] = Result{Path: PathNames[path], Latency: newHistogram()}
 	}
 	for round := range options.Rounds + 1 {
 		for path := range results {
--- a/internal/testbed/overhead/table.go
+++ b/internal/testbed/overhead/table.go
@@ -20,7 +20,7 @@
 			cpu = fmt.Sprintf("%.1f", float64(result.CPUPerRequest().Nanoseconds())/1000)
 			memory = fmt.Sprintf("%.1f", float64(result.Memory)/(1<<20))
 		}
-		if err := table.Append(result.Way, fmt.Sprintf("%.0f", result.Rate()), clients.Millis(result.Latency, 50), clients.Millis(result.Latency, 99),
+		if err := table.Append(result.Path, fmt.Sprintf("%.0f", result.Rate()), clients.Millis(result.Latency, 50), clients.Millis(result.Latency, 99),
 			cpu, memory, ratio(result.Rate(), base.Rate()),
 			ratio(float64(result.Latency.ValueAtQuantile(99)), float64(base.Latency.ValueAtQuantile(99))),
 			ratio(float64(result.CPUPerRequest()), float64(base.CPUPerRequest()))); err != nil {
