--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -20,7 +20,7 @@
 	defaultScenario = "demo"
 
 	liveInterval   = 500 * time.Millisecond // interval between two reports of the progress on a terminal
-	reportInterval = 2 * time.Second        // interval between two reports of the progress elsewhere
+	reportInterval = 2 * time.Second        // interval between two reports of the progress if the output is no terminal
 
 	rolloutDelay = 20 * time.Millisecond // upper bound of the random delay of datagrams during a rollout
 	rolloutAfter = 2 * time.Second       // time from the start of the load to the order of the release
--- a/cmd/testbed/emulate.go
+++ b/cmd/testbed/emulate.go
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// runEmulator runs the emulator until the context ends or the time of --length is over.
+// runEmulator runs the emulator until the context ends or the duration of --length has passed.
 func runEmulator(ctx context.Context, out io.Writer, plan *scenario.Plan, logging logs.Options, flags *emulateFlags) (emulator.Summary, error) {
 	if err := os.MkdirAll(flags.dir, 0o755); err != nil {
 		return emulator.Summary{}, err
--- a/cmd/testbed/eventlog.go
+++ b/cmd/testbed/eventlog.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// openTrace creates the file of --trace. trace writes an entry of the event log to the file; it is nil if the path is empty.
-// closeTrace closes the file.
+// openTrace creates the file of --trace. The returned function trace writes an entry of the event log to the file; trace is nil
+// if the path is empty. The returned function closeTrace closes the file.
 func openTrace(path string) (trace func([]byte), closeTrace func(), err error) {
 	if path == "" {
 		return nil, func() {}, nil
--- a/cmd/testbed/trace.go
+++ b/cmd/testbed/trace.go
@@ -31,7 +31,7 @@
 		}}
 }
 
-// printRequests prints the number of requests in a new trace, unless err says that the trace could not be made.
+// printRequests prints the number of requests in a new trace. If the trace could not be made, it returns the error instead.
 func printRequests(out io.Writer, requests int, err error) error {
 	if err != nil {
 		return exit.With(exitFailed, err)
--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -37,7 +37,7 @@
 	ConnectionEnded(id string, maybeUnread bool)
 }
 
-// Options say how a load is sent.
+// Options says how a load is sent.
 type Options struct {
 	Nodes    []Node
 	Observer Observer // may be nil, to observe nothing
--- a/internal/testbed/clients/connection.go
+++ b/internal/testbed/clients/connection.go
@@ -55,7 +55,7 @@
 		if !conn.isStale() {
 			return conn, nil
 		}
-		_ = conn.Close() // the node has closed it
+		_ = conn.Close() // the node has closed the connection
 	}
 	isStopping := func() bool { return false }
 	if process := p.nodes[node].Process; process != nil {
--- a/internal/testbed/clients/send.go
+++ b/internal/testbed/clients/send.go
@@ -13,7 +13,7 @@
 	maxAttempts  = 3                      // number of times that a request is sent, as long as no node has read it
 	attemptPause = 50 * time.Millisecond  // pause before another attempt: a front end takes a moment to notice that a node is down
 	readSlack    = 500 * time.Millisecond // time for which an answer is awaited beyond the deadline and its grace
-	// longIdle is the idle time from which on the end of a connection counts as a close between two requests.
+	// longIdle is the minimum idle time after which the end of a connection counts as a close between two requests.
 	longIdle = time.Second
 	// crossingWindow is the longest time from a request to the end of its connection in which the two may have crossed: the
 	// node closed the connection before it could read the request. The platform allows a node to be stalled for 150 ms,
@@ -72,7 +72,7 @@
 }
 
 // pickNode returns the node to which the front end connects a client: the drawn node or, if that is not in use, the next
-// node that is.
+// node in use.
 func (c *Clients) pickNode(drawn int) (node int, ok bool) {
 	nodes := c.options.Nodes
 	for i := range nodes {
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -34,8 +34,8 @@
 	Restarts int           // number of times that every node is restarted during the load, in turn
 	NodeArgs []string
 	Rollout  *Rollout // if set, the nodes roll out another release among themselves
-	// Disturb, if set, runs concurrently with the load, for example to stop nodes. running returns the processes that are in use
-	// when it is called. Disturb must return when the context ends.
+	// Disturb, if set, runs concurrently with the load and may disturb nodes. running returns the processes that are in use when
+	// it is called. Disturb must return when the context ends.
 	Disturb func(ctx context.Context, running func() []*nodes.Process)
 }
 
@@ -132,7 +132,7 @@
 func (r *run) close() {
 	for _, instance := range r.instances {
 		if process := instance.currentProcess(); process != nil {
-			_ = process.Stop(stopTimeout) // failures of a regular end are reported by finish
+			_ = process.Stop(stopTimeout) // finish has reported the failures of nodes to stop
 		}
 	}
 	if r.emulator != nil {
--- a/internal/testbed/demo/rollout.go
+++ b/internal/testbed/demo/rollout.go
@@ -18,8 +18,8 @@
 	"shelfproxy/internal/testbed/faultproxy"
 )
 
-// Rollout describes a rollout under load: the nodes agree among themselves which of them restart with another release at a
-// time, while faults affect the datagrams between them.
+// Rollout describes a rollout under load: the nodes agree among themselves when each of them restarts with another release,
+// while faults affect the datagrams between them.
 type Rollout struct {
 	Budget int // number of nodes that may be out of service at the same time
 	Faults faultproxy.Faults
@@ -298,7 +298,7 @@
 	return status.Ready
 }
 
-// order orders the next release at the first node.
+// order orders the next release by a call to the control socket of the first node.
 func (ro *rollout) order(ctx context.Context) error {
 	var status any
 	if err := ro.callControl(ctx, 0, http.MethodPost, "/roll?to="+releaseAfter, &status); err != nil {
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// start starts to forward datagrams, with one goroutine for each socket. A goroutine ends when Close closes its socket.
+// start starts forwarding datagrams, with one goroutine for each socket. A goroutine ends when Close closes its socket.
 func (p *Proxy) start() {
 	for i := range p.nodes {
 		for j := range p.nodes {
@@ -135,7 +135,7 @@
 	}
 }
 
-// forward delivers a datagram, after the faults that are drawn for it.
+// forward draws the faults of a datagram and delivers the copies of it that remain.
 func (p *Proxy) forward(path direction, datagram []byte) {
 	data := slices.Clone(datagram) // the caller reuses the buffer before the delay has passed
 	copies, delay := p.drawFaults(path, data)
--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -113,7 +113,7 @@
 	return s, nil
 }
 
-// freeAddress returns a loopback address whose port was free when freeAddress looked for it. Another process may take it.
+// freeAddress returns a loopback address that was free a moment ago. Another process may take it in the meantime.
 func freeAddress(ctx context.Context) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/overhead/servers.go
+++ b/internal/testbed/overhead/servers.go
@@ -58,7 +58,7 @@
 }
 
 // copyBytes copies through a buffer until either side ends. It avoids io.Copy, which would use the splice call of the kernel:
-// a program that never reads the bytes is no fair comparison for a node, which reads what it forwards.
+// a program that never reads the bytes is not comparable to a node, which reads what it forwards.
 func copyBytes(to io.Writer, from io.Reader) {
 	_, _ = io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, copyBufferSize))
 }
--- a/internal/testbed/trace/change.go
+++ b/internal/testbed/trace/change.go
@@ -57,7 +57,7 @@
 
 // CheckSpeed returns ErrInvalidSpeed for a speed that Scale cannot take.
 func CheckSpeed(speed float64) error {
-	if speed > 0 { // false for NaN
+	if speed > 0 { // this comparison is false for NaN
 		return nil
 	}
 	return ErrInvalidSpeed
--- a/internal/testbed/trace/jsonlines.go
+++ b/internal/testbed/trace/jsonlines.go
@@ -11,7 +11,7 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// jsonRequest is the JSON form of a request; each line of an exported trace has one.
+// jsonRequest is the JSON form of a request; each line of an exported trace is one jsonRequest.
 type jsonRequest struct {
 	ScheduledMicroseconds int64  `json:"due_us"`
 	Class                 string `json:"class"`
--- a/internal/testbed/trace/reader.go
+++ b/internal/testbed/trace/reader.go
@@ -111,7 +111,7 @@
 	return content, nil
 }
 
-// Next returns the next request. It returns io.EOF after the last complete block.
+// Next returns the next request. It returns io.EOF after the last complete block, even if an incomplete block follows.
 func (r *Reader) Next() (workload.Arrival, error) {
 	for r.pending == 0 {
 		if err := r.nextBlock(); err != nil {
--- a/internal/testbed/trace/trace_test.go
+++ b/internal/testbed/trace/trace_test.go
@@ -19,7 +19,8 @@
 
 var testMeta = Meta{Classes: []string{"read", "sign"}, Nodes: 2, From: "test"}
 
-// testArrivals returns n requests, one every 3 ms, which take turns in both classes, both nodes and seven keys.
+// testArrivals returns n requests, one every 3 ms. They alternate between both classes and both nodes, and cycle through seven
+// keys.
 func testArrivals(n int) (arrivals []workload.Arrival) {
 	for i := range n {
 		arrivals = append(arrivals, workload.Arrival{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Key: fmt.Sprint("k", i%7),
@@ -155,7 +156,7 @@
 func TestTraceIsCutScaledAndAnonymised(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
-	arrivals := testArrivals(1000) // 3 s
+	arrivals := testArrivals(1000) // 1000 requests in 3 s
 	writeTrace(t, path("all"), arrivals)
 	if written, err := Copy(path("all"), path("cut"), Cut(time.Second, 2*time.Second)); err != nil || written < 330 || written > 335 {
 		t.Errorf("cut: %d, %v; want 330 to 335", written, err)
