--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -5,11 +5,11 @@
 // Action is something that the router asks its caller to do: one of the types below.
 type Action interface{ action() }
 
-// Send starts an attempt, which waits for an answer until the client's deadline.
+// Send asks the caller to send an attempt to a server. The attempt waits for an answer until the client's deadline.
 type Send struct {
 	ID      uint64
 	Server  string
-	WriteBy Time // an attempt not written by then must not be sent; 0: only the deadline bounds it
+	WriteBy Time // latest time at which the attempt may be written to a connection; 0: until the client's deadline
 }
 
 // Reject is a final answer. It tells the client that the request had no effect and that a retry is harmless.
@@ -37,20 +37,20 @@
 // CloseIdle asks the caller to close the idle connections to a server.
 type CloseIdle struct{ Server string }
 
-// SetTimer asks for a TimerFired event at or after At.
+// SetTimer asks for a TimerFired event at the time At or later.
 type SetTimer struct {
 	At    Time
 	Token uint64
 }
 
-// Subscribe asks discovery for the endpoint list and for all later changes.
+// Subscribe asks the caller to get the endpoint list and all later changes from discovery.
 type Subscribe struct{}
 
-// Gossip sends a datagram of at most 256 bytes to all other routers. The datagram may be lost.
+// Gossip asks the caller to send a datagram of at most 256 bytes to all other routers. The datagram may be lost.
 type Gossip struct{ Data []byte }
 
-// Announce tells all other routers what the holder of a role announces, see RoleAnnouncement. The announcement may
-// be lost.
+// Announce asks the caller to send an announcement to all other routers, on behalf of this router as the holder of the
+// role. See RoleAnnouncement. The announcement may be lost.
 type Announce struct{ Role Role }
 
 // Log asks for a log line for the operators.
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -13,12 +13,12 @@
 // straight to the origin. The outcome of each attempt updates the state of its server (outcome.go) and decides whether
 // the request is retried (retry.go).
 //
-// Latencies become the utilisation of a server (utilisation.go). Past the threshold of a load-shedding bucket a
-// growing fraction of the requests in that bucket is rejected, those of the lowest priority weight first
-// (shedding.go).
+// The latencies of a server's answers yield its utilisation, the fraction of slow answers (utilisation.go). Requests
+// are grouped into load-shedding buckets by priority weight. Above the threshold of a bucket, a growing fraction of its
+// requests is rejected. The bucket of the lowest weights has the lowest threshold (shedding.go).
 //
 // Everything else handles failures: health checks and unresponsive servers (healthcheck.go), servers that are slower or
 // fail more often than the others (outlier.go), and reads that hang (hedging.go). Nodes exchange observations by gossip
-// (gossip.go), follow the endpoint list (endpointlist.go), and assign to one node the roles that it performs for all
-// (roles.go). upkeep.go holds the periodic work.
+// (gossip.go) and follow the endpoint list (endpointlist.go). A node can have a role, which is work that it does for
+// all nodes (roles.go). upkeep.go holds the periodic work.
 package policy
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -6,15 +6,15 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// Spacing and time bounds of the polls of discovery, a single service that all routers share.
+// Timing of the polls of discovery. All routers poll the same discovery service.
 const (
-	pollSpacing       = 50 * time.Millisecond // time between the polls of two routers, if possible
-	updateKnownWithin = 6 * time.Second       // a router is treated as notified this long after a change
+	pollSpacing       = 50 * time.Millisecond // intended time between the first polls of two routers, see pollSpread
+	updateKnownWithin = 6 * time.Second       // so long after a change of the list, a router counts as notified of it
 	pollCallTimeout   = 2 * time.Second       // a poll that takes longer fails
 )
 
-// endpointUpdate applies a change of the endpoint list or records a failed poll. A failed poll is repeated with growing
-// backoff, and the last list stays in force meanwhile.
+// endpointUpdate applies a change of the endpoint list or records a failed poll. After a failed poll the router polls
+// again with growing backoff. Meanwhile the last list stays in force.
 func (r *Router) endpointUpdate(e EndpointUpdate) {
 	r.startUpkeep()
 	switch e.Scope {
@@ -56,9 +56,10 @@
 	}
 }
 
-// pollSlack returns how long a poll may be delayed after a change of the endpoint list. The delay is the time for which
-// attempts may ignore the change, less three durations: foundOutAfter (until the router notices that it has to poll),
-// the longest poll, and the wait for upkeep to make the poll.
+// pollSlack returns the longest allowed wait before a poll. After a change of the endpoint list, attempts may follow
+// the old list for at most updateKnownWithin (or MaxPollInterval, if that is shorter) plus DrainGrace. Three durations
+// are subtracted from this time: foundOutAfter (until the router notices that it has to poll), the longest poll, and
+// the wait for the next upkeep, which makes the poll.
 func (r *Router) pollSlack(foundOutAfter time.Duration) time.Duration {
 	knownWithin := updateKnownWithin
 	if r.settings.MaxPollInterval > 0 {
@@ -67,12 +68,13 @@
 	return max(upkeepInterval, knownWithin+r.settings.DrainGrace-foundOutAfter-pollCallTimeout-upkeepInterval)
 }
 
-// pollSpread returns the time over which routers spread their first polls. It allows for a watch that breaks unnoticed
-// just as the list changes: the router notices this only after polling.WatchTimeout.
+// pollSpread returns the time over which routers spread their first polls. The time must be short enough for the worst
+// case: a watch breaks unnoticed just as the list changes, and the router notices this only after polling.WatchTimeout.
 func (r *Router) pollSpread() time.Duration {
 	return min(pollSpacing*time.Duration(r.settings.Nodes), r.pollSlack(polling.WatchTimeout))
 }
 
-// maxPollBackoff returns the longest wait after a failed poll. It allows for discovery that recovers just after that
-// poll was made: the router notices the failure of the poll only after polling.CallTimeout.
+// maxPollBackoff returns the longest wait after a failed poll. The wait must be short enough for the worst case:
+// discovery recovers just after the poll was sent, and the router notices only after polling.CallTimeout that the poll
+// failed.
 func (r *Router) maxPollBackoff() time.Duration { return r.pollSlack(polling.CallTimeout) }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -13,7 +13,7 @@
 type Request struct {
 	ID       uint64
 	Key      string // cache key that the request is for; may be empty
-	Class    string // name of a Class; an unknown name counts as the first of Settings.Classes
+	Class    string // name of a Class; an unknown name means the first of Settings.Classes
 	Tenant   string // name of the sending tenant; may be empty
 	Deadline Time   // when the client gives up
 	Write    bool
@@ -25,12 +25,12 @@
 // The scopes of an endpoint update.
 const (
 	DeltaUpdate EndpointScope = iota // only the entries that changed
-	FullUpdate                       // all servers; a server that is missing is gone
-	CachedList                       // all servers as last known, perhaps long ago
-	PollFailed                       // a poll failed or a watch broke; the earlier list stays in force
+	FullUpdate                       // all servers; a server that is not in the update has left the fleet
+	CachedList                       // all servers of the last known list, which may be old
+	PollFailed                       // nothing: a poll failed or a watch broke, and the earlier list stays in force
 )
 
-// EndpointUpdate is a change of the endpoint list, or reports that a poll or a watch failed.
+// EndpointUpdate reports a change of the endpoint list, or that a poll or a watch failed.
 type EndpointUpdate struct {
 	Scope   EndpointScope
 	Servers []Server
@@ -41,9 +41,9 @@
 
 // The states of a listed server.
 const (
-	Live     ServerState = iota // accepts requests
-	Draining                    // finishes its requests and accepts no new ones
-	Removed                     // no longer part of the fleet
+	Live     ServerState = iota // the server accepts requests
+	Draining                    // the server finishes its requests and accepts no new ones
+	Removed                     // the server is no longer part of the fleet
 )
 
 // Server is one entry of the endpoint list.
@@ -54,7 +54,7 @@
 	Cell      int
 	State     ServerState
 	Capacity  float64 // capacity relative to other servers, see Settings.WeightByCapacity
-	StartedAt Time    // time of the last start; 0 means long ago
+	StartedAt Time    // when the server last started; 0 means long ago
 }
 
 // Reason says how an attempt or a health check ended.
@@ -65,7 +65,7 @@
 const (
 	Succeeded       Reason = iota // answered with success
 	Errored                       // answered with an error
-	Rejected                      // rejected before execution, because the queue is full or the server drains
+	Rejected                      // rejected before execution, because the server drains or its queue is full
 	TimedOut                      // no answer in time
 	NoConnection                  // no connection was established in time
 	Reset                         // the connection broke
@@ -88,8 +88,8 @@
 // ClientDisconnected says that the client of a request disconnected, which ends the request.
 type ClientDisconnected struct{ ID uint64 }
 
-// ResponseStarted says that the response to an attempt has begun to arrive. From then on the program forwards the
-// response to the client.
+// ResponseStarted says that the response to an attempt has begun to arrive. From then on the router's caller forwards
+// the response to the client.
 type ResponseStarted struct {
 	ID      uint64
 	Attempt int
@@ -101,8 +101,8 @@
 	Reason Reason
 }
 
-// LoadLevel says how far the program around the router is behind with its own work. Level is the fraction of sheddable
-// requests that should be shed, from 0 (none) to 1 (all). The level applies until the next LoadLevel.
+// LoadLevel says how far the program around the router is behind with its own work. Level is the fraction of requests
+// that should be shed, from 0 (none) to 1 (all but critical requests). The level applies until the next LoadLevel.
 type LoadLevel struct{ Level float64 }
 
 // GossipReceived delivers a datagram that another router sent with Gossip.
@@ -111,14 +111,14 @@
 	Data []byte
 }
 
-// Role is work that one router may do for all routers. The programs around the routers agree on the router that does
-// the work.
+// Role is work that one router may do for all routers. The programs around the routers agree on which router does the
+// work.
 type Role int
 
 // The roles that a router may have.
 const (
 	HealthChecker   Role = iota // checks whether unresponsive servers respond again
-	DiscoveryPoller             // polls discovery for all while discovery does not answer
+	DiscoveryPoller             // polls discovery on behalf of all routers while discovery does not answer
 	roleCount                   // number of roles
 )
 
@@ -128,7 +128,8 @@
 // Responsibility says which router has a role.
 type Responsibility = polling.Responsibility
 
-// The values of a Responsibility. While a role is unassigned, each router acts as if the role did not exist.
+// Who has a role: no router, this router or another one. While no router has the role, each router does the work for
+// itself.
 const (
 	Unassigned        = polling.Unassigned
 	AssignedHere      = polling.AssignedHere
--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -6,7 +6,8 @@
 // as JSON, so the JSON names are part of an interface.
 type Explanation struct {
 	Key string `json:"key"`
-	// Popularity is the rate of requests for the key, as a multiple of the requests of an average server.
+	// Popularity is the number of requests for the key at all routers, as a multiple of the requests that an average
+	// server gets.
 	Popularity float64 `json:"heat"`
 	// Servers holds the servers in the order in which requests for the key would go to them, then the excluded servers.
 	Servers []ServerExplanation `json:"servers"`
@@ -34,7 +35,7 @@
 	Queued       int     `json:"waiting"` // requests in the queue for the origin
 }
 
-// Explain returns which servers requests for a key go to, and why the others are excluded. It changes no state.
+// Explain returns which servers requests for a key go to, and why the other servers get none. It changes no state.
 func (r *Router) Explain(now Time, key string) Explanation {
 	before := r.now
 	r.now = now
@@ -84,7 +85,7 @@
 
 // explainServer returns the state of a cache server.
 func (r *Router) explainServer(srv *server) ServerExplanation {
-	gauge, aggregate := srv.gauge, r.cacheGauge // copies, because reading a gauge fades its samples
+	gauge, aggregate := srv.gauge, r.cacheGauge // copies, because slowFraction changes the gauge that it reads
 	if gauge.aggregate != nil {
 		gauge.aggregate = &aggregate
 	}
@@ -100,7 +101,7 @@
 
 // explainOrigin returns the state of the origin. r.origin must not be nil.
 func (r *Router) explainOrigin() *OriginExplanation {
-	gauge := r.origin.gauge // a copy, because reading a gauge fades its samples
+	gauge := r.origin.gauge // a copy, because slowFraction changes the gauge that it reads
 	return &OriginExplanation{
 		SlowFraction: gauge.slowFraction(r.now),
 		TargetMillis: gauge.target.Seconds() * 1000,
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -2,8 +2,8 @@
 
 import "shelfproxy/internal/fleet/gossip"
 
-// gossipReceived counts another router's observations like those of this router, which sends too few requests to most
-// servers to judge them without help. A malformed datagram is ignored.
+// gossipReceived counts another router's observations like those of this router. A single router sends too few requests
+// to most servers to judge them by its own attempts. A malformed datagram is ignored.
 func (r *Router) gossipReceived(e GossipReceived) {
 	message, _ := gossip.Decode(e.Data) // a malformed datagram yields an empty message
 	for _, key := range message.Keys {
@@ -16,9 +16,9 @@
 	}
 }
 
-// applyObservation applies an observation of a server that another node made; from is the number of that node.
+// applyObservation applies what another node observed of a server. The parameter from is the number of that node.
 func (r *Router) applyObservation(from int, srv *server, seen gossip.Observation) {
-	if srv.gauge.samples < 2*minLatencySamples { // with more samples this router's own measurements suffice
+	if srv.gauge.samples < 2*minLatencySamples { // otherwise there are enough samples without the reported ones
 		srv.gauge.addReported(r.now, float64(seen.Attempts), float64(seen.Failures))
 	}
 	r.assess(srv)
@@ -31,7 +31,8 @@
 }
 
 // showsResponse reports whether an observation shows that the server responds. If this router considers the server
-// unresponsive, only a reported recovery counts, and only later than minRecheckInterval after it became unresponsive.
+// unresponsive, only a report of its recovery counts, and only if the server has been unresponsive for longer than
+// minRecheckInterval.
 func (r *Router) showsResponse(srv *server, seen gossip.Observation) bool {
 	if srv.isUnresponsive {
 		return seen.Recovered && r.now-srv.unresponsiveSince > minRecheckInterval
@@ -40,8 +41,8 @@
 }
 
 // believesUnresponsive reports whether this router accepts another node's report that a server does not respond. The
-// parameter from is the number of that node. The router accepts the report if its own health check failed, or if a
-// second node reports the same and the ejection budget allows it.
+// parameter from is the number of that node. The report is accepted if this router's own health check failed. It is
+// also accepted if a second node reports the same and the ejection budget is not spent.
 func (r *Router) believesUnresponsive(from int, srv *server) bool {
 	if srv.isUnresponsive || r.now-srv.lastSeen <= minRecheckInterval/2 {
 		return false
--- a/internal/policy/hash.go
+++ b/internal/policy/hash.go
@@ -5,7 +5,7 @@
 // hash returns a well-distributed 64-bit hash of text, which is the same at every router.
 func hash(text string) uint64 {
 	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(text)) // Write of a hash never returns an error
+	_, _ = digest.Write([]byte(text)) // the Write method of a hash never returns an error
 	return mix(digest.Sum64())
 }
 
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -3,13 +3,17 @@
 import "time"
 
 const (
-	connectRefusedWithin    = 50 * time.Millisecond // a connect that fails sooner counts as refused: no process listens
-	maxCheckResets          = 2                     // resets in a row of health checks that do not count as failures
-	minRecheckInterval      = time.Second           // shortest wait before a router checks an unresponsive server again
-	recheckSpacingAlone     = 10 * time.Millisecond // time between two routers' checks of one unresponsive server
-	recheckSpacingShared    = 50 * time.Millisecond // like recheckSpacingAlone, if gossip tells of recoveries
-	delegatedRecheckFactor  = 16                    // multiplies the interval if another router is HealthChecker
-	assignedRecheckInterval = upkeepInterval / 2    // interval of the HealthChecker: it checks at each upkeep
+	connectRefusedWithin = 50 * time.Millisecond // a connect that fails sooner counts as refused: no process listens
+	maxCheckResets       = 2                     // number of reset health checks in a row that do not count as failed
+	minRecheckInterval   = time.Second           // shortest wait before a router checks an unresponsive server again
+
+	// An unresponsive server is checked about once in this time by all routers together: recheckSpacingAlone applies
+	// without gossip, recheckSpacingShared if routers tell each other of recoveries by gossip.
+	recheckSpacingAlone  = 10 * time.Millisecond
+	recheckSpacingShared = 50 * time.Millisecond
+
+	delegatedRecheckFactor  = 16                 // multiplies a router's recheckInterval if another is HealthChecker
+	assignedRecheckInterval = upkeepInterval / 2 // below upkeepInterval, so the HealthChecker checks at each upkeep
 )
 
 // checkHealth starts a health check of a server, unless one is in progress.
@@ -35,7 +39,7 @@
 			r.gossipSender.Recovered(srv.assessment.Fingerprint)
 		}
 		r.markResponsive(srv)
-	case reason == Reset && srv.checkResets < maxCheckResets: // unreliable networks cause resets: check again
+	case reason == Reset && srv.checkResets < maxCheckResets: // an unreliable network also causes resets: check again
 		srv.checkResets++
 		r.checkHealth(srv)
 	case srv.isUnresponsive || srv.lastSeen >= srv.checkedAt:
@@ -64,7 +68,7 @@
 	r.logf("server %s responds again", srv.ID)
 }
 
-// markUnresponsive removes a server from routing and cancels its attempts that may be repeated elsewhere.
+// markUnresponsive removes a server from routing. Its attempts are cancelled if they may be repeated at another server.
 func (r *Router) markUnresponsive(srv *server) {
 	srv.isUnresponsive, srv.unresponsiveSince, srv.connectRefused, srv.hitsToClear = true, r.now, false, 0
 	r.logf("server %s is unresponsive: removed from routing", srv.ID)
@@ -75,11 +79,11 @@
 	}
 }
 
-// recheckInterval returns the least time between two of this router's health checks of an unresponsive server. It grows
-// with the number of routers, as all of them check. A router with the role of HealthChecker checks for all and reports
-// at once. The other routers then check delegatedRecheckFactor times less often. Any router that finds the server
-// responsive tells all others. So even a server that only the HealthChecker can't reach is found to respond, within
-// delegatedRecheckFactor times the interval between the checks of the whole fleet.
+// recheckInterval returns the least time between two of this router's health checks of an unresponsive server. All
+// routers check such a server, so the interval grows with their number. If one router is the HealthChecker, it checks
+// at each upkeep, and every other router checks delegatedRecheckFactor times less often. A router that finds the server
+// responsive tells all others. So if only the HealthChecker can't reach a server, some other router soon finds that the
+// server responds: in a large fleet, within about delegatedRecheckFactor times recheckSpacing.
 func (r *Router) recheckInterval() time.Duration {
 	shared := max(minRecheckInterval, r.recheckSpacing*time.Duration(r.settings.Nodes))
 	switch r.responsibilities[HealthChecker] {
@@ -91,8 +95,9 @@
 	return shared
 }
 
-// checkIfUnresponsive starts a health check of a server that has owed a response for longer than the maximum latency
-// of the cache servers, or of an unresponsive server whose next check is due.
+// checkIfUnresponsive starts a health check of a server if one is due. For a server in use, a check is due if attempts
+// wait for a response and none has arrived for longer than the maximum latency of the cache servers. For an
+// unresponsive server, a check is due after recheckInterval.
 func (r *Router) checkIfUnresponsive(srv *server) {
 	maxWait := max(r.cacheGauge.max, upkeepInterval)
 	sinceCheck := r.now - srv.checkedAt
--- a/internal/policy/hedging.go
+++ b/internal/policy/hedging.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxHedgesPerServer = 4 // number of reads of one cache server that are hedged at a time
-	slowServerFactor   = 2 // multiplies the hedging threshold of a server with many slow answers
+	maxHedgesPerServer = 4 // maximum number of reads at one cache server that are hedged in one upkeep
+	slowServerFactor   = 2 // if many answers of a server are slow, multiplies the time until its reads are hedged
 )
 
 // isCancellable reports whether an attempt may be cancelled and replaced by an attempt at another server.
@@ -25,7 +25,8 @@
 }
 
 // hedgeSlowReads moves slow reads of a cache server to the origin, at most maxHedgesPerServer at a time. A read is slow
-// once it has been in flight for longer than the server's maximum latency, or than twice that if many answers are slow.
+// once it has been in flight for longer than the server's maximum latency. If many of the server's answers are slow,
+// slowServerFactor times that latency applies.
 func (r *Router) hedgeSlowReads(srv *server) {
 	if len(srv.gauge.inFlight) == 0 {
 		return
--- a/internal/policy/hotkey.go
+++ b/internal/policy/hotkey.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	hotKeyFraction       = 0.5              // a key with more than this fraction of a server's fair share is spread
-	minRequestsPerServer = 8.0              // with fewer counted requests per server, counts fade slowly
+	hotKeyFraction       = 0.5              // above this fraction of a server's fair share of requests, a key is spread
+	minRequestsPerServer = 8.0              // below this number of counted requests per server, counts fade slowly
 	sparseRequestWindow  = 30 * time.Second // time in which a count below minRequestsPerServer falls to 1/e
 )
 
@@ -25,16 +25,16 @@
 	r.sendGossip()
 }
 
-// keyPopularity returns how many requests for a key all routers have, not counting the current one, as a multiple of
-// the requests that an average server gets.
+// keyPopularity returns the number of requests for a key at all routers, as a multiple of the requests that an average
+// server gets. The current request is not counted.
 func (r *Router) keyPopularity(key string) float64 {
 	return r.keyCounts.Popularity(gossip.FingerprintOf(hash(key)), r.activeServers)
 }
 
 // chooseServer returns the cache server for a request, or nil if there is none. Usually this is the owner of the key's
 // slot. A key whose requests alone exceed hotKeyFraction of the owner's fair share would overload the owner. Such a key
-// is spread over the owner and just enough of the next servers to bring each of them below that fraction. The request
-// goes to the server with the fewest attempts in flight among these.
+// is spread over the owner and the servers that follow in the slot's order, just enough of them to bring each below
+// that fraction. Of these servers, the one with the fewest attempts in flight gets the request.
 func (r *Router) chooseServer(req *request) *server {
 	order := r.orderOf(slotOf(req.Key), req)
 	var best *server
@@ -42,7 +42,9 @@
 	part := r.requestWeight / float64(1+int(excess))
 	candidates := 0
 	for srv := order.next(); srv != nil; srv = order.next() {
-		if r.isWarmingUp(srv) { // a draw decides: by its few attempts in flight, this server would always win
+		// A server in slow start usually has the fewest attempts in flight and would get every request. So it is not
+		// compared with the other servers, but gets some of the requests at random.
+		if r.isWarmingUp(srv) {
 			srv.offered += r.requestWeight
 			if r.admitsDuringSlowStart(srv, req) {
 				return srv
@@ -62,8 +64,9 @@
 	return best
 }
 
-// isBetterChoice reports whether a candidate has fewer attempts in flight than the best server so far. Ties are broken
-// at random, so that each of the tied candidates is equally likely.
+// isBetterChoice reports whether a candidate has fewer attempts in flight than the best server so far. If both have the
+// same number, the candidate is preferred with probability 1/candidates, where candidates is the number of servers
+// compared so far. So if all of these are tied, each is equally likely.
 func (r *Router) isBetterChoice(candidate, best *server, candidates int) bool {
 	if best == nil {
 		return true
@@ -72,8 +75,8 @@
 	return inFlight < fewest || inFlight == fewest && r.rng.IntN(candidates) == 0
 }
 
-// pruneKeyCounts drops keys that are no longer requested. Once in each sparseRequestWindow it also divides all counts
-// by the present weight of a request, which would otherwise grow without bound.
+// pruneKeyCounts drops keys that are no longer requested. The weight with which a request counts grows with each
+// request. So once in each sparseRequestWindow all counts are divided by this weight, and the weight returns to 1.
 func (r *Router) pruneKeyCounts() {
 	r.keyCounts.Prune(r.now)
 	if r.now < r.rescaleAt {
--- a/internal/policy/originqueue.go
+++ b/internal/policy/originqueue.go
@@ -1,22 +1,27 @@
 package policy
 
 const (
-	maxOriginInFlight = 64                    // bound on attempts in flight at the origin, and the limit at the start
-	writePrecedence   = 1e6                   // added to a queued write's priority weight, so that writes precede reads
-	minOriginSamples  = minLatencySamples / 2 // up to this number of samples, originHasCapacity returns false
+	maxOriginInFlight = 64 // first and highest limit on attempts in flight at the origin
+	// writePrecedence is added to the weight of a queued write that is within its tenant's quota. So such writes are
+	// sent before reads.
+	writePrecedence  = 1e6
+	minOriginSamples = minLatencySamples / 2 // up to this number of samples, originHasCapacity returns false
 )
 
-// originHasCapacity reports whether recent samples show that the origin can take more load. For that, there must be
-// enough samples, and the origin's utilisation must be less than the parameter below.
-func (r *Router) originHasCapacity(below float64) bool {
-	return r.origin != nil && r.origin.gauge.slowFraction(r.now) < below &&
+// originHasCapacity reports whether recent samples show that the origin can take more load. There must be more than
+// minOriginSamples samples, and the origin's utilisation must be less than utilisationLimit.
+func (r *Router) originHasCapacity(utilisationLimit float64) bool {
+	return r.origin != nil && r.origin.gauge.slowFraction(r.now) < utilisationLimit &&
 		r.origin.gauge.samples > minOriginSamples
 }
 
-// hasOriginSlot reports whether one more attempt may be in flight at the origin. r.origin must not be nil.
-func (r *Router) hasOriginSlot() bool { return len(r.origin.gauge.inFlight) < r.originLimiter.Limit() }
+// isOriginBelowLimit reports whether one more attempt may be in flight at the origin. r.origin must not be nil.
+func (r *Router) isOriginBelowLimit() bool {
+	return len(r.origin.gauge.inFlight) < r.originLimiter.Limit()
+}
 
-// fetchFromOrigin fetches the key of a request from the origin, unless the request is shed there.
+// fetchFromOrigin fetches the key of a request from the origin, unless the request is shed because the origin is
+// overloaded.
 func (r *Router) fetchFromOrigin(req *request) {
 	if r.origin != nil && r.shouldShed(req.bucket, &r.origin.gauge) {
 		r.reject(req, CauseOriginSlow)
@@ -29,16 +34,17 @@
 	}
 }
 
-// sendOrQueueAtOrigin sends a request to the origin if the origin has a free slot. Otherwise the request waits in the
-// queue for as long as an answer may still be in time.
+// sendOrQueueAtOrigin sends a request to the origin if the limit on attempts in flight there allows one more. Otherwise
+// the request waits in the queue for as long as an answer could still arrive in time.
 func (r *Router) sendOrQueueAtOrigin(req *request) {
-	if r.origin == nil || r.hasOriginSlot() {
+	if r.origin == nil || r.isOriginBelowLimit() {
 		r.send(req, r.origin)
 		return
 	}
 	until, weight := req.objectiveAt-r.origin.gauge.target, req.priorityWeight
 	if req.Write {
-		until = min(req.objectiveAt, (r.now+req.Deadline)/2) // reject an unsent write well before its deadline
+		// A write that is still queued half-way to its deadline is given up.
+		until = min(req.objectiveAt, (r.now+req.Deadline)/2)
 		if !req.isOverQuota {
 			weight += writePrecedence
 		}
@@ -47,9 +53,10 @@
 	r.originQueue.Add(req, weight)
 }
 
-// dequeueForOrigin sends queued requests to the origin, those of the highest weight first, while it has free slots.
+// dequeueForOrigin sends queued requests to the origin until the limit on attempts in flight there is reached. Requests
+// of the highest weight are sent first.
 func (r *Router) dequeueForOrigin() {
-	for r.origin != nil && r.originQueue.Len() > 0 && r.hasOriginSlot() {
+	for r.origin != nil && r.originQueue.Len() > 0 && r.isOriginBelowLimit() {
 		next, _ := r.originQueue.Next()
 		next.isWaiting = false
 		r.send(next, r.origin)
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -6,7 +6,7 @@
 	"shelfproxy/internal/admission"
 )
 
-// idleCostUnit is the number of idle connections at each server that Settings.ConnectionCost is the cost of.
+// idleCostUnit is the number of idle connections at each server whose cost is Settings.ConnectionCost.
 const idleCostUnit = 100
 
 // attemptEnded handles the outcome of an attempt. It updates the state of the server, and the request takes its next
@@ -56,7 +56,7 @@
 	srv := ended.server
 	switch e.Reason {
 	case Cancelled:
-		if !ended.request.isEnded { // a hedged read: the server was slow
+		if !ended.request.isEnded { // the router cancelled the attempt because the server was slow
 			r.observeLatency(srv, e.Took, true)
 		}
 	case TimedOut, NoConnection, Reset:
@@ -67,9 +67,9 @@
 			r.recordHit(srv, e)
 		}
 		r.markResponsive(srv)
-	case Miss: // the latency of a miss says nothing about the load
+	case Miss: // no latency sample: the latency of a miss says nothing about the load
 		r.markResponsive(srv)
-		srv.hitsToClear = 0 // the server's cache may be lost
+		srv.hitsToClear = 0 // after a miss the server may have lost its cache, so a slow start goes on
 	case CorruptResponse:
 		r.markResponsive(srv)
 	}
@@ -77,7 +77,7 @@
 
 // recordNoResponse records an attempt without a response. One such attempt does not show that the server is down, so a
 // health check follows. Where health checks are not allowed, the server counts as down after several failures in a row.
-// Timeouts during an overload of all cache servers are not among these failures.
+// A timeout during an overload of all cache servers does not count as such a failure.
 func (r *Router) recordNoResponse(srv *server, e Outcome) {
 	if e.Reason == NoConnection {
 		srv.zone.failedConnects++
@@ -105,7 +105,7 @@
 }
 
 // recordAtOrigin records the outcome of a fetch or a write. The outcome adjusts the limit on attempts in flight at the
-// origin. If other requests wait for the fetch, they go on.
+// origin. Requests that wait for the fetch take their next step.
 func (r *Router) recordAtOrigin(ended *attempt, e Outcome) {
 	if e.Reason != NeverSent {
 		sample := admission.LatencySample{
@@ -120,8 +120,8 @@
 	r.completeFlight(ended.request, e.Reason == Succeeded)
 }
 
-// observeLatency records a latency sample of a server, queues gossip about a suspect server for the other routers, and
-// assesses the server again.
+// observeLatency records a latency sample of a server and assesses the server again. If the server is suspect (it does
+// worse than the others), the sample may be sent to the other routers by gossip.
 func (r *Router) observeLatency(srv *server, latency time.Duration, hasFailed bool) {
 	srv.gauge.observe(r.now, latency, hasFailed)
 	if srv != r.origin {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -11,14 +11,15 @@
 func (r *Router) assess(srv *server) {
 	before := srv.assessment.EjectionFraction()
 	srv.assessment.Update(srv.gauge.slowFraction(r.now), r.cacheGauge.slowFraction(r.now))
-	if srv.assessment.EjectionFraction() != before { // otherwise the ejection budget for the other servers is unchanged
+	// If the fraction changed, more or less of the ejection budget is left for the other servers.
+	if srv.assessment.EjectionFraction() != before {
 		r.limitEjections()
 	}
 }
 
 // assessAll compares all cache servers with each other. Among thousands of servers most have no recent samples. Such a
-// server is assumed to be as slow as the servers of this router's zone, if the server is there, or as all servers
-// together.
+// server is assumed to be as slow as all servers together. If it is in this router's zone, it is assumed to be as slow
+// as the servers of the zone instead.
 func (r *Router) assessAll() {
 	ofAll, ofZone := r.cacheGauge.slowFraction(r.now), r.zoneGauge.slowFraction(r.now)
 	for _, listed := range r.keyServers {
@@ -34,12 +35,14 @@
 	r.limitEjections()
 }
 
-// isEjectionCandidate reports whether the server's capacity is part of the total that the ejection budget refers to.
+// isEjectionCandidate reports whether the server is a cache server in the endpoint list. The ejection budget is a
+// fraction of the total capacity of these servers.
 func (r *Router) isEjectionCandidate(srv *server) bool {
 	return srv != r.origin && srv.isListed && !r.isOriginKind(srv)
 }
 
-// ejectionStates returns the capacity of each cache server and how much of it is out. The next call reuses the slice.
+// ejectionStates returns, for each cache server, its capacity and the fractions of it that are unavailable and to be
+// ejected. The next call reuses the slice.
 func (r *Router) ejectionStates() []outlier.Server {
 	r.ejectionCandidates = r.ejectionCandidates[:0]
 	for _, srv := range r.servers {
@@ -60,13 +63,14 @@
 	return r.ejectionCandidates
 }
 
-// isEjectionBudgetSpent reports whether so much capacity is out that a server that only other routers report as
-// unresponsive stays in use.
+// isEjectionBudgetSpent reports whether no more capacity may be taken out of use. If so, a server stays in use when
+// only other routers report it as unresponsive.
 func (r *Router) isEjectionBudgetSpent() bool {
 	return r.ejectionBudget.IsBounded() && r.ejectionBudget.IsSpent(r.ejectionStates())
 }
 
-// limitEjections keeps the slots that outliers give up within the ejection budget, if the budget is bounded.
+// limitEjections bounds the number of slots that outliers give up, so that the ejected capacity stays within the
+// ejection budget. Without a bounded budget it does nothing.
 func (r *Router) limitEjections() {
 	if !r.ejectionBudget.IsBounded() {
 		return
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -10,23 +10,25 @@
 	Request
 	class          *Class
 	bucket         bucket
-	priorityWeight float64 // relative to the greatest PriorityWeight of all classes
-	objectiveAt    Time    // time until which an answer earns the full weight
+	priorityWeight float64 // PriorityWeight divided by the greatest of all classes; reduced if isOverQuota
+	objectiveAt    Time    // time until which an answer earns the full PriorityWeight
 	isOverQuota    bool    // the request is beyond its tenant's quota
 
 	attempts         []*attempt
 	inFlight         int      // number of attempts in flight
 	possiblyExecuted *attempt // first attempt that may have been executed; nil if there is none
-	hasMissed        bool     // a cache server did not hold the object; the origin is next
+	hasMissed        bool     // the origin is asked next: a cache server did not hold the object or was too slow
 	avoidedServer    *server  // the request must not go to this server, which failed or rejected it
-	avoidsSuspects   bool     // a suspect server rejected the request, which now avoids all suspect servers
+	// After a rejection by a suspect server, the request must not go to any server for which assessment.IsSuspect is
+	// true.
+	avoidsSuspects bool
 
-	isWaiting bool // the request waits for a flight, for the origin or for its retry
+	isWaiting bool // the request waits for another request's fetch, in the queue for the origin, or for its retry
 	wakeAt    Time // time at which the wait ends
 	isEnded   bool
 }
 
-// attempt is one try to get a request answered by one server.
+// attempt is one try to have a request answered by a server.
 type attempt struct {
 	request    *request
 	server     *server
@@ -34,14 +36,14 @@
 	isInFlight bool
 }
 
-// requestReceived accepts a client's request: it is shed or takes its first step.
+// requestReceived registers a client's request. Then it rejects the request or takes the request's first step.
 func (r *Router) requestReceived(e Request) {
 	class := r.classByName[e.Class]
 	if class == nil {
 		class = &r.settings.Classes[0]
 	}
 	if e.Key == "" {
-		e.Key = strconv.FormatUint(e.ID, 10) // a request without a key can go to any server
+		e.Key = strconv.FormatUint(e.ID, 10) // no key, so any server can serve the request: its ID is used as key
 	}
 	req := &request{Request: e, class: class, objectiveAt: min(r.now+class.LatencyObjective, e.Deadline)}
 	r.requests[e.ID] = req
@@ -53,7 +55,7 @@
 	}
 	req.bucket = bucketOf(req)
 	r.retryBudgets[class].RecordAttempt(r.now)
-	// A read with less time left than the fastest recent hits took would only fail later.
+	// A read is rejected if it has less time left than the fastest recent hits took: it would only fail later.
 	switch {
 	case r.shedsForLoad(req):
 		r.reject(req, CauseNodeBehind)
@@ -73,7 +75,7 @@
 	case len(req.attempts) >= r.settings.MaxAttempts:
 		r.giveUp(req, CauseMaxAttempts)
 	case r.settings.OriginKind != "" && req.Write:
-		r.sendOrQueueAtOrigin(req) // writes are never shed
+		r.sendOrQueueAtOrigin(req) // writes are never shed, however high the origin's utilisation is
 	case r.settings.OriginKind != "" && r.flights[req.Key] != nil:
 		r.joinFlight(req)
 	case req.hasMissed:
@@ -83,8 +85,8 @@
 	}
 }
 
-// sendToCache starts an attempt at the cache server of the request's key. If the request would be shed at that server,
-// it is fetched from the origin while the origin has capacity, and is rejected otherwise.
+// sendToCache starts an attempt at the cache server of the request's key. If that server is too overloaded for the
+// request, the key is fetched from the origin instead. If the origin has no capacity either, the request is rejected.
 func (r *Router) sendToCache(req *request) {
 	srv := r.chooseServer(req)
 	switch {
@@ -136,7 +138,7 @@
 	return req.attempts[index]
 }
 
-// waitLimit returns the time after which it is not worthwhile for a request to wait any longer.
+// waitLimit returns the time until which it is worthwhile for a request to wait.
 func (r *Router) waitLimit(req *request) Time {
 	if req.class.LateFraction > 0 {
 		return req.Deadline
@@ -172,8 +174,8 @@
 	r.reject(req, cause)
 }
 
-// reject ends a request without a value. It answers with Reject if the client can be told that a retry is harmless, and
-// with Fail otherwise.
+// reject ends a request without the wanted answer. It answers with Reject if the client can be told that a retry is
+// harmless, and with Fail otherwise.
 func (r *Router) reject(req *request, cause Cause) {
 	if mayPromiseNoEffect(req) {
 		r.emit(Reject{ID: req.ID, RetryAfter: r.settings.MaxRetryAfter, Cause: cause})
@@ -186,7 +188,7 @@
 // endRequest marks a request as ended. The router forgets the request once none of its attempts is in flight.
 func (r *Router) endRequest(req *request) {
 	req.isEnded, req.isWaiting = true, false
-	if r.originQueue.Remove(req) { // the fetch was not sent: requests that wait for it need another one
+	if r.originQueue.Remove(req) { // a fetch that is still queued is never sent: its waiters need another fetch
 		r.completeFlight(req, false)
 	}
 	if req.inFlight == 0 {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -6,30 +6,40 @@
 	"shelfproxy/internal/admission"
 )
 
-// Bounds on the retries of a class. The retry budget grows by retryRatio retries with each request of the class, and by
-// some with each second in any case. It holds at most maxSavedRetries. Above retryBurst, it holds no more than what the
-// last second added. Without this last bound, 300 routers with 18 requests a second each would hold 9,000 retries when
-// an overload begins. That is as many as half of all requests of three seconds, and 900 more would come each second.
-// Classes of great weight use criticalRetryRatio, so that each of their requests may be retried more than once. For the
-// other classes, a partial failure adds at most a third to the load.
+// Bounds on the retries of a class. A retry needs a token from the retry budget of its class.
 const (
-	retryRatio             = 0.34
-	criticalRetryRatio     = 1.5
-	minRetriesPerSecond    = 0.5
+	// retryRatio is the number of tokens that each request of most classes adds. So in a partial failure, the retries
+	// of these classes add at most a third to the load.
+	retryRatio = 0.34
+	// criticalRetryRatio replaces retryRatio for classes of great weight. Each of their requests may be retried more
+	// than once.
+	criticalRetryRatio = 1.5
+	// minRetriesPerSecond is the number of tokens that each second adds, even without requests. With 3 instead of 0.5,
+	// 300 routers would add 900 tokens a second to each class.
+	minRetriesPerSecond = 0.5
+	// retryBurst is the number of tokens that a budget may always save. It saves more only if they were added within
+	// about the last second. Without this bound, 300 routers would have saved 300 * maxSavedRetries = 9,000 retries of
+	// each class when an overload begins. That is more than half of the 16,200 requests that they get in three seconds
+	// at 18 requests a second each.
 	retryBurst             = 3
-	maxSavedRetries        = 30
+	maxSavedRetries        = 30  // maximum number of tokens that a budget saves
 	criticalWeightFraction = 0.7 // fraction of the greatest PriorityWeight above which criticalRetryRatio applies
 )
 
 const (
-	maxImmediateAttempts = 3                     // after so many attempts, no read goes to another server at once
-	spillUtilisation     = 0.05                  // below this origin utilisation, rejected reads go elsewhere at once
-	firstBackoff         = 25 * time.Millisecond // mean wait before the first retry at a full server
-	maxBackoffDoublings  = 4                     // how often the mean wait doubles at most
-	dedupMarginTicks     = 2                     // a retry is written so many ticks before its DedupWindow ends
+	// maxImmediateAttempts is the maximum number of attempts without a wait in between, if servers that serve keys
+	// reject the request or answer with errors.
+	maxImmediateAttempts = 3
+
+	spillUtilisation    = 0.05                  // below this origin utilisation, rejected requests try another server
+	firstBackoff        = 25 * time.Millisecond // mean wait before the first retry at a server whose queue is full
+	maxBackoffDoublings = 4                     // maximum number of times that the mean wait doubles
+
+	// dedupMarginTicks is the number of Settings.Tick by which a retry is written before its DedupWindow ends.
+	dedupMarginTicks = 2
 )
 
-// newRetryBudget returns the retry budget of a class. maxPriorityWeight is the greatest weight of all classes.
+// newRetryBudget returns the retry budget of a class. maxPriorityWeight is the greatest PriorityWeight of all classes.
 func newRetryBudget(class *Class, maxPriorityWeight float64) *admission.RetryBudget {
 	budget := &admission.RetryBudget{
 		Ratio: retryRatio, MinPerSecond: minRetriesPerSecond, MaxSaved: maxSavedRetries, Burst: retryBurst,
@@ -50,8 +60,8 @@
 	return false
 }
 
-// mayRetryAt reports whether an attempt of the request is allowed at the server. It enforces the rule that no effect
-// happens twice. A first attempt is always allowed.
+// mayRetryAt reports whether the request may be sent to the server, even if an earlier attempt was possibly executed.
+// It ensures that no effect happens twice. A first attempt is always allowed.
 func (r *Router) mayRetryAt(req *request, srv *server) bool {
 	if req.possiblyExecuted == nil || req.class.Effect == Idempotent {
 		return true
@@ -62,8 +72,8 @@
 	return req.class.Effect == Deduplicated && isInScope && r.now <= r.dedupDeadline(req)
 }
 
-// dedupDeadline returns the time by which a retry of a possibly executed Deduplicated request must be written. Servers
-// recognise the retry as a repeat only until then. 0 means no bound.
+// dedupDeadline returns the time by which a retry of a possibly executed Deduplicated request must be written. After
+// that, servers no longer recognise that they have already executed the request. 0 means no bound.
 func (r *Router) dedupDeadline(req *request) Time {
 	if req.possiblyExecuted == nil || req.class.Effect != Deduplicated {
 		return 0
@@ -79,8 +89,8 @@
 	return req.class.Effect == Deduplicated && req.class.DedupScope == AllServers
 }
 
-// continueAfter takes the next step of a request after an attempt that did not answer it. A retry is charged to the
-// retry budget of the request's class.
+// continueAfter takes the next step of a request after an attempt that did not succeed. A retry is charged to the retry
+// budget of the request's class.
 func (r *Router) continueAfter(ended *attempt, reason Reason) {
 	req := ended.request
 	switch {
@@ -88,7 +98,7 @@
 		req.hasMissed = true
 		r.advance(req)
 	case reason == Rejected && r.mayRedirect(ended):
-		r.advance(req) // nothing was executed, so this does not count as a retry
+		r.advance(req) // a rejected attempt was not executed, so the retry budget is not charged for the next one
 	case reason == TimedOut || reason == NeverSent || !r.retryBudgets[req.class].AllowRetry(r.now):
 		r.giveUp(req, causeOfOutcome(reason))
 	default:
@@ -96,8 +106,9 @@
 	}
 }
 
-// mayRedirect reports whether a request that a cache server rejected goes to another server. This is so if the server
-// no longer serves keys, or if it is suspect and there is a server that is not.
+// mayRedirect reports whether a request that a cache server rejected goes to another server at once, without a charge
+// to the retry budget. This is so if the server no longer serves keys. It is also so if the server is suspect, a server
+// that is not suspect remains, and the request has had fewer than maxImmediateAttempts attempts.
 func (r *Router) mayRedirect(ended *attempt) bool {
 	req, srv := ended.request, ended.server
 	if srv == r.origin {
@@ -112,7 +123,9 @@
 	req, srv := ended.request, ended.server
 	isCache := srv != r.origin
 	switch {
-	case isCache && reason == CorruptResponse: // this happens at any server now and then: retry where the object is
+	// Any server sends a corrupt response now and then. So the first retry goes to the same server, which holds the
+	// object.
+	case isCache && reason == CorruptResponse:
 		if len(req.attempts) > 1 {
 			req.avoidedServer = srv
 		}
@@ -141,7 +154,7 @@
 }
 
 // backOff makes a request wait before its retry, because a server's full queue empties within a few service times. The
-// mean wait doubles with each attempt.
+// mean wait doubles with each attempt, at most maxBackoffDoublings times.
 func (r *Router) backOff(req *request) {
 	wait := firstBackoff << min(len(req.attempts)-1, maxBackoffDoublings)
 	r.waitUntil(req, r.now+wait/2+time.Duration(r.rng.Int64N(int64(wait))))
--- a/internal/policy/roles.go
+++ b/internal/policy/roles.go
@@ -1,6 +1,7 @@
 package policy
 
-// assignRole records which router has a role from now on and informs the parts that depend on the role.
+// assignRole records which router has a role from now on. It passes this on to the poll schedule or to the gossip
+// sender, depending on the role.
 func (r *Router) assignRole(e RoleAssigned) {
 	r.responsibilities[e.Role] = e.Responsibility
 	switch e.Role {
@@ -11,8 +12,8 @@
 	}
 }
 
-// resizeFleet sets how many routers share the traffic; 0 means the configured number. Quotas, gossip and the spread of
-// polls are adjusted to the new number.
+// resizeFleet sets the number of routers that share the traffic; 0 means the number passed to New. Quotas, gossip and
+// the spread of polls are adjusted to the new number.
 func (r *Router) resizeFleet(nodes int) {
 	if nodes <= 0 {
 		nodes = r.configuredNodes
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -26,57 +26,57 @@
 
 	// State of client requests.
 	requests          map[uint64]*request
-	flights           map[string]*flight // fetches from the origin that later misses wait for, by key
+	flights           map[string]*flight // by key: fetches from the origin that other requests may wait for
 	quotas            *quota.Tracker
 	maxPriorityWeight float64 // greatest priority weight of all classes
 	retryBudgets      map[*Class]*admission.RetryBudget
-	loadLevel         float64           // fraction of sheddable requests to shed, see LoadLevel
-	shedDebt          [bulk + 1]float64 // part of a rejection, below 1, that is due in each bucket
-	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first
+	loadLevel         float64           // fraction of non-critical requests to shed, see LoadLevel
+	shedDebt          [bulk + 1]float64 // by bucket: fraction of a rejection, below 1, left over from earlier requests
+	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first hit
 
 	// State of servers and zones.
 	servers             []*server // sorted by id
 	serverByID          map[string]*server
 	serverByFingerprint map[gossip.Fingerprint]*server
-	keyServers          []keyServer   // the servers that serve keys, sorted by id
+	keyServers          []keyServer   // cache servers that are listed as live, sorted by id
 	ranked              rankedServers // buffer that each slotOrder reuses
 	zones               map[string]*zone
 	ownZone             *zone
-	cacheGauge          gauge   // latencies of all cache servers
-	zoneGauge           gauge   // latencies of the cache servers in this router's zone
+	cacheGauge          gauge   // utilisation of all cache servers together
+	zoneGauge           gauge   // utilisation of the cache servers in this router's zone together
 	totalWeight         float64 // sum of the weights of keyServers
 	zoneFraction        float64 // fraction of totalWeight that is in this router's zone
-	activeServers       float64 // number of cache servers that are listed as live, even if unresponsive
-	meanCapacity        float64 // mean Capacity of the active servers
+	activeServers       float64 // number of keyServers, including unresponsive ones
+	meanCapacity        float64 // mean Capacity of keyServers
 	crossZoneWeight     locality.CrossZoneWeight
 
 	// State of the origin.
 	origin        *server                           // nil if no origin is listed as live
 	originLimiter admission.ConcurrencyLimiter      // bounds the attempts in flight at the origin
-	originQueue   admission.PriorityQueue[*request] // requests that wait for originLimiter
+	originQueue   admission.PriorityQueue[*request] // requests that wait because the limit of originLimiter is reached
 
-	// Popularity of keys. Each request counts with a greater weight than those before, so old ones matter less and
-	// less.
-	keyCounts      decay.KeyCounts // requests by key: those of this router and samples of the other routers'
-	requestTotal   float64         // weighted number of this router's requests
+	// Popularity of keys. Each request counts with a greater weight than the requests before it, so old requests matter
+	// less and less.
+	keyCounts      decay.KeyCounts // counts by key, of this router's requests and of samples of other routers' requests
+	requestTotal   float64         // sum of the weights of this router's requests
 	requestWeight  float64         // weight with which a request counts at present
-	requestTotalAt Time            // when requestTotal was last added to
-	servedTotal    float64         // weighted number of hits per active cache server, on the scale of requestTotal
-	rescaleAt      Time            // when the totals are next divided by requestWeight
+	requestTotalAt Time            // when requestTotal last grew
+	servedTotal    float64         // sum of the weights of hits, divided by the number of active cache servers
+	rescaleAt      Time            // when pruneKeyCounts next divides the sums by requestWeight
 
 	// Ejection of outliers, see outlier.go.
 	ejectionBudget     outlier.Budget
-	ejectionCandidates []outlier.Server // buffer, reused from call to call
-	ejectionGrants     []float64        // buffer, reused from call to call
+	ejectionCandidates []outlier.Server // buffer that ejectionStates reuses
+	ejectionGrants     []float64        // buffer that limitEjections reuses
 	isEjectionLimited  bool             // ejectionBudget was too small for all outliers at the last check
 
 	// Cooperation with the other routers.
 	gossipSender     gossip.Sender
-	recheckSpacing   time.Duration    // time between two routers' health checks of one unresponsive server
+	recheckSpacing   time.Duration    // time in which all routers together check an unresponsive server about once
 	polls            polling.Schedule // when to poll discovery
 	responsibilities [roleCount]Responsibility
 	configuredNodes  int  // Settings.Nodes as passed to New
-	isTimerRunning   bool // the timer of upkeep has been started
+	isTimerRunning   bool // the first timer of upkeep has been set
 }
 
 // New returns a router with the settings, or a *SettingsError. The seed determines all random numbers of the router:
@@ -119,7 +119,7 @@
 		Jitter:     router.jitter,
 	}
 	for rank := range router.shedDebt {
-		router.shedDebt[rank] = router.rng.Float64() // otherwise all routers would reject at the same moments
+		router.shedDebt[rank] = router.rng.Float64() // with equal values all routers would reject at the same moments
 	}
 	for _, tenant := range settings.Tenants {
 		router.quotas.Add(tenant.Name, tenant.Quota)
@@ -180,7 +180,7 @@
 	case FleetSize:
 		r.resizeFleet(ev.Nodes)
 	case RoleAnnouncement:
-		r.polls.RecoveryAnnounced(r.now) // only the DiscoveryPoller announces anything
+		r.polls.RecoveryAnnounced(r.now) // the only announcement is the DiscoveryPoller's: discovery answers again
 	case TimerFired:
 		r.timerFired(ev.Token)
 	}
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -1,15 +1,15 @@
 package policy
 
 const (
-	slotCount          = 4096 // number of slots; keys move between servers slot by slot
+	slotCount          = 4096 // number of slots, the groups of keys that move between servers together
 	zoneCutOffFailures = 4    // failed connects in a row after which a zone counts as unreachable
 )
 
 // slotOf maps a key to its slot. A slot is identified by a well-distributed 64-bit number.
 func slotOf(key string) uint64 { return mix(hash(key)%slotCount + 1) }
 
-// keepsSlot reports whether a server may still get requests for the slot. An outlier keeps only a part of its slots,
-// which is the same part at every router.
+// keepsSlot reports whether a server may still get requests for the slot. An outlier keeps only a part of its slots.
+// For the same KeptFraction, these are the same slots at every router.
 func keepsSlot(srv *server, slot uint64) bool {
 	if fraction := srv.assessment.KeptFraction; fraction < 1 {
 		return unitInterval(mix(slot+srv.hash)) < fraction
@@ -26,8 +26,8 @@
 	return srv.isUnresponsive && (r.settings.MayHealthCheck || srv.breaker.IsOpen(r.now))
 }
 
-// isZoneCutOff reports whether the server is in another zone that counts as unreachable as a whole. To find out about
-// each server of such a zone alone would cost failed connects at every one of them.
+// isZoneCutOff reports whether the server is in another zone that counts as unreachable as a whole. Without this rule,
+// connects would first have to fail at every single server of an unreachable zone.
 func (r *Router) isZoneCutOff(srv *server) bool {
 	return r.settings.MayHealthCheck && srv.zone != r.ownZone && srv.zone.failedConnects >= zoneCutOffFailures
 }
@@ -48,8 +48,8 @@
 	return srv == req.avoidedServer || req.avoidsSuspects && srv.assessment.IsSuspect()
 }
 
-// avoidSuspects makes a request avoid the server that rejected it and all other suspect servers, and reports whether a
-// server remains. If none remains, the request is left unchanged.
+// avoidSuspects makes a request avoid the server that rejected it and all other suspect servers, which do worse than
+// the rest. It reports whether a server remains for the request. If none remains, the request is left unchanged.
 func (r *Router) avoidSuspects(req *request, rejectedBy *server) bool {
 	avoided := req.avoidedServer
 	req.avoidedServer, req.avoidsSuspects = rejectedBy, true
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -17,27 +17,29 @@
 	gauge    gauge
 
 	// Liveness of the server, see healthcheck.go.
-	isUnresponsive    bool // the server gets no requests until it answers, passes a health check or restarts
+	isUnresponsive    bool // no requests go to the server until it answers, passes a health check or restarts
 	unresponsiveSince Time // when the server last became unresponsive
 	isBeingChecked    bool
 	checkedAt         Time // start of the last health check
 	checkFailedAt     Time // end of the last failed health check
 	lastSeen          Time // last time that the server is known to have responded
-	checkResets       int  // health checks that were reset since lastSeen
+	checkResets       int  // number of health checks that ended with Reset since lastSeen
 	breaker           circuitbreaker.Breaker
 
 	// Slow start of the server, see slowstart.go.
-	slowStartFrom   Time    // start of the slow start; 0 if there was none
-	slowStartBefore Time    // slowStartFrom before the last outage; restored if there was no restart
-	connectRefused  bool    // a connect was refused while the server was unresponsive
-	hitsToClear     int     // further hits that show that there was no restart; 0 if that is decided
-	offered         float64 // weighted number of requests that could have gone here; one for a hot key counts in part
+	slowStartFrom   Time // start of the slow start; 0 if there was none
+	slowStartBefore Time // slowStartFrom before the last outage; restored if the server did not restart
+	connectRefused  bool // a connect was refused while the server was unresponsive
+	hitsToClear     int  // number of further hits without a miss that rule out a restart; 0 if none are awaited
+	// offered is the weighted number of requests for which this server was a candidate. A request for a hot key counts
+	// only in part, as it has several candidates.
+	offered float64
 
 	assessment gossip.Assessment // comparison with the other servers, see outlier.go
 }
 
 // zone holds the state of a zone as a whole.
-type zone struct{ failedConnects int } // connects to the zone that failed in a row
+type zone struct{ failedConnects int } // number of failed connects in a row to servers of the zone
 
 // zoneNamed returns the zone with the given name, and adds it if it is unknown.
 func (r *Router) zoneNamed(name string) *zone {
@@ -108,8 +110,8 @@
 // minTotalWeight keeps a divisor above zero if no cache server is listed as live.
 const minTotalWeight = 1e-9
 
-// countActiveServers collects the cache servers that are listed as live, their mean capacity, and the fraction of the
-// total weight that is in this router's zone.
+// countActiveServers lists the cache servers that the endpoint list holds as live. It computes their mean capacity, and
+// the fraction of their total weight that is in this router's zone.
 func (r *Router) countActiveServers() {
 	clear(r.keyServers) // drop references to servers that are no longer listed
 	r.keyServers, r.activeServers, r.meanCapacity = r.keyServers[:0], 0, 0
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -11,32 +11,32 @@
 // Effect says under which conditions a class of requests may be retried.
 type Effect int
 
-// The effects of a class of requests.
+// The values of Effect.
 const (
 	Idempotent   Effect = iota // may be retried at any time
-	Deduplicated               // the servers in DedupScope drop repeats within DedupWindow
+	Deduplicated               // servers in DedupScope drop a request that they got before, within DedupWindow
 	AtMostOnce                 // may be retried only if no earlier attempt can have been executed
 )
 
-// DedupScope says which servers drop the repeats of a Deduplicated request.
+// DedupScope says which servers recognise a Deduplicated request that was possibly executed already, and drop it.
 type DedupScope int
 
-// The groups of servers that recognise each other's requests as repeats.
+// The values of DedupScope.
 const (
-	AllServers DedupScope = iota // all servers
-	SameZone                     // servers in the zone of the attempt that was possibly executed
-	SameCell                     // servers in the cell of the attempt that was possibly executed
+	AllServers DedupScope = iota // all servers drop the request
+	SameZone                     // only servers in the zone of the possibly executed attempt drop the request
+	SameCell                     // only servers in the zone and cell of the possibly executed attempt drop the request
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name             string
-	PriorityWeight   float64       // value of one answer, relative to other classes
+	PriorityWeight   float64       // value of an answer in time, relative to other classes
 	LatencyObjective time.Duration // an answer within this time earns the full PriorityWeight
 	LateFraction     float64       // fraction of PriorityWeight that an answer after LatencyObjective earns
 	Effect           Effect
-	DedupScope       DedupScope    // Deduplicated only: the servers that drop repeats
-	DedupWindow      time.Duration // Deduplicated only: how long after a possibly executed send its repeats are dropped
+	DedupScope       DedupScope    // Deduplicated only: servers that drop a request that was executed before
+	DedupWindow      time.Duration // Deduplicated only: how long after an attempt servers drop the same request
 }
 
 // Tenant is a customer with a quota.
@@ -53,8 +53,8 @@
 	Tenants           []Tenant
 	OverQuotaFraction float64 // multiplies the priority weight of requests beyond their tenant's quota
 	OriginKind        string  // Server.Kind of the origin; empty if servers fetch from the origin themselves
-	WeightByCapacity  bool    // keys are distributed in proportion to Server.Capacity
-	MustPoll          bool    // the router gets the endpoint list only if it subscribes
+	WeightByCapacity  bool    // keys are distributed over servers in proportion to Server.Capacity
+	MustPoll          bool    // the router gets the endpoint list only after a Subscribe action
 
 	// Bounds on the use of a stale endpoint list. Once a router has known for DrainGrace that a server drains or is
 	// gone, it may send nothing more to that server. A router that has no watch and has not polled for MaxPollInterval
@@ -65,13 +65,14 @@
 	MayGossip      bool // Gossip actions are allowed
 	MayCancel      bool // Cancel actions are allowed
 
-	// Costs, all in the service's own cost points. ConnectionCost is for 100 idle connections at each server,
-	// HandshakeCost for a new connection for each request, and CrossZoneCost for requests that each cross from one zone
-	// to another once. Zero means no cost.
+	// Costs, all in the service's own cost points; 0 means no cost. ConnectionCost is the cost of 100 idle connections
+	// at each server. HandshakeCost is the cost if each request opens a new connection. CrossZoneCost is the cost if
+	// each request crosses once from one zone to another.
 	ConnectionCost, HandshakeCost, CrossZoneCost float64
 
-	// AffinityBudget is the fraction of reads, up to 1, that may go to a server of this router's zone instead of the
-	// owner of their key. It applies if CrossZoneCost is above 0. locality.DefaultAffinityBudget is the usual value.
+	// AffinityBudget is the fraction of reads, up to 1, that may go to a server in this router's zone instead of the
+	// owner of their key. It has an effect only if CrossZoneCost is above 0. The usual value is
+	// locality.DefaultAffinityBudget.
 	AffinityBudget float64
 
 	// MaxEjectedFraction is the fraction of the cache servers' total capacity that may be out of use at once. Once it
@@ -84,14 +85,14 @@
 	Tick          time.Duration // shortest time between two calls of Handle with different times
 
 	SlowStartFloor    float64       // fraction of its slots that a server gets as soon as it has started
-	SlowStartDuration time.Duration // time from its start until a server has all of its slots
-	OverloadFactor    float64       // a server in slow start is overloaded at this multiple of its current capacity
+	SlowStartDuration time.Duration // time from the start of a server until it has all of its slots
+	OverloadFactor    float64       // multiple of its current capacity at which a server in slow start is overloaded
 }
 
 // SettingsError reports an invalid field of Settings.
 type SettingsError struct {
-	Field  string // Go name without "Settings."; for an element of a slice, the path to its field
-	Reason string // what the value has to be
+	Field  string // Go name of the field; for an element of a slice, a path such as Tenants["a"].Quota
+	Reason string // what the value must be, such as "must be above 0"
 }
 
 // Error returns the name of the field and the reason.
--- a/internal/policy/shedding.go
+++ b/internal/policy/shedding.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	criticalMaxUtilisation = 0.2   // critical reads are shed only if more answers than this fraction exceed gauge.max
-	criticalTargetMultiple = 1.5   // critical reads are shed only above this multiple of the threshold of degraded
-	hitThresholdFactor     = 0.125 // multiplies the thresholds at cache servers, where only a queue makes hits slow
+	criticalMaxUtilisation = 0.2   // critical reads are shed only if a larger fraction of answers exceeds gauge.max
+	criticalTargetMultiple = 1.5   // critical reads are shed only above this multiple of shedThresholds[degraded]
+	hitThresholdFactor     = 0.125 // multiplies shedThresholds at cache servers, where hits are slow only if they queue
 	minInFlightOverloaded  = 2     // a cache server with fewer attempts in flight is not overloaded
 )
 
-// shedThresholds are the utilisations past which misses of each bucket are shed; at twice the threshold all of them
-// are. A threshold of 0.1 rejected 17 to 45% of reads on days without overload. Thresholds of 0.6 and more did not
-// contain overload.
+// shedThresholds holds, for each bucket, the utilisation of the origin above which some of the bucket's misses are
+// shed. At twice the threshold all of the bucket's misses are shed. A threshold of 0.1 rejected 17 to 45% of reads on
+// days without overload. Thresholds of 0.6 and more did not contain overload.
 var shedThresholds = [...]float64{critical: math.Inf(1), degraded: 0.55, bestEffort: 0.55, bulk: 0.45}
 
-// minBucketWeight is the lower bound of each bucket: its reads have a greater priority weight than this, relative to
-// the greatest weight of all classes.
+// minBucketWeight holds the bounds between the buckets. The reads of a bucket have a greater priority weight than the
+// bucket's bound, which is a fraction of the greatest weight of all classes. Reads of lower weights are in bulk.
 var minBucketWeight = [...]float64{critical: 0.7, degraded: 0.3, bestEffort: 0.12}
 
-// bucketOf returns the load-shedding bucket of a request. Writes are critical.
+// bucketOf returns the load-shedding bucket of a request. Writes are in the critical bucket.
 func bucketOf(req *request) bucket {
 	rank := critical
 	for !req.Write && rank < bulk && req.priorityWeight <= minBucketWeight[rank] {
@@ -39,15 +39,15 @@
 	return rank
 }
 
-// shouldShed reports whether a request of the bucket is shed at the utilisation of the gauge. No request is shed below
-// the threshold of the bucket. Above the threshold, the fraction of requests that are shed grows with the utilisation,
-// and shed requests are spread evenly among the other requests.
+// shouldShed reports whether a request in the bucket is shed, given the utilisation of the gauge's server. No request
+// is shed below the bucket's threshold. Above the threshold, the fraction of requests that are shed grows with the
+// utilisation. Shed requests are spread evenly among the other requests.
 func (r *Router) shouldShed(rank bucket, g *gauge) bool {
 	utilisation, maxUtilisation := g.utilisation(r.now)
 	threshold := shedThresholds[rank]
 	if queued := float64(r.originQueue.Len()); g.aggregate != nil {
 		threshold *= hitThresholdFactor
-	} else if queued > 0 { // requests that wait in the queue would be slow too
+	} else if queued > 0 { // at the origin, each queued request counts as a slow answer
 		utilisation = (utilisation*g.samples + queued) / (g.samples + queued)
 	}
 	excess := utilisation - threshold
@@ -59,8 +59,8 @@
 	return excess > 0 && r.isSelectedForShedding(rank, excess/threshold)
 }
 
-// isSelectedForShedding reports whether the present request of a bucket is rejected. It selects the given fraction of
-// the bucket's requests, spread evenly.
+// isSelectedForShedding reports whether the present request of a bucket is rejected. Of all requests of the bucket, the
+// given fraction is rejected, evenly spread.
 func (r *Router) isSelectedForShedding(rank bucket, fraction float64) bool {
 	rejections, debt := math.Modf(r.shedDebt[rank] + min(1, fraction))
 	r.shedDebt[rank] = debt
--- a/internal/policy/slotorder.go
+++ b/internal/policy/slotorder.go
@@ -16,9 +16,9 @@
 	router     *Router
 	slot       uint64
 	req        *request
-	hasOwner   bool          // next has returned the owner
+	hasOwner   bool          // next has returned the owner already
 	last       float64       // score of the server that next returned last
-	limit      float64       // the passes so far covered all servers with lower scores
+	limit      float64       // the passes so far covered all servers whose scores are below limit
 	step       float64       // how much limit grows in the next pass
 	isComplete bool          // the passes so far covered all servers, so no further pass is needed
 	remaining  rankedServers // heap of the ranked servers that next has not returned yet
@@ -67,7 +67,7 @@
 		candidate := &o.router.keyServers[i]
 		draw := o.draw(candidate)
 		if 1-draw >= lowest*candidate.maxWeight || !o.includes(candidate.server) {
-			continue // -log(draw) is no less than 1-draw, so the first condition saves most logarithms
+			continue // as -log(draw) >= 1-draw, the first condition rules out most servers without a logarithm
 		}
 		if score := o.score(candidate.server, draw); score < lowest {
 			best, lowest = candidate.server, score
@@ -76,8 +76,8 @@
 	return best, lowest
 }
 
-// rank raises limit by a step and puts the servers with scores from the old to the new limit into the heap, which must
-// be empty.
+// rank raises limit by a step. It puts the servers whose scores are between the old and the new limit into the heap,
+// which must be empty before.
 func (o *slotOrder) rank() {
 	from := o.limit
 	o.limit += o.step
@@ -92,7 +92,7 @@
 		}
 		score := o.score(candidate.server, draw)
 		switch {
-		case math.IsInf(score, 1): // the server's weight is 0: it has no slots yet
+		case math.IsInf(score, 1): // a server with weight 0 has no slots yet
 		case score >= o.limit:
 			o.isComplete = false
 		case score >= from && score > o.last && o.includes(candidate.server):
@@ -123,7 +123,7 @@
 	return unitInterval(mix(o.slot ^ candidate.hash))
 }
 
-// score returns the value that servers are ordered by, the lowest first.
+// score returns the value by which servers are ordered. The server with the lowest score comes first.
 func (o *slotOrder) score(srv *server, draw float64) float64 {
 	return -math.Log(draw) / o.router.rendezvousWeight(srv)
 }
@@ -134,7 +134,7 @@
 	server *server
 }
 
-// rankedServers implements heap.Interface, but Push and Pop do nothing: heap.Init builds the whole heap at once, and
+// rankedServers implements heap.Interface. Push and Pop are never called: heap.Init builds the whole heap at once, and
 // slotOrder.drop removes its items.
 type rankedServers []rankedServer
 
@@ -147,8 +147,8 @@
 // Swap implements heap.Interface.
 func (s rankedServers) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
-// Push implements heap.Interface.
+// Push completes heap.Interface. It is never called, because heap.Init builds the whole heap at once.
 func (s rankedServers) Push(any) {}
 
-// Pop implements heap.Interface.
+// Pop completes heap.Interface. It is never called, because slotOrder.drop removes the items.
 func (s rankedServers) Pop() any { return nil }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -3,9 +3,11 @@
 import "shelfproxy/internal/fleet/gossip"
 
 const (
-	slowStartSafety  = 0.7 // a server in slow start gets up to this fraction of the load that would overload it
-	servedPrior      = 0.1 // hits assumed per server, so that a router without samples also uses servers in slow start
-	hitsProvingCache = 4   // hits without a miss that show that the server's cache survived
+	slowStartSafety = 0.7 // a server in slow start gets up to this fraction of the load that would overload it
+	// servedPrior is the number of hits and requests per server that is added to the counted numbers, so that a router
+	// without samples also uses servers in slow start.
+	servedPrior      = 0.1
+	hitsProvingCache = 4 // number of hits without a miss that show that the server's cache survived
 )
 
 // isWarmingUp reports whether the server is in slow start and has fewer than all of its slots.
@@ -21,12 +23,13 @@
 	return r.settings.SlowStartFloor + (1-r.settings.SlowStartFloor)*progress
 }
 
-// admitsDuringSlowStart reports whether a server in slow start may take the request. All routers together must not
-// overload the server by a hot key or a surge. So each router sends the server a safe fraction of the requests that a
-// server of the same capacity answers for this router. In a large fleet, where each router has few samples, that
-// fraction grows at half the rate. A random draw decides: the more popular the key is at all routers, the fewer of its
-// requests are admitted. A key that this router has not seen before may be one that all routers begin to get at this
-// moment, so its requests may be admitted less often.
+// admitsDuringSlowStart reports whether a server in slow start may take the request. A hot key or a surge at all
+// routers together must not overload the server. So each router sends the server only a safe fraction of the requests
+// that a fully started server of the same capacity answers for this router. In a large fleet each router has few
+// samples; there, the fraction grows at half the rate. Requests are admitted at random. The more popular a key is at
+// all routers, the less likely its requests are admitted. If this router has not seen a key before, perhaps all routers
+// begin to get requests for it at this moment. So if less than one request is safe, requests for a new key are admitted
+// even less often.
 func (r *Router) admitsDuringSlowStart(srv *server, req *request) bool {
 	weight := r.slowStartWeight(srv)
 	meanServed := (r.servedTotal + servedPrior*r.requestWeight) * r.relativeCapacity(srv)
@@ -41,7 +44,7 @@
 }
 
 // suspectRestart starts a slow start for a server that responds again, as if it had restarted. The slow start ends
-// early if hits show that its cache survived, and the endpoint list may correct the time of the restart. A refused
+// early if hits show that the server's cache survived. The endpoint list can correct the time of the restart. A refused
 // connect proves that the server's process was gone, so after a refused connect the hits are ignored.
 func (r *Router) suspectRestart(srv *server) {
 	srv.slowStartBefore, srv.slowStartFrom, srv.hitsToClear = srv.slowStartFrom, r.now, hitsProvingCache
@@ -50,8 +53,8 @@
 	}
 }
 
-// countHitAfterRestart counts a hit as a sign that the server did not restart. After enough hits without a miss, the
-// server was only unreachable, and its slow start is undone.
+// countHitAfterRestart counts a hit as a sign that the server did not restart. Enough hits without a miss show that the
+// server was only unreachable. Then its slow start is undone.
 func countHitAfterRestart(srv *server) {
 	if srv.hitsToClear == 1 {
 		srv.slowStartFrom = srv.slowStartBefore
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -8,7 +8,7 @@
 
 const (
 	upkeepInterval = 250 * time.Millisecond
-	upkeepToken    = uint64(1) << 62 // timer token of upkeep; request ids are lower
+	upkeepToken    = uint64(1) << 62 // timer token of upkeep, greater than every request id
 )
 
 // startUpkeep starts the periodic work at the first endpoint update. A random delay keeps routers that start together
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -18,26 +18,26 @@
 const (
 	quietSampleCount  = 64  // number of latest quiet samples that are kept
 	minQuietSamples   = 2   // number of quiet samples that are needed before the target is learned from them
-	relearnInterval   = 8   // from quietSampleCount on, the target is learned again once in so many quiet samples
+	relearnInterval   = 8   // after quietSampleCount quiet samples, only every eighth one updates the target
 	targetPerMedian   = 3   // target latency as a multiple of the median of the quiet samples
 	maxPerTarget      = 2   // maximum latency as a multiple of the target
-	riseDivisor       = 50  // a learned latency rises by at most 1/riseDivisor (1/50) of its value at a time
-	calmUtilisation   = 0.2 // below this utilisation the load counts as low, and latency samples as quiet
+	riseDivisor       = 50  // a learned latency rises by at most 1/riseDivisor (1/50) of its value in one update
+	calmUtilisation   = 0.2 // below this utilisation the load counts as low, and latency samples count as quiet
 	minTargetFraction = 0.5 // minimum target of cache servers, as a fraction of the shortest LatencyObjective
 )
 
 // objectives holds two latencies: above target an answer counts as slow, and above max as very slow. Both are learned
 // from quiet samples, which are latencies measured while few answers were slow and no requests queued. Several servers
-// may share one objectives.
+// may share one value of this type.
 type objectives struct {
 	quietSamples         [quietSampleCount]time.Duration // ring buffer of the most recent quiet samples
 	sampleCount          int                             // number of quiet samples so far
-	minTarget, maxTarget time.Duration                   // bounds on target
+	minTarget, maxTarget time.Duration                   // lower and upper bound of target
 	target, max          time.Duration
 }
 
-// learn adds a quiet sample and updates target and max. Both fall at once but rise slowly, so that latency under
-// growing load is not mistaken for the normal one. Before the first samples, the target is the shortest
+// learn adds a quiet sample and updates target and max. Both latencies fall at once but rise slowly, so that latency
+// under growing load is not mistaken for normal latency. Before the first samples, the target is the shortest
 // LatencyObjective.
 func (o *objectives) learn(latency time.Duration) {
 	o.quietSamples[o.sampleCount%quietSampleCount] = latency
@@ -60,22 +60,22 @@
 type gauge struct {
 	*objectives
 	inFlight  []*attempt // attempts that still wait for a response, oldest first
-	aggregate *gauge     // gauge that also counts this one's samples; nil for the origin's and for cacheGauge
+	aggregate *gauge     // gauge that counts the samples of this one too; nil for the origin's gauge and cacheGauge
 	hasQueue  bool       // requests queue for the server, so its samples are not quiet
 
 	samples, overTarget, overMax float64 // weighted numbers of samples: all, slower than target, slower than max
-	fadedAt                      Time    // when the numbers were last reduced for age, see fade
+	fadedAt                      Time    // when fade last reduced these numbers because of the samples' age
 }
 
 // observe records the latency of an answer, or a failure. A failure counts as slower than the maximum latency.
 func (g *gauge) observe(now Time, latency time.Duration, hasFailed bool) {
 	if !hasFailed && !g.hasQueue && g.slowFraction(now) < calmUtilisation {
-		g.learn(latency) // samples taken under load would raise the target
+		g.learn(latency) // only quiet samples: samples taken under load would raise the target
 	}
 	g.record(now, latency, hasFailed)
 }
 
-// record counts a sample in the gauge, in its aggregate, and in the aggregate of that.
+// record counts a sample in the gauge, in its aggregate, and in that aggregate's own aggregate.
 func (g *gauge) record(now Time, latency time.Duration, hasFailed bool) {
 	if g.aggregate != nil {
 		g.aggregate.record(now, latency, hasFailed)
@@ -96,9 +96,9 @@
 	g.samples, g.overTarget = g.samples+samples, g.overTarget+overTarget
 }
 
-// utilisation returns the fractions of recent samples that were slower than the target and than the maximum latency.
-// Attempts that have already been in flight for longer count as such samples, because a stalled origin returns no
-// answers that could be measured.
+// utilisation returns the fractions of recent samples that were slower than the target and than the maximum latency. An
+// attempt that has already been in flight for longer than these latencies counts as such a sample, because a stalled
+// origin returns no answers that could be measured.
 func (g *gauge) utilisation(now Time) (overTarget, overMax float64) {
 	g.fade(now)
 	samples, slow, verySlow := g.samples, g.overTarget, g.overMax
@@ -113,8 +113,8 @@
 		}
 	}
 	if missing := minLatencySamples - samples; missing > 0 {
-		// Missing samples are assumed to be as slow as those of the aggregate. If there is no aggregate, they count as
-		// fast.
+		// The samples that are missing from minLatencySamples are assumed to be as slow as those of the aggregate. If
+		// there is no aggregate, they count as fast.
 		samples = minLatencySamples
 		if g.aggregate != nil {
 			overTarget, overMax = g.aggregate.utilisation(now)
@@ -130,12 +130,13 @@
 	return slow
 }
 
-// isUnused reports whether the gauge has no samples and no attempts in flight. Its utilisation then is that of its
-// aggregate.
+// isUnused reports whether the gauge has no samples and no attempts in flight. The utilisation of an unused gauge is
+// that of its aggregate.
 func (g *gauge) isUnused() bool { return g.samples == 0 && len(g.inFlight) == 0 }
 
-// fade reduces the weight of earlier samples: fast while there are many, slowly once fewer than minLatencySamples are
-// left. One router among hundreds fetches only every few seconds and has to judge the origin by its last few fetches.
+// fade reduces the weight of earlier samples: fast while there are many samples, slowly once fewer than
+// minLatencySamples are left. One router among hundreds fetches only every few seconds and has to judge the origin by
+// its last few fetches.
 func (g *gauge) fade(now Time) {
 	if g.samples > 0 && now > g.fadedAt {
 		left := decay.Fade(g.samples, now-g.fadedAt, latencyWindow, minLatencySamples, sparseLatencyWindow)
