--- a/internal/admission/concurrency_limiter.go
+++ b/internal/admission/concurrency_limiter.go
@@ -24,10 +24,10 @@
 
 const (
 	cutFactor            = 0.5              // fraction of the limit that is left after a cut
-	congestedFactor      = 1.6              // multiple of minMean above which a latency indicates queueing
-	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing: one lost or a few slow requests can raise the mean
+	congestedFactor      = 1.6              // multiple of the smallest mean latency (minMean) above which a latency indicates queueing
+	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing before the limit is cut: one lost or a few slow requests can raise the mean
 	minUsefulLimit       = 2.0              // up to this limit a long latency is attributed to the server itself, not to its queue
-	growthStep           = 0.1              // increase of the limit for each response; 1/limit if that is more
+	growthStep           = 0.1              // increase of the limit for each response while the limit is reached; 1/limit if that is more
 	meanSamples          = 8                // number of samples in a mean
 	minMeanGrowthTime    = 30 * time.Second // time in which minMean grows by a factor of e
 )
@@ -95,8 +95,8 @@
 	latency := sample.Latency
 	if sample.IsTimedOut && s.minMean > 0 {
 		// The request may have been lost on its way or with its connection, so its latency only shows how long the node
-		// waited. With the latency capped, half of the samples of a mean have to time out before they indicate queueing;
-		// uncapped, one would be enough.
+		// waited. With the latency capped, about half of the samples of a mean have to time out before the mean exceeds the
+		// threshold; uncapped, one timeout would be enough to raise the mean above it.
 		latency = min(latency, time.Duration(congestedFactor*float64(threshold)))
 	}
 	s.mean += (latency - s.mean) / time.Duration(s.samples)
--- a/internal/admission/connection_policy.go
+++ b/internal/admission/connection_policy.go
@@ -16,7 +16,7 @@
 	// CrowdedFrom and CrowdedFull are fractions of MaxConnections. Idle timeouts are Long up to CrowdedFrom, shrink between
 	// the two, and are Short from CrowdedFull on.
 	CrowdedFrom, CrowdedFull float64
-	// MaxUnsentBytes bounds the unsent bytes of responses on all connections together; 0 is no bound. Past it,
+	// MaxUnsentBytes bounds the unsent bytes of responses on all connections together; 0 means no bound. Past it,
 	// connections whose clients read nothing for StuckTimeout are closed. The connection that has made no progress for
 	// the longest time is closed first.
 	MaxUnsentBytes int
--- a/internal/admission/connection_stage.go
+++ b/internal/admission/connection_stage.go
@@ -41,7 +41,7 @@
 	openCommands int  // commands that wait for a response
 	idleSince    Time // when openCommands became 0, or when the first part of a later partial command arrived
 	stage        Stage
-	isClosing    bool // the connection was marked for closing, and Closed was not called yet
+	isClosing    bool // the connection has been marked for closing, and Closed has not been called yet
 
 	requests      int
 	lastRequest   Time
--- a/internal/admission/connection_table.go
+++ b/internal/admission/connection_table.go
@@ -16,7 +16,8 @@
 	growth      growthRate
 }
 
-// numQueues is the number of queues: one for each stage, and for regular connections one for each interval class.
+// numQueues is the number of queues: one for each stage and one for each interval class. The queue of StageRegular stays
+// empty, as regular connections are in the queues of their interval classes.
 const numQueues = int(numStages) + intervalClasses
 
 // NewConnectionTable returns an empty table.
--- a/internal/admission/descriptor_split.go
+++ b/internal/admission/descriptor_split.go
@@ -47,7 +47,7 @@
 const (
 	peakHeadroom          = 1.25 // multiple of its peak use that a side keeps
 	spareDescriptors      = 2    // descriptors that a side keeps in addition to peakHeadroom times its peak use
-	nearlyExhaustedTenths = 9    // tenths of its limit that a side has to use before it may need more
+	nearlyExhaustedTenths = 9    // tenths of its limit that a side has to use before its use counts as a need for more
 )
 
 // NewDescriptorSplit returns a split whose limits are policy.Start.
--- a/internal/admission/descriptor_split_test.go
+++ b/internal/admission/descriptor_split_test.go
@@ -12,8 +12,8 @@
 	policy     DescriptorSplitPolicy
 	split      *DescriptorSplit
 	exhausted  [NumSides]int64
-	lastChange [NumSides]int // last change of each limit, other than 0
-	reversals  int           // number of changes of a limit that were opposite to the change of this limit before
+	lastChange [NumSides]int // last change of each limit that was not 0
+	reversals  int           // how often a limit rose after a fall, or fell after a rise
 }
 
 // step rebalances the split for a demand, and checks that the sum of the limits is unchanged and that no limit is below
--- a/internal/admission/eviction_test.go
+++ b/internal/admission/eviction_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// connect opens a connection of a client that is not a regular one.
+// connect opens a connection of a client of the crowd, which then sends one request if sendsRequest is set.
 func (c *crowd) connect(now Time, sendsRequest bool) {
 	c.opened++
 	ok, victim, found := c.table.Admit(now)
@@ -99,7 +99,7 @@
 			if c.reconnects > 20 {
 				t.Errorf("got %d reconnects of regular clients, want 20 at most", c.reconnects)
 			}
-			if test.sendsRequest && c.notAdmitted > c.opened/4 { // silent connections may wait
+			if test.sendsRequest && c.notAdmitted > c.opened/4 { // connections without a request are allowed to wait
 				t.Errorf("got %d of %d connections not admitted at once, want a quarter at most", c.notAdmitted, c.opened)
 			}
 		})
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -5,7 +5,7 @@
 // other connections. Each connection has a queue of its own, of bounded length.
 type FairQueue[T any] struct {
 	Quantum          int // cost that is added to the deficit of a connection at each of its turns
-	MaxPerConnection int // items of one connection that may wait; further items are not accepted; 0 is no bound
+	MaxPerConnection int // items of one connection that may wait; further items are not accepted; 0 means no bound
 
 	queues map[uint64]*connectionQueue[T]
 	active []*connectionQueue[T] // queues that hold items, in the order of their turns; starts at index first
--- a/internal/admission/memory_pressure.go
+++ b/internal/admission/memory_pressure.go
@@ -6,7 +6,7 @@
 // It extrapolates a rise of the use, to react before the memory is full. The fraction falls slowly, as the garbage
 // collector frees memory late.
 type MemoryPressure struct {
-	Limit int64 // bytes past which the node is killed; 0 is no limit
+	Limit int64 // bytes past which the node is killed; 0 means no limit
 
 	isStarted bool
 	lastUsed  int64 // bytes in use at the last call of Observe
--- a/internal/admission/queue_delay.go
+++ b/internal/admission/queue_delay.go
@@ -5,8 +5,7 @@
 // QueueDelay detects a standing queue by how long items wait in it, not by how many there are (CoDel; Nichols and
 // Jacobson, "Controlling Queue Delay", 2012). A queue is behind if the shortest wait over an interval exceeds the
 // target; a burst that is soon served does not count. Where CoDel drops single packets, QueueDelay returns the fraction
-// of the sheddable load to shed, the level. The level rises while the queue stays behind, and falls when it no longer
-// is.
+// of the sheddable load to shed, the level. The level rises while the queue stays behind, and falls otherwise.
 type QueueDelay struct {
 	Target   time.Duration // longest wait that is acceptable
 	Interval time.Duration // time over which the shortest wait is taken; should be several service times
@@ -21,7 +20,7 @@
 const (
 	levelRise        = 0.1  // after an interval whose shortest wait exceeds Target, the level rises by this times (shortest wait / Target)
 	maxRiseMultiple  = 4    // the level rises by at most this many times levelRise after one interval
-	levelFall        = 0.15 // fall of the level after any other interval
+	levelFall        = 0.15 // fall of the level after an interval whose shortest wait is at most Target, or that has no sample
 	maxIdleIntervals = 64   // number of intervals without a call after which the level is set to 0
 )
 
--- a/internal/admission/queue_delay_test.go
+++ b/internal/admission/queue_delay_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestLevelRisesWhileTheQueueStaysBehind checks that a burst that is soon served has no effect, that the level rises
-// while the queue stays behind, and that it falls afterwards.
+// while all items wait too long, and that it falls afterwards.
 func TestLevelRisesWhileTheQueueStaysBehind(t *testing.T) {
 	delay := &QueueDelay{Target: 5 * ms, Interval: 100 * ms}
 	observe := func(from, to Time, wait func(i int) time.Duration) {
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -9,7 +9,7 @@
 	Ratio        float64 // tokens that each first attempt earns
 	MinPerSecond float64 // tokens that each second earns
 	MaxSaved     float64 // maximum number of saved tokens
-	Burst        float64 // tokens that may always be saved; more may be saved only if they were earned in about the last second; 0 is no bound
+	Burst        float64 // tokens that may always be saved; more may be saved only if they were earned in about the last second; 0 means no bound
 
 	recentlyEarned float64 // tokens earned recently; a token earned a second ago counts 1/e
 	tokens         float64
--- a/internal/admission/retry_budget_test.go
+++ b/internal/admission/retry_budget_test.go
@@ -37,10 +37,11 @@
 }
 
 // TestSavedRetriesFollowTheRequestRate guards against a large fleet of nodes with few requests each, in which every
-// node saves many retries. Burst is 3 here: after a minute without retries a node has saved 3 tokens, or those of the
-// last second if they are more. With 300 nodes of 18 requests per second each, a node then has saved a retry for a
-// third of the requests of one second. A node with 80 requests per second has saved nearly the maximum of 30, which it
-// would have without Burst.
+// node saves many retries. After a minute without retries, a node has saved Burst (3) tokens, or as many as it earns in
+// about one second if that is more. In a fleet of 300 nodes with 18 requests per second each, a node earns
+// 18*0.34+0.5 = 6.6 tokens per second: retries for about a third of one second's requests. A node with 80 requests per
+// second earns 27.7 tokens per second, so it has saved nearly the maximum of 30. Without Burst, each node would have
+// saved 30 tokens.
 func TestSavedRetriesFollowTheRequestRate(t *testing.T) {
 	for _, test := range []struct{ rate, least, most int }{{1, 3, 3}, {18, 4, 8}, {80, 24, 30}, {1000, 30, 30}} {
 		budget := &RetryBudget{Ratio: 0.34, MinPerSecond: 0.5, MaxSaved: 30, Burst: 3}
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -24,7 +24,7 @@
 	isPaused            bool            // set while MaxPipelined commands wait for responses: no further command is read
 	isFramingBroken     bool            // the framing is broken: no further byte is read
 	closeAfterResponses bool            // close the connection once all pending responses are written
-	isCheckingUnread    bool            // CheckUnread was requested and UnreadChecked was not called yet
+	isCheckingUnread    bool            // CheckUnread has been requested, and UnreadChecked has not been called yet
 	wasKeptPastDeadline bool            // the connection was kept open once after the drain deadline, because unread bytes had arrived
 	endReason           EndReason       // why the connection closes; valid once closeAfterResponses or isClosed is set
 	end                 End             // valid once isClosed is set
@@ -44,12 +44,12 @@
 // accepted records when the connection was accepted, and the earliest time at which the client may have opened it.
 func (c *Conn) accepted(now, openedSince time.Time) { c.acceptedAt, c.sentAfter = now, openedSince }
 
-// BytesArrived records the time by which the bytes that are passed to the core next had arrived.
+// BytesArrived records the time by which the next bytes for the core had arrived.
 func (c *Conn) BytesArrived(by time.Time) { c.arrivedBy = by }
 
-// arrival returns the earliest time at which a command that is decoded now may have arrived: the time that the kernel reports or
-// the bound from arrivalAcrossPause, whichever is earlier. earliest is the result of pauseTracker.earliestArrival, a bound that
-// holds for every connection.
+// arrival returns the earliest time at which a command that is decoded now may have arrived. That is the time that the kernel
+// reports, or the result of arrivalAcrossPause if that is earlier or the kernel reports none. earliest is the result of
+// pauseTracker.earliestArrival and is only passed on to arrivalAcrossPause.
 func (c *Conn) arrival(now, earliest time.Time) time.Time {
 	bound := c.arrivalAcrossPause(now, earliest)
 	if !c.arrivedBy.IsZero() && c.arrivedBy.Before(bound) {
@@ -58,10 +58,10 @@
 	return bound
 }
 
-// arrivalAcrossPause returns the earliest time at which a command that is read now may have arrived on this connection. earliest
-// is the bound for every connection: the beginning of a pause that has just ended, or else now. If this connection waited to be
-// accepted, the command may have arrived during that wait. It did not arrive before the write of the previous response began,
-// unless its client pipelines.
+// arrivalAcrossPause returns the earliest time at which a command that is read now may have arrived on this connection. For most
+// connections that is earliest: the beginning of a pause that has just ended, or else now. If this connection waited to be
+// accepted, the command may have arrived as soon as its client opened the connection. The result is never before the write of
+// the previous response began, because only a client that pipelines sends its next command earlier.
 func (c *Conn) arrivalAcrossPause(now, earliest time.Time) time.Time {
 	waited := pause.IsShown(c.sentAfter, c.acceptedAt) // false once a response was written, which moves sentAfter
 	if waited && now.Sub(c.acceptedAt) < settleTime || earliest.Before(c.sentAfter) {
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -79,7 +79,7 @@
 	return hasCapacity || c.isDraining
 }
 
-// Usage returns the number of connections, including the lingering ones, and how often another connection had to wait for capacity.
+// Usage returns the number of connections, including the lingering ones, and how often a new connection had to wait for capacity.
 func (c *Core) Usage() (used int, exhausted int64) {
 	return c.table.Len() + len(c.lingering), c.capacityExhausted
 }
@@ -157,15 +157,15 @@
 	case conn.isClosed || !conn.closeAfterResponses:
 	case len(conn.slots) == 0 && !conn.isPaused && (!hasUnread || c.mayCloseDespiteUnread(now, conn)):
 		c.closeInOrder(now, conn, effects)
-	case conn.endReason != EndedByDrain: // the connection turned out not to be idle
+	case conn.endReason != EndedByDrain: // it was to be closed as idle, but the check shows that it is not idle
 		conn.closeAfterResponses = false
 		c.table.Retain(conn.id)
 		effects.capacityAvailable()
 	}
 }
 
-// mayCloseDespiteUnread reports whether a connection is closed although unread bytes have arrived. A connection is kept open as long
-// as its client sends, but past the drain deadline only once more.
+// mayCloseDespiteUnread reports whether a connection is closed although unread bytes have arrived. Until the drain deadline,
+// a connection is kept open as long as its client sends. Past the deadline, it is kept open only once.
 func (c *Core) mayCloseDespiteUnread(now time.Time, conn *Conn) bool {
 	if !c.isDraining || now.Before(c.drainDeadline) {
 		return false
--- a/internal/listener/core_property_test.go
+++ b/internal/listener/core_property_test.go
@@ -20,11 +20,11 @@
 	conn             *Conn
 	unanswered       []string // ids of the commands without a response, in the order in which they were sent
 	sent             []byte   // bytes that the client has sent and the core has not read yet
-	mayResume        bool     // the core asked for Resume, which was not called yet
+	mayResume        bool     // the core has asked for Resume, which has not been called yet
 	received         string   // responses of the write that is in progress
 	isWriting        bool
 	isEnded          bool
-	isCheckRequested bool // the core asked for CheckUnread, which was not carried out yet
+	isCheckRequested bool // the core has asked for CheckUnread, which has not been carried out yet
 }
 
 // modelRequest is a request that the core has handed to its handler.
@@ -183,7 +183,7 @@
 	}
 }
 
-// write completes the write to a client that is in progress, if any, and starts the next one.
+// write completes the write that is in progress to a client, if any, and starts the next one.
 func (m *coreModel) write(t *rapid.T, client *modelClient, isWritten bool) {
 	if client.isWriting && !client.conn.IsClosed() {
 		client.isWriting = false
--- a/internal/listener/end.go
+++ b/internal/listener/end.go
@@ -10,7 +10,7 @@
 	EndedByDrain                         // the listener was closed, which drains its connections
 	EndedIdle                            // the connection was idle for too long
 	EndedWithoutCommand                  // no complete command arrived in time
-	EndedForCapacity                     // the connection was idle and was closed to make space for another one
+	EndedForCapacity                     // the connection was idle and was closed to make space for a new connection
 	EndedStuck                           // the client read no responses
 	EndedWriteFailed                     // a response could not be written
 	EndedBadFraming                      // the client sent bytes that are not a RESP2 command
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -9,7 +9,8 @@
 )
 
 // ExpireIdle closes the connections whose timeouts have expired and returns how long to wait before the next call. Without these
-// calls the connections would stay open forever and keep other clients out. A late call shows that the process did not run.
+// calls the connections would stay open forever and keep other clients out. A late call shows that the process did not run for a
+// while.
 func (c *Core) ExpireIdle(now time.Time, effects *Effects) (wait time.Duration) {
 	wait = c.expireIdle(now, effects)
 	c.pause.called(now, wait)
--- a/internal/listener/expiry_test.go
+++ b/internal/listener/expiry_test.go
@@ -10,11 +10,11 @@
 
 // TestDrainWaitsForPartialCommand guards against a drain that cuts off a command of which only a part has arrived. If the rest
 // arrives within lingerTimeout, the command is handled and its connection is closed after the response; otherwise the connection
-// is closed without a response. A connection that is accepted during the drain has as much time. An idle connection is closed at
-// once.
+// is closed without a response. A connection that is accepted during the drain has lingerTimeout too. An idle connection is
+// closed at once.
 func TestDrainWaitsForPartialCommand(t *testing.T) {
 	const command = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$13\r\nc=read,d=3000\r\n"
-	for _, received := range []int{0, 1, 30, len(command) - 1} { // bytes before the drain; 0 means accepted during the drain
+	for _, received := range []int{0, 1, 30, len(command) - 1} { // bytes received before the drain; 0: the connection is accepted during the drain
 		for restAfter, isTaken := range map[time.Duration]bool{lingerTimeout - time.Nanosecond: true, lingerTimeout: false} {
 			t.Run(fmt.Sprintf("%d bytes, the rest after %v", received, restAfter), func(t *testing.T) {
 				checkDrain(t, command[:received], command[received:], restAfter, isTaken)
--- a/internal/listener/framing.go
+++ b/internal/listener/framing.go
@@ -55,7 +55,7 @@
 	argsLeft int  // bulk strings of the command that are not complete yet
 	length   int  // bytes of the command's bulk strings so far
 
-	buffer [readBufferSize]byte // buffer[next:end] was read from the client but not handed over yet
+	buffer [readBufferSize]byte // buffer[next:end] has been read from the client but not handed over yet
 	next   int
 	end    int
 }
--- a/internal/listener/limits.go
+++ b/internal/listener/limits.go
@@ -12,7 +12,7 @@
 	MaxPipelined   int           // maximum number of commands of one connection that wait for their responses
 	MaxValue       int           // largest value, in bytes
 	WriteTimeout   time.Duration // bounds one write of responses; a connection whose write does not complete in this time is closed
-	MaxUnsentBytes int           // bytes of unsent responses to all clients together, past which stuck connections are closed; 0 is no bound
+	MaxUnsentBytes int           // bytes of unsent responses to all clients together, past which stuck connections are closed; 0 means no bound
 
 	// The fields below bound how long a connection without an open request may stay.
 
@@ -27,7 +27,7 @@
 	maxExpiredPerSweep  = 64                     // maximum number of idle connections that one sweep closes
 	stuckTimeout        = 250 * time.Millisecond // a client that reads no byte for this long is stuck; applies while MaxUnsentBytes is exceeded
 	lingerTimeout       = 500 * time.Millisecond // how long a client has to read the last response and close its side
-	maxWriteSize        = 256 << 10              // most bytes of one write, so that its end shows a client's progress; one response may be larger
+	maxWriteSize        = 256 << 10              // most bytes of one write: each write that ends shows that the client reads. One response may be larger
 	maxKeyLength        = 512                    // longest key or request id, in bytes
 	maxParametersLength = 1 << 10                // longest list of parameters, in bytes
 	maxClientTimeout    = time.Hour
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	initialEffectsCapacity         = 8 // effects; enough for most calls of the core
-	initialResponseEffectsCapacity = 2 // effects; enough for most calls of Core.Respond
+	initialEffectsCapacity         = 8 // number of effects; enough for most calls of the core
+	initialResponseEffectsCapacity = 2 // number of effects; enough for most calls of Core.Respond
 
 	maxCopiedSize    = 4 << 10               // up to this many bytes, responses are copied into one buffer and written at once
-	acceptRetryDelay = 5 * time.Millisecond  // wait after a failed accept, for example for lack of descriptors: some are freed soon
-	finalAcceptTime  = 20 * time.Millisecond // how long Close still accepts from the kernel's queue: commands sent there would be lost
+	acceptRetryDelay = 5 * time.Millisecond  // wait after a failed accept, for example for lack of descriptors, some of which are freed soon
+	finalAcceptTime  = 20 * time.Millisecond // how long Close still accepts from the kernel's queue; commands on connections left in the queue are lost
 )
 
 // Listener accepts the connections of clients and serves them until it is closed. It is safe for concurrent use.
 //
 // Each connection has a reader and a writer goroutine, which end once the core has closed the connection; Wait waits for them. Serve
-// starts one more goroutine, which closes expired connections. It ends once Close was called and no connection is left.
+// starts one more goroutine, which closes expired connections. It ends once Close has been called and no connection is left.
 type Listener struct {
 	netListener  net.Listener
 	handler      request.Handler
@@ -165,7 +165,7 @@
 	}
 }
 
-// Usage returns the number of connections, including the lingering ones, and how often another connection had to wait for capacity.
+// Usage returns the number of connections, including the lingering ones, and how often a new connection had to wait for capacity.
 func (l *Listener) Usage() (used int, exhausted int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/listener/loops.go
+++ b/internal/listener/loops.go
@@ -12,7 +12,7 @@
 	arrivedBy     time.Time // time by which the bytes had arrived
 	isEnded       bool      // the connection has ended
 	isUnreadCheck bool      // the core has requested a check for unread bytes
-	hasUnread     bool      // result of that check: unread bytes have arrived
+	hasUnread     bool      // result of the check for unread bytes: some have arrived
 }
 
 // readLoop passes the bytes that the client sends to the core until the connection ends. While the connection is paused it only
--- a/internal/listener/pause.go
+++ b/internal/listener/pause.go
@@ -9,7 +9,7 @@
 // settleTime is how long after a pause the process still reads bytes that may have arrived during the pause.
 const settleTime = 50 * time.Millisecond
 
-// acceptQueue tracks since when connections may have waited in the kernel's queue because none could be accepted.
+// acceptQueue tracks the last period in which connections had to wait in the kernel's queue because none could be accepted.
 type acceptQueue struct {
 	blockedFrom, blockedUntil time.Time // the last period in which no connection could be accepted
 	isFailing                 bool      // the most recent accept failed
@@ -26,7 +26,7 @@
 	q.blockedUntil, q.isFailing = now, true
 }
 
-// succeeded records a successful accept and returns since when the connection may have waited.
+// succeeded records a successful accept and returns the earliest time from which the connection may have waited.
 func (q *acceptQueue) succeeded(now time.Time) (waitingSince time.Time) {
 	q.isFailing = false
 	if now.Sub(q.blockedUntil) < settleTime {
--- a/internal/listener/pause_test.go
+++ b/internal/listener/pause_test.go
@@ -15,7 +15,7 @@
 	start := time.Unix(1000, 0)
 	var tracker pauseTracker
 	tracker.called(start, wait)
-	tracker.called(start.Add(wait+pause.MinLength-time.Millisecond), wait) // late, but by less than a pause
+	tracker.called(start.Add(wait+pause.MinLength-time.Millisecond), wait) // late, but by less than pause.MinLength
 	lastCall := start.Add(wait + pause.MinLength - time.Millisecond)
 	if now := lastCall.Add(wait); !tracker.earliestArrival(now).Equal(now) {
 		t.Errorf("without a pause: arrived %v before it is read, want 0", now.Sub(tracker.earliestArrival(now)))
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestConnectionsWaitWhileNoneCanBeAccepted checks since when an accepted connection may have waited. After consecutive failed
-// accepts, that is the time of the first of them. After a wait for capacity, it is the beginning of the wait. Otherwise it is the
-// time of the accept.
+// TestConnectionsWaitWhileNoneCanBeAccepted checks the time from which an accepted connection may have waited. After consecutive
+// failed accepts, that is the time of the first of them. After a wait for capacity, it is the beginning of the wait. Otherwise it
+// is the time of the accept.
 func TestConnectionsWaitWhileNoneCanBeAccepted(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var queue acceptQueue
--- a/internal/listener/socket.go
+++ b/internal/listener/socket.go
@@ -52,7 +52,7 @@
 func (s *socket) awaitClose() (isDisconnected bool) {
 	// An error means that the connection is closed or that the wait was interrupted; the next read shows which.
 	_ = s.raw.Read(s.pollClose)
-	_ = s.conn.SetReadDeadline(time.Time{})                 // before the next call of the core, whose effects may set the deadline again
+	_ = s.conn.SetReadDeadline(time.Time{})                 // cleared before the next call of the core, whose effects may set the deadline again
 	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // a wait that was interrupted before it began has not polled
 	return s.isDisconnected
 }
@@ -69,7 +69,7 @@
 // arrivedBy returns the time by which the last bytes that were read had arrived, as the kernel reports it. It is before now if the
 // bytes waited to be read.
 func (s *socket) arrivedBy() time.Time {
-	now := time.Now() // before the kernel is asked: a pause between the two calls then makes the result too early, not too late
+	now := time.Now() // taken before the kernel is asked: a pause between the two calls then makes the result too early, not too late
 	s.sinceData = 0
 	if s.raw.Control(s.pollSinceData) != nil {
 		return now
--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -68,7 +68,7 @@
 				breaker.Failed(now)
 			}
 		}
-		if most := 40 + int(now/firstBackoff); attempts > most { // all attempts go through until the third failure
+		if most := 40 + int(now/firstBackoff); attempts > most { // 40 allows for attempts before the third failure
 			t.Fatalf("got %d attempts in %v, want at most %d", attempts, now, most)
 		}
 		if breaker.IsOpen(now + maxBackoff + 1) {
--- a/internal/policy/coalescing_test.go
+++ b/internal/policy/coalescing_test.go
@@ -27,7 +27,7 @@
 	if got := actionsOf[Send](driver.endAttempt(leader, Succeeded, 50*ms)); !slices.Equal(got, want) {
 		t.Errorf("after the fetch: got %v, want %v", got, want)
 	}
-	// When a fetch fails, one of the requests that wait for it takes over.
+	// When a fetch fails, one of the requests that wait for it makes the next fetch.
 	leader, _ = driver.request("high", "k9", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, _ = driver.request("high", "k9", nil)
@@ -47,7 +47,8 @@
 	leader, _ := driver.requestMiss("high", "k", nil)
 	driver.now += 10 * ms
 	follower, _ := driver.request("high", "k", nil)
-	// The follower is sent to the cache server first: otherwise the object would not be stored there.
+	// The leader's fetch is given up. The follower has not read the cache server yet, and does so before it fetches:
+	// without this read, the fetched object would not be stored there.
 	driver.handle(ClientDisconnected{ID: leader})
 	driver.endAttempt(follower, Miss, ms)
 	sends := actionsOf[Send](driver.endAttempt(first, Succeeded, 50*ms))
--- a/internal/policy/decay/counts.go
+++ b/internal/policy/decay/counts.go
@@ -13,28 +13,28 @@
 type Time = time.Duration
 
 const (
-	otherRequestsPrior = 0.5 // number of requests for other keys that is assumed per server, as samples may be few
+	otherRequestsPrior = 0.5 // requests for other keys that Popularity adds per server, for nodes with few samples
 	// minRequestsPerServer is the number of requests per server below which counts fade slowly, so that enough are left
 	// to estimate popularity from. With 300 nodes, gossip brings about this many samples per server in one second.
 	minRequestsPerServer = 4.0
 	window               = 1500 * time.Millisecond // time in which a count falls to 1/e, above minRequestsPerServer
 	sparseWindow         = 30 * time.Second        // time in which a count falls to 1/e, below minRequestsPerServer
 
-	seenThreshold = 1.5  // a key with a greater count was requested before the current request
+	seenThreshold = 1.5  // a key that counts for more requests than this was seen before the current request
 	keepDivisor   = 10   // a key that counts for less than 1/keepDivisor of a request is dropped
 	minDivisor    = 1e-9 // keeps divisors above zero
 )
 
-// Fade returns what is left of a count after the elapsed time. A count above enough falls to 1/e in each window. Once
-// about enough is left, the count falls to 1/e only in each sparseWindow.
+// Fade returns what is left of a count after the elapsed time. While the count is above the parameter enough, it falls
+// to 1/e in each window. Once about enough is left, the count falls to 1/e only in each sparseWindow.
 func Fade(count float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration) float64 {
 	return max(count*math.Exp(-float64(elapsed)/float64(window)),
 		min(count, enough)*math.Exp(-float64(elapsed)/float64(sparseWindow)))
 }
 
-// Increment returns the weight with which the next request counts. total is the weighted number of the requests so far,
-// and increment the weight of the latest of them. The returned weight is greater, so that the requests so far count
-// less in comparison. For the other parameters see Fade.
+// Increment returns the weight with which the next request counts. total is the sum of the weights of all requests so
+// far, and increment is the weight of the latest request. The returned weight is greater, so that earlier requests
+// count less in comparison. For the remaining parameters see Fade.
 func Increment(
 	total, increment float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration,
 ) float64 {
--- a/internal/policy/decay/counts_test.go
+++ b/internal/policy/decay/counts_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFadeIsSlowBelowEnough checks that a count above the parameter enough falls to 1/e in the short window, and a
-// count below it in the longer window.
+// TestFadeIsSlowBelowEnough checks that a count above Fade's parameter enough falls to 1/e in window, and a count below
+// enough falls to 1/e in the longer sparseWindow.
 func TestFadeIsSlowBelowEnough(t *testing.T) {
 	const enough, window, sparseWindow = 10, time.Second, 10 * time.Second
 	for _, test := range []struct {
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -99,14 +99,14 @@
 }
 
 // TestPollsKeepTheBoundsOfTheProtocol checks the bounds on polls for fleets of several sizes. A router is treated as
-// notified of a change 6 s after the change could be known to it, and the drain grace starts then. Each of the
-// following has to fit into the 6 s and the drain grace together:
-//   - A watch falls silent as a change is made: the router notices that, polls, and gets the answer.
-//   - Discovery recovers at the moment when a poll that fails begins: the router polls again and gets the answer.
+// notified of a change 6 s after discovery could first have told it. The drain grace follows these 6 s. Each of these
+// cases has to fit into the 6 s and the drain grace together:
+//   - A watch falls silent as a change is made: the router notices the silence, polls, and gets the answer.
+//   - Discovery recovers just after a router has begun a poll that fails: the router polls again and gets the answer.
 //   - The first poll after a start fails: the router makes a second poll.
 //
-// Polls of different routers are at least 5 ms apart. In runs with a whole fleet, one discovery service took that long
-// to answer with a list of 200 servers. Polls are a little closer where the drain grace leaves no more time.
+// Polls of different routers are at least 5 ms apart on average. In runs with a whole fleet, one discovery service took
+// 5 ms to answer with a list of 200 servers. With a drain grace of only 500 ms, polls are at least 4 ms apart.
 func TestPollsKeepTheBoundsOfTheProtocol(t *testing.T) {
 	for grace, pace := range map[time.Duration]time.Duration{2500 * ms: 5 * ms, 500 * ms: 4 * ms} {
 		for _, routers := range []int{1, 4, 80, 300, 1000} {
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -152,7 +152,7 @@
 // poll fails if it would have to wait for too long.
 type discoveryService struct {
 	perPoll   time.Duration
-	idleAt    Time // when the service has answered all polls so far
+	idleAt    Time // when the service will have answered all polls that it has received
 	downUntil Time // polls before this time fail at once
 	responses map[int]pollResponse
 }
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -7,7 +7,7 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenExplanation compares the JSON of explanations with a golden file, as scripts of operators read this JSON.
+// TestGoldenExplanation compares the JSON of explanations with a golden file, as operators' scripts read this JSON.
 func TestGoldenExplanation(t *testing.T) {
 	full := Explanation{
 		Key:        "anna",
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -13,7 +13,7 @@
 	const (
 		outlierID       = "s20"
 		badFrom         = 800
-		foundBy         = 1400 // some seconds after badFrom, as one router has to send to the outlier twice
+		foundBy         = 1400 // 6 s after badFrom, as some router has to send to the outlier twice first
 		goodFrom        = 1800
 		recoveredBy     = 2600
 		steps           = 3400
@@ -21,7 +21,7 @@
 		maxDatagramSize = 256
 	)
 	for name, bad := range map[string]Reason{"errors": Errored, "slow": TimedOut} {
-		attemptShare := map[bool]float64{} // the outlier's share of its usual attempts, with gossip (true) or without
+		attemptShare := map[bool]float64{} // attempts at the bad outlier divided by its usual attempts; by mayGossip
 		for _, mayGossip := range []bool{false, true} {
 			fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(40)...)
 			before, during, after := 0, 0, 0
@@ -34,7 +34,7 @@
 					return Succeeded
 				})
 				switch {
-				case step < badFrom: // attempts are counted for eight seconds: each server gets only six a second
+				case step < badFrom: // 8 s long, as each server gets only six attempts a second
 					before += attempts[outlierID]
 				case step >= foundBy && isBad:
 					during += attempts[outlierID]
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -93,7 +93,7 @@
 // asWrite changes a request into a write.
 func asWrite(request *Request) { request.Write = true }
 
-// ofTenant changes a request into one of the tenant t, which has a quota.
+// ofTenant changes a request into a request of the tenant named t, which has a quota.
 func ofTenant(request *Request) { request.Tenant = "t" }
 
 // requestMiss sends the router a read and ends its attempt at the cache server with a miss.
@@ -105,7 +105,7 @@
 	return id, actions
 }
 
-// endAttempt ends the last attempt of a request for the reason. A success also ends the request.
+// endAttempt ends the last attempt of a request with the given reason. A success also ends the request.
 func (driver *routerDriver) endAttempt(id uint64, reason Reason, took time.Duration) []Action {
 	return driver.handle(Outcome{
 		ID: id, Attempt: driver.sendCount[id] - 1, Reason: reason, Took: took, Ended: reason == Succeeded,
@@ -137,8 +137,8 @@
 	}
 }
 
-// readOtherKeys sends reads of keys that tests do not use otherwise. So a key that a test reads again and again does
-// not make up most of all requests.
+// readOtherKeys sends reads of keys that tests do not use otherwise. Without these reads, a key that a test reads again
+// and again would get most of all requests, which would make it a hot key.
 func (driver *routerDriver) readOtherKeys(count int) {
 	for range count {
 		id, _ := driver.request("high", fmt.Sprint("other", driver.nextID), nil)
--- a/internal/policy/healthcheck_test.go
+++ b/internal/policy/healthcheck_test.go
@@ -178,7 +178,7 @@
 	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
 		t.Errorf("20 s at a server that is left out: got %d attempts, want 1 to 6", got)
 	}
-	if got := attemptsAtFar(30*time.Second, false); got < 300 { // in slow start the server gets fewer than all attempts
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // in slow start the server gets only some attempts
 		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
 	}
 }
--- a/internal/policy/hedging_test.go
+++ b/internal/policy/hedging_test.go
@@ -4,15 +4,15 @@
 
 // TestHangingReadIsHedgedWhileTheOriginIsQuiet checks that a read that hangs at a cache server is hedged at the origin
 // while the origin has a low load. A write is never hedged. No read is hedged while the origin is busy or all cache
-// servers are slow. Otherwise the work that an overloaded server did for the read would be lost, and the reads that a
-// whole fleet moves would overload the server that they move to.
+// servers are slow: a hedge wastes the work that an overloaded cache server has already done for the read, and the
+// hedged reads of a whole fleet would overload the origin.
 func TestHangingReadIsHedgedWhileTheOriginIsQuiet(t *testing.T) {
 	for _, test := range []struct{ isOriginBusy, isCacheOverloaded bool }{{false, false}, {true, false}, {false, true}} {
 		driver := newTrainedDriver(t)
 		driver.readOtherKeys(40)
 		readID, _ := driver.request("low", "k", nil)
 		writeID, _ := driver.request("unsafe", "w", asWrite)
-		driver.now += 450 * ms // the target latency is half the objective of 500 ms, the maximum is twice the target
+		driver.now += 450 * ms // over the target latency of 250 ms, but under the maximum latency of 500 ms
 		if got := actionsOf[Cancel](driver.runUpkeep()); len(got) > 0 {
 			t.Errorf("%+v: after 450 ms got %v cancelled, want nothing", test, got)
 		}
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -30,7 +30,7 @@
 // single router gets the key once a second; together the routers must spread it within one second.
 func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
 	const hotFrom, countFrom, steps = 1000, 1050, 1150
-	ownerShare := map[bool]float64{} // the owner's share of the hot key's requests, with gossip (true) or without
+	ownerShare := map[bool]float64{} // the owner's fraction of the hot key's requests, with gossip (true) or without
 	for _, mayGossip := range []bool{false, true} {
 		fleet := newFleet(t, 100, mayGossip, 0.1, serverIDs(50)...)
 		ownerID, atOwner, total := fleet.drivers[0].ownerOf("hot"), 0, 0
@@ -81,7 +81,7 @@
 		order := driver.router.orderOf(slotOf(key), &request{})
 		owner := order.next()
 		spread := isSpread[owner.Capacity]
-		for range 6 { // popularity ends at 0.15 to 0.25; relative capacities are 0.2 (small) and 1.8 (large)
+		for range 6 { // the key gets 0.15 to 0.25 of an average server's requests; relative capacities are 0.2 and 1.8
 			id, actions := driver.request("high", key, nil)
 			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
 			driver.endAttempt(id, Succeeded, ms)
--- a/internal/policy/locality/weight.go
+++ b/internal/policy/locality/weight.go
@@ -17,20 +17,20 @@
 	reduction float64 // 1 minus the weight, so that the zero value means a weight of 1
 }
 
-// DefaultAffinityBudget is so low that 0.85 of the first attempts for a key go to its owner, which is the goal of the
-// design. Hot keys, slow starts and overloads send some to other servers too: 0.09 to 0.11 of the attempts, on days
-// with low load in two deployments.
+// DefaultAffinityBudget lets 0.85 of the first attempts for a key go to its owner, which is the goal of the design. Of
+// the other 0.15, hot keys, slow starts and overloads sent 0.09 to 0.11 to other servers, on days with low load in two
+// deployments. That leaves 0.04 for the servers of the own zone.
 const DefaultAffinityBudget = 0.04
 
 // The factors by which a step multiplies the weight of a server in another zone, and the bounds that select the factor.
 // There are four steps a second.
 const (
-	minZoneWeight      = 0.02 // least weight; above 0, so that other zones' servers keep an order if the own zone fails
-	quietFactor        = 0.95 // without overload, the weight falls by a fifth each second, or to 1/e in 5 s
-	zoneOverloadFactor = 1.1  // if only the own zone is overloaded, the weight rises within about 2 s
-	allOverloadFactor  = 1.3  // if all zones or the origin are overloaded, the weight rises within about 1 s
-	calmUtilisation    = 0.2  // above this fraction of slow answers, the cache servers or the origin are overloaded
-	zoneExcess         = 0.1  // the own zone is overloaded if its slow fraction exceeds that of all zones plus this
+	minZoneWeight      = 0.02 // least weight; above 0, so that keys still have owners if the own zone fails
+	quietFactor        = 0.95 // factor without overload: the weight falls by a fifth in a second, and to 1/e in 5 s
+	zoneOverloadFactor = 1.1  // factor if only the own zone is overloaded: the weight doubles in about 2 s
+	allOverloadFactor  = 1.3  // factor if all zones or the origin are overloaded: the weight almost triples in 1 s
+	calmUtilisation    = 0.2  // above this fraction of slow answers, the origin or all zones together are overloaded
+	zoneExcess         = 0.1  // own zone is overloaded if its fraction of slow answers is this much over all zones'
 )
 
 // Load holds the measurements that a step depends on. Fractions are from 0 to 1.
@@ -61,8 +61,8 @@
 
 // minWeight returns the lowest weight at which no more requests leave their owner than AffinityBudget allows. When the
 // weight w of the other zones' servers falls below 1, the own zone keeps its slots and gains some of theirs. If the own
-// zone has the fraction home of all capacity, it gets the fraction home/(home+(1-home)*w) of the requests. At w=1 that
-// is home. The increase over home must not exceed AffinityBudget.
+// zone has the fraction home of all capacity, it gets the fraction home/(home+(1-home)*w) of the requests. At w=1 this
+// fraction is home. Below w=1 it must not exceed home+AffinityBudget.
 func (w *CrossZoneWeight) minWeight(home float64) float64 {
 	if stay := 1 - home - w.AffinityBudget; home > 0 && stay > 0 {
 		return max(minZoneWeight, home*stay/((home+w.AffinityBudget)*(1-home)))
--- a/internal/policy/outlier/budget.go
+++ b/internal/policy/outlier/budget.go
@@ -17,7 +17,7 @@
 	// yet.
 	UnavailableFraction float64
 	EjectionFraction    float64 // fraction of its keys that the server should give up as an outlier
-	TieBreaker          uint64  // orders servers of equal EjectionFraction, the same at every node
+	TieBreaker          uint64  // orders servers of equal EjectionFraction; each node uses the same value
 }
 
 // available returns the capacity that the server would offer if none of it were ejected.
@@ -25,17 +25,17 @@
 
 // Budget bounds how much of the capacity of all servers may be out at once, either unavailable or ejected.
 type Budget struct {
-	MaxFraction float64 // fraction of all capacity; no bound unless it is between 0 and 1
+	MaxFraction float64 // largest fraction of all capacity that may be out; 0 or less, or 1 or more, means no bound
 }
 
 // IsBounded reports whether the budget has a bound.
 func (b Budget) IsBounded() bool { return b.MaxFraction > 0 && b.MaxFraction < 1 }
 
 // Grant sets granted[i] to the fraction of its keys that servers[i] gives up; both slices must have the same length.
-// Each server gives up its EjectionFraction while the budget lasts, the worst first. Unavailable capacity is charged
-// to the budget first, and is not restored if it exceeds the budget. Nodes with the same view grant the same, so the
-// capacity ejected by all nodes together stays near the budget. Grant reports whether a server gives up less than its
-// EjectionFraction.
+// Unavailable capacity is charged to the budget first; if it alone exceeds the budget, no server gives up keys. Then
+// each server gives up its EjectionFraction while the budget lasts, the worst server first. Nodes with the same view
+// grant the same fractions, so the capacity that all nodes eject stays near the budget. The result is true if a server
+// gives up less than its EjectionFraction because of the budget.
 func (b Budget) Grant(servers []Server, granted []float64) (isLimited bool) {
 	left := b.left(servers)
 	clear(granted)
@@ -80,8 +80,8 @@
 	return order
 }
 
-// IsSpent reports whether no server may be taken out on the reports of other nodes alone. This is so if the unavailable
-// capacity and the capacity that outliers should give up together reach the budget.
+// IsSpent reports whether the unavailable capacity and the capacity that outliers should give up together reach the
+// budget. If so, no server may be taken out only because other nodes report it as unresponsive.
 func (b Budget) IsSpent(servers []Server) bool {
 	if !b.IsBounded() {
 		return false
--- a/internal/policy/quota/tracker.go
+++ b/internal/policy/quota/tracker.go
@@ -17,9 +17,9 @@
 // requests: each request at the node, of any tenant, adds the tenant's fraction of the sum of all quotas. The second
 // bucket is for load balancers that give a node more than its even share of the traffic. Behind such a balancer, a
 // tenant is over its quota only if it sends more than its share compared with the other tenants. A request is within
-// the quota if one of the two buckets has a token for it, and if a third bucket has one too. The third bucket fills at
-// the tenant's whole quota, and so keeps the tenant within it at this node alone. A Tracker is not safe for concurrent
-// use.
+// the quota if one of these two buckets has a token for it, and the third bucket has one too. Each second adds the
+// tenant's whole quota to the third bucket, so that even a tenant that sends everything to this node stays within its
+// quota. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	tenants    map[string]*tenant
 	totalQuota float64
@@ -34,7 +34,7 @@
 	byTraffic         float64 // tokens of the bucket that fills with the node's requests
 	atOneNode         float64 // tokens of the bucket that bounds what one node lets through
 	refilledAt        Time
-	refilledAtRequest float64 // Tracker.requests at the last refill
+	refilledAtRequest float64 // value of Tracker.requests at the tenant's last refill
 }
 
 // New returns a tracker without tenants, for one node of the given number of nodes. All buckets of a tenant are full at
@@ -82,7 +82,7 @@
 	sender.byTraffic = min(rate+burst, sender.byTraffic+
 		(t.requests-sender.refilledAtRequest)*sender.quota/max(t.totalQuota, sender.quota, minTotalQuota))
 	sender.refilledAt, sender.refilledAtRequest = now, t.requests
-	if len(t.tenants) < 2 { // there is no other tenant to compare with
+	if len(t.tenants) < 2 { // the traffic of a single tenant can't be compared with that of other tenants
 		sender.byTraffic = 0
 	}
 }
--- a/internal/policy/quota/tracker_test.go
+++ b/internal/policy/quota/tracker_test.go
@@ -11,7 +11,7 @@
 	quotas := map[string]float64{"a": 40, "b": 40, "c": 20} // requests per second at both nodes together
 	for name, test := range map[string]struct {
 		rates    map[string]float64 // requests per second at this node
-		wantOver map[string]float64 // fraction of a tenant's requests that is over its quota, within 0.06
+		wantOver map[string]float64 // fraction of a tenant's requests that is over its quota; tolerance 0.06
 	}{
 		"each tenant sends its even share":               {map[string]float64{"a": 20, "b": 20, "c": 10}, nil},
 		"the load balancer sends three quarters":         {map[string]float64{"a": 30, "b": 30, "c": 15}, nil},
--- a/internal/policy/request_test.go
+++ b/internal/policy/request_test.go
@@ -104,8 +104,8 @@
 }
 
 // TestReadsWithoutTimeLeftAreRejectedAtOnce checks that a read with less time left than the fastest recent answers took
-// is rejected at once. A read with a little more time left is not rejected. A pause of the servers makes a few answers
-// slow. This must not raise, for long, the time left that a read needs to be accepted.
+// is rejected at once. A read with a little more time left is not rejected. This must still hold right after a few
+// slow answers, such as a pause of the servers causes.
 func TestReadsWithoutTimeLeftAreRejectedAtOnce(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	isRejectedWith := func(timeLeft time.Duration) bool {
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -49,8 +49,9 @@
 }
 
 // TestReadsRejectedByAFullServerGoElsewhere checks when a read that a full server rejected goes to another cache
-// server. It does so while the origin has a low load. While the origin is busy, it does so only if other servers reject
-// fewer requests. Then the read skips all servers that reject as many, and the retry budget is not charged.
+// server. While the origin has a low load, the read goes to another cache server. While the origin is busy, the
+// read does so only if some cache servers reject fewer requests than the full one. The read then goes to none of the
+// servers that reject as many requests as the full one, and the retry budget is not charged.
 func TestReadsRejectedByAFullServerGoElsewhere(t *testing.T) {
 	for name, test := range map[string]struct {
 		isOriginQuiet bool
@@ -181,9 +182,9 @@
 	}
 }
 
-// TestReadIsRetriedElsewhereAfterAnError checks that a read is retried at another cache server after an error. One
-// router among many seldom sends to a server that answers with errors, and so takes long to find it out: until then,
-// its errors must not fail reads. A fourth attempt is not made at once.
+// TestReadIsRetriedElsewhereAfterAnError checks that a read is retried at another cache server after an error. In
+// a large fleet, each router seldom sends to any one server, and so takes long to find out that a server answers with
+// errors. Until then, the server's errors must not fail reads. After three errors, no fourth attempt follows at once.
 func TestReadIsRetriedElsewhereAfterAnError(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	driver.readOtherKeys(20)
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -108,7 +108,7 @@
 		driver.request("high", "k", ofTenant)
 	}
 	for _, srv := range driver.router.servers {
-		for i := range 200 { // the load exceeds only the lowest threshold; the origin has no spare capacity
+		for i := range 200 { // utilisation 0.5 sheds bulk reads, but no critical ones; the origin is busy
 			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
 		}
 	}
@@ -149,16 +149,16 @@
 	}
 }
 
-// TestRoutersDoNotShedInStep checks that routers under the same load do not all reject the miss with the same number,
-// as counted from the first miss of each router.
+// TestRoutersDoNotShedInStep checks that routers under the same load do not shed in step: the first miss that a router
+// rejects must not be, for example, the third one at every router.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	firstRejected := map[int]int{} // number of routers, by the number of the miss that they reject first
+	firstRejected := map[int]int{} // number of routers, by which of their misses (1, 2, ...) they reject first
 	for seed := range uint64(60) {
 		router, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		loaded := gauge{ // at its utilisation, a fifth of the misses are shed
+		loaded := gauge{ // utilisation of 1.2 times the bucket's threshold, at which a fifth of the misses are shed
 			objectives: router.newObjectives(),
 			samples:    100,
 			overTarget: 120 * shedThresholds[degraded],
@@ -207,8 +207,8 @@
 }
 
 // TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold checks that reads bypass a crowded server while the origin has
-// a low load. The fraction of slow hits at which they do is far below the fraction of slow fetches at which fetches are
-// shed.
+// a low load. They already do so at a fraction of slow hits that is far below the fraction of slow fetches at which
+// fetches are shed.
 func TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold(t *testing.T) {
 	driver := newTrainedDriver(t)
 	crowded := driver.router.serverByID[driver.ownerOf("k")]
--- a/internal/policy/slotorder_test.go
+++ b/internal/policy/slotorder_test.go
@@ -104,7 +104,7 @@
 
 // TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers guards against a cost that grows with the square of the
 // number of servers: in explanations that operators ask for, in upkeep, and in outcomes with an ejection budget. Each
-// of these used to block the event loop for as long as requests for a popular key did.
+// of these once blocked the event loop for as long as requests for a popular key had blocked it.
 func TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "an explanation", func(driver *routerDriver) { driver.router.Explain(driver.now, popularKey) })
 	checkGrowth(t, "upkeep with an ejection budget", func(driver *routerDriver) {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -51,7 +51,8 @@
 			got++
 		}
 	}
-	// An average server gets about 100 requests in the window over which the popularity of keys is counted.
+	// An average server gets about 100 requests in the window over which popularity is counted; 110 is a little more.
+	// In slow start, a server can serve 0.2 (SlowStartFloor) of them, and OverloadFactor allows 3 times as many.
 	if limit := 3 * 0.2 * 110; float64(got) > limit {
 		t.Errorf("hot key while the server warms up: got %d requests, want at most %.0f", got, limit)
 	}
@@ -89,8 +90,8 @@
 			}
 		}
 	}
-	// An average server gets a tenth of the requests. A server in slow start can serve at least a fifth of that, and
-	// the overload factor allows three times that fifth.
+	// Each of the ten servers gets a tenth of the requests on average. In slow start, a server can serve at least 2/10
+	// of that tenth, and the overload factor of 3 allows 3 times as many.
 	if limit := offered / 10 * 2 * 3 / 10; sent == 0 || sent > limit {
 		t.Errorf("got %d of %d requests at a restarted server with a hot key, want some and at most %d", sent, offered, limit)
 	}
@@ -119,8 +120,8 @@
 		}
 		driver.endAttempt(id, Succeeded, 5*ms)
 	}
-	// If the keys were spread evenly, s1 would get an eighth of the requests: 75. In slow start, s1 can serve at least
-	// a fifth of that, and the overload factor of 3 allows three times that fifth.
+	// If the keys were spread evenly, s1 would get an eighth of the 600 requests: 75. In slow start, s1 can serve at
+	// least a fifth of these 75, which is 15. The overload factor of 3 allows 3 times as many: 45.
 	if got > 45 {
 		t.Errorf("three hot keys: got %d of 600 requests at a server that warms up, want at most 45", got)
 	}
@@ -145,8 +146,9 @@
 			admitted++
 		}
 	}
-	// Each server answered 20 requests. Three times a fifth of that is 12. The bound is higher, because the first few
-	// requests are admitted before the key counts as hot.
+	// Each server answered 20 requests. In slow start, a server can serve a fifth of that, which is 4, and the overload
+	// factor of 3 allows 12. The bound is higher, because the first few requests are admitted before the key counts as
+	// hot.
 	if admitted == 0 || admitted > 45 {
 		t.Errorf("got %d of 100 requests admitted while an average server answers 20, want 1 to 45", admitted)
 	}
@@ -160,7 +162,7 @@
 	const (
 		steps, restartAt = 1400, 800
 		servers          = 50
-		window           = 150 // steps in 1.5 s
+		window           = 150 // in steps: 1.5 s
 	)
 	fleet := newFleet(t, 300, true, 0.1, serverIDs(servers)...)
 	ownerID := fleet.drivers[0].ownerOf("hot")
@@ -248,8 +250,8 @@
 	}
 }
 
-// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that a server in slow start takes no more requests after
-// half of the servers are removed than a moment before. It would take more if past answers were divided by the new
+// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that the number of requests that a server in slow start
+// takes does not grow when half of the servers are removed. It would grow if past answers were divided by the new
 // number of servers, instead of the number at the time of each answer.
 func TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(8)...)
