--- a/internal/admission/descriptor_split.go
+++ b/internal/admission/descriptor_split.go
@@ -120,8 +120,8 @@
 	return donor, spare
 }
 
-// reserved returns how many descriptors a side does not give away: its recent peak plus a quarter and spareDescriptors,
-// or its floor if that is more. So a move never takes a descriptor that is in use.
+// reserved returns how many descriptors a side does not give away: 1.25 times its recent peak use plus spareDescriptors,
+// or its floor if the floor is more. So a move never takes a descriptor that is in use.
 func (s *DescriptorSplit) reserved(side Side) int {
 	return max(s.policy.Floor[side], int(math.Ceil(s.peak[side]*peakHeadroom))+spareDescriptors)
 }
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -5,9 +5,10 @@
 // newConnectionGrace is how long a newly accepted connection is not evicted, as it is probably about to send a command.
 const newConnectionGrace = 100 * time.Millisecond
 
-// Admit reports whether one more connection may be accepted. If the table is full it marks an idle connection for
-// closing, the one that has used up the largest fraction of its short idle timeout: found is true and victim is its id.
-// found is false if no connection can be evicted, or if one that is marked for closing is not closed yet.
+// Admit reports whether one more connection may be accepted. If the table is full, Admit marks for closing the idle
+// connection that has used up the largest fraction of its short idle timeout. victim is the id of that connection, and
+// found is true. found is false if no connection can be evicted, or if a connection that was marked for closing earlier
+// is not closed yet.
 func (t *ConnectionTable) Admit(now Time) (ok bool, victim uint64, found bool) {
 	if t.Len() < t.policy.MaxConnections {
 		return true, 0, false
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -140,7 +140,7 @@
 func (c *Core) closeUnlessUnread(now time.Time, conn *Conn, effects *Effects) {
 	switch {
 	case conn.isFramingBroken || conn.endReason == EndedByQuit: // no later command gets a response
-		c.closeInOrder(now, conn, effects)
+		c.closeGracefully(now, conn, effects)
 	case conn.isPaused: // the bytes that were already read may hold commands
 		effects.add(ResumeReading, conn, nil)
 	case !conn.isClosed && !conn.isCheckingUnread:
@@ -156,7 +156,7 @@
 	switch {
 	case conn.isClosed || !conn.closeAfterResponses:
 	case len(conn.slots) == 0 && !conn.isPaused && (!hasUnread || c.mayCloseDespiteUnread(now, conn)):
-		c.closeInOrder(now, conn, effects)
+		c.closeGracefully(now, conn, effects)
 	case conn.endReason != EndedByDrain: // it was to be closed as idle, but the check shows that it is not idle
 		conn.closeAfterResponses = false
 		c.table.Retain(conn.id)
@@ -186,9 +186,9 @@
 	c.cancelRequests(conn, effects)
 }
 
-// closeInOrder closes a connection whose client may still read responses. The connection lingers until the client has closed it too,
-// or until its linger deadline.
-func (c *Core) closeInOrder(now time.Time, conn *Conn, effects *Effects) {
+// closeGracefully closes a connection whose client may still read responses. The connection lingers until the client has closed it
+// too, or until its linger deadline.
+func (c *Core) closeGracefully(now time.Time, conn *Conn, effects *Effects) {
 	if conn.isClosed {
 		return
 	}
--- a/internal/listener/core_property_test.go
+++ b/internal/listener/core_property_test.go
@@ -124,13 +124,13 @@
 	}
 }
 
-// checkOrderlyEnd checks a connection that the core closes in order: every command that the core has read has a response, and no
+// checkOrderlyEnd checks a connection that the core closes gracefully: every command that the core has read has a response, and no
 // unread bytes are left. Unread bytes are allowed past the drain deadline only, as a client may go on sending.
 func (m *coreModel) checkOrderlyEnd(t *rapid.T, client *modelClient) {
 	client.isEnded = true
 	isPastDrain := m.core.isDraining && !m.now.Before(m.core.drainDeadline)
 	if len(client.sent) > 0 && !isPastDrain {
-		t.Fatalf("got a connection closed in order with %d unread bytes, want it kept", len(client.sent))
+		t.Fatalf("got a connection closed gracefully with %d unread bytes, want it kept", len(client.sent))
 	}
 	unread := strings.Count(string(client.sent), "CACHE.GET") + strings.Count(string(client.sent), "HELLO")
 	read := len(client.unanswered) - unread
@@ -138,7 +138,7 @@
 		read--
 	}
 	if read > 0 {
-		t.Fatalf("got a connection closed in order with %d commands read and without a response, want none", read)
+		t.Fatalf("got a connection closed gracefully with %d commands read and without a response, want none", read)
 	}
 }
 
@@ -305,7 +305,7 @@
 // TestCoreKeepsItsInvariantsInAnyOrderOfCalls makes random calls of a core, in any order that a shell could, and checks these
 // invariants. Each command gets one response, in order and with the reply of the handler; an invalid command gets an error. The
 // handler is told once that a client has disconnected. The number of commands that wait for responses is bounded. No connection
-// is closed in order while it has unread bytes. No connection is left in the end.
+// is closed gracefully while it has unread bytes. No connection is left in the end.
 func TestCoreKeepsItsInvariantsInAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newCoreModel(t)
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -31,7 +31,8 @@
 	return c.sweepInterval(now)
 }
 
-// expireDrain closes the connections that are still open past the drain deadline, each once its pending responses are written.
+// expireDrain closes the connections that are still open past the drain deadline, each as soon as its pending responses are
+// written.
 func (c *Core) expireDrain(now time.Time, effects *Effects) {
 	if now.Before(c.drainDeadline) {
 		return
@@ -71,8 +72,8 @@
 	return maxSweepInterval
 }
 
-// Drain starts to close all connections, each once its pending responses are written. A connection with a partial command has
-// lingerTimeout to send the rest of it, and a connection that is accepted from now on has lingerTimeout to send a command.
+// Drain starts to close all connections, each as soon as its pending responses are written. A connection with a partial command
+// has lingerTimeout to send the rest of it, and a connection that is accepted from now on has lingerTimeout to send a command.
 func (c *Core) Drain(now time.Time, effects *Effects) {
 	c.isDraining, c.drainDeadline = true, now.Add(lingerTimeout)
 	effects.capacityAvailable()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -22,7 +22,7 @@
 func (echoHandler) ClientDisconnected(*request.Request) {}
 
 // TestQueuedConnectionsAreServedAtClose guards against losing connections that are in the kernel's queue when the listener closes.
-// They must be accepted, the commands sent on them answered, and the connections then closed in order.
+// They must be accepted, the commands sent on them answered, and the connections then closed gracefully.
 func TestQueuedConnectionsAreServedAtClose(t *testing.T) {
 	var listenConfig net.ListenConfig
 	netListener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/internal/listener/socket.go
+++ b/internal/listener/socket.go
@@ -53,7 +53,7 @@
 	// An error means that the connection is closed or that the wait was interrupted; the next read shows which.
 	_ = s.raw.Read(s.pollClose)
 	_ = s.conn.SetReadDeadline(time.Time{})                 // cleared before the next call of the core, whose effects may set the deadline again
-	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // a wait that was interrupted before it began has not polled
+	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // polls once more, because a wait that was interrupted before it began has not polled
 	return s.isDisconnected
 }
 
