--- a/internal/testbed/eventlog/log.go
+++ b/internal/testbed/eventlog/log.go
@@ -12,14 +12,14 @@
 // Log is the event log of a run. It keeps the hash of the lines, not the lines. It is not safe for concurrent use.
 type Log struct {
 	hash   *xxhash.Digest
-	buffer []byte // reused by Append
+	buffer []byte // memory of the latest line; the next Append reuses it
 }
 
 // New makes an empty log.
 func New() *Log { return &Log{hash: xxhash.New()} }
 
-// Append adds an event: its time in nanoseconds, its name and its fields, separated by spaces. It returns the line,
-// including the newline. The returned slice is valid until the next call.
+// Append adds the line of an event: time in nanoseconds, name and fields, separated by spaces. It returns the line,
+// including the newline. The returned slice is valid until the next call of Append.
 func (l *Log) Append(at time.Duration, name string, fields ...string) []byte {
 	entry := strconv.AppendInt(l.buffer[:0], int64(at), 10)
 	entry = append(append(entry, ' '), name...)
--- a/internal/testbed/eventqueue/queue.go
+++ b/internal/testbed/eventqueue/queue.go
@@ -9,10 +9,10 @@
 
 // Event is work that is scheduled for a time.
 type Event struct {
-	At  time.Duration // time of the event since the start of the run
+	At  time.Duration // time at which the event is due, since the start of the run
 	Run func()
 
-	sequence uint64 // position in the order of scheduling
+	sequence uint64 // number of the event in the order in which events were scheduled
 }
 
 // Queue is a priority queue of events by time. The zero value is empty and ready for use. A Queue is not safe for
@@ -22,8 +22,8 @@
 	scheduled uint64
 }
 
-// Schedule adds work for a time. The queue has no clock: a caller that does not want events in the past must not
-// pass a time before the present.
+// Schedule adds work that is due at the time at. The queue has no clock, so it also accepts a time in the past: a caller
+// that does not want this must not pass one.
 func (q *Queue) Schedule(at time.Duration, run func()) {
 	q.scheduled++
 	heap.Push(&q.events, Event{At: at, Run: run, sequence: q.scheduled})
@@ -40,7 +40,7 @@
 	return q.events[0].At, true
 }
 
-// PopUntil removes and returns the earliest event if its time is not after now; ok is false if there is none.
+// PopUntil removes and returns the earliest event if it is due at or before now. Otherwise ok is false.
 func (q *Queue) PopUntil(now time.Duration) (event Event, ok bool) {
 	if at, pending := q.Next(); !pending || at > now {
 		return Event{}, false
@@ -48,7 +48,7 @@
 	return heap.Pop(&q.events).(Event), true
 }
 
-// eventHeap implements heap.Interface, ordered by time and then by the order of scheduling.
+// eventHeap is a heap of events, ordered by time. Events of the same time are in the order in which they were scheduled.
 type eventHeap []Event
 
 // Len implements sort.Interface.
@@ -69,7 +69,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	event := (*h)[last]
-	(*h)[last] = Event{} // releases the references that the closure holds
+	(*h)[last] = Event{} // lets the garbage collector free the event's closure
 	*h = (*h)[:last]
 	return event
 }
--- a/internal/testbed/invariants/attempt.go
+++ b/internal/testbed/invariants/attempt.go
@@ -6,11 +6,11 @@
 type attempt struct {
 	seq    uint64
 	server string
-	at     time.Duration // arrival of the first byte
+	at     time.Duration // time at which the first byte arrived
 	proof  Proof
 }
 
-// possiblyExecuted returns the first attempt that may have been executed, or nil.
+// possiblyExecuted returns the first attempt that may have been executed. It returns nil if there is no such attempt.
 func (r *request) possiblyExecuted() *attempt {
 	for _, attempt := range r.attempts {
 		if attempt.proof == PossiblyExecuted {
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// AttemptArrived reports that the last byte of an attempt arrived at a server. The first byte arrived at firstByte.
+// AttemptArrived tells the checker that the last byte of an attempt arrived at a server. firstByte is the time at which
+// the first byte arrived.
 func (c *Checker) AttemptArrived(now, firstByte time.Duration, node int, server, id, class string, seq uint64) {
 	c.counts.Attempts++
 	req := c.requestByID(now, id, class)
@@ -34,7 +35,8 @@
 	req.attempts = append(req.attempts, &attempt{seq: seq, server: server, at: firstByte})
 }
 
-// checkDraining checks that an attempt was not sent to a server that takes no new requests.
+// checkDraining checks that a node did not send an attempt to a draining or removed server more than
+// Tolerances.DrainWithin after the node was notified of that state.
 func (c *Checker) checkDraining(now, firstByte time.Duration, req *request, node int, server string) {
 	drain, draining := c.drainingFor(node, server)
 	if draining && firstByte > drain.since+c.tolerances.DrainWithin+c.tolerances.Grace {
@@ -43,7 +45,7 @@
 	}
 }
 
-// checkRetry checks that the class of a request allows a further attempt.
+// checkRetry checks that the class of a request allows one more attempt after the earlier attempts.
 func (c *Checker) checkRetry(now, firstByte time.Duration, req *request, server string) {
 	earlier := req.possiblyExecuted()
 	if earlier == nil {
@@ -60,8 +62,8 @@
 	}
 }
 
-// ResponseSent reports that a server wrote its response to an attempt. hasValue says that the response holds a value
-// made for the request; outcome is a name for the history.
+// ResponseSent tells the checker that a server wrote its response to an attempt. hasValue is true if the response holds
+// a value that the server made for this request. outcome is the text that the request's history shows.
 func (c *Checker) ResponseSent(now time.Duration, server, id string, seq uint64, proof Proof, hasValue bool, outcome string) {
 	req := c.requests[id]
 	if req == nil {
@@ -78,7 +80,7 @@
 	}
 }
 
-// RequestExecuted reports that a server began to execute a request.
+// RequestExecuted tells the checker that a server began to execute a request.
 func (c *Checker) RequestExecuted(now time.Duration, server, id, class string) {
 	req := c.requestByID(now, id, class)
 	req.executions++
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -6,15 +6,17 @@
 )
 
 const (
-	// rememberAfterDeadline is how long a request is remembered after its deadline.
+	// rememberAfterDeadline is how long the checker keeps a request after its deadline.
 	rememberAfterDeadline = 5 * time.Second
-	// rememberWithoutDeadline is how long a request is remembered that no client is known to have sent.
+	// rememberWithoutDeadline is how long the checker keeps a request for which RequestSent was not called, so that its
+	// deadline is unknown.
 	rememberWithoutDeadline = 10 * time.Second
-	// rememberDraining is the longest time that the state of a removed or draining server is remembered.
+	// rememberDraining is the longest time that the checker keeps the state of a removed or draining server.
 	rememberDraining = 10 * time.Minute
 	// maxHistory is the largest number of entries in the history of a request.
 	maxHistory = 40
-	// maxHistories is the number of violations that keep the history of their request.
+	// maxHistories is the number of violations that are stored with the history of their request. Later violations have
+	// none.
 	maxHistories = 50
 )
 
@@ -26,14 +28,14 @@
 	counts     Counts
 
 	requests     map[string]*request // requests by id
-	requestOrder []*request          // the requests in the order in which they were first seen
+	requestOrder []*request          // requests in the order in which the checker first saw them
 
 	nodes            map[int]*nodeView
-	draining         map[string]drainState // by server: states, other than up, that the discovery service has to send
+	draining         map[string]drainState // by server: its state in the list of the discovery service, if the state is not up
 	isDiscoveryDown  bool
 	discoveryUpSince time.Duration
-	starts           map[string]serverStart           // latest start of each server
-	knownStarts      map[int]map[string]time.Duration // by node and server: start time that the node was notified of
+	starts           map[string]serverStart           // by server: the latest start of the server
+	knownStarts      map[int]map[string]time.Duration // by node and server: the start time of the server in the node's endpoint list
 }
 
 // New returns a checker for requests of the given classes.
@@ -56,7 +58,7 @@
 // Violations returns all violations so far.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// Counts returns what was checked so far.
+// Counts returns the numbers of events that were checked so far.
 func (c *Checker) Counts() Counts {
 	counts := c.counts
 	for _, req := range c.requests {
@@ -67,7 +69,8 @@
 	return counts
 }
 
-// Advance finds requests that were not answered by their deadline and forgets old ones. It has to be called regularly.
+// Advance reports requests that were not answered by their deadline, and forgets old requests. The caller has to call
+// Advance regularly.
 func (c *Checker) Advance(now time.Duration) {
 	remembered := c.requestOrder[:0]
 	for _, req := range c.requestOrder {
@@ -90,7 +93,7 @@
 	}
 }
 
-// report adds a violation; the request may be nil.
+// report adds a violation to the list of violations. req is nil if the violation belongs to no request.
 func (c *Checker) report(invariant Invariant, now time.Duration, req *request, format string, args ...any) {
 	violation := Violation{Invariant: invariant, At: now, Text: fmt.Sprintf(format, args...)}
 	if req != nil && len(c.violations) < maxHistories {
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -8,7 +8,7 @@
 
 const s = time.Second
 
-// reporter reports events of the request "r", the server "b" and node 0 to a checker.
+// reporter reports events to a checker. Its methods use the request "r", the server "b" and node 0.
 type reporter struct{ *Checker }
 
 func (r reporter) accepted(class string) { r.RequestSent(0, "r", class, 0, 3*s) }
@@ -17,18 +17,19 @@
 	r.AttemptArrived(at, at, 0, server, "r", class, seq)
 }
 
-// served reports that server b made a value for the request and that the client got it.
+// served reports that server "b" made a value for the request, and that the client got the value.
 func (r reporter) served(at time.Duration) {
 	r.ResponseSent(at, "b", "r", 1, PossiblyExecuted, true, "hit")
 	r.RequestAnswered(at, "r", Served, "r")
 }
 
-// notified reports that node 0 was notified of the state of server b.
+// notified reports that node 0 was notified of the state of the server "b".
 func (r reporter) notified(at time.Duration, state string) {
 	r.NodeNotified(at, 0, false, map[string]string{"b": state})
 }
 
-// violationCase is a sequence of events and the invariant that it breaks exactly once. An empty want means none.
+// violationCase is a sequence of events that violates the invariant want exactly once. If want is empty, the events
+// violate no invariant.
 type violationCase struct {
 	name string
 	run  func(r reporter)
@@ -200,7 +201,7 @@
 	}
 }
 
-// newCheckerWithDuplicate returns a checker that saw an at-most-once request sent twice.
+// newCheckerWithDuplicate returns a checker with one violation: two attempts of an at-most-once request arrived.
 func newCheckerWithDuplicate() *Checker {
 	checker := New([]Class{{"cert", AtMostOnce, 0}}, Tolerances{Grace: 50 * time.Millisecond})
 	checker.RequestSent(0, "r", "cert", 3, 2*s)
--- a/internal/testbed/invariants/endpointlist.go
+++ b/internal/testbed/invariants/endpointlist.go
@@ -6,28 +6,29 @@
 const (
 	stateUp      = "up" // the only state in which a server takes new requests
 	stateRemoved = "removed"
-	// stateUnlisted stands for a server that a full list no longer contains. The discovery service does not send it.
+	// stateUnlisted is the state of a server that a full list no longer contains. The discovery service never sends this
+	// state; only the checker uses it.
 	stateUnlisted = "gone"
 )
 
-// rememberUnlisted is how long a node's view keeps a server that is no longer listed.
+// rememberUnlisted is how long a nodeView keeps a server after it was removed from the endpoint list.
 const rememberUnlisted = time.Minute
 
-// nodeView is what a node knows of the endpoint list from notifications.
+// nodeView holds what one node knows of the endpoint list from the notifications of the discovery service.
 type nodeView struct {
-	isListed map[string]bool // by server: whether the list contains it
+	isListed map[string]bool // by server: whether the endpoint list contains the server
 	draining map[string]drainState
 }
 
 // drainState is the state of a server that takes no new requests.
 type drainState struct {
-	since time.Duration // time of the first notification
+	since time.Duration // time of the first notification that the server takes no new requests
 	state string
 }
 
-// NodeNotified reports that the endpoint list, or a change of it, was written to a node. states are the states of the
-// servers by id; "up" is the only one in which a server takes new requests. A server that a full list leaves out was
-// removed.
+// NodeNotified tells the checker that the endpoint list, or a change of the list, was written to a node. states maps
+// server ids to states; a server takes new requests only in the state "up". A server that a full list does not contain
+// was removed.
 func (c *Checker) NodeNotified(now time.Duration, node int, isFull bool, states map[string]string) {
 	c.counts.Notifications++
 	view := c.nodes[node]
@@ -49,14 +50,15 @@
 	view.forgetUnlisted(now)
 }
 
-// beginDraining records that a server takes no new requests. Repeated notifications change nothing.
+// beginDraining records that a node was notified that a server takes no new requests. Only the first notification
+// counts.
 func (v *nodeView) beginDraining(now time.Duration, server, state string) {
 	if _, known := v.draining[server]; !known {
 		v.draining[server] = drainState{now, state}
 	}
 }
 
-// removeUnnamed removes the servers that a full list leaves out.
+// removeUnnamed marks each server as removed that a full list does not contain. states holds the servers in the list.
 func (v *nodeView) removeUnnamed(now time.Duration, states map[string]string) {
 	for server, isListed := range v.isListed {
 		if _, named := states[server]; !named && isListed {
@@ -76,7 +78,9 @@
 	}
 }
 
-// drainingFor returns when a node was notified, or counts as notified, that a server takes no new requests.
+// drainingFor returns the state of a server that takes no new requests, and the time at which the node was notified of
+// that state. A node that was not notified counts as notified Tolerances.NotifyWithin after the discovery service
+// listed the state or became reachable again. draining is false if there is no such time.
 func (c *Checker) drainingFor(node int, server string) (drain drainState, draining bool) {
 	if view := c.nodes[node]; view != nil {
 		if drain, draining = view.draining[server]; draining {
@@ -91,7 +95,7 @@
 	return drain, true
 }
 
-// ServerListed reports the state of a server that the discovery service has to send from now on.
+// ServerListed tells the checker in which state the discovery service lists a server from now on.
 func (c *Checker) ServerListed(now time.Duration, server, state string) {
 	if state == stateUp {
 		delete(c.draining, server)
@@ -100,7 +104,7 @@
 	}
 }
 
-// DiscoveryReachable reports whether the discovery service answers from now on.
+// DiscoveryReachable tells the checker whether the discovery service answers from now on.
 func (c *Checker) DiscoveryReachable(now time.Duration, isUp bool) {
 	if isUp && c.isDiscoveryDown {
 		c.discoveryUpSince = now
@@ -108,7 +112,8 @@
 	c.isDiscoveryDown = !isUp
 }
 
-// NodeRestarted reports that a node was restarted: it has only the endpoint list of its configuration.
+// NodeRestarted tells the checker that a node was restarted. The new process knows only the endpoint list in its
+// configuration.
 func (c *Checker) NodeRestarted(node int) {
 	delete(c.nodes, node)
 	delete(c.knownStarts, node)
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -1,9 +1,11 @@
-// Package invariants checks, from what a testbed sees itself, that nodes keep the invariants of the service. Each
-// request gets exactly one final answer, by its deadline and made for it; a request is retried only as far as its class
-// is idempotent; a server that drains gets no new requests; no server crashes from overload in slow start.
+// Package invariants checks, from the events that a testbed observes, that nodes keep the invariants of the service:
+// each request gets exactly one final answer, by its deadline, and no value of another request; a request is retried
+// only as far as its class allows; a draining server gets no new requests; no server crashes from overload in slow
+// start.
 //
-// The package has no clock and no I/O: its callers report each event with its time. It does not know what nodes
-// believe, so it can err only in their favour: what never reached the testbed is not counted against them.
+// The package has no clock and no I/O: its callers report each event with its time. It does not see the state inside
+// nodes. So it may miss a violation, but reports none that did not happen: an event that the testbed did not observe is
+// not counted against a node.
 //
 // A Checker belongs to one goroutine. It forgets a request some seconds after its deadline.
 package invariants
@@ -14,20 +16,20 @@
 	"time"
 )
 
-// Effect says how far requests of a class may be retried.
+// Effect says when requests of a class may be retried.
 type Effect int
 
 // The effects that a class can have.
 const (
 	Idempotent   Effect = iota // requests may always be retried: a second execution has no further effect
-	Deduplicated               // requests may be retried within the window of the idempotency key: the origin drops repeats
-	AtMostOnce                 // requests may be retried only if no earlier attempt may have been executed
+	Deduplicated               // requests may be retried within the window of the idempotency key: in that time the origin drops duplicates
+	AtMostOnce                 // requests may be retried only if it is certain that no earlier attempt was executed
 )
 
-// Effects are the effects by their names in scenario files.
+// Effects maps the names of effects in scenario files to the effects.
 var Effects = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "at_most_once": AtMostOnce}
 
-// Class says how far requests of a class may be retried.
+// Class describes a class of requests, and when these requests may be retried.
 type Class struct {
 	Name   string
 	Effect Effect
@@ -36,47 +38,49 @@
 
 // Tolerances bound how long nodes may take to follow a change.
 type Tolerances struct {
-	// DrainWithin is how long after the notification that a server drains new requests may still be sent to it.
+	// DrainWithin is the time for which a node may still send new requests to a draining server. It counts from the
+	// notification that told the node that the server is draining.
 	DrainWithin time.Duration
-	// NotifyWithin is the time after which a node counts as notified of what the discovery service has to send, as
-	// long as the service is reachable. With 0, a node counts as notified only when it was notified.
+	// NotifyWithin is the time after which a node counts as notified of a change of the endpoint list, even if it was
+	// not. The time counts only while the discovery service is reachable. If it is 0, only real notifications count.
 	NotifyWithin time.Duration
-	// Grace is added to each limit, for the delays of the testbed itself.
+	// Grace is added to each time limit, because the testbed itself causes delays.
 	Grace time.Duration
 }
 
-// Invariant names an invariant, as reports print it.
+// Invariant is the name of an invariant, as reports print it.
 type Invariant string
 
-// The invariants.
+// The invariants that a Checker checks.
 const (
-	// MissingAnswer is broken unless each request that a node accepted gets exactly one final answer, by its deadline.
-	// A value has to be one that a server made for this very request. Nothing is owed once the client disconnected,
-	// or on a connection that the node closed before it read the request.
+	// MissingAnswer is violated if a request that a node accepted does not get exactly one final answer by its deadline.
+	// It is also violated if the answer is a value that no server made for this very request. The node need not answer
+	// if the client has disconnected, or if the node closed the connection before it read the request.
 	MissingAnswer Invariant = "answer"
-	// DuplicateExecution is broken by a retry that the class does not allow. Idempotent requests may be retried
-	// always, deduplicated ones within the window of their idempotency key, which counts from the first attempt that
-	// may have been executed, and at-most-once requests only if no earlier attempt may have been executed. An attempt
-	// was not executed if the server rejected it or answered with a miss; every other one may have been.
+	// DuplicateExecution is violated by a retry that the class of the request does not allow. Idempotent requests may
+	// always be retried. Deduplicated requests may be retried within Class.Window, counted from the first attempt that
+	// was possibly executed. At-most-once requests may be retried only if no earlier attempt was possibly executed.
+	// Each attempt counts as possibly executed, unless the server rejected it or answered with a miss.
 	DuplicateExecution Invariant = "repeat"
-	// RejectedAfterExecution is broken by the answer -BUSY, which promises that a request had no effect, to an
-	// at-most-once request of which an attempt may have been executed.
+	// RejectedAfterExecution is violated if an at-most-once request is answered with -BUSY after an attempt that was
+	// possibly executed: -BUSY promises that the request had no effect.
 	RejectedAfterExecution Invariant = "refusal"
-	// SentToDraining is broken by a new request for a server that drains or was removed, once the node was notified of
-	// it, or counts as notified, and Tolerances.DrainWithin has passed. Requests in flight may be finished.
+	// SentToDraining is violated if a node sends a new request to a draining or removed server more than
+	// Tolerances.DrainWithin after the node was notified of that state. A node that was not notified counts as notified
+	// after Tolerances.NotifyWithin. Requests in flight may be finished.
 	SentToDraining Invariant = "drain"
-	// SlowStartOverload is broken by the nodes together, if a server crashes because they sent it more than it can
-	// do in slow start. It is not broken if a third or more of the attempts came from nodes that had not been notified
-	// of the server's start.
+	// SlowStartOverload is violated if a server crashes because all nodes together sent it more requests than it can
+	// execute in slow start. It is not violated if a third or more of the attempts at the server came from nodes that
+	// had not been notified of the server's start.
 	SlowStartOverload Invariant = "cold"
 )
 
-// Violation is a case in which an invariant was broken.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
 	At        time.Duration
 	Text      string
-	History   []string // what happened to the request
+	History   []string // events of the request that the violation is about, in order
 }
 
 // String returns the violation with the history of its request, as one line.
@@ -100,22 +104,22 @@
 
 var finalNames = [...]string{"served", "refused", "failed"}
 
-// String returns the kind as histories print it.
+// String returns the name of the kind of answer, as the history of a request shows it.
 func (f Final) String() string { return finalNames[f] }
 
-// Proof is what the response of a server proves about an attempt.
+// Proof tells what a server's response proves about the execution of an attempt.
 type Proof int
 
-// The proofs that a response can give.
+// What a server's response can prove about the execution of an attempt.
 const (
 	PossiblyExecuted Proof = iota // the attempt may have been executed
 	NotExecuted                   // the server rejected the attempt, or answered with a miss
 )
 
-// Counts counts what was checked.
+// Counts holds the numbers of events that a Checker has checked.
 type Counts struct {
 	Requests      int // requests that a node accepted
-	Answered      int // final answers
+	Answered      int // requests that got a final answer
 	Attempts      int // attempts that arrived at servers
 	Notifications int // notifications of nodes by the discovery service
 	Open          int // requests that have no final answer yet
--- a/internal/testbed/invariants/request.go
+++ b/internal/testbed/invariants/request.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// request is what is known of a client's request.
+// request holds what the checker knows of a client's request from the events reported so far.
 type request struct {
 	id, class  string
 	isAccepted bool // a node accepted the request from a client of the testbed
-	isOver     bool // the request was answered, or no answer is owed any more
+	isOver     bool // the request was answered, or the node need not answer it any more
 	node       int  // the node that accepted the request
 	deadline   time.Duration
 	attempts   []*attempt
@@ -19,7 +19,7 @@
 	forgetAt   time.Duration
 }
 
-// isOpen reports whether a final answer is owed.
+// isOpen reports whether the node still has to answer the request.
 func (r *request) isOpen() bool { return r.isAccepted && !r.isOver }
 
 // addHistory adds an entry to the history of a request.
@@ -29,7 +29,7 @@
 	}
 }
 
-// requestByID returns what is known of a request, and remembers one that is seen for the first time.
+// requestByID returns the request with an id. It adds the request if no event of it was reported before.
 func (c *Checker) requestByID(now time.Duration, id, class string) *request {
 	req := c.requests[id]
 	if req == nil {
@@ -40,8 +40,8 @@
 	return req
 }
 
-// RequestSent reports that a client wrote the last byte of a request to a node, whose machine had accepted the
-// connection. The deadline counts from the start of the run.
+// RequestSent tells the checker that a client wrote the last byte of a request to a node, on a connection that the
+// node's machine had accepted. The deadline is a time since the start of the run.
 func (c *Checker) RequestSent(now time.Duration, id, class string, node int, deadline time.Duration) {
 	req := c.requestByID(now, id, class)
 	req.isAccepted, req.node, req.deadline, req.forgetAt = true, node, deadline, deadline+rememberAfterDeadline
@@ -49,8 +49,8 @@
 	c.counts.Requests++
 }
 
-// RequestAnswered reports that a client read the last byte of an answer. madeFor is the id of the request that a value
-// names; it is ignored for other answers.
+// RequestAnswered tells the checker that a client read the last byte of an answer. If the answer is a value, madeFor is
+// the request id in the value; otherwise madeFor is ignored.
 func (c *Checker) RequestAnswered(now time.Duration, id string, final Final, madeFor string) {
 	req := c.requests[id]
 	if req == nil || !req.isAccepted {
@@ -76,7 +76,8 @@
 	}
 }
 
-// checkValue checks that a value that a client got was made for its request.
+// checkValue checks that a client got a value that a server made for this request, not the value of another request.
+// Each value contains the id of its request: madeFor.
 func (c *Checker) checkValue(now time.Duration, req *request, madeFor string) {
 	switch {
 	case madeFor != req.id:
@@ -86,7 +87,8 @@
 	}
 }
 
-// checkRejection checks that a request that was rejected had no effect, if its class makes this matter.
+// checkRejection checks that no attempt of a rejected at-most-once request was possibly executed. Requests of other
+// classes may be rejected after any attempt.
 func (c *Checker) checkRejection(now time.Duration, req *request) {
 	executed := req.possiblyExecuted()
 	if executed != nil && c.classes[req.class].Effect == AtMostOnce {
@@ -95,8 +97,8 @@
 	}
 }
 
-// ConnectionEnded reports that a node closed the connection on which it owed an answer. With unread the node may not
-// have read the request; this breaks no invariant.
+// ConnectionEnded tells the checker that a node closed a connection before it answered a request on it. If unread is
+// true, the node possibly had not read the request, and the close violates no invariant.
 func (c *Checker) ConnectionEnded(now time.Duration, id string, unread bool) {
 	req := c.requests[id]
 	if req == nil || req.isOver {
@@ -109,8 +111,8 @@
 	}
 }
 
-// ClientDisconnected reports that nothing is owed for a request any more: its client disconnected, or the testbed
-// itself ended the node.
+// ClientDisconnected tells the checker that a node need not answer a request any more: the client disconnected, or the
+// testbed itself ended the node.
 func (c *Checker) ClientDisconnected(now time.Duration, id string) {
 	if req := c.requests[id]; req != nil && !req.isOver {
 		req.isOver = true
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -4,19 +4,19 @@
 
 // serverStart counts the attempts that arrived at a server since its process started.
 type serverStart struct {
-	at                 time.Duration // start time of the process in the endpoint list
+	at                 time.Duration // start time of the process, as the endpoint list gives it
 	attempts           int
-	uninformedAttempts int // attempts from nodes that had not been notified of the start
+	uninformedAttempts int // attempts from nodes that had not been notified of the start of this process
 }
 
-// ServerStarted reports that the process of a server started with an empty cache; at is the start time that the
-// endpoint list gives.
+// ServerStarted tells the checker that the process of a server started with an empty cache. at is the start time that
+// the endpoint list gives.
 func (c *Checker) ServerStarted(server string, at time.Duration) {
 	c.starts[server] = serverStart{at: at}
 }
 
-// NodeKnowsStart reports that a node has an endpoint list, by its configuration or the discovery service, that gives
-// the start time of a server.
+// NodeKnowsStart tells the checker that a node has an endpoint list with the start time of a server. The node has the
+// list from its configuration or from the discovery service.
 func (c *Checker) NodeKnowsStart(node int, server string, startedAt time.Duration) {
 	if c.knownStarts[node] == nil {
 		c.knownStarts[node] = map[string]time.Duration{}
@@ -34,9 +34,9 @@
 	c.starts[server] = start
 }
 
-// ServerOverloaded reports that a server in slow start crashed from overload. This is not the nodes' fault if a third
-// or more of the attempts came from nodes that had not been notified of its start: they took it for the server that
-// had the address before.
+// ServerOverloaded tells the checker that a server in slow start crashed from overload. This is no violation if a third
+// or more of the attempts came from nodes that had not been notified of the server's start: these nodes took the server
+// for the one that had the address before.
 func (c *Checker) ServerOverloaded(now time.Duration, server string) {
 	start := c.starts[server]
 	if start.uninformedAttempts > 0 && 3*start.uninformedAttempts >= start.attempts {
--- a/internal/testbed/seedrunner/seedrunner.go
+++ b/internal/testbed/seedrunner/seedrunner.go
@@ -12,10 +12,10 @@
 
 // Simulation is one of the two simulations that can run a seed.
 type Simulation struct {
-	// Run draws the plan of a seed without the parts in skip, and runs it.
+	// Run draws the plan of a seed, leaves out the parts whose numbers are in skip, and runs the plan.
 	Run func(seed uint64, skip map[int]bool, opt simulation.Options) *simulation.Report
-	// Shrink searches for a smaller plan of the seed that violates the same invariant. It returns the parts to skip and
-	// the report of the run without them.
+	// Shrink searches for a smaller plan of the seed that still violates the invariant. It returns the numbers of the
+	// parts to leave out, and the report of the run without these parts.
 	Shrink func(seed uint64, invariant string) (skip map[int]bool, report *simulation.Report)
 }
 
@@ -27,7 +27,7 @@
 	Shrink: simulation.Shrink,
 }
 
-// Agreements simulates a fleet of nodes that agree on leases, rollouts and membership. It has no requests.
+// Agreements simulates a fleet of nodes that agree on leases, rollouts and membership. The fleet serves no requests.
 var Agreements = Simulation{
 	Run: func(seed uint64, skip map[int]bool, opt simulation.Options) *simulation.Report {
 		return simulation.RunFleet(simulation.DrawFleet(seed, skip), opt)
@@ -40,7 +40,7 @@
 	First   uint64 // the first seed to run
 	Count   uint64 // number of seeds, from First on
 	Workers int    // number of seeds that run in parallel; values below 1 count as 1
-	// StopAtViolation starts no further seed once a run has violated an invariant.
+	// StopAtViolation makes Run start no further seed once a run has violated an invariant.
 	StopAtViolation bool
 	// OnReport, if set, is called after every run, with the summary so far. Calls do not overlap.
 	OnReport func(report *simulation.Report, sofar *Summary)
@@ -51,11 +51,11 @@
 	Seeds       uint64 // number of seeds that were run
 	Requests    int    // requests that were scheduled, over all seeds
 	Violating   []*simulation.Report
-	ByInvariant map[string]int // number of violating runs, by the first invariant that each violated
+	ByInvariant map[string]int // by invariant: number of runs in which this invariant was the first to be violated
 	Elapsed     time.Duration
 }
 
-// PerSeed returns the mean time that one worker took for a seed.
+// PerSeed returns the mean time that one worker took for one seed.
 func (s *Summary) PerSeed(workers int) time.Duration {
 	return time.Duration(float64(s.Elapsed) * float64(max(1, workers)) / float64(max(1, s.Seeds)))
 }
@@ -63,7 +63,7 @@
 // Run runs the seeds and returns the summary. It stops early when the context ends; runs that have started are finished.
 func Run(ctx context.Context, sim Simulation, opt Options) *Summary {
 	runner := &runner{options: opt, began: time.Now(), summary: Summary{ByInvariant: map[string]int{}}}
-	seeds := make(chan uint64) // closed below, when no further seed is to be run
+	seeds := make(chan uint64) // closed below, once all seeds to be run have been sent
 	var workers sync.WaitGroup
 	for range max(1, opt.Workers) {
 		workers.Go(func() {
@@ -87,7 +87,8 @@
 	summary Summary
 }
 
-// feed hands out the seeds to the workers.
+// feed sends the seeds to the workers. It returns early if the context ends, or at a violation with
+// Options.StopAtViolation.
 func (r *runner) feed(ctx context.Context, seeds chan<- uint64) {
 	for seed := r.options.First; seed < r.options.First+r.options.Count; seed++ {
 		if r.options.StopAtViolation && r.hasViolation() {
--- a/internal/testbed/seedrunner/seedrunner_test.go
+++ b/internal/testbed/seedrunner/seedrunner_test.go
@@ -39,7 +39,7 @@
 
 func TestNoSeedIsStartedAfterAViolation(t *testing.T) {
 	summary := Run(t.Context(), violatingFrom(0), Options{Count: 1000, Workers: 1, StopAtViolation: true})
-	if summary.Seeds < 1 || summary.Seeds > 3 { // when the violation is seen, one further seed may be running and one handed out
+	if summary.Seeds < 1 || summary.Seeds > 3 { // the violating seed, and at most two that were sent to the worker before the violation was seen
 		t.Errorf("%d seeds were played, want at most 3", summary.Seeds)
 	}
 }
--- a/internal/testbed/simulation/abusive_client.go
+++ b/internal/testbed/simulation/abusive_client.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// abuseTimeout is the time within which the protocol requires a node to answer malformed input with an error or a close.
+// abuseTimeout is the time within which the protocol requires a node to react to malformed input: the node has to send an error
+// or close the connection.
 const abuseTimeout = 3 * time.Second
 
 // malformedInputs lists the malformed or incomplete inputs that abusive clients send.
 var malformedInputs = []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$9999999999\r\n", "*-5\r\n", "*99999999999999999999\r\n", "*2\r\n$4\r\nPI", "\x00\xff\r\n",
 	"*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nxyz\r\n$9\r\nc=nothing\r\n", "*3\r\n$9\r\nCACHE.GET\r\n$0\r\n\r\n$0\r\n\r\n", "*1\r\n$1\r\nx\r\n*1\r\n$"}
 
-// connectAbusiveClient connects a client that sends one malformed input, and checks that it gets an error or a close within
-// abuseTimeout.
+// connectAbusiveClient connects a client that sends one malformed input. It checks that the node sends an error to the client, or
+// closes the connection, within abuseTimeout.
 func (c *clients) connectAbusiveClient() {
 	world := c.world
 	node := world.rng.IntN(len(world.nodes))
--- a/internal/testbed/simulation/agreements.go
+++ b/internal/testbed/simulation/agreements.go
@@ -10,8 +10,8 @@
 	"shelfproxy/internal/policy"
 )
 
-// agreements holds the cores of the two protocols that a node runs beside its requests: leases of roles, and membership of the
-// fleet. The node's policy is notified of the results of both.
+// agreements holds the lease core and the membership core of a node, which run while the node handles requests. The lease core
+// assigns roles to nodes, and the membership core counts the nodes of the fleet. The node's policy is notified of both.
 type agreements struct {
 	node        *node
 	incarnation int
@@ -20,7 +20,7 @@
 	members     *membership.Core
 }
 
-// Times of the lease and membership cores that run beside requests.
+// Settings of the lease and membership cores in runs with requests.
 const (
 	leaseDuration       = 600 * time.Millisecond
 	leaseTicks          = 16 // ticks of the lease core within one lease duration
@@ -28,7 +28,7 @@
 	memberTicks         = 4 // ticks of the membership core within one probe interval
 )
 
-// newAgreements starts the lease and membership cores of a node's current process.
+// newAgreements makes the lease and membership cores of a node's current process, and starts their ticks.
 func newAgreements(n *node) *agreements {
 	w := n.world
 	a := &agreements{node: n, incarnation: n.incarnation, startedAt: w.now}
@@ -47,7 +47,7 @@
 	return a
 }
 
-// tick calls run periodically while the process lives. Each call is late by a drawn lag.
+// tick calls run periodically until the process ends. Each call is late by a random delay of up to MaxLag.
 func (a *agreements) tick(every time.Duration, run func()) {
 	a.node.schedule(every+a.node.lag(), func() {
 		run()
@@ -58,7 +58,7 @@
 // clock returns the time since the process started.
 func (a *agreements) clock() time.Duration { return a.node.world.now - a.startedAt }
 
-// notifyPolicy passes an event to the node's policy after a drawn lag, as the node's event loop would.
+// notifyPolicy passes an event to the node's policy after a random delay, which stands for the delay of the node's event loop.
 func (a *agreements) notifyPolicy(ev policy.Event) {
 	a.node.schedule(a.node.lag(), func() {
 		a.node.core.NotifyPolicy(ev)
@@ -121,7 +121,7 @@
 	a.stepMembership(membership.ShutdownStarted{})
 }
 
-// checkLeases checks that no two nodes believe at the same time that they hold the same lease.
+// checkLeases checks that no two nodes hold the same lease at the same time, as the lease cores of the nodes see it.
 func (w *world) checkLeases() {
 	for _, resource := range policy.RoleNames {
 		holder := lease.NoNode
--- a/internal/testbed/simulation/client_conn.go
+++ b/internal/testbed/simulation/client_conn.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// clientConn is the client's end of a connection to a node. The connection is reused for further requests.
+// clientConn is the client's end of a connection to a node. The client sends several requests over the connection.
 type clientConn struct {
 	clients     *clients
 	node        int
@@ -52,8 +52,8 @@
 	}
 }
 
-// ended handles a close or reset of the connection by the node. A request is sent again if the node's process never read it. A
-// read is also sent again if that process has ended, as reads may run twice.
+// ended handles a close or reset of the connection by the node. The client sends a request again if the node's process never read
+// the request. It also sends a read again if the process has ended, because a read may be executed twice.
 func (c *clientConn) ended(bool) {
 	if c.isClosed {
 		return
@@ -71,8 +71,8 @@
 			c.clients.finish(request, "lost")
 			continue
 		}
-		world.checker.ClientDisconnected(world.now, request.id) // no response is owed: the process has ended or never read the request
-		if request.isRead && request.isWrite {                  // the write may have run: the client does not retry it
+		world.checker.ClientDisconnected(world.now, request.id) // the node need not answer: its process has ended or never read the request
+		if request.isRead && request.isWrite {                  // the write was possibly executed: the client does not retry it
 			c.clients.history.record(request, "gone", nil, world.now)
 			c.clients.finish(request, "gone")
 			continue
@@ -83,7 +83,7 @@
 	}
 }
 
-// received handles responses, which come in the order of the commands.
+// received handles bytes from the node. It parses the responses in them, which come in the order of the commands.
 func (c *clientConn) received(b []byte, _ Time) {
 	if c.isClosed {
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-// answered checks the response to a request and records it.
+// answered checks the response to a request, and records the response.
 func (c *clientConn) answered(request *clientRequest, kind invariants.Final, value []byte) {
 	world := c.clients.world
 	madeFor := wireformat.RequestOfValue(value)
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -20,7 +20,7 @@
 	open         []*clientConn
 	byID         map[string]*clientRequest
 	lastID       int
-	lateRequests []*clientRequest // requests scheduled from Plan.HealthyFrom on
+	lateRequests []*clientRequest // requests whose first send was at or after Plan.HealthyFrom
 	history      history
 	rejected     map[string]bool // ids of rejected requests of at-most-once classes
 }
@@ -33,18 +33,18 @@
 	isWrite  bool
 	timeout  time.Duration
 	sentAt   Time
-	deadline Time // not before the deadline of the previous request on the connection, as responses come in order
-	isRead   bool // a node has read the request completely
+	deadline Time // at least the deadline of the previous request on the connection, because responses come in order
+	isRead   bool // the node has read all of the request
 	attempts int
-	result   string // how the request ended; empty while it is open
+	result   string // how the request ended; empty while it has not ended
 	conn     *clientConn
 }
 
-// Limits of the clients.
+// Limits and delays of the simulated clients.
 const (
-	maxSends       = 4                     // how often one request is sent at most
-	reconnectDelay = 50 * time.Millisecond // time that a load balancer in front of the nodes would take to find another node
-	maxPipelined   = 5                     // unanswered requests on one connection
+	maxSends       = 4                     // maximum number of times that a client tries to send one request
+	reconnectDelay = 50 * time.Millisecond // wait if no node accepts connections; a load balancer in front of the nodes would take this time to find one
+	maxPipelined   = 5                     // maximum number of unanswered requests on one connection
 )
 
 func newClients(w *world) *clients {
@@ -82,7 +82,8 @@
 	})
 }
 
-// send sends a request to the node that the workload drew for it, or to the next node that accepts connections.
+// send sends a request to the node that the workload chose for the request, or to the next node that accepts connections. Each
+// further attempt to send the request begins one node later.
 func (c *clients) send(request *clientRequest) {
 	world := c.world
 	request.attempts++
@@ -134,8 +135,7 @@
 	return command
 }
 
-// scheduleTimeout makes the client give up and disconnect if the request has no response by its deadline plus the checker's
-// grace.
+// scheduleTimeout makes the client give up and disconnect if the request has no response by its deadline plus the checker's grace.
 func (c *clients) scheduleTimeout(request *clientRequest) {
 	world, id, conn := c.world, request.id, request.conn
 	world.at(request.deadline+world.plan.Invariants.Grace.D()+time.Millisecond, func() {
@@ -148,7 +148,7 @@
 	})
 }
 
-// scheduleDisconnect makes the client disconnect at a drawn time before its timeout, if the request has no response by then.
+// scheduleDisconnect makes the client disconnect at a random time before its timeout, if the request has no response by then.
 func (c *clients) scheduleDisconnect(request *clientRequest) {
 	world, id, conn := c.world, request.id, request.conn
 	world.after(world.drawBetween(0, request.timeout), func() {
@@ -159,13 +159,14 @@
 	})
 }
 
-// isOpen reports whether the request has no result yet and still has this id and connection. If it was sent again, it has others.
+// isOpen reports whether the request has no result yet, and still has the id and the connection with which it was sent. A request
+// that was sent again has a new id.
 func (r *clientRequest) isOpen(id string, conn *clientConn) bool {
 	return r.id == id && r.result == "" && r.conn == conn
 }
 
-// connection returns a connection to a node: an idle one, sometimes one with unanswered requests, or a new one. It returns nil if
-// no node accepts connections.
+// connection returns a connection to a node: an idle or new connection, or sometimes a connection with unanswered requests. It
+// returns nil if no node accepts connections.
 func (c *clients) connection(request *clientRequest) *clientConn {
 	world := c.world
 	for i := range world.nodes {
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// requestRead records that a node has read a request completely.
+// requestRead records that a node has read all of a request.
 func (c *clients) requestRead(node int, id, class string) {
 	request := c.byID[id]
 	if request == nil {
@@ -203,7 +204,8 @@
 	c.world.checker.RequestSent(c.world.now, id, class, node, request.deadline)
 }
 
-// requestArrived checks that an at-most-once request that arrived completely at a server has not been rejected before.
+// requestArrived checks, when a request has arrived completely at a server, that the client did not get a rejection of it before.
+// Only rejections of at-most-once requests count.
 func (c *clients) requestArrived(id string) {
 	if c.rejected[id] {
 		c.world.violation(InvariantRejectedNotRun, "%s comes to a server after it was refused", id)
@@ -230,8 +232,9 @@
 	}
 }
 
-// checkLiveness checks the history of the clients, and that all but a small share of the requests from Plan.HealthyFrom on were
-// served.
+// checkLiveness checks the history of the clients. It also checks that the requests from Plan.HealthyFrom on were served. Besides
+// one request, at most a twentieth of these requests may be unserved; a sixth with Plan.ScarceCapacity, a third with
+// Plan.ManyNodes.
 func (c *clients) checkLiveness() {
 	c.history.check(c.world)
 	unserved, total := 0, 0
@@ -250,10 +253,10 @@
 		}
 	}
 	allowed := 1 + total/20
-	if c.world.plan.ScarceCapacity { // servers in slow start can take less than their share of the load, for longer than a run lasts
+	if c.world.plan.ScarceCapacity { // servers may be in slow start up to the end of the run, and then have less capacity than their share of the load
 		allowed = 1 + total/6
 	}
-	if c.world.plan.ManyNodes { // each node sends to a server only every few seconds, and learns as slowly that the server is healthy
+	if c.world.plan.ManyNodes { // a node sends a request to a given server only every few seconds, so it notices late that the server is healthy
 		allowed = 1 + total/3
 	}
 	if unserved > allowed {
--- a/internal/testbed/simulation/discovery_call.go
+++ b/internal/testbed/simulation/discovery_call.go
@@ -13,7 +13,8 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// discoveryCall is a call of a node to discovery over a simulated stream. The node's end uses the real state machine of a watch.
+// discoveryCall is a watch that a node opens at discovery, over a simulated stream. The node's end uses the program's own state
+// machine for watches.
 type discoveryCall struct {
 	world        *world
 	id           uint64
@@ -27,7 +28,7 @@
 	isOver       bool
 }
 
-// Bounds of the delay of a call, or of its cancellation, to discovery, and of an error response to the node.
+// Bounds of the delay until a call or its cancellation reaches discovery, or until an error response reaches the node.
 const (
 	minCallDelay = 100 * time.Microsecond
 	maxCallDelay = time.Millisecond
@@ -80,7 +81,7 @@
 // errConnectionReset is the error that a node gets if discovery resets the connection of a watch.
 var errConnectionReset = errors.New("connection reset by peer")
 
-// armTimer schedules the check that ends the watch if it has received nothing for too long.
+// armTimer schedules the next check of the watch's timeout. The check ends the watch if it has received nothing for too long.
 func (c *discoveryCall) armTimer() {
 	c.world.at(c.node.simTime(c.watch.Deadline()), func() {
 		if c.isOver || c.node.incarnation != c.incarnation {
@@ -109,7 +110,7 @@
 	}
 }
 
-// deliver reports received lists to the node, and the end of the watch if err is not nil.
+// deliver reports the received lists to the node. If err is not nil, it then ends the watch and reports the error.
 func (c *discoveryCall) deliver(lists []discovery.List, err error) {
 	if c.isOver || c.node.incarnation != c.incarnation {
 		return
@@ -125,7 +126,7 @@
 	c.node.armTimer()
 }
 
-// received handles bytes from discovery.
+// received handles bytes that discovery sent to the node.
 func (c *discoveryCall) received(b []byte, _ Time) {
 	if c.isOver || c.node.incarnation != c.incarnation {
 		return
@@ -135,7 +136,8 @@
 	c.deliver(lists, err)
 }
 
-// replyToCall writes discovery's reply to a call. Once the list in it has arrived, the node counts as notified of that list.
+// replyToCall writes discovery's reply to a call. When a list in the reply has arrived, it tells the checker that the node was
+// notified of the list.
 func (w *world) replyToCall(reply model.DiscoveryReply) {
 	call := w.calls[reply.Call]
 	if call == nil || call.isOver {
@@ -164,7 +166,7 @@
 	}
 }
 
-// isEmptyList reports whether a list is full and contains no servers. Nodes must not apply such a list.
+// isEmptyList reports whether a list is a full list without servers. Nodes must not apply such a list.
 func isEmptyList(list *model.List) bool { return list.IsFull && len(list.Entries) == 0 }
 
 // fail ends a call with a reset, or with an error status if no status has been sent yet.
@@ -180,7 +182,7 @@
 	})
 }
 
-// answer delivers HTTP status 200 to the watch when it is called for the first time.
+// answer delivers HTTP status 200 to the watch. Only the first call of answer does so.
 func (c *discoveryCall) answer() error {
 	if c.isAnswered {
 		return nil
@@ -216,11 +218,11 @@
 	return fmt.Sprintf(addressFormat, n.index, slot>>8, slot&255)
 }
 
-// slotOf returns the slot that addressOf has put into an address.
+// slotOf returns the slot of the server with an address. It is the inverse of addressOf.
 func slotOf(address string) (slot int) {
 	var node, high, low int
 	if _, err := fmt.Sscanf(address, addressFormat, &node, &high, &low); err != nil {
-		panic(fmt.Sprintf("address %q: %v", address, err)) // a bug: addressOf has made every address
+		panic(fmt.Sprintf("address %q: %v", address, err)) // this would be a bug: all addresses come from addressOf
 	}
 	return high<<8 | low
 }
--- a/internal/testbed/simulation/draw.go
+++ b/internal/testbed/simulation/draw.go
@@ -9,15 +9,16 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// part is an optional part of a plan, such as a fault, that a seed may switch on. The function on changes the scenario or the
-// plan. Its argument at draws the time of a fault.
+// part is an optional part of a plan, such as a fault. A seed switches some parts on. The field on is the function that adds the
+// part to the scenario or the plan. It gets the function at, which returns a random time for a fault.
 type part struct {
 	name        string
 	probability float64
 	on          func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span)
 }
 
-// faultPart returns the part that adds a fault of the model. change, if set, draws the parameters of this kind of fault.
+// faultPart returns the part that adds a fault of the testbed's model, such as a crash of a server. change, if not nil, sets
+// further parameters of the fault.
 func faultPart(kind string, probability float64, change func(r *rand.Rand, f *scenario.Fault)) part {
 	return part{kind, probability, func(r *rand.Rand, s *scenario.Scenario, _ *Plan, at func() scenario.Span) {
 		f := scenario.Fault{Kind: kind, At: at(), For: fixedSpan(time.Duration(200+r.IntN(1500)) * time.Millisecond), Count: scenario.Range{Least: 1, Most: 1}}
@@ -28,7 +29,7 @@
 	}}
 }
 
-// networkPart returns the part that changes parameters of the network.
+// networkPart returns the part that changes the parameters of the network by calling change.
 func networkPart(name string, probability float64, change func(r *rand.Rand, n *Network)) part {
 	return part{name, probability, func(r *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { change(r, &p.Network) }}
 }
@@ -40,11 +41,11 @@
 	}}
 }
 
-// oneOrTwo is the number of servers that a fault affects: one or two.
+// oneOrTwo is the range of the number of servers that a fault affects.
 var oneOrTwo = scenario.Range{Least: 1, Most: 2}
 
-// parts lists everything that a seed can switch on. A seed draws a subset (swarm testing): with everything switched on, one fault
-// would hide the effects of another.
+// parts lists all parts that a seed can switch on. Each seed switches on a random subset (swarm testing), because a fault could
+// hide the effects of another fault if all were switched on.
 var parts = []part{
 	faultPart("deploy", 0.3, func(r *rand.Rand, f *scenario.Fault) {
 		f.Count, f.Share, f.Batch = scenario.Range{}, scenario.Range{Least: 0.4, Most: 0.8}, scenario.Range{Least: 0.2, Most: 0.5}
@@ -122,7 +123,7 @@
 	{"tight", 0.3, func(r *rand.Rand, s *scenario.Scenario, p *Plan, _ func() scenario.Span) { scarceCapacity(r, s, p) }},
 	{"streams-1", 0.2, func(_ *rand.Rand, s *scenario.Scenario, _ *Plan, _ func() scenario.Span) { s.Nodes.MaxStreams = 1 }},
 	{"many-nodes", 0.06, func(r *rand.Rand, s *scenario.Scenario, p *Plan, at func() scenario.Span) {
-		scarceCapacity(r, s, p) // each node's share of the capacity of a server in slow start is below one request
+		scarceCapacity(r, s, p) // divided by 20 to 30 nodes, the capacity of a server in slow start is less than one request per node
 		s.Nodes.Count, s.Workload.Rate = scenario.Range{Least: 20, Most: 30}, scenario.Range{Least: 30, Most: 40}
 		p.ManyNodes = true
 		// A restarted process does not know which requests its predecessor sent.
@@ -131,8 +132,8 @@
 	{"no-messages", 0.1, func(_ *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { p.NoGossip = true }},
 }
 
-// scarceCapacity gives a server in slow start less capacity than its share of the load needs, and puts much of the load on one or
-// two keys.
+// scarceCapacity makes servers so slow that a server in slow start has less capacity than its share of the load needs. It also
+// sends 30 to 70 % of the requests to one or two keys for 3 to 5 s.
 func scarceCapacity(r *rand.Rand, s *scenario.Scenario, p *Plan) {
 	p.ScarceCapacity = true
 	for i := range s.Kinds {
@@ -146,7 +147,7 @@
 		At: scenario.Span{Least: 500 * time.Millisecond, Most: 3 * time.Second}, For: scenario.Span{Least: 3 * time.Second, Most: 5 * time.Second}}}
 }
 
-// baseScenario returns the scenario with no part switched on. It is small and quick enough that thousands of runs take minutes.
+// baseScenario returns the scenario with no part switched on. The scenario is so small that thousands of runs take only minutes.
 func baseScenario() *scenario.Scenario {
 	result := scenario.Default()
 	ms := func(least, most float64) scenario.Span {
@@ -173,17 +174,17 @@
 	return result
 }
 
-// Draw draws the plan of a seed. Parts whose number is in skip are left out; the others stay as they are.
+// Draw returns the plan of a seed. Parts whose numbers are in skip are left out; this does not change the other parts.
 func Draw(seed uint64, skip map[int]bool) *Plan {
 	random := model.RandomStream(seed, "sim/plan")
 	quick := link{minDelay: 50 * time.Microsecond, maxDelay: 400 * time.Microsecond}
 	plan := &Plan{HealthChecks: true, HealthyFrom: healthyFrom, End: runEnd, Network: Network{ToServer: quick, FromServer: quick, ToNode: quick, ToClient: quick, Discovery: quick,
 		MaxLag: 50 * time.Microsecond}}
 	drawn := baseScenario()
-	// A drawn share of the faults is within 60 ms of the time centre, because overlapping faults are rarely tested otherwise.
+	// A random share of the faults is within 60 ms of the time centre, so that faults overlap. Otherwise they rarely would.
 	centre := faultsFrom + time.Duration(random.Int64N(int64(faultsTo-faultsFrom)))
 	together := random.Float64()
-	probabilityScale := 0.4 + 1.2*random.Float64() // scales all probabilities, so that some seeds have fewer faults than others
+	probabilityScale := 0.4 + 1.2*random.Float64() // multiplies the probabilities of all parts, so that some seeds have fewer faults than others
 	for i, part := range parts {
 		own := model.RandomStream(seed, fmt.Sprintf("sim/part/%d", i))
 		on := random.Float64() < part.probability*probabilityScale
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -12,22 +12,22 @@
 // fleetResources are the names of the resources that nodes lease in a fleet's run.
 var fleetResources = []string{"prober", "caller"}
 
-// fleet is one run of the protocols among nodes: leases, drains and membership. It has no requests.
+// fleet is one run in which nodes agree on leases, drains and membership. The run has no requests.
 type fleet struct {
 	timeline
 	plan     *FleetPlan
 	nodes    []*fleetNode
-	blocked  [][]int // by sender and receiver: number of active faults that drop datagrams from one to the other
+	blocked  [][]int // by sender and receiver: number of active faults that drop the sender's datagrams to the receiver
 	recorded []datagram
 	budget   int // greatest drain budget that any node has been given so far
 
 	lastHolder      map[string]int    // by resource: the node that last held the lease
-	lastToken       map[string]uint64 // by resource: the fencing token of lastHolder
-	pendingHalts    int               // operators' halts that have not ended yet
+	lastToken       map[string]uint64 // by resource: the fencing token of the last holder's lease
+	pendingHalts    int               // number of operators' halts that have not ended yet
 	haltedForHealth bool
 }
 
-// RunFleet runs a fleet's plan to its end. A panic of a core is reported as a violation.
+// RunFleet runs the plan of a fleet to its end. If a core panics, the run ends and the report has a violation.
 func RunFleet(plan *FleetPlan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.describe()}
@@ -42,7 +42,7 @@
 		if reason := recover(); reason != nil {
 			run.violation(InvariantNoPanic, "%v", reason)
 			if opt.Trace != nil {
-				panic(reason) // a traced run is being debugged: show the stack
+				panic(reason) // the developer who traces a run needs the stack of the panic
 			}
 		}
 		report.Hash = run.log.Hash()
@@ -57,7 +57,7 @@
 	return report
 }
 
-// addNodes makes the nodes and schedules the start of their first processes.
+// addNodes creates the nodes and schedules the start of the first process of each node.
 func (f *fleet) addNodes() {
 	for i := range f.plan.Nodes {
 		f.blocked = append(f.blocked, make([]int, f.plan.Nodes))
--- a/internal/testbed/simulation/fleet_faults.go
+++ b/internal/testbed/simulation/fleet_faults.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/fleet/rollout"
 )
 
-// releases are the two releases that operators order. All nodes start with the second one, so an order of it is a rollback.
+// releases are the two releases that operators order. All nodes start with r1, so an order of r1 is a rollback.
 var releases = [2]string{"r2", "r1"}
 
 // maxReplayed limits how many recorded datagrams one FleetReplay fault sends again.
@@ -44,7 +44,7 @@
 		for _, node := range f.nodes {
 			f.crash(node, f.drawBetween(0, fault.For))
 		}
-	case FleetClockBack: // tokens stay in order only if the clock goes back by less than a lease of another node
+	case FleetClockBack: // fencing tokens come from dates: they stay in order only if a clock goes back by less than another node's lease lasts
 		target.clockOffset = f.drawBetween(0, fleetLeaseDuration/2)
 		f.crash(target, fault.For)
 	case FleetRemove:
@@ -75,8 +75,8 @@
 	}
 }
 
-// forgetHolder drops the datagrams from the holder of a lease to the node with the index isolated. It restarts all other nodes,
-// which granted the lease.
+// forgetHolder makes the nodes that granted a lease forget its holder. isolated is the index of a node: for 4 s, datagrams from the
+// holder to this node are dropped. Meanwhile, all nodes except the holder and the isolated node are restarted.
 func (f *fleet) forgetHolder(isolated int) {
 	holder := f.lastHolder[fleetResources[0]]
 	if holder == isolated {
@@ -92,7 +92,7 @@
 	})
 }
 
-// injectOrder applies an operator's order to the rollout.
+// injectOrder applies a fault that stands for an action of an operator: a drain, a release, a halt or a change of the drain budget.
 func (f *fleet) injectOrder(target *fleetNode, fault FleetFault) {
 	switch fault.Kind {
 	case FleetDrain:
@@ -102,7 +102,7 @@
 		target.order(rollout.DrainRequested{})
 	case FleetRelease:
 		if !target.isUp || target.isEnding || target.isStopped {
-			return // the operator would see that the order failed, and give it to another node
+			return // an operator would see that this node did not take the order, and give the order to another node
 		}
 		release := releases[fault.To%len(releases)]
 		for _, node := range f.nodes {
@@ -123,7 +123,7 @@
 	}
 }
 
-// endHalt ends one halt. Once no halt is left, it resumes the rollout at every node.
+// endHalt ends one operator's halt. When the last halt has ended, it resumes the rollout at every node.
 func (f *fleet) endHalt() {
 	f.pendingHalts--
 	if f.pendingHalts > 0 {
@@ -144,7 +144,7 @@
 	f.after(restartAfter, node.start)
 }
 
-// order delivers an operator's order to a node. A node that is down or shutting down does not receive it.
+// order delivers an operator's order to a node. A node that is down or shutting down does not receive the order.
 func (n *fleetNode) order(event rollout.Event) {
 	if !n.isUp || n.isEnding {
 		return
--- a/internal/testbed/simulation/fleet_invariants.go
+++ b/internal/testbed/simulation/fleet_invariants.go
@@ -10,24 +10,26 @@
 
 // Names of the invariants of leases, drains and membership, as reports print them.
 const (
-	// InvariantOneHolder means that at any time at most one node believes that it holds a lease.
+	// InvariantOneHolder means that at any time at most one node holds a lease, as the lease cores of the nodes see it.
 	InvariantOneHolder = "two-holders"
-	// InvariantTokenOrder means that each new holder of a lease has a greater fencing token than the holder before.
+	// InvariantTokenOrder means that each new holder of a lease has a greater fencing token than the previous holder.
 	InvariantTokenOrder = "old-token"
-	// InvariantDrainBudget means that no more nodes are out of service by granted drains than the budget allows.
+	// InvariantDrainBudget means that the number of nodes that are out of service by a granted drain is never above the
+	// drain budget.
 	InvariantDrainBudget = "over-budget"
 	// InvariantHolderExists means that each lease has a holder again some time after the last fault.
 	InvariantHolderExists = "no-holder"
-	// InvariantAllBack means that all nodes are in service some time after the last fault. Nodes that wanted to
-	// drain have done so.
+	// InvariantAllBack means that, some time after the last fault, all nodes that were not removed are in service. Nodes
+	// that were asked to drain have drained before that.
 	InvariantAllBack = "not-back"
-	// InvariantMembership means that, some time after the last fault, all nodes agree on which nodes are members.
+	// InvariantMembership means that, some time after the last fault, all nodes agree that exactly the nodes that were not
+	// removed are members.
 	InvariantMembership = "wrong-view"
 	// InvariantDatagramSize means that a datagram has at most maxDatagram bytes.
 	InvariantDatagramSize = "datagram-256"
 )
 
-// checkAlways checks the invariants that have to hold after every step.
+// checkAlways checks the invariants that have to hold at any time. It is called after every step of the run.
 func (f *fleet) checkAlways() {
 	out := 0
 	for _, node := range f.nodes {
@@ -43,7 +45,8 @@
 	}
 }
 
-// checkHolder checks that at most one node holds a lease, and that a new holder has a greater token than the holder before.
+// checkHolder checks that at most one node holds the lease of a resource. A new holder must have a greater fencing token than the
+// previous holder.
 func (f *fleet) checkHolder(resource string) {
 	holder := lease.NoNode
 	for i, node := range f.nodes {
@@ -94,7 +97,7 @@
 	}
 }
 
-// checkMembers checks that a node counts exactly the nodes that were not removed as members.
+// checkMembers checks the view of one node: exactly the nodes that were not removed have to be members.
 func (f *fleet) checkMembers(node *fleetNode) {
 	for i, member := range node.membership.Members(node.clock()) {
 		isMember := member.State == membership.Alive.String() || member.State == membership.Suspect.String()
@@ -104,15 +107,15 @@
 	}
 }
 
-// checkRollout checks that a node is in service. Unless the rollout had a reason to stop, it also checks that the node has
-// drained if it wanted to.
+// checkRollout checks that a node is in service. If the rollout had no reason to stop (a removed node or a halt), checkRollout
+// also checks that the node no longer waits to drain, and counts no node as out of service.
 func (f *fleet) checkRollout(node *fleetNode, anyRemoved bool) {
 	status := node.rollout.Status(node.clock())
 	if status.State != rollout.Ready.String() {
 		f.violation(InvariantAllBack, "node %d is %s", node.index, status.State)
 	}
 	if anyRemoved || f.haltedForHealth || status.Halted != "" {
-		return // the rollout had a reason to stop: nodes that still want to drain may wait
+		return // the rollout had a reason to stop, so nodes may still wait to drain
 	}
 	if len(status.Out) > 0 {
 		f.violation(InvariantAllBack, "node %d counts out whom it should not: %+v", node.index, status)
--- a/internal/testbed/simulation/fleet_network.go
+++ b/internal/testbed/simulation/fleet_network.go
@@ -11,14 +11,14 @@
 
 // Limits and probabilities of a fleet's network.
 const (
-	maxDatagram       = 256 // bytes; the limit of the platform
-	maxRecorded       = 200 // datagrams kept for FleetReplay
+	maxDatagram       = 256 // maximum size of a datagram in bytes; a limit of the platform
+	maxRecorded       = 200 // maximum number of datagrams that are kept for FleetReplay faults
 	recordProbability = 0.01
-	lossAfterFaults   = 0.1 // greatest share of datagrams that is lost after fleetNetworkFaultsEnd
+	lossAfterFaults   = 0.1 // maximum share of datagrams that is lost from fleetNetworkFaultsEnd until fleetLossFreeFrom
 	minDelay          = 200 * time.Microsecond
 )
 
-// datagram is a datagram that was sent and is kept, so that a FleetReplay fault can send it again.
+// datagram is a copy of a datagram that was sent. A FleetReplay fault can send the copy again.
 type datagram struct {
 	from, to int
 	data     []byte
@@ -87,7 +87,8 @@
 	})
 }
 
-// partition drops, for the duration span, the datagrams between those nodes for which isBlocked returns true.
+// partition drops datagrams for the duration span. isBlocked(from, to) tells whether datagrams from one node to another are
+// dropped.
 func (f *fleet) partition(span time.Duration, isBlocked func(from, to int) bool) {
 	change := func(by int) {
 		for from := range f.nodes {
--- a/internal/testbed/simulation/fleet_node.go
+++ b/internal/testbed/simulation/fleet_node.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/fleet/rollout"
 )
 
-// Periods of the rollout, membership and lease cores in a fleet's run.
+// Settings of the rollout, membership and lease cores in a fleet's run.
 const (
 	fleetHeartbeatInterval = 200 * time.Millisecond
 	fleetRolloutTick       = 50 * time.Millisecond
@@ -24,11 +24,11 @@
 	incarnation int
 	isUp        bool
 	isRemoved   bool     // the node never starts again
-	isStopped   bool     // the process is stopped, as by SIGSTOP
-	backlog     []func() // work that became due while the process was stopped, in that order
+	isStopped   bool     // the process is stopped, as by SIGSTOP, and does nothing until it continues
+	backlog     []func() // work that became due while the process was stopped, in the order of the due times
 	startedAt   Time
 	clockRate   float64       // rate of the process's clock relative to the run's clock
-	clockOffset time.Duration // offset of the machine's date from the run's date
+	clockOffset time.Duration // offset of the machine's clock from the run's clock
 	starts      uint64
 
 	lease            *lease.Core
@@ -38,7 +38,7 @@
 	runningRelease   string
 	budget           int
 	isOut            bool // the node has left service by a granted drain, and its next process is not ready yet
-	wantsDrain       bool // an operator asked for a drain that has not happened yet
+	wantsDrain       bool // an operator asked the node to drain, and it has not done so yet
 	isEnding         bool
 }
 
@@ -62,8 +62,8 @@
 	return time.Duration(float64(n.fleet.now-n.startedAt) * n.clockRate)
 }
 
-// must returns a core. It panics if the core rejected its configuration, which is a bug: the configurations of a run are
-// constants.
+// must returns its first argument. It panics if err is not nil, which would be a bug of the simulation: the configurations that it
+// gives to the cores are valid.
 func must[Core any](core Core, err error) Core {
 	if err != nil {
 		panic(err)
@@ -90,7 +90,7 @@
 	n.tick(fleetMembershipTick, func() { n.stepMembership(membership.Tick{}) })
 }
 
-// startCores makes the cores of a process that starts now.
+// startCores creates the lease, rollout and membership cores of a process that starts now.
 func (n *fleetNode) startCores() {
 	plan := n.fleet.plan
 	seed := plan.Seed*1000 + uint64(n.index)*100 + n.starts
@@ -112,7 +112,7 @@
 	}))
 }
 
-// tick calls run periodically while the process lives. Each call is late by a drawn lag.
+// tick calls run periodically until the process ends. Each call is late by a random delay of up to MaxLag.
 func (n *fleetNode) tick(every time.Duration, run func()) {
 	n.schedule(every+n.fleet.drawBetween(0, n.fleet.plan.MaxLag), func() {
 		run()
@@ -155,7 +155,7 @@
 			case e.Kind == rollout.LogNodeReady && e.Node == n.index:
 				n.isOut = false
 			case e.Kind == rollout.LogHalted && e.Reason != rollout.ReasonOperator:
-				n.fleet.haltedForHealth = true // nodes may stay out of service, as no operator resumes the rollout in this run
+				n.fleet.haltedForHealth = true // no operator reacts to such a halt, so at the end of the run nodes may still wait to drain
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 	n.shutDown()
 }
 
-// shutDown ends the process gracefully; the next one starts some time later.
+// shutDown ends the process gracefully. The node's next process starts some time later.
 func (n *fleetNode) shutDown() {
 	if n.isEnding {
 		return
@@ -207,7 +207,7 @@
 	n.fleet.logEvent("end", strconv.Itoa(n.index))
 	n.isUp, n.isStopped = false, false
 	n.backlog = nil
-	n.wantsDrain = false // an operator's request to drain ends with the process
+	n.wantsDrain = false // the next process does not know of an operator's drain request
 	n.incarnation++
 }
 
@@ -228,7 +228,7 @@
 		backlog := n.backlog
 		n.backlog = nil
 		for _, run := range backlog {
-			n.schedule(n.fleet.drawBetween(0, time.Millisecond), run) // timers and datagrams that became due meanwhile run in any order
+			n.schedule(n.fleet.drawBetween(0, time.Millisecond), run) // within 1 ms, the timers and datagrams that became due while the process was stopped run in random order
 		}
 	})
 }
--- a/internal/testbed/simulation/fleet_plan.go
+++ b/internal/testbed/simulation/fleet_plan.go
@@ -9,12 +9,12 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// Times of a fleet's run. At its end the fleet has to be settled, as checkSettled requires.
+// Times in a fleet's run, from its start, and settings of the nodes. At fleetEnd the invariants of checkSettled have to hold.
 const (
 	fleetFaultsFrom       = 4 * time.Second
 	fleetFaultsTo         = 20 * time.Second
 	fleetNetworkFaultsEnd = 24 * time.Second
-	fleetLossFreeFrom     = 70 * time.Second // no datagram is lost from this time on, so that the final checks see a settled fleet
+	fleetLossFreeFrom     = 70 * time.Second // from this time on no datagram is lost, so that all nodes agree again before the final checks
 	fleetEnd              = 75 * time.Second
 
 	fleetLeaseDuration = time.Second
@@ -32,16 +32,16 @@
 	FleetStop                                  // a process is stopped for a while (SIGSTOP)
 	FleetOneWayPartition                       // datagrams from one node to another are lost for a while
 	FleetIsolate                               // all datagrams to and from a node are lost for a while
-	FleetSplit                                 // the fleet is split in two for a while
-	FleetKillAll                               // all processes are killed, and start again at about the same time
+	FleetSplit                                 // the nodes are split into two groups, and all datagrams between the groups are lost for a while
+	FleetKillAll                               // all processes are killed, and each starts again within the duration of the fault
 	FleetClockBack                             // a machine's clock is set back; its next process starts with the new time
 	FleetDrain                                 // an operator asks for a drain of a node
 	FleetRelease                               // an operator orders a release
 	FleetHalt                                  // an operator halts the rollout, and resumes some time later
 	FleetBudget                                // the drain budget changes at all nodes, one after another
 	FleetReplay                                // recorded datagrams are sent again
-	FleetRemove                                // one node of three or more never starts again
-	FleetForgetHolder                          // datagrams from a lease holder to one node are lost while the nodes that granted the lease restart
+	FleetRemove                                // one node is killed and never starts again; only in fleets of three or more nodes
+	FleetForgetHolder                          // datagrams from a lease's holder to one node are lost for a while, in which all nodes except these two restart
 	fleetFaultKinds
 )
 
@@ -57,19 +57,19 @@
 	Node, To int
 }
 
-// FleetPlan is what a seed draws for one run of a fleet.
+// FleetPlan is the plan of one run of a fleet: its size, its faults and its random parameters, all drawn from a seed.
 type FleetPlan struct {
 	Seed                           uint64
 	Nodes, Budget                  int
-	Dropped, Duplicated, Corrupted float64       // shares of the datagrams until fleetNetworkFaultsEnd; some loss remains until fleetLossFreeFrom
+	Dropped, Duplicated, Corrupted float64       // shares of datagrams until fleetNetworkFaultsEnd; duplication and some loss go on after that
 	MaxDelay                       time.Duration // longest delay of a datagram
-	MaxLag                         time.Duration // longest time that a runnable process waits until it runs
-	SuspendAtGrant                 float64       // probability that a process is suspended at the moment when its drain is granted
+	MaxLag                         time.Duration // longest delay until a process that is ready to run gets to run
+	SuspendAtGrant                 float64       // probability that a process is suspended (SIGSTOP) at the moment when its drain is granted
 	Faults                         []FleetFault
-	drawn                          []int // numbers of the faults that are in the plan
+	drawn                          []int // by index in Faults: the number of the fault, for the argument skip of DrawFleet
 }
 
-// DrawFleet draws the plan of a seed. Faults whose number is in skip are left out; the others stay as they are.
+// DrawFleet returns the plan of a seed. Faults whose numbers are in skip are left out; this does not change the other faults.
 func DrawFleet(seed uint64, skip map[int]bool) *FleetPlan {
 	random := model.RandomStream(seed, "fleet/plan")
 	plan := &FleetPlan{
@@ -94,7 +94,7 @@
 	return plan
 }
 
-// drawFaultKinds draws the subset of the kinds of faults that a seed has (swarm testing).
+// drawFaultKinds chooses the kinds of faults that can occur in a run. Each kind has a chance of one half (swarm testing).
 func drawFaultKinds(random *rand.Rand) (kinds []FleetFaultKind) {
 	for kind := range fleetFaultKinds {
 		if random.IntN(2) == 0 {
@@ -108,8 +108,8 @@
 	return fleetFaultsFrom + time.Duration(random.Int64N(int64(fleetFaultsTo-fleetFaultsFrom)))
 }
 
-// drawFault draws one fault from its own random stream. It returns nil if the fault is left out. With the probability clustering,
-// the fault is within half a second of centre, so that faults overlap.
+// drawFault returns a random fault. random is a stream for this fault alone. With the probability clustering, the time of the
+// fault is within half a second of centre, so that faults overlap. drawFault returns nil if the fault is left out.
 func (p *FleetPlan) drawFault(random *rand.Rand, kinds []FleetFaultKind, centre Time, clustering float64, skip bool) *FleetFault {
 	fault := FleetFault{
 		At:   drawFaultTime(random),
@@ -128,7 +128,7 @@
 	return &fault
 }
 
-// describe returns what the seed has drawn, as reports print it.
+// describe returns the parameters and the faults of the plan, as reports print them.
 func (p *FleetPlan) describe() []string {
 	names := []string{fmt.Sprintf("nodes=%d budget=%d lost=%.2f", p.Nodes, p.Budget, p.Dropped)}
 	for _, fault := range p.Faults {
--- a/internal/testbed/simulation/history.go
+++ b/internal/testbed/simulation/history.go
@@ -9,18 +9,19 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation is one read or write as its client saw it.
+// operation is one read or write of a record, as the client observed it.
 type operation struct {
 	key     string
 	isWrite bool
-	version int64 // version that a read returned
+	version int64 // for a read: the version that it returned
 }
 
-// history holds the reads and writes as the clients saw them. The porcupine library checks that the history is linearizable. This
-// means that each record may have applied every write once, in an order that agrees with real time.
+// history holds the reads and writes that the clients observed. The porcupine library checks that the history is linearizable:
+// an order of the operations that agrees with real time has to explain all reads, if each write is applied once.
 type history struct{ operations []porcupine.Operation }
 
-// unknownEnd stands for the end of a write whose result is unknown: it may take effect at any time, or never.
+// unknownEnd is the time that is recorded as the end of a write whose result is unknown. It is after the end of every run, because
+// the write may take effect at any time, or never.
 const unknownEnd = time.Hour
 
 // record adds a request and its result to the history.
@@ -33,18 +34,18 @@
 		if len(parts) < 4 {
 			return
 		}
-		op.version, _ = strconv.ParseInt(strings.TrimPrefix(parts[2], "v"), 10, 64) // ParseInt returns 0 if the text is not a version
+		op.version, _ = strconv.ParseInt(strings.TrimPrefix(parts[2], "v"), 10, 64) // version 0 if the text is not a number: ParseInt then returns 0
 	case result == "served":
 	case result == "refused" || !op.isWrite:
-		return // a rejected request never ran, and a read without a value shows nothing
+		return // a rejected request was never executed, and a read without a value tells nothing about the record
 	default:
 		end = unknownEnd
 	}
 	h.operations = append(h.operations, porcupine.Operation{ClientId: len(h.operations), Input: op, Call: int64(request.sentAt), Output: op, Return: int64(end)})
 }
 
-// recordModel is porcupine's model of the records. Each key is modelled on its own; its state is the number of writes that it has
-// applied.
+// recordModel describes the records to porcupine. Each key is a record of its own. The state of a record is its version: the
+// number of writes that were applied to it.
 var recordModel = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		var out [][]porcupine.Operation
@@ -80,7 +81,7 @@
 // checkTimeout bounds porcupine's search. A history whose check takes longer counts as linearizable.
 const checkTimeout = 500 * time.Millisecond
 
-// check checks that the history is linearizable, and reports the first record for which it is not.
+// check checks that the history is linearizable. If it is not, check reports a violation for one record whose history is not.
 func (h *history) check(w *world) {
 	if porcupine.CheckOperationsTimeout(recordModel, h.operations, checkTimeout) != porcupine.Illegal {
 		return
--- a/internal/testbed/simulation/known_faults_test.go
+++ b/internal/testbed/simulation/known_faults_test.go
@@ -15,11 +15,11 @@
 	knownFaultFilter = flag.String("sim.mutant", "", "with -sim.mutants: only faults whose names contain this")
 )
 
-// knownFault is a fault that can be put into the program: the text old of a source file is replaced by new.
+// knownFault is a fault that a test can put into the program: in the source file, it replaces the code old by the code new.
 type knownFault struct {
 	name, file, old, new string
-	also                 *knownFault // a second replacement, where two places of the source guard the same invariant
-	fleet                bool        // the fault is found by simulate --fleet, not by simulate alone
+	also                 *knownFault // a second replacement for the same fault, if two places of the source guard the same invariant
+	fleet                bool        // simulate finds the fault only with the flag --fleet
 }
 
 var knownFaults = []knownFault{
@@ -59,7 +59,8 @@
 // moduleRoot is the path of the project's root, relative to this package.
 const moduleRoot = "../../.."
 
-// apply checks that each text of the fault occurs once in the project below root and, if write is set, replaces the texts there.
+// apply checks that each piece of source code that the fault replaces occurs exactly once in its file. root is the path of the
+// project. If write is set, apply then replaces these pieces by the faulty code.
 func (f *knownFault) apply(t *testing.T, root string, write bool) {
 	t.Helper()
 	for change := f; change != nil; change = change.also {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestKnownFaultsFitTheSource guards against known faults that a change of the source has made inapplicable: every text that a
-// known fault replaces has to occur exactly once.
+// TestKnownFaultsFitTheSource guards against changes of the source after which a known fault can no longer be put into it. Every
+// piece of code that a known fault replaces has to occur exactly once.
 func TestKnownFaultsFitTheSource(t *testing.T) {
 	for i := range knownFaults {
 		knownFaults[i].apply(t, moduleRoot, false)
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -20,12 +20,12 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// node is one simulated node: the real cores of its current process, and code that replaces their shells. Every delay that a
-// goroutine could cause is drawn.
+// node is one simulated node: the program's own cores in the current process, and code that replaces their shells. Where a
+// goroutine of the shell could cause a delay, the node waits for a random time.
 type node struct {
 	world       *world
 	index       int
-	incarnation int // number of the current process; work that an earlier process scheduled is dropped
+	incarnation int // number of process starts and ends so far; work that an earlier process scheduled is dropped
 	isUp        bool
 	isAccepting bool          // the node accepts new connections
 	clockOffset time.Duration // offset of the process's clock from the run's clock
@@ -35,8 +35,8 @@
 	pools             []*pool
 	conns             []*listenerConn // open connections of clients, in the order in which they were accepted
 	responseMemory    *upstream.ResponseMemory
-	timerAt           Time // when the core's timers are handled next; 0 if no call is scheduled
-	listUpdateAt      Time // when the latest list update is handled
+	timerAt           Time // when the next call of HandleTimers is scheduled; 0 if none is
+	listUpdateAt      Time // time for which the handling of the latest list update is scheduled
 	lastDiscoveryData Time // when the node last received a byte from discovery
 	counters          *counters.Counters
 	agreements        *agreements // nil if Plan.Agreements is not set
@@ -50,10 +50,10 @@
 // simTime converts a time of the node's clock to a time of the run.
 func (n *node) simTime(t time.Time) Time { return t.Sub(epoch) - n.clockOffset }
 
-// lag draws how long a runnable goroutine of the node waits until it runs.
+// lag returns a random delay, up to MaxLag. It stands for the time that a goroutine that is ready to run waits until it runs.
 func (n *node) lag() time.Duration { return n.world.drawBetween(0, n.world.plan.Network.MaxLag) }
 
-// schedule runs work of the current process after a delay, unless the process ends before.
+// schedule runs work of the current process after a delay. The work is dropped if the process has ended by then.
 func (n *node) schedule(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.world.after(delay, func() {
@@ -73,7 +73,7 @@
 	n.pools, n.conns = nil, nil
 	w.logEvent("start", strconv.Itoa(n.index))
 	w.checker.NodeRestarted(n.index)
-	for _, entry := range w.system.List().Entries { // the process has this list in its configuration
+	for _, entry := range w.system.List().Entries { // the configuration of the new process contains this list
 		w.checker.NodeKnowsStart(n.index, entry.ID, entry.Started)
 	}
 	n.responseMemory = upstream.NewResponseMemory(plan.Nodes.MemoryMB<<20/responseMemoryPart, plan.Nodes.MemoryMB<<20/longestResponsePart)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Divisors of a node's memory, as in cmd/shelfproxy: for example, responses may use 1/8 of it.
+// Divisors of a node's memory, with the values of cmd/shelfproxy. For example, all responses together may use 1/8 of the memory.
 const (
 	responseMemoryPart  = 8
 	longestResponsePart = 32
@@ -96,7 +96,7 @@
 	unsentMemoryPart    = 6
 )
 
-// startCore makes the node core of a process that starts now.
+// startCore creates the node core of a process that starts now.
 func (n *node) startCore() {
 	plan := n.world.plan
 	n.counters = counters.New(n.classNames(), request.ResponseKinds(), outcomeNames())
@@ -117,7 +117,7 @@
 	n.core = must(core, err)
 }
 
-// startListener makes the listener core of a process that starts now.
+// startListener creates the listener core of a process that starts now.
 func (n *node) startListener() {
 	nodes := n.world.plan.Nodes
 	limits := listener.Limits{
@@ -138,8 +138,8 @@
 	}
 }
 
-// upstreamFactory returns the function that makes the core's connection pools. The pools belong to the current process and share
-// its descriptor budgets.
+// upstreamFactory returns the function with which the node core makes its connection pools. The pools belong to the current
+// process. They share two descriptor budgets: one for cache servers and one for origins.
 func (n *node) upstreamFactory() func(discovery.Server, bool, func(*upstream.Attempt, upstream.Response)) nodecore.Upstream {
 	plan, incarnation := n.world.plan, n.incarnation
 	cacheServers := upstream.NewDescriptorBudget(plan.Nodes.Sockets / 3)
@@ -190,7 +190,7 @@
 	return names
 }
 
-// announce sends the other nodes an announcement under the lease of a role.
+// announce sends the other nodes an announcement, which this node makes as the holder of a role's lease.
 func (n *node) announce(role policy.Role) {
 	if n.agreements != nil {
 		n.agreements.stepLease(lease.Announce{Resource: policy.RoleNames[role]})
@@ -217,7 +217,8 @@
 	})
 }
 
-// expireIdle closes connections whose timeout has passed, now and at each time that the listener core asks for.
+// expireIdle makes the listener core close the connections whose timeout has passed. It then schedules its next call after the
+// delay that the listener core returns.
 func (n *node) expireIdle() {
 	var effects listener.Effects
 	next := n.listener.ExpireIdle(n.now(), &effects)
@@ -225,7 +226,8 @@
 	n.schedule(next, n.expireIdle)
 }
 
-// attemptEnded passes the outcome of an attempt from a pool to the core after a drawn lag, as the event loop would.
+// attemptEnded passes the outcome of an attempt from a pool to the node core. It does so after a random delay, which stands for the
+// delay of the node's event loop.
 func (n *node) attemptEnded(attempt *upstream.Attempt, response upstream.Response) {
 	n.schedule(n.lag(), func() {
 		n.core.AttemptEnded(attempt, response)
@@ -233,7 +235,7 @@
 	})
 }
 
-// postListUpdate runs list updates in the order in which they came, each after a drawn lag.
+// postListUpdate runs an update of the endpoint list after a random delay. Updates run in the order in which they were posted.
 func (n *node) postListUpdate(update func()) {
 	n.listUpdateAt = max(n.listUpdateAt, n.world.now+n.lag())
 	n.schedule(n.listUpdateAt-n.world.now, func() {
--- a/internal/testbed/simulation/node_connections.go
+++ b/internal/testbed/simulation/node_connections.go
@@ -45,7 +45,7 @@
 	return near
 }
 
-// scheduleRead makes the connection's reader run after a drawn lag.
+// scheduleRead schedules the next read of the connection after a random delay, unless a read is already scheduled.
 func (c *listenerConn) scheduleRead() {
 	if !c.isReading {
 		c.isReading = true
@@ -56,7 +56,7 @@
 // read passes the bytes that arrived to the listener core.
 func (c *listenerConn) read() {
 	c.isReading = false
-	if c.hasEnded { // the client has disconnected and waits for no response to what it sent
+	if c.hasEnded { // the client has disconnected, so it waits for no response to the unread commands
 		c.inbox = nil
 	}
 	for len(c.inbox) > 0 && !c.core.IsClosed() && !c.core.IsPaused() {
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkUnread tells the listener core whether the connection has ended or has bytes that the reader has not read.
+// checkUnread tells the listener core whether the connection has bytes that the node has not read, or has ended.
 func (c *listenerConn) checkUnread() {
 	var effects listener.Effects
 	c.node.listener.UnreadChecked(c.node.now(), c.core, len(c.inbox) > 0 || c.hasEnded, &effects)
@@ -111,8 +111,8 @@
 	}
 }
 
-// halfClose closes the node's end of a connection. A simulated stream loses no data by that, and drops data that arrives later,
-// so the node need not wait until the client closes its end.
+// halfClose closes the node's end of a connection. Data that the node wrote before still arrives, and data from the client is
+// dropped. So the node need not wait until the client closes its end, as it would on a real network.
 func (n *node) halfClose(c *listenerConn) {
 	c.stream.close()
 	n.schedule(n.lag(), func() {
@@ -130,7 +130,7 @@
 	}
 }
 
-// write writes the next responses to the client after a drawn lag.
+// write takes the next responses from the listener core, and writes them to the client after a random delay.
 func (c *listenerConn) write() {
 	if c.isWriting || c.core.IsClosed() {
 		return
--- a/internal/testbed/simulation/node_faults.go
+++ b/internal/testbed/simulation/node_faults.go
@@ -14,7 +14,7 @@
 const (
 	KillNode   NodeFaultKind = iota // the process is killed; another one starts some time later
 	TermNode                        // the process shuts down gracefully; another one starts some time after its end
-	ReloadNode                      // the configuration is reloaded with a new address of discovery
+	ReloadNode                      // the process reloads its configuration, in which discovery has a new address
 	numberOfNodeFaults
 )
 
@@ -28,8 +28,8 @@
 	Kind         NodeFaultKind
 	Node         int
 	At           Time
-	RestartAfter time.Duration // time until the next process starts
-	More         int           // number of following nodes that have the same fault
+	RestartAfter time.Duration // time from the end of the process until the node's next process starts
+	More         int           // number of nodes after Node, by index, that have the same fault at the same time
 }
 
 // Times of a graceful shutdown. They are shorter than the program's defaults, so that runs stay short.
@@ -72,8 +72,8 @@
 	}
 }
 
-// endWhenDrained ends the process once every request is answered and every connection is closed, or at the time latest. The next
-// process starts after restartAfter.
+// endWhenDrained ends the process once every request is answered and every connection is closed. latest is the time at which it
+// ends the process in any case. The node's next process starts restartAfter later.
 func (n *node) endWhenDrained(latest Time, restartAfter time.Duration) {
 	if n.core.OpenRequests() == 0 && len(n.conns) == 0 || n.world.now >= latest {
 		n.kill()
@@ -96,15 +96,16 @@
 			s.stream.reset()
 		}
 	}
-	n.core.Stop() // stands for the kernel, which closes the connection of the watch
+	n.core.Stop() // closes the connection of the watch, as the kernel does when a process ends
 	n.conns, n.pools = nil, nil
 }
 
-// maxDiscoverySilence is longer than a node may be without a byte from discovery: a silent watch is detected after 3 s, and a new
-// call is made within the longest backoff.
+// maxDiscoverySilence is more than the longest time that a node may go without a byte from discovery. The node detects a silent
+// watch after 3 s, and then makes a new call within the longest backoff.
 const maxDiscoverySilence = 9 * time.Second
 
-// checkLeaks checks that a process retains nothing long after the last request, and that it has heard from discovery lately.
+// checkLeaks checks, long after the last request, that a process no longer retains requests, request ids, attempts or response
+// memory. It also checks that the process has received data from discovery within maxDiscoverySilence.
 func (n *node) checkLeaks() {
 	if !n.isUp || !n.isAccepting {
 		return
--- a/internal/testbed/simulation/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -10,50 +10,50 @@
 	"shelfproxy/internal/tomlfile"
 )
 
-// Network holds the parameters of the network, the machines' schedulers and the clients in a run.
+// Network holds the parameters of the simulated network, and of the schedulers and clients in a run.
 type Network struct {
 	ToServer, FromServer, ToNode, ToClient, Discovery link
 
-	MaxLag         time.Duration // longest time until a runnable goroutine runs
+	MaxLag         time.Duration // longest delay until a goroutine that is ready to run gets to run
 	MaxClockOffset time.Duration // largest offset of a node's clock from the run's clock, in either direction
 	PipelineWithin time.Duration // passed to the pools as upstream.Limits.PipelineWithin
 
-	ResetBefore     float64 // probability per segment to a server that the connection is reset before the request has arrived completely
-	ResetAfter      float64 // probability per request to a server that the connection is reset right after the request has arrived
-	BreakWrite      float64 // probability per write to a server that the write fails after a part of its bytes
-	CloseAfter      float64 // probability per response that the server closes the connection after the response
-	TrailingBytes   float64 // probability per response that a copy of the response follows it
-	GoSilent        float64 // probability per connection to a server that from some time on nothing sent on it arrives
-	WatchGoesSilent float64 // probability per watch that from some time on nothing sent on its connection arrives
+	ResetBefore     float64 // probability, for each segment that arrives at a server, that the connection is reset before the server reads the segment
+	ResetAfter      float64 // probability, for each request to a server, that the connection is reset right after the request has arrived
+	BreakWrite      float64 // probability, for each write to a server, that the write fails after a part of its bytes
+	CloseAfter      float64 // probability, for each response, that the server closes the connection after the response
+	TrailingBytes   float64 // probability, for each response, that the server sends a copy of the response after it
+	GoSilent        float64 // probability that a connection to a server goes silent: from some time on, nothing sent on the connection arrives
+	WatchGoesSilent float64 // probability that the connection of a watch goes silent: from some time on, nothing sent on the connection arrives
 	FailConnect     float64 // probability that a connection attempt to a server fails
-	SlowConnect     float64 // probability that a connection attempt to a server takes long, perhaps longer than its timeout
+	SlowConnect     float64 // probability that a connection attempt to a server takes a random time of up to 1.5 times the connect timeout
 
 	Dropped, Duplicated, Corrupted float64 // probabilities that a datagram is lost, duplicated or corrupted
-	ClientDisconnects              float64 // probability per request that the client disconnects before the response
-	Pipeline                       float64 // probability per request that it is sent on a connection with unanswered requests
+	ClientDisconnects              float64 // probability, for each request, that the client disconnects before the response arrives
+	Pipeline                       float64 // probability, for each request, that the client sends it on a connection with unanswered requests
 }
 
-// Plan is what a seed draws for one run.
+// Plan is the plan of one run, drawn from a seed: the scenario, the parameters of the network, and the faults.
 type Plan struct {
 	*scenario.Plan
 	Network        Network
 	NodeFaults     []NodeFault
 	AbusiveClients []Time // times at which abusive clients connect
 	HealthChecks   bool
-	ScarceCapacity bool // cache servers have next to no spare capacity
-	ManyNodes      bool // the fleet has many nodes, each with a small share of the traffic
+	ScarceCapacity bool // cache servers have almost no spare capacity, as scarceCapacity describes
+	ManyNodes      bool // the run has 20 to 30 nodes, each with a small share of the traffic
 	NoGossip       bool
-	Agreements     bool // leases and membership run beside the requests
-	HealthyFrom    Time // time from which requests have to be served again
+	Agreements     bool // nodes also run the lease and membership protocols while they handle requests
+	HealthyFrom    Time // from this time on, after the faults, requests have to be served again
 	End            Time
 	drawnNames     []string
-	drawn          []int // numbers of the parts that are switched on
+	drawn          []int // numbers of the parts that are switched on; they are indexes of the variable parts
 }
 
 // PartNames returns the names of the parts that the seed has switched on.
 func (p *Plan) PartNames() []string { return p.drawnNames }
 
-// maxDeadline returns the longest deadline of all classes.
+// maxDeadline returns the longest of the deadlines of all classes.
 func (p *Plan) maxDeadline() (longest time.Duration) {
 	for _, class := range p.Classes {
 		longest = max(longest, class.Deadline.D())
@@ -61,9 +61,9 @@
 	return longest
 }
 
-// notifyWithin returns the time after which a node counts as notified of discovery's list, whether it was notified or not. The
-// time counts only while discovery is reachable. The result 0 means that there is no such time, because discovery sends empty
-// lists.
+// notifyWithin returns the time after which a node counts as notified of a change of the endpoint list, even if it was not. The
+// time counts only while discovery is reachable. If discovery sends empty lists in this plan, nodes cannot be notified in time:
+// the result is 0, and only real notifications count.
 func (p *Plan) notifyWithin() time.Duration {
 	for _, f := range p.Spec.Faults {
 		if f.Kind == model.DiscoveryEmpty {
@@ -112,7 +112,7 @@
 	return settings
 }
 
-// Times of a run.
+// Times in a run, counted from its start.
 const (
 	faultsFrom       = 700 * time.Millisecond
 	faultsTo         = 4 * time.Second
--- a/internal/testbed/simulation/pool.go
+++ b/internal/testbed/simulation/pool.go
@@ -8,7 +8,7 @@
 	"shelfproxy/internal/upstream"
 )
 
-// pool replaces the shell of an upstream.Core: the goroutines and sockets between the core and one server.
+// pool stands in for the shell of an upstream.Core, which consists of goroutines and sockets for the connections to one server.
 type pool struct {
 	node        *node
 	incarnation int
@@ -18,7 +18,7 @@
 	report      func(*upstream.Attempt, upstream.Response)
 	timerAt     Time
 	sockets     []*poolSocket
-	written     map[*upstream.Attempt]*serverConn // attempts that were written completely, with the connections that carry them
+	written     map[*upstream.Attempt]*serverConn // by attempt that was written completely: the server's end of the connection that carried it
 }
 
 // poolSocket is the node's end of a connection to a server.
@@ -36,7 +36,7 @@
 
 func (p *pool) now() time.Time { return p.node.now() }
 
-// Send starts an attempt. It implements node.Upstream, as the following methods do.
+// Send starts an attempt. The exported methods of pool implement node.Upstream.
 func (p *pool) Send(attempt *upstream.Attempt) (upstream.Outcome, bool) {
 	var effects upstream.Effects
 	outcome, ok := p.core.Send(p.now(), attempt, &effects)
@@ -44,7 +44,8 @@
 	return outcome, ok
 }
 
-// Abandon gives an attempt up. If the core reports the attempt as not written, Abandon checks that the server has not got it.
+// Abandon gives up an attempt, and returns whether it was possibly executed, as the core sees it. If it was not, Abandon checks
+// that the server has not received the attempt completely.
 func (p *pool) Abandon(attempt *upstream.Attempt) bool {
 	var effects upstream.Effects
 	written := p.core.Abandon(p.now(), attempt, &effects)
@@ -55,7 +56,8 @@
 	return written
 }
 
-// Withdraw gives an attempt up if it has not been written, and then checks that the server has not received it.
+// Withdraw gives up an attempt if it has not been written, and returns whether it did so. In that case, Withdraw checks that the
+// server has not received the attempt completely.
 func (p *pool) Withdraw(attempt *upstream.Attempt) bool {
 	var effects upstream.Effects
 	done := p.core.Withdraw(p.now(), attempt, &effects)
@@ -73,7 +75,8 @@
 	p.execute(effects)
 }
 
-// Update changes the server's address and whether the server is draining.
+// Update tells the core the server's address and whether the server is draining. It returns the attempts that the core gives
+// back because the server drains, and checks that the server has not received them completely.
 func (p *pool) Update(addr string, isDraining bool) []*upstream.Attempt {
 	var effects upstream.Effects
 	drained := p.core.Update(p.now(), addr, isDraining, &effects)
@@ -141,14 +144,14 @@
 	p.armTimer()
 }
 
-// call runs callCore, which calls the core, and executes the effects.
+// call runs callCore, which calls a method of the core, and then executes the effects of that method.
 func (p *pool) call(callCore func(effects *upstream.Effects)) {
 	var effects upstream.Effects
 	callCore(&effects)
 	p.execute(effects)
 }
 
-// dial opens a connection to a server, if the listening socket at the address accepts it in time.
+// dial opens a connection to a server, if the listening socket at addr accepts the connection within the connect timeout.
 func (p *pool) dial(conn *upstream.Conn, addr string) {
 	world, slot := p.node.world, slotOf(addr)
 	roundTrip := world.drawBetween(200*time.Microsecond, 3*time.Millisecond)
@@ -190,7 +193,7 @@
 	})
 }
 
-// scheduleRead makes the connection's reader run after a drawn lag.
+// scheduleRead schedules the next read of the connection after a random delay, unless a read is already scheduled.
 func (s *poolSocket) scheduleRead() {
 	if s.pool.node.incarnation == s.pool.incarnation && !s.isReading {
 		s.isReading = true
@@ -214,7 +217,7 @@
 	p.execute(effects)
 }
 
-// writeNext writes the next request of the connection, and then the ones after it.
+// writeNext writes the next request that waits on the connection, and then all requests that wait behind it.
 func (s *poolSocket) writeNext() {
 	pool, world := s.pool, s.pool.node.world
 	var effects upstream.Effects
@@ -230,7 +233,7 @@
 		s.isWriting = false
 		isComplete, isGood := true, true
 		switch {
-		case s.stream.isClosed: // the stream ended meanwhile: no byte of the request is sent
+		case s.stream.isClosed: // the stream ended before this write, so no byte of the request is sent
 			isComplete, isGood = false, false
 		case world.networkFault(world.plan.Network.BreakWrite):
 			k := world.rng.IntN(len(bytes))
--- a/internal/testbed/simulation/race_test.go
+++ b/internal/testbed/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// The race detector slows runs down by an order of magnitude.
+// With the race detector, tests run fewer seeds, because it makes runs about ten times slower.
 func init() { seedsInCI = 60 }
--- a/internal/testbed/simulation/report.go
+++ b/internal/testbed/simulation/report.go
@@ -14,27 +14,27 @@
 
 // Violation is a violation of an invariant in a run.
 type Violation struct {
-	Invariant string // name of an invariant of package invariants or of this package
+	Invariant string // name of the invariant, as declared in package invariants or in this package
 	At        Time
 	Text      string
 }
 
-// String returns the violation as one line.
+// String returns the violation as one line of a report.
 func (b Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", b.Invariant, b.At.Seconds(), b.Text)
 }
 
-// Names of the simulation's own invariants, as reports print them. Package invariants has further ones.
+// Names of invariants that the simulation itself checks, as reports print them. Package invariants checks further invariants.
 const (
-	InvariantNeverRan       = "never-ran" // an attempt that is reported as never run did not reach its server completely
+	InvariantNeverRan       = "never-ran" // an attempt that a pool reports as never run did not reach the server completely
 	InvariantOrder          = "order"     // responses come in the order of their commands
-	InvariantNoLeak         = "leak"      // nodes retain nothing long after the last request
-	InvariantLiveness       = "liveness"  // some time after the last fault requests are served again
-	InvariantWatchRenewed   = "deaf"      // a watch that went silent is detected and renewed
-	InvariantRejectedNotRun = "refused"   // a rejected request that may run at most once reaches no server afterwards
-	InvariantLinearizable   = "history"   // the clients' reads of each record fit one order of its writes, each applied once
-	InvariantAbusiveClient  = "rude"      // a client that sends malformed input gets an error or a close within 3 s
-	InvariantNoPanic        = "crash"     // no core panics
+	InvariantNoLeak         = "leak"      // long after the last request, nodes retain no requests, request ids, attempts or response memory
+	InvariantLiveness       = "liveness"  // some time after the last fault, requests are served again
+	InvariantWatchRenewed   = "deaf"      // a node detects a watch that went silent, and opens a new watch
+	InvariantRejectedNotRun = "refused"   // an at-most-once request that was rejected does not reach a server after that
+	InvariantLinearizable   = "history"   // the reads and writes of each record are linearizable, with each write applied once
+	InvariantAbusiveClient  = "rude"      // a node answers malformed input with an error, or closes the connection, within 3 s
+	InvariantNoPanic        = "crash"     // no core panics; also reported if a run is aborted, or if a node sends a malformed request
 )
 
 // Report is the result of a run.
@@ -42,8 +42,8 @@
 	Seed                                                     uint64
 	Hash                                                     uint64 // hash of the event log
 	Events                                                   int    // number of lines in the event log
-	Scheduled, Taken, Served, Rejected, Failed, Disconnected int    // requests: scheduled, read by a node, and by result
-	Kills, Restarts                                          int    // numbers of node processes that were killed and that were shut down
+	Scheduled, Taken, Served, Rejected, Failed, Disconnected int    // numbers of requests: scheduled, read by a node, and by their result
+	Kills, Restarts                                          int    // number of node processes that were killed; number that were shut down gracefully
 	Faults                                                   []string
 	Violations                                               []Violation
 	Took                                                     time.Duration // wall-clock duration of the run
--- a/internal/testbed/simulation/server_conn.go
+++ b/internal/testbed/simulation/server_conn.go
@@ -17,7 +17,8 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// serverConn is the end of a node's connection at a cache server or at the origin. The model decides what is answered, and when.
+// serverConn is the server's end of a connection from a node. The server is a cache server or the origin. The model decides which
+// responses the server sends, and when.
 type serverConn struct {
 	world    *world
 	id       model.ConnID
@@ -30,17 +31,17 @@
 	reader          *redcon.Reader
 	bytesReceived   int
 	bytesParsed     int
-	firstByteSentAt Time // when the first byte of the current request was sent
+	firstByteSentAt Time // when the node sent the first byte of the request that is being received
 	httpInput       []byte
 	pending         []*pendingResponse // responses that are not sent yet, in the order of the requests
-	isCorrupt       bool               // a corrupt response was sent; nothing is sent after it, as the node could not tell the two apart
+	isCorrupt       bool               // a corrupt response was sent; no response follows, because the node could not tell where it begins
 	arrived         map[string]bool    // ids of the requests that arrived completely
 }
 
-// endlessChunks is the number of chunks that are sent of a value of endless length.
+// endlessChunks is the maximum number of chunks that a server sends of an endless value.
 const endlessChunks = 40
 
-// pendingResponse is the response to one request. It is sent once all responses to earlier requests have been sent.
+// pendingResponse is a response that is not sent yet. It is sent after the responses to all earlier requests on the connection.
 type pendingResponse struct {
 	seq        uint64
 	id         string
@@ -50,10 +51,10 @@
 	isLast     bool
 }
 
-// errNeedMoreBytes is returned by a read if all bytes that arrived have been read.
+// errNeedMoreBytes is the error of nonBlockingBuffer.Read if the buffer is empty.
 var errNeedMoreBytes = errors.New("more bytes are wanted")
 
-// nonBlockingBuffer is a buffer whose Read never blocks.
+// nonBlockingBuffer is a buffer whose Read returns errNeedMoreBytes if the buffer is empty.
 type nonBlockingBuffer struct{ bytes.Buffer }
 
 // Read reads buffered bytes. It returns errNeedMoreBytes if there are none.
@@ -64,8 +65,8 @@
 	return f.Buffer.Read(b)
 }
 
-// connect opens a connection from a node to the server at an address slot. It returns the node's end of the stream
-// and the server's end of the connection.
+// connect opens a connection from a node to the server in a slot, which is a number that stands for an address. It returns
+// the node's end of the stream and the server's end of the connection.
 func (w *world) connect(n *node, slot int) (*stream, *serverConn) {
 	w.lastID++
 	c := &serverConn{world: w, id: w.lastID, node: n.index, isOrigin: slot == 0, arrived: map[string]bool{}}
@@ -104,9 +105,9 @@
 	c.unregister()
 }
 
-// received handles bytes from the node, and the requests that they complete.
+// received handles bytes from the node, and each request that has arrived completely with these bytes.
 func (c *serverConn) received(b []byte, sent Time) {
-	if c.world.networkFault(c.world.plan.Network.ResetBefore) { // reset the connection before the last byte of a request is read
+	if c.world.networkFault(c.world.plan.Network.ResetBefore) { // reset the connection before these bytes, which may complete a request, are read
 		c.world.logEvent("reset-before", strconv.FormatUint(uint64(c.id), 10))
 		c.closeOrReset(true)
 		return
@@ -135,7 +136,8 @@
 	}
 }
 
-// malformed handles a request that no client of the run can have sent: it reports a violation and resets the connection.
+// malformed handles a request that does not come from any client of the run, so the node itself must have made it. malformed
+// reports a violation and resets the connection.
 func (c *serverConn) malformed(why string) {
 	c.world.violation(InvariantNoPanic, "node %d sent a server what no client did: %s", c.node, why)
 	c.closeOrReset(true)
@@ -197,7 +199,8 @@
 	c.attempt(wireformat.ParseRequest(c.world.classes, isWrite, args))
 }
 
-// attempt passes an attempt that arrived to the model. problem, if not empty, says why the request is malformed.
+// attempt handles an attempt that has arrived completely: it passes the attempt to the model. If problem is not empty, the request
+// is malformed, and problem says why.
 func (c *serverConn) attempt(request model.Request, problem string) {
 	if problem != "" {
 		c.malformed(problem)
@@ -212,7 +215,7 @@
 	c.pending = append(c.pending, &pendingResponse{seq: request.Seq, id: request.ID})
 	c.arrived[request.ID] = true
 	w.clients.requestArrived(request.ID)
-	if server := w.system.ServerOf(c.id); server != "" { // ServerOf returns "" if the server's process has ended meanwhile
+	if server := w.system.ServerOf(c.id); server != "" { // server is empty if the server's process has ended since the node connected
 		w.logEvent("came", request.ID, server)
 		w.checker.AttemptArrived(w.now, min(c.firstByteSentAt, w.now), c.node, server, request.ID, request.Class, request.Seq)
 	}
@@ -223,17 +226,18 @@
 	}
 }
 
-// healthCheck passes a health check that arrived to the model.
+// healthCheck handles a health check that has arrived completely: it passes the health check to the model.
 func (c *serverConn) healthCheck() {
 	c.world.seq++
 	c.pending = append(c.pending, &pendingResponse{seq: c.world.seq})
 	c.world.execute(c.world.system.Step(c.world.now, model.HealthCheck{Conn: c.id, Seq: c.world.seq}))
 }
 
-// responseReady handles a response of the model. The response is sent once all responses to earlier requests have been sent.
+// responseReady handles a response of the model. It sends the response after the responses to all earlier requests on the
+// connection.
 func (w *world) responseReady(response model.Response) {
 	if response.Request != "" {
-		w.checkResponse(response)
+		w.reportResponse(response)
 	}
 	conn := w.servers[response.Conn]
 	if conn == nil {
@@ -243,8 +247,8 @@
 	conn.sendReady()
 }
 
-// checkResponse reports to the checker that a server responds to a client's request.
-func (w *world) checkResponse(response model.Response) {
+// reportResponse tells the checker that a server sends a response to a client's request.
+func (w *world) reportResponse(response model.Response) {
 	proof := invariants.PossiblyExecuted
 	if response.WasNotExecuted() {
 		proof = invariants.NotExecuted
@@ -252,7 +256,7 @@
 	w.checker.ResponseSent(w.now, response.Server, response.Request, response.Seq, proof, response.HasValue(), response.Outcome.String())
 }
 
-// encode encodes a response and stores it in the pending entry of its request.
+// encode encodes a response, and stores the bytes in the entry of pending that belongs to the request.
 func (c *serverConn) encode(response model.Response) {
 	hasTrailing := response.Corruption == model.CorruptDuplicate || response.Corruption == model.CorruptTrailingNoise
 	for _, pending := range c.pending {
@@ -260,7 +264,7 @@
 			continue
 		}
 		pending.corruption = response.Corruption
-		if hasTrailing { // the response itself is valid; the corrupt bytes follow it
+		if hasTrailing { // the response itself is encoded as a valid one, and sendBytesAfter adds the corrupt bytes
 			response.Corruption = model.NotCorrupt
 		}
 		if c.isOrigin {
@@ -281,15 +285,16 @@
 			continue // the connection stays open, but nothing more is sent on it
 		}
 		c.stream.write(next.text)
-		c.corrupt(next)
+		c.sendBytesAfter(next)
 		if next.isLast || c.world.networkFault(c.world.plan.Network.CloseAfter) {
 			c.closeOrReset(false)
 		}
 	}
 }
 
-// corrupt sends the bytes that follow a corrupt response, if there are any.
-func (c *serverConn) corrupt(sent *pendingResponse) {
+// sendBytesAfter sends bytes after a response, if the response's kind of corruption or the network's faults call for them. If the
+// node can no longer tell where a response begins, sendBytesAfter makes this response the last one on the connection.
+func (c *serverConn) sendBytesAfter(sent *pendingResponse) {
 	switch sent.corruption {
 	case model.NotCorrupt, model.CorruptLoadReport:
 		if c.world.networkFault(c.world.plan.Network.TrailingBytes) {
@@ -307,9 +312,9 @@
 	}
 }
 
-// sendTrailing sends extra bytes up to 5 ms after a response, unless the connection is busy by then. By the protocol such bytes
-// come only while no request waits on the connection. Otherwise the node could not tell them from the response to a request that
-// it has written or is about to write.
+// sendTrailing sends extra bytes up to 5 ms after a response, unless the connection is busy by then. By the protocol, servers send
+// extra bytes only while no request waits on the connection. Otherwise the node could not tell the extra bytes from the response
+// to a request that the node has written or is about to write.
 func (c *serverConn) sendTrailing(trailing []byte) {
 	c.world.after(c.world.drawBetween(0, 5*time.Millisecond), func() {
 		if c.isBusy() {
@@ -321,7 +326,7 @@
 	})
 }
 
-// isBusy reports whether the connection has ended or carries requests.
+// isBusy reports whether the connection carries requests that are not answered yet, has ended, or belongs to an ended process.
 func (c *serverConn) isBusy() bool {
 	socket := c.socket
 	hasEnded := c.stream.isClosed || c.stream.isUnresponsive || socket.stream.isClosed
@@ -329,7 +334,7 @@
 	return hasEnded || len(c.pending) > 0 || socket.isWriting || socket.conn.InFlight() > 0 || isOtherProcess
 }
 
-// sendEndless sends chunks of a value of endless length until the node closes the connection.
+// sendEndless sends chunks of an endless value until the node closes the connection. chunks is the maximum number of chunks.
 func (c *serverConn) sendEndless(chunks int) {
 	if chunks > 0 && !c.stream.isClosed {
 		c.stream.write(bytes.Repeat([]byte{'x'}, 4096))
--- a/internal/testbed/simulation/shrink.go
+++ b/internal/testbed/simulation/shrink.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Shrink searches for a smaller plan of a seed that still violates the same invariant: it leaves out each part without which the
-// violation remains. It returns the numbers of the parts that are left out, and the report of the run without them.
+// Shrink searches for a smaller plan of a seed that still violates the invariant. It leaves out each part that the violation does
+// not need. It returns the numbers of the parts that are left out, and the report of the run without these parts.
 func Shrink(seed uint64, invariant string) (skip map[int]bool, report *Report) {
 	return shrink(Parts(seed), invariant, func(skip map[int]bool) *Report { return Run(Draw(seed, skip), Options{}) })
 }
 
-// ShrinkFleet searches for a smaller plan of a fleet, as Shrink does; it leaves out faults.
+// ShrinkFleet searches for a smaller plan of a fleet that still violates the invariant, as Shrink does. It leaves out faults.
 func ShrinkFleet(seed uint64, invariant string) (skip map[int]bool, report *Report) {
 	return shrink(DrawFleet(seed, nil).drawn, invariant, func(skip map[int]bool) *Report { return RunFleet(DrawFleet(seed, skip), Options{}) })
 }
@@ -42,7 +42,7 @@
 	return slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Invariant == invariant })
 }
 
-// FormatSkip returns the numbers of the parts that are left out, separated by commas, for use on a command line.
+// FormatSkip returns the numbers of the parts in skip as one text, separated by commas, for use on a command line.
 func FormatSkip(skip map[int]bool) string {
 	var numbers []string
 	for _, i := range slices.Sorted(maps.Keys(skip)) {
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// seedsInCI is the number of seeds that the tests run.
+// seedsInCI is the number of seeds that a test of the simulation runs. The race detector's build uses fewer seeds.
 var seedsInCI = uint64(300)
 
-// runSeeds runs the first seeds on all processors and calls inspect with each report, one at a time.
+// runSeeds calls run with the seeds from 0 to seeds-1, in parallel on all processors. It calls inspect with each report; the calls
+// of inspect do not overlap.
 func runSeeds(seeds uint64, run func(seed uint64) *Report, inspect func(r *Report)) {
 	var mu sync.Mutex
 	next := uint64(0)
@@ -35,8 +36,8 @@
 	workers.Wait()
 }
 
-// TestInvariantsHoldUnderDrawnFaults guards against errors that show only in rare orders of events. It runs nodes under load with
-// the faults that each seed draws: every invariant has to hold in all runs.
+// TestInvariantsHoldUnderDrawnFaults guards against errors that show only in rare orders of events. It runs nodes under load, with
+// random faults for each seed. Every invariant has to hold in all runs.
 func TestInvariantsHoldUnderDrawnFaults(t *testing.T) {
 	served, kills := 0, 0
 	faultCounts := map[string]int{}
@@ -60,7 +61,7 @@
 }
 
 // TestAgreementsHoldUnderDrawnFaults guards against errors in leases, rollouts and membership that show only in rare orders of
-// events. It runs fleets with the faults that each seed draws: every invariant has to hold in all runs.
+// events. It runs fleets without requests, with random faults for each seed. Every invariant has to hold in all runs.
 func TestAgreementsHoldUnderDrawnFaults(t *testing.T) {
 	faultCounts := map[string]int{}
 	runSeeds(seedsInCI/2, func(seed uint64) *Report { return RunFleet(DrawFleet(seed, nil), Options{}) }, func(r *Report) {
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestLeavingOutOnePartChangesNoOther guards against plans that cannot be shrunk: what one part draws must not depend on the
-// other parts.
+// TestLeavingOutOnePartChangesNoOther guards against plans that cannot be shrunk, because leaving out one part changes another. The
+// random numbers of a part must not depend on which other parts are switched on.
 func TestLeavingOutOnePartChangesNoOther(t *testing.T) {
 	for seed := range uint64(40) {
 		on := Parts(seed)
--- a/internal/testbed/simulation/stream.go
+++ b/internal/testbed/simulation/stream.go
@@ -7,13 +7,13 @@
 type stream struct {
 	world *world
 	peer  *stream
-	link  link // for the data that is written at this end
+	link  link // delays of the data that is written at this end
 
 	lastAt         Time // when the last segment written at this end arrives
-	isClosed       bool // this end was closed, or the peer's close arrived: nothing more arrives or leaves
+	isClosed       bool // this end was closed, or the peer's close arrived; this end sends and receives nothing any more
 	isUnresponsive bool // data that is written at this end is dropped silently
 
-	data  func(b []byte, sent Time) // called with each segment that arrives
+	data  func(b []byte, sent Time) // called with each segment that arrives, and the time at which the peer wrote it
 	ended func(reset bool)          // called when the peer's close or reset arrives
 }
 
@@ -25,16 +25,16 @@
 	maxLateness        time.Duration
 }
 
-// pipe returns the two ends of a new stream. forward is the link for the data that is written at a, and backward for that written
-// at b.
+// pipe returns the two ends of a new stream. forward has the delays of the data that is written at the end a, and backward has
+// those of the data that is written at the end b.
 func (w *world) pipe(forward, backward link) (a, b *stream) {
 	a, b = &stream{world: w, link: forward}, &stream{world: w, link: backward}
 	a.peer, b.peer = b, a
 	return a, b
 }
 
-// arrival draws the arrival time of a segment that is sent now. It is not before the arrival of the segments that were sent
-// earlier.
+// arrival returns a random arrival time for a segment that is sent now. The time is not before the arrival of the segments that
+// were sent earlier from this end.
 func (e *stream) arrival() Time {
 	at := e.world.now + e.world.drawBetween(e.link.minDelay, e.link.maxDelay)
 	if e.world.networkFault(e.link.lateProbability) {
@@ -44,7 +44,7 @@
 	return e.lastAt
 }
 
-// write sends a copy of b.
+// write sends a copy of b to the peer, cut into segments.
 func (e *stream) write(b []byte) {
 	if e.isClosed || e.isUnresponsive || len(b) == 0 {
 		return
@@ -78,7 +78,8 @@
 	e.world.at(e.arrival(), func() { e.peer.endSeen(false) })
 }
 
-// reset ends the stream at once and drops data in transit, both ways.
+// reset ends the stream at once. The peer sees the reset after a network delay; data that arrives later is dropped, in both
+// directions.
 func (e *stream) reset() {
 	if e.isClosed {
 		return
@@ -90,7 +91,7 @@
 	e.world.after(e.world.drawBetween(e.link.minDelay, e.link.maxDelay), func() { e.peer.endSeen(true) })
 }
 
-// endSeen handles the peer's close or reset.
+// endSeen handles the close or reset of the peer when it arrives at this end.
 func (e *stream) endSeen(reset bool) {
 	if e.isClosed {
 		return
@@ -101,7 +102,8 @@
 	}
 }
 
-// breakAfterWrites makes this end fail at once. The peer sees a reset after all data that was written here.
+// breakAfterWrites makes this end fail at once. The peer first receives all data that was written at this end, and then sees a
+// reset.
 func (e *stream) breakAfterWrites() {
 	e.isClosed = true
 	if !e.isUnresponsive {
--- a/internal/testbed/simulation/timeline.go
+++ b/internal/testbed/simulation/timeline.go
@@ -14,7 +14,7 @@
 	opt    Options
 	now    Time
 	queue  eventqueue.Queue
-	rng    *rand.Rand // random numbers for the network and the delays of schedulers
+	rng    *rand.Rand // random numbers for the network's faults and delays, and for scheduling delays
 	log    *eventlog.Log
 	report *Report
 }
@@ -29,7 +29,7 @@
 // after schedules work to run after the duration d.
 func (w *timeline) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
-// drawBetween draws a duration from least up to, but not including, most.
+// drawBetween returns a random duration of at least least and less than most. If most is not greater than least, it returns least.
 func (w *timeline) drawBetween(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
@@ -37,7 +37,7 @@
 	return least + time.Duration(w.rng.Int64N(int64(most-least)))
 }
 
-// chance returns true with the probability p. It draws no random number if p is 0.
+// chance returns true with the probability p. If p is 0, it returns false and uses no random number.
 func (w *timeline) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
 // logEvent adds a line to the event log.
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -1,9 +1,9 @@
-// Package simulation runs whole fleets of nodes on a virtual clock. A run consists of the real cores of nodes, listeners,
-// connection pools, decoders and watches, the testbed's model of cache servers, origin and discovery, and simulated clients. They
-// communicate over a simulated network of byte streams and datagrams, with the faults that a seed draws.
+// Package simulation runs whole fleets of nodes on a virtual clock. In a run, the program's own cores of nodes, listeners,
+// connection pools, decoders and watches work with the testbed's model of cache servers, origin and discovery, and with simulated
+// clients. All communicate over a simulated network of byte streams and datagrams. The seed of a run determines its faults.
 //
-// A run has one goroutine and does not use the wall clock, so a seed gives the same run each time, byte for byte. The hash of the
-// event log shows this. The invariants of the service are checked after every step. See docs/simulation.md.
+// A run has one goroutine and does not use the wall clock. So runs of one seed have the same event log, byte for byte, and the same
+// hash of the log. The invariants of the service are checked after every step. See docs/simulation.md.
 package simulation
 
 import (
@@ -18,7 +18,8 @@
 // Time is a point in time of a run, counted from the start of the run.
 type Time = time.Duration
 
-// epoch is the date at which every run begins. It has no monotonic clock reading, so that the machine's clock has no influence.
+// epoch is the date at which every run begins. The value has no monotonic clock reading, so that the clock of the machine that
+// executes the run has no influence.
 var epoch = time.Unix(1_800_000_000, 0).UTC()
 
 // world is one run of nodes under load.
@@ -31,7 +32,7 @@
 	violationsSeen int // number of the checker's violations that are already in the report
 	classes        map[string]scenario.Class
 
-	acceptors map[acceptorKey]model.AcceptorState // states of the servers' listening sockets
+	acceptors map[acceptorKey]model.AcceptorState // by slot and node: what happens to new connections from the node to the server in the slot
 	servers   map[model.ConnID]*serverConn
 	lastID    model.ConnID
 	seq       uint64
@@ -41,16 +42,18 @@
 	clients   *clients
 }
 
-// acceptorKey identifies a server's listening socket as one node reaches it: by the slot of its address.
+// acceptorKey identifies a server's listening socket, as one node sees it. The slot is a number that stands for the server's
+// address. The state of the socket can differ between nodes.
 type acceptorKey struct{ slot, node int }
 
-// networkFault draws whether a network fault with the probability p happens now. From networkFaultsEnd on, none does.
+// networkFault decides at random whether a network fault happens now. The probability is p before networkFaultsEnd, and 0 from
+// then on.
 func (w *world) networkFault(p float64) bool { return w.now < networkFaultsEnd && w.chance(p) }
 
-// maxSteps is the number of steps that a run may take. A run that takes more is aborted, which counts as a violation.
+// maxSteps is the maximum number of steps of a run. A run that takes more steps is aborted, and the report has a violation.
 const maxSteps = 1_000_000
 
-// Run runs a plan to its end. A panic of a core is reported as a violation.
+// Run runs a plan to its end. If a core panics, the run ends and the report has a violation.
 func Run(plan *Plan, opt Options) (report *Report) {
 	began := time.Now()
 	report = &Report{Seed: plan.Seed, Faults: plan.PartNames()}
@@ -66,7 +69,7 @@
 		if reason := recover(); reason != nil {
 			run.violation(InvariantNoPanic, "%v", reason)
 			if opt.Trace != nil {
-				panic(reason) // a traced run is being debugged: show the stack
+				panic(reason) // the developer who traces a run needs the stack of the panic
 			}
 		}
 		report.Hash = run.log.Hash() ^ run.system.Hash()
@@ -119,7 +122,7 @@
 	}
 }
 
-// checkInterval is the time between two checks for violations that arise from time alone, such as a missed deadline.
+// checkInterval is the time between two checks for violations that come about without an event, such as a missed deadline.
 const checkInterval = 50 * time.Millisecond
 
 // run executes the scheduled work in order until the end of the plan, and checks the invariants after each step.
@@ -167,7 +170,8 @@
 	}
 }
 
-// checkFinalState checks, long after the last request, what the nodes still retain and how the last requests were answered.
+// checkFinalState checks, long after the last request, that the nodes retain no requests or memory, and that most of the late
+// requests were served.
 func (w *world) checkFinalState() {
 	w.checker.Advance(w.now)
 	w.collectViolations()
@@ -178,7 +182,7 @@
 	w.report.Taken = w.checker.Counts().Requests
 }
 
-// execute executes effects of the model.
+// execute executes effects that the model returned.
 func (w *world) execute(effects []model.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
