--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -23,7 +23,7 @@
 	reportInterval = 2 * time.Second        // interval between two reports of the progress if the output is no terminal
 
 	rolloutDelay = 20 * time.Millisecond // upper bound of the random delay of datagrams during a rollout
-	rolloutAfter = 2 * time.Second       // time from the start of the load to the order of the release
+	rolloutAfter = 2 * time.Second       // time from the start of the load after which the rollout is ordered
 )
 
 // demoFlags are the flags of the command demo.
@@ -103,7 +103,7 @@
 	if dir, err = demo.TempDir(); err != nil {
 		return "", nil, err
 	}
-	return dir, func() { _ = os.RemoveAll(dir) }, nil // a directory that remains does no harm
+	return dir, func() { _ = os.RemoveAll(dir) }, nil // if this fails, the directory remains, which does no harm
 }
 
 func isTerminal(out io.Writer) bool {
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -35,7 +35,7 @@
 	set.StringVar(&flags.replay, "replay", "", "send the requests of this trace instead of the scenario's; the scenario must have its classes")
 	set.Float64Var(&flags.speed, "speed", 1, "speed of the replay; 2 is twice as fast")
 	if err := cmd.MarkFlagRequired("to"); err != nil {
-		panic(err) // the flag is defined above
+		panic(err) // cannot happen: the flag is defined above
 	}
 }
 
--- a/cmd/testbed/overhead.go
+++ b/cmd/testbed/overhead.go
@@ -46,7 +46,7 @@
 	if options.Dir, err = demo.TempDir(); err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(options.Dir) }() // a directory that remains does no harm
+	defer func() { _ = os.RemoveAll(options.Dir) }() // if this fails, the directory remains, which does no harm
 	if options.Self, err = os.Executable(); err != nil {
 		return err
 	}
--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -20,7 +20,7 @@
 
 const (
 	progressEvery = 1000 // number of seeds between two lines of progress
-	maxShrunk     = 5    // maximum number of violating runs that --shrink makes smaller
+	maxShrunk     = 5    // maximum number of violating runs for which --shrink searches a smaller run
 
 	traceToTerminal = "-" // value of --trace that writes the event log to the terminal
 )
@@ -142,7 +142,7 @@
 	return exit.With(exitInvariant, errors.New("an invariant was violated"))
 }
 
-// parseSkip reads the comma-separated part numbers of --skip.
+// parseSkip parses the value of --skip: comma-separated numbers of the parts of a run to leave out.
 func parseSkip(list string) (map[int]bool, error) {
 	skip := map[int]bool{}
 	for _, word := range strings.FieldsFunc(list, func(r rune) bool { return r == ',' }) {
--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -18,17 +18,17 @@
 // Node is a node as clients see it. Its functions may be called at any time, from several goroutines.
 type Node struct {
 	Address string
-	// Process returns a function for the process that runs now. That function reports whether the process was told to end;
-	// such a process may close connections between requests. If Process is nil, no process is ever told to end.
+	// Process returns a function for the node's current process. The returned function isStopping reports whether this process
+	// was told to end, after which it may close connections between requests. If Process is nil, no process is ever told to end.
 	Process func() (isStopping func() bool)
-	// InUse reports whether the front end connects clients to the node. If InUse is nil, the front end always does.
+	// InUse reports whether the front end connects clients to the node. If InUse is nil, the node is always in use.
 	InUse func() bool
 }
 
 // Observer is notified of the requests, answers and ends of connections that clients see. Its methods are called from several
 // goroutines and must return quickly.
 type Observer interface {
-	// RequestSent is called just before a request is written to a node. The client waits for timeout from this call on.
+	// RequestSent is called just before a request is written to a node. The node must answer within timeout after this call.
 	RequestSent(id, class string, node int, timeout time.Duration)
 	// RequestAnswered is called after the last byte of a final answer was read.
 	RequestAnswered(id string, kind invariants.Final, value []byte)
@@ -40,17 +40,17 @@
 // Options says how a load is sent.
 type Options struct {
 	Nodes    []Node
-	Observer Observer // may be nil, to observe nothing
-	// ClosedLoop, if above 0, is the number of clients that send the same requests in a closed loop instead: each client
-	// sends its next request when its last request was answered. The results show what a closed loop hides.
+	Observer Observer // nil if nothing has to be observed
+	// If ClosedLoop is above 0, this number of clients sends the requests in a closed loop instead of an open loop: each client
+	// sends its next request when its last request was answered. The results show that a closed loop hides stalls of the nodes.
 	ClosedLoop int
-	// Source, if set, provides the requests instead of the plan's schedule. It returns false at the end. Class and node
-	// numbers are those of the plan. Calls do not overlap.
+	// Source, if set, provides the requests instead of the plan's schedule. It returns false after the last request. Its class
+	// and node numbers are those of the plan. Calls do not overlap.
 	Source func() (workload.Arrival, bool)
 	// Record, if set, is called with every request that Source or the schedule returned. Calls do not overlap.
 	Record func(workload.Arrival)
-	// MaxInFlight bounds the number of requests in flight. A request beyond the bound is not sent and makes the run invalid.
-	// 0 means DefaultMaxInFlight.
+	// MaxInFlight is the maximum number of requests in flight in an open loop. A request that exceeds it is not sent and makes
+	// the run invalid. 0 means DefaultMaxInFlight.
 	MaxInFlight int
 }
 
@@ -66,7 +66,7 @@
 	Rejected        int64
 	Failed          int64
 	Unanswered      int64 // requests that were sent and never answered
-	Unsent          int64 // requests for which no node could be reached, or that were beyond MaxInFlight
+	Unsent          int64 // requests that exceeded MaxInFlight, or that were given up after maxAttempts attempts
 	// Latency is the latency of served requests, in microseconds from their due times.
 	Latency *hdrhistogram.Histogram
 	// Service is the service time of served requests, in microseconds from the time at which they were sent. It leaves out
@@ -86,10 +86,11 @@
 
 	mu      sync.Mutex
 	classes []Class
-	crossed int64 // requests that may have crossed the end of a connection that was idle for less than longIdle
+	crossed int64 // attempts that a node may have left unread; see Crossed
 }
 
-// Crossed returns how many requests may have crossed the end of a connection that was idle for less than longIdle.
+// Crossed returns how many attempts a node may have left unread because it closed the connection just then. It counts only
+// connections that had been idle for longIdle at most, to nodes that were not told to end.
 func (c *Clients) Crossed() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +125,7 @@
 	c.pool.closeIdle()
 }
 
-// Classes returns the results so far.
+// Classes returns the results of each class so far.
 func (c *Clients) Classes() (classes []Class) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +136,7 @@
 	return classes
 }
 
-// Generator returns the figures of the load generator itself so far.
+// Generator returns the load generator's measurements of itself so far.
 func (c *Clients) Generator() Generator { return c.generator.report() }
 
 // count applies a change to the results of a request's class.
--- a/internal/testbed/clients/clients_test.go
+++ b/internal/testbed/clients/clients_test.go
@@ -14,10 +14,10 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// serviceTime is how long a test server takes for a command.
+// serviceTime is how long a test server takes to answer a command.
 const serviceTime = 2 * time.Millisecond
 
-// stall is an interval in which a server answers nothing. Its start, at, counts from the first command.
+// stall is an interval in which a server answers nothing. The field at is its start, measured from the first command.
 type stall struct {
 	at, duration time.Duration
 }
@@ -43,7 +43,7 @@
 	return listener.Addr().String()
 }
 
-// answerAll answers the commands of a connection until it ends.
+// answerAll answers the commands of a connection until the connection ends.
 func answerAll(conn net.Conn, firstCommand func() time.Time, stall stall) {
 	defer func() { _ = conn.Close() }()
 	reader := redcon.NewReader(bufio.NewReader(conn))
--- a/internal/testbed/clients/connection.go
+++ b/internal/testbed/clients/connection.go
@@ -55,7 +55,7 @@
 		if !conn.isStale() {
 			return conn, nil
 		}
-		_ = conn.Close() // the node has closed the connection
+		_ = conn.Close() // the node has already closed it, so an error does not matter
 	}
 	isStopping := func() bool { return false }
 	if process := p.nodes[node].Process; process != nil {
@@ -94,7 +94,7 @@
 	defer p.mu.Unlock()
 	for node, connections := range p.idle {
 		for _, conn := range connections {
-			_ = conn.Close() // no answer is outstanding on an idle connection
+			_ = conn.Close() // the connection is idle, so an error loses no answer
 		}
 		p.idle[node] = nil
 	}
--- a/internal/testbed/clients/generator.go
+++ b/internal/testbed/clients/generator.go
@@ -11,16 +11,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Limits beyond which a generator counts as having fallen behind its schedule.
+// Limits on the load generator. If it exceeds one of them, it did not keep to its schedule, and the measured latencies are not
+// valid.
 const (
-	lateAfter       = 10 * time.Millisecond  // a request that is sent later than this after its due time counts as late
-	maxLateFraction = 0.01                   // highest valid fraction of late requests
+	lateAfter       = 10 * time.Millisecond  // a request counts as late if it is sent more than this after its due time
+	maxLateFraction = 0.01                   // highest valid fraction of the sent requests that were late
 	maxLag          = 500 * time.Millisecond // highest valid lag of a request
 	maxCPUFraction  = 0.9                    // highest valid fraction of the processor time that is available to the program
-	maxGCFraction   = 0.02                   // highest valid fraction of the elapsed time in pauses of the garbage collector
+	maxGCFraction   = 0.02                   // highest valid fraction of the elapsed time that pauses of the garbage collector take
 )
 
-// Generator holds the figures of the load generator itself: requests that were sent late, and resources that the generator
+// Generator holds the load generator's measurements of itself: requests that were sent late, and resources that the generator
 // used. They show whether the measured latencies are valid.
 type Generator struct {
 	Sent        int64
@@ -38,7 +39,7 @@
 // Interval holds the results of the requests that were due in one interval of the timeline.
 type Interval struct {
 	Served  int64
-	Latency *hdrhistogram.Histogram // microseconds from the due times of the requests
+	Latency *hdrhistogram.Histogram // microseconds from the due time of a request to its answer
 }
 
 // Invalid returns the reasons why the measured latencies are not valid, or nothing if they are valid.
@@ -61,7 +62,8 @@
 	return reasons
 }
 
-// maxIntervals bounds the number of intervals in the timeline. The intervals of a long run are longer.
+// maxIntervals is the maximum number of intervals in the timeline of a run. An interval lasts 1 s; for a long load this is
+// doubled until maxIntervals intervals cover the load.
 const maxIntervals = 600
 
 // generator collects the figures of a load generator. Its methods are safe for concurrent use.
@@ -70,7 +72,7 @@
 	figures  Generator
 	inFlight int
 	began    time.Time
-	before   usage // usage of the program at the start of the run
+	before   usage // resource usage of the program at the start of the run
 }
 
 func newGenerator(length time.Duration) generator {
@@ -110,8 +112,8 @@
 	g.figures.Elapsed = time.Since(g.began)
 }
 
-// requestStarted counts a request that is about to be sent, and its lag behind the schedule. It returns false, and counts an
-// overflow, if maxInFlight requests are in flight already.
+// requestStarted counts a request that is about to be sent and records its lag, the time since it was due. If maxInFlight
+// requests are already in flight, requestStarted counts an overflow instead and returns false.
 func (g *generator) requestStarted(lag time.Duration, maxInFlight int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/clients/loops.go
+++ b/internal/testbed/clients/loops.go
@@ -17,8 +17,9 @@
 	id string
 }
 
-// requests returns a function that returns the requests of Options.Source or, without a source, of the schedule. The function
-// returns false at the end. Request ids start with a random number, so that the ids of several runs differ.
+// requests returns a function that returns the next request at each call: from Options.Source or, if that is nil, from the plan's
+// schedule. The function returns false after the last request. Request ids start with a random number, so that the ids of several
+// runs differ.
 func (c *Clients) requests() func() (request, bool) {
 	source := c.options.Source
 	if source == nil {
@@ -72,7 +73,7 @@
 				if !ok {
 					return
 				}
-				r.At = time.Since(c.start) // due when its client is free, which is why a closed loop hides stalls
+				r.At = time.Since(c.start) // a request is due only when its client is free, so a closed loop hides stalls
 				c.generator.requestStarted(0, c.options.MaxInFlight)
 				c.send(r)
 				c.generator.requestEnded()
--- a/internal/testbed/clients/protocol.go
+++ b/internal/testbed/clients/protocol.go
@@ -33,7 +33,8 @@
 	value []byte // value of a served request
 }
 
-// readAnswer reads one answer. A nil value, and any line that is neither a value nor -BUSY, count as failed.
+// readAnswer reads one answer. A nil value counts as a failed request, and so does any line that does not begin a value, an array
+// or -BUSY.
 func readAnswer(reader *bufio.Reader) (answer, error) {
 	header, err := reader.ReadString('\n')
 	if err != nil {
@@ -53,7 +54,7 @@
 	return answer{kind: invariants.Failed}, nil
 }
 
-// readArray reads the elements of an array. The first element is the answer.
+// readArray reads the elements of an array and returns the first element, which is the answer.
 func readArray(reader *bufio.Reader, length string) (answer, error) {
 	elements, err := strconv.Atoi(length)
 	if err != nil || elements < 1 {
--- a/internal/testbed/clients/send.go
+++ b/internal/testbed/clients/send.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	maxAttempts  = 3                      // number of times that a request is sent, as long as no node has read it
-	attemptPause = 50 * time.Millisecond  // pause before another attempt: a front end takes a moment to notice that a node is down
-	readSlack    = 500 * time.Millisecond // time for which an answer is awaited beyond the deadline and its grace
-	// longIdle is the minimum idle time after which the end of a connection counts as a close between two requests.
+	maxAttempts  = 3                      // maximum number of attempts of a request that no node has read so far
+	attemptPause = 50 * time.Millisecond  // pause after an attempt that reached no node: front ends need time to notice a dead node
+	readSlack    = 500 * time.Millisecond // additional wait for an answer after the deadline and the grace of the invariants
+	// longIdle is the idle time after which a node normally may close a connection between two requests.
 	longIdle = time.Second
-	// crossingWindow is the longest time from a request to the end of its connection in which the two may have crossed: the
-	// node closed the connection before it could read the request. The platform allows a node to be stalled for 150 ms,
-	// and the testbed itself may be late.
+	// crossingWindow is for connections that were idle for more than longIdle, or whose node was told to end. If such a
+	// connection ends within crossingWindow after a request was sent, the node may have closed it before it could read the
+	// request. The platform allows a node to be stalled for 150 ms, and the testbed itself may be late.
 	crossingWindow = 300 * time.Millisecond
-	// shortIdleCrossingWindow replaces crossingWindow for a connection that was idle for less than longIdle. A node with little
-	// capacity may close such a connection.
+	// shortIdleCrossingWindow replaces crossingWindow for a connection that was idle for longIdle or less. A node with little
+	// capacity may close such a connection, too.
 	shortIdleCrossingWindow = 50 * time.Millisecond
 )
 
-// send sends a request and counts its result. As long as no node can be reached or has read the request, send tries again, up
-// to maxAttempts times in all.
+// send sends a request and counts its result. It makes another attempt if no node could be reached, or if the node may not have
+// read the request. It makes at most maxAttempts attempts.
 func (c *Clients) send(r request) {
 	c.count(r, func(class *Class) { class.Scheduled++ })
 	for attempt := range maxAttempts {
@@ -39,8 +39,8 @@
 	c.count(r, func(class *Class) { class.Unsent++ })
 }
 
-// attempt sends a request once and counts its result. It returns false, and counts nothing, if the node may never have read
-// the request. Such a request may be sent again.
+// attempt sends a request once and counts its result. It returns false, and counts no result, if the node may never have read the
+// request. Such a request may be sent again.
 func (c *Clients) attempt(r request) (isFinal bool) {
 	node, ok := c.pickNode(r.Node)
 	if !ok {
@@ -71,8 +71,8 @@
 	return true
 }
 
-// pickNode returns the node to which the front end connects a client: the drawn node or, if that is not in use, the next
-// node in use.
+// pickNode returns the node to which the front end connects a client: the node drawn or, if this node is not in use, the next
+// node in use. It returns false if no node is in use.
 func (c *Clients) pickNode(drawn int) (node int, ok bool) {
 	nodes := c.options.Nodes
 	for i := range nodes {
@@ -105,8 +105,9 @@
 	})
 }
 
-// crossingWindowFor returns the longest time from a request to the end of its connection in which the node may not have read
-// the request. Requests that the node did read appear in the node's own counters at the end of a run.
+// crossingWindowFor returns a duration: if the connection ends within this duration after sentAt, the node may have closed it
+// before it read the request. A node that did read the request counts it in its own counters, which show this at the end of a
+// run.
 func crossingWindowFor(conn *connection, sentAt time.Time) time.Duration {
 	switch {
 	case conn.isStopping():
@@ -123,7 +124,7 @@
 // no result, if the node may not have read the request.
 func (c *Clients) connectionFailed(r request, conn *connection, sentAt time.Time, err error) (isFinal bool) {
 	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() { // the invariant checker finds the missing answer at the deadline
+	if errors.As(err, &timeout) && timeout.Timeout() { // not reported: the invariant checker itself finds missing answers
 		c.count(r, func(class *Class) { class.Unanswered++ })
 		return true
 	}
--- a/internal/testbed/clients/tables.go
+++ b/internal/testbed/clients/tables.go
@@ -9,7 +9,7 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// barWidth is the length of the longest bar in the timeline, in characters. It stands for the longest latency.
+// barWidth is the length, in characters, of the bar for the longest latency in the timeline.
 const barWidth = 40
 
 // WriteClasses writes a table of the results of all classes. Latency is measured from the time at which a request was due,
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -29,13 +29,13 @@
 	Dir      string // existing directory for configurations and logs
 	Log      *slog.Logger
 	Out      io.Writer     // receives the progress
-	Live     bool          // redraw a table in place, if Out is a terminal
+	Live     bool          // redraw a table in place instead of writing lines; Out must be a terminal
 	Every    time.Duration // interval between two reports of the progress
-	Restarts int           // number of times that every node is restarted during the load, in turn
+	Restarts int           // number of times that each node is restarted during the load
 	NodeArgs []string
-	Rollout  *Rollout // if set, the nodes roll out another release among themselves
-	// Disturb, if set, runs concurrently with the load and may disturb nodes. running returns the processes that are in use when
-	// it is called. Disturb must return when the context ends.
+	Rollout  *Rollout // if set, the nodes agree when each of them restarts with another release
+	// Disturb, if set, runs concurrently with the load and may disturb nodes. Its argument running returns the current processes
+	// of the nodes that are in use. Disturb must return when the context ends.
 	Disturb func(ctx context.Context, running func() []*nodes.Process)
 }
 
@@ -132,7 +132,7 @@
 func (r *run) close() {
 	for _, instance := range r.instances {
 		if process := instance.currentProcess(); process != nil {
-			_ = process.Stop(stopTimeout) // finish has reported the failures of nodes to stop
+			_ = process.Stop(stopTimeout) // an error is not reported here: finish reports nodes that do not stop
 		}
 	}
 	if r.emulator != nil {
@@ -176,7 +176,7 @@
 // playLoad runs the load. Concurrently, it shows the progress and runs the restarts, the rollout and Options.Disturb. It waits for
 // all of them.
 func (r *run) playLoad(ctx context.Context, load *clients.Clients) (failures []error) {
-	loadEnded := make(chan struct{}) // closed after load.Run
+	loadEnded := make(chan struct{}) // closed when load.Run has returned
 	var background sync.WaitGroup
 	background.Go(func() { r.showProgress(load, loadEnded) })
 	var restartErr, rolloutErr error
@@ -203,7 +203,7 @@
 	return failures
 }
 
-// runningProcesses returns the current process of each instance that is in use.
+// runningProcesses returns the current process of each instance in use.
 func (r *run) runningProcesses() (processes []*nodes.Process) {
 	for _, instance := range r.instances {
 		if instance.isInUse.Load() {
--- a/internal/testbed/demo/instance.go
+++ b/internal/testbed/demo/instance.go
@@ -13,7 +13,7 @@
 	"shelfproxy/internal/testbed/scenario"
 )
 
-// frontNoticeDelay is the time after which the emulated front end notices that a node drains and sends no more clients there.
+// frontNoticeDelay is the time after which the emulated front end notices that a node drains, and stops sending clients to it.
 const frontNoticeDelay = 300 * time.Millisecond
 
 // instance is a node of the run. A restart replaces its process.
@@ -24,8 +24,8 @@
 	mu      sync.Mutex
 	process *nodes.Process
 
-	// Only the goroutine that restarts the instance or rolls it out uses the fields below until it ends. Other goroutines read
-	// them after that.
+	// As long as the goroutine that restarts instances or runs the rollout exists, only that goroutine uses the fields below.
+	// Other goroutines read the fields after that goroutine has ended.
 	earlierCPU    time.Duration // processor time of the processes before the current one
 	drainingSince time.Time     // when the instance began to drain for the rollout; zero while it does not drain
 }
@@ -37,8 +37,8 @@
 	return in.process
 }
 
-// start starts a process, waits until the process answers and puts the instance in use. The process is subject to the limit on
-// descriptors and, if the limits have one, to the limit on its share of a processor.
+// start starts a process, waits until the process answers and puts the instance in use. The process may use at most
+// limits.Sockets descriptors and, if limits.CPUShare is above 0, this fraction of a processor.
 func (in *instance) start(ctx context.Context, program string, args []string, limits scenario.Nodes) error {
 	process, err := nodes.Start(nodes.Command{Program: program, Args: args, Name: in.Name, Listen: in.Listen, Config: in.Path,
 		Sockets: limits.Sockets})
@@ -58,15 +58,16 @@
 	return nil
 }
 
-// usage returns the processor time of all processes of the instance, with the memory and descriptors of the current process.
+// usage returns the processor time of all processes that the instance has had, and the memory and descriptors of its current
+// process.
 func (in *instance) usage() nodes.Usage {
 	usage := in.currentProcess().Usage()
 	usage.CPU += in.earlierCPU
 	return usage
 }
 
-// restartNodes restarts every node in turn, Options.Restarts times, evenly spread over the load. It returns early if the load
-// ends.
+// restartNodes restarts every node Options.Restarts times, one node after another. The restarts are spread evenly over the load.
+// It returns early if the load ends.
 func (r *run) restartNodes(ctx context.Context, loadEnded <-chan struct{}) error {
 	interval := r.options.Plan.Length / time.Duration(r.options.Restarts*len(r.instances)+1)
 	for range r.options.Restarts {
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// restart ends the process of an instance by SIGTERM, as an operator does, and starts the next process. The front end notices
-// the end after frontNoticeDelay.
+// restart ends the process of an instance by SIGTERM, as an operator does, and starts the next process. The front end stops
+// sending clients to the instance frontNoticeDelay after the signal.
 func (r *run) restart(ctx context.Context, in *instance) error {
 	process := in.currentProcess()
 	_ = process.Signal(syscall.SIGTERM) // fails only if the process has ended, which Stop reports
--- a/internal/testbed/demo/owed.go
+++ b/internal/testbed/demo/owed.go
@@ -15,15 +15,15 @@
 	ClosedUnanswered int64  `json:"listener_closed_owing"`
 }
 
-// requestsClosedUnanswered returns how many requests the processes of an instance had read and not answered when they closed
-// the connection. It reads the counters in the instance's log, because clients cannot distinguish these requests from unread
-// requests that crossed the end of a connection.
+// requestsClosedUnanswered returns how many requests the processes of an instance had read and not answered when they closed the
+// connection. It reads the counters in the instance's log: a client only sees that its connection ended, and not whether the node
+// had read the request.
 func requestsClosedUnanswered(logPath string) (requests int64, err error) {
 	file, err := os.Open(logPath)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = file.Close() }() // the file was only read
+	defer func() { _ = file.Close() }() // the file was only read, so an error of Close does not matter
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		var line countersLine
@@ -34,14 +34,16 @@
 	return requests, lines.Err()
 }
 
-// Bounds of the requests that may cross the end of a connection that was idle only briefly. A request does so only if it arrives
-// after the node has checked for unread bytes and before the node closes the connection. A node that does not check has more.
+// Limits on the number of requests that nodes leave unread because they close the connection, although it was idle only briefly.
+// Such a request arrives after the node has checked the connection for unread bytes and before the node closes it. A node without
+// this check leaves more requests unread.
 const (
 	maxCrossed     = 2
-	maxCrossedPart = 0.01 // fraction of all requests
+	maxCrossedPart = 0.01 // fraction of all requests, from 0 to 1
 )
 
-// checkCrossings returns a failure if the number of requests that crossed the end of a connection exceeds both bounds.
+// checkCrossings returns a failure if crossed exceeds both maxCrossed and the fraction maxCrossedPart of all requests. crossed is
+// the result of clients.Clients.Crossed.
 func checkCrossings(crossed int64, classes []clients.Class) []error {
 	requests := int64(0)
 	for i := range classes {
@@ -53,7 +55,8 @@
 	return []error{fmt.Errorf("%d of %d requests crossed the end of a connection, more than allowed", crossed, requests)}
 }
 
-// checkConnectionEnds returns a failure for each instance that read requests and closed their connections without an answer.
+// checkConnectionEnds returns a failure for each instance that closed connections without an answer to requests that it had read,
+// or whose log cannot be read.
 func (r *run) checkConnectionEnds() (failures []error) {
 	for _, instance := range r.instances {
 		process := instance.currentProcess()
--- a/internal/testbed/demo/progress.go
+++ b/internal/testbed/demo/progress.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// redraw erases the lines that were drawn before, writes the new state and returns the number of lines that it wrote.
+// redraw erases the last linesDrawn lines, writes the new state and returns the number of lines that it wrote.
 func (p progress) redraw(out io.Writer, linesDrawn int) int {
 	eraseLines := ""
 	if linesDrawn > 0 {
--- a/internal/testbed/demo/rollout.go
+++ b/internal/testbed/demo/rollout.go
@@ -24,21 +24,21 @@
 	Budget int // number of nodes that may be out of service at the same time
 	Faults faultproxy.Faults
 	Stall  time.Duration // how long the first node that drains is paused by SIGSTOP; 0 pauses no node
-	After  time.Duration // time from the start of the load to the order of the release
+	After  time.Duration // earliest time of the order to roll out, from the start of the load
 }
 
 // RolloutResult is the result of a rollout.
 type RolloutResult struct {
-	MostOut   int           // highest number of nodes that the rollout took out of service at the same time
-	Elapsed   time.Duration // time from the order until every node ran the next release and was ready
+	MostOut   int           // highest number of nodes that were out of service for the rollout at the same time
+	Elapsed   time.Duration // time from the order to roll out until every node ran the next release and was ready
 	Done      int           // number of nodes that run the next release and are ready
 	Slowest   time.Duration // longest time for which a node was out of service
 	Datagrams int           // number of datagrams between the nodes
-	Bytes     int           // total size of these datagrams
+	Bytes     int           // total size of the datagrams between the nodes, in bytes
 	WasHalted bool          // whether a node halted the rollout
 }
 
-// Releases before and after the rollout.
+// Names of the releases that nodes run before and after the rollout.
 const (
 	releaseBefore = "r1"
 	releaseAfter  = "r2"
@@ -46,13 +46,14 @@
 
 const (
 	rolloutPoll = 5 * time.Millisecond // interval between two checks of the nodes
-	// rolloutSlack is how much longer than the load a rollout may take, because the machine may be busy.
+	// rolloutSlack is the time after the end of the load in which a rollout must be complete. It is long because the machine may
+	// be busy.
 	rolloutSlack       = time.Minute
 	controlCallTimeout = time.Second // timeout of a call to a node's control socket
 )
 
-// operatorFile is the format of a node's operators' file. Its operands are the budget, the release and the path of the control
-// socket.
+// operatorFile is the format string of a node's operators' file. The budget, the release and the path of the control socket are
+// filled in.
 const operatorFile = `[log]
 level = "debug"
 [rollout]
@@ -66,12 +67,12 @@
 least_judged = 50
 `
 
-// rollout orders a release, follows the logs of the nodes, and restarts drained nodes as their supervisor would. Only one
-// goroutine uses it.
+// rollout orders the nodes to roll out a release, reads their logs, and restarts drained nodes as their supervisor would. Only
+// one goroutine uses a rollout.
 type rollout struct {
 	*run
 	nodes     []rolloutNode // by instance number
-	orderedAt time.Time     // when the release was ordered; zero before
+	orderedAt time.Time     // when the rollout was ordered; zero before the order
 	isStalled bool          // whether a node was already paused for Rollout.Stall
 	result    RolloutResult
 }
@@ -104,8 +105,8 @@
 	return append([]string{"--file", path}, ro.options.NodeArgs...), os.WriteFile(path, []byte(content), 0o600)
 }
 
-// rollOut orders the release and follows the nodes until all of them run the release and are ready. It fails if that takes
-// longer than rolloutSlack after the end of the load.
+// rollOut orders the rollout and waits until all nodes run the next release and are ready. It fails if they do not within
+// rolloutSlack after the end of the load.
 func (ro *rollout) rollOut(ctx context.Context, loadEnded <-chan struct{}) error {
 	select {
 	case <-time.After(ro.options.Rollout.After):
@@ -133,7 +134,7 @@
 	}
 }
 
-// step orders the release once all nodes are ready. It reads the new log entries of every node and restarts the nodes that have
+// step orders the rollout once all nodes are ready. It reads the new log entries of every node and restarts the nodes that have
 // drained and exited.
 func (ro *rollout) step(ctx context.Context) error {
 	if ro.orderedAt.IsZero() && ro.readyNodes(ctx, 0) == len(ro.instances) {
@@ -161,7 +162,8 @@
 	return nil
 }
 
-// countNodes updates the number of nodes that are done and the highest number of nodes out of service.
+// countNodes updates the number of nodes that are ready with the next release, and the highest number of nodes that were out of
+// service at the same time.
 func (ro *rollout) countNodes() {
 	out := 0
 	ro.result.Done = 0
@@ -180,7 +182,7 @@
 	return ro.result.Done == len(ro.instances) && !ro.orderedAt.IsZero()
 }
 
-// Events in a node's log, in the form in which they are written.
+// Texts by which events are found in a node's log.
 const (
 	eventDrains = `"event":"rollout_leaves"`
 	eventReady  = `"event":"rollout_fit","node":%d,` // logged when node %d is ready
@@ -213,7 +215,7 @@
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = file.Close() }() // the file was only read
+	defer func() { _ = file.Close() }() // the file was only read, so an error of Close does not matter
 	if _, err := file.Seek(ro.nodes[node].logOffset, io.SeekStart); err != nil {
 		return nil
 	}
@@ -243,12 +245,12 @@
 		return fmt.Errorf("stall node %d: %w", node, err)
 	}
 	time.AfterFunc(ro.options.Rollout.Stall, func() {
-		_ = process.Signal(syscall.SIGCONT) // fails only if the process has ended, which step notices
+		_ = process.Signal(syscall.SIGCONT) // fails only if the process has ended; step notices an ended process
 	})
 	return nil
 }
 
-// startNextRelease starts a process of the next release for a node that has drained and exited.
+// startNextRelease restarts a node that has drained and exited, with the next release.
 func (ro *rollout) startNextRelease(ctx context.Context, node int) error {
 	instance := ro.instances[node]
 	process := instance.currentProcess()
@@ -280,7 +282,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // the body was only read
+	defer func() { _ = response.Body.Close() }() // the body was only read, so an error of Close does not matter
 	if response.StatusCode != http.StatusOK {
 		return errors.New(response.Status)
 	}
@@ -298,7 +300,7 @@
 	return status.Ready
 }
 
-// order orders the next release by a call to the control socket of the first node.
+// order tells the first node over its control socket to begin the rollout of the next release.
 func (ro *rollout) order(ctx context.Context) error {
 	var status any
 	if err := ro.callControl(ctx, 0, http.MethodPost, "/roll?to="+releaseAfter, &status); err != nil {
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -230,7 +230,7 @@
 		cache.send("PING")
 		cache.setReadTimeout(100 * time.Millisecond)
 		form := make([]byte, 256)
-		n, _ := io.ReadAtLeast(cache, form, 5) // some forms are shorter
+		n, _ := io.ReadAtLeast(cache, form, 5) // the error is ignored: some corrupt responses are shorter
 		seen[fmt.Sprintf("%.6q", form[:n])] = true
 		if err := cache.Close(); err != nil {
 			t.Fatal(err)
@@ -263,7 +263,7 @@
 	}
 }
 
-// 200 cache servers for four nodes start. This may take three seconds. The test logs the time but does not check it.
+// 200 cache servers for four nodes start. This should take three seconds at most. The test logs the time but does not check it.
 func TestTwoHundredCacheServersStart(t *testing.T) {
 	start := time.Now()
 	rig := newRig(t, strings.Replace(fastScenario, "count = 2", "count = 200", 1)+"[nodes]\ncount = 4\n")
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Faults describes the faults of the network; the zero value is a network without faults. Dropped, Duplicated and Corrupted
-// are probabilities, from 0 to 1, that this happens to a datagram.
+// Faults describes the faults of the network; the zero value is a network without faults. Dropped, Duplicated and Corrupted are
+// the probabilities, from 0 to 1, that a datagram is dropped, duplicated or corrupted.
 type Faults struct {
 	Dropped, Duplicated, Corrupted float64
 	Delay                          time.Duration // upper bound of a random delay of each datagram, which also reorders datagrams
@@ -22,7 +22,7 @@
 // Proxy forwards datagrams until it is closed. It is safe for concurrent use.
 type Proxy struct {
 	faults  Faults
-	sockets [][]*net.UDPConn // by sending node, and by the node that the socket's address stands for; see open
+	sockets [][]*net.UDPConn // sockets[i][j] receives the datagrams that node i sends to node j, and sockets[i][i] those to all; see open
 	nodes   []*net.UDPAddr   // addresses at which the nodes listen
 
 	mu            sync.Mutex
@@ -68,8 +68,8 @@
 	return nil, fmt.Errorf("fault proxy: open the addresses of %d nodes: %w", nodes, err)
 }
 
-// open binds the addresses of all pairs of nodes in 127.network.0.0/16. Node i listens at 127.network.i+1.i+1 and sends
-// to node j at 127.network.i+1.j+1. The socket of a node to itself is the address at which it reaches all other nodes.
+// open binds the addresses of all pairs of nodes in 127.network.0.0/16. Node i listens at 127.network.i+1.i+1 and sends to node j
+// at 127.network.i+1.j+1. It reaches all other nodes at once at 127.network.i+1.254, whose socket is sockets[i][i].
 func (p *Proxy) open(nodes int, network byte) error {
 	address := func(node, host int) *net.UDPAddr {
 		return &net.UDPAddr{IP: net.IPv4(127, network, byte(node+1), byte(host)), Port: nodePort}
@@ -135,20 +135,21 @@
 	}
 }
 
-// forward draws the faults of a datagram and delivers the copies of it that remain.
+// forward draws which faults affect a datagram. After the drawn delay it delivers no, one or two copies of the datagram.
 func (p *Proxy) forward(path direction, datagram []byte) {
-	data := slices.Clone(datagram) // the caller reuses the buffer before the delay has passed
+	data := slices.Clone(datagram) // a copy, because the caller reuses its buffer before the delay has passed
 	copies, delay := p.drawFaults(path, data)
 	for range copies {
 		time.AfterFunc(delay, func() {
-			// The receiver sees the address that stands for the sender. Errors are ignored: a node that is not running
-			// cannot be reached, and datagrams may be lost.
+			// This socket has the address at which the receiver reaches the sender, so the receiver sees this address as the
+			// source. Errors are ignored: a node that is not running cannot be reached, and datagrams may be lost.
 			_, _ = p.sockets[path.to][path.from].WriteToUDP(data, p.nodes[path.to])
 		})
 	}
 }
 
-// drawFaults counts a datagram and draws the faults that affect it. It may corrupt the data.
+// drawFaults counts a datagram and draws the faults that affect it: the number of copies to deliver and their delay. To corrupt
+// the datagram, it flips a bit of data.
 func (p *Proxy) drawFaults(path direction, data []byte) (copies int, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +170,8 @@
 	return copies, delay
 }
 
-// Split partitions the first nodes from the other nodes, in both directions. A number of 0 ends all partitions.
+// Split partitions the nodes with numbers below nodes from the other nodes, in both directions. If nodes is 0, Split ends all
+// partitions.
 func (p *Proxy) Split(nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/loadrunner/loadrunner.go
+++ b/internal/testbed/loadrunner/loadrunner.go
@@ -17,11 +17,11 @@
 type Options struct {
 	Plan        *scenario.Plan // plan of the load; Run changes it so that the nodes share the load evenly
 	Addresses   []string       // addresses of the nodes
-	Rate        float64        // if above 0, the steady rate in requests per second that replaces the plan's
+	Rate        float64        // if above 0, the steady rate in requests per second, instead of the plan's steady rate
 	ClosedLoop  int            // if above 0, the number of clients of a closed loop, which replaces the open loop
 	RecordPath  string         // if set, path of a new file to which the requests are recorded as a trace
 	RecordFrom  string         // text in the recorded trace that says where the trace comes from
-	ReplayPath  string         // if set, path of a trace whose requests are sent instead of the plan's
+	ReplayPath  string         // if set, path of a trace whose requests are sent instead of the plan's requests
 	ReplaySpeed float64        // speed of the replay; 2 is twice as fast
 	// OnReplayError, if set, is called with the error that ends a replay before the end of the trace.
 	OnReplayError func(error)
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = reader.Close() }() // the file was only read
+		defer func() { _ = reader.Close() }() // the file was only read, so an error of Close does not matter
 		clientOptions.Source = replay.Next
 	}
 	var recordErr error
@@ -75,7 +75,7 @@
 	}
 	replay, err := trace.NewReplay(reader, classNames(options.Plan), len(options.Addresses), options.ReplaySpeed)
 	if err != nil {
-		_ = reader.Close() // the file was only read
+		_ = reader.Close() // the file was only read, so an error of Close does not matter
 		return nil, nil, err
 	}
 	replay.OnError = options.OnReplayError
--- a/internal/testbed/model/cacheserver.go
+++ b/internal/testbed/model/cacheserver.go
@@ -38,8 +38,8 @@
 	Cancel            CancelMode
 	DropExpired       bool    // reject requests whose deadline passed while they were queued
 	ErrorRate         float64 // fraction of the hits that fail after their work was done
-	// A server in slow start crashes permanently if the work that is sent to it during OverloadWindow exceeds
-	// OverloadFactor times its capacity. With a factor of 0 no server crashes.
+	// A server in slow start crashes permanently if the work that is sent to it during OverloadWindow exceeds OverloadFactor
+	// times its capacity. If OverloadFactor is 0, no server crashes.
 	OverloadFactor float64
 	OverloadWindow time.Duration
 }
@@ -70,11 +70,11 @@
 	faultFactor float64 // factor that faults apply to the speed; 0 stops all work
 
 	advancedTo  Time
-	servedWork  float64 // seconds of work that a request would have received if it had run since the start of the process
+	servedWork  float64 // seconds of work that one request would have received if it had run since the start of the process
 	running     executionHeap
 	waiting     []*execution
 	inFlight    map[ConnID]int // number of queued and running requests of each open connection
-	meanLatency float64        // moving average in seconds
+	meanLatency float64        // moving average of the execution time, in seconds
 	recentWork  []sentWork     // work sent during slow start; see overloadedBy
 }
 
@@ -162,10 +162,10 @@
 	return at
 }
 
-// overloadedBy records work, in seconds, that was sent to the server. It reports whether the server crashes because of
-// it: a server in slow start crashes if it got more than OverloadFactor times its capacity within OverloadWindow. Small
-// numbers of requests arrive unevenly. So if the limit is as large as N requests of mean size, 2*sqrt(N)+2 requests of
-// mean size are allowed in addition.
+// overloadedBy records work, in seconds, that was sent to the server. It reports whether the server crashes because of this work:
+// a server in slow start crashes if it got more than OverloadFactor times its capacity within OverloadWindow. Small numbers of
+// requests arrive unevenly, so the limit is raised: if it equals the work of N mean requests, 2*sqrt(N)+2 more mean requests are
+// allowed.
 func (c *cacheServer) overloadedBy(now Time, work float64) bool {
 	if c.isWarm || c.kind.OverloadFactor <= 0 || c.hasCrashed {
 		return false
@@ -206,8 +206,8 @@
 	return exec, true
 }
 
-// startWaiting moves queued requests into free slots. If the kind drops expired requests, it rejects and returns those
-// whose deadline has passed.
+// startWaiting moves queued requests into free slots. If CacheServerKind.DropExpired is set, it rejects and returns the queued
+// requests whose deadline has passed.
 func (c *cacheServer) startWaiting(now Time) (expired []*execution) {
 	for len(c.waiting) > 0 && len(c.running) < c.kind.Slots {
 		exec := c.waiting[0]
--- a/internal/testbed/model/execution.go
+++ b/internal/testbed/model/execution.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkCacheServer makes a cache server execute a health check as it executes a request.
+// checkCacheServer makes a cache server execute a health check in the same way as a request.
 func (sys *System) checkCacheServer(srv *server, check HealthCheck) {
 	srv.cache.advance(sys.now)
 	request := &Request{Conn: check.Conn, Seq: check.Seq, Work: srv.kind.HealthCheckWork, Deadline: Never}
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// hasActiveFault reports whether a fault is still active on a server. A server that crashed stays killed.
+// hasActiveFault reports whether a fault is still active on a server. A server that crashed stays killed for good, so its kill
+// does not count as an active fault.
 func (srv *server) hasActiveFault() bool {
 	hasCrashed := srv.cache != nil && srv.cache.hasCrashed
 	return srv.kills != 0 && !hasCrashed || srv.freezes != 0 || srv.stalls != 0 || srv.drains != 0 ||
@@ -132,8 +133,8 @@
 		srv.origin != nil && (srv.origin.stallFaults != 0 || srv.origin.slowdown < 0.99 || srv.origin.slowdown > 1.01)
 }
 
-// Whatever faults occur and overlap, none of them may leave a state changed after its end. The system must then answer
-// requests again.
+// Guards against a fault that still has an effect after its end, for example because it overlapped other faults. Once all faults
+// have ended, the system must answer requests again.
 func TestEndedFaultsHaveNoEffect(t *testing.T) {
 	kinds := []FaultKind{Drain, Kill, Freeze, Partition, Slow, Stall, Flap, CorruptResponse, PacketLoss, DiscoveryLag, DiscoveryDown, DiscoveryEmpty, OriginSlow, OriginStall}
 	rapid.Check(t, func(r *rapid.T) {
@@ -179,7 +180,7 @@
 		driver := newDriver(t, spec)
 		driver.runUntil(10 * time.Millisecond)
 		for i := range 500 {
-			driver.runUntil(driver.now + 4*time.Millisecond) // 250 requests/s of 15 ms need 3.75 cores; slow start has 0.4
+			driver.runUntil(driver.now + 4*time.Millisecond) // 250 requests/s of 15 ms need 3.75 cores; slow start begins with 2*0.2 = 0.4
 			driver.send(1, fmt.Sprint(i), "read", false)
 		}
 		if len(driver.overloaded) > 0 != warmingUp {
--- a/internal/testbed/model/origin.go
+++ b/internal/testbed/model/origin.go
@@ -11,10 +11,10 @@
 type OriginSpec struct {
 	Median   time.Duration // median of the service time, which is log-normally distributed
 	Sigma    float64       // standard deviation of the logarithm of the service time
-	Parallel int           // requests that are executed at the same time
-	Queue    int           // requests that may wait; further requests are rejected
-	// The origin stalls for OverloadStall once it gets more than OverloadMultiple times its capacity during
-	// OverloadWindow. With a multiple of 0 overload never stalls it.
+	Parallel int           // maximum number of requests that are executed at the same time
+	Queue    int           // maximum number of requests that wait; further requests are rejected
+	// The origin stalls for OverloadStall once it gets more than OverloadMultiple times its capacity during OverloadWindow. If
+	// OverloadMultiple is 0, overload never stalls the origin.
 	OverloadMultiple              float64
 	OverloadWindow, OverloadStall time.Duration
 	Window                        time.Duration // time during which a second write with the same idempotency key has no effect
--- a/internal/testbed/model/system.go
+++ b/internal/testbed/model/system.go
@@ -17,7 +17,7 @@
 	effects []Effect // effects since the last call of the driver
 	started bool
 
-	servers     []*server // in the order in which they were added, without those whose retirement has ended
+	servers     []*server // servers in the order in which they were added, without those whose retirement has ended
 	bySlot      map[int]*server
 	slots       int // number of slots that were ever used
 	nextID      int // number in the id of the next cache server
@@ -26,7 +26,7 @@
 	connections map[ConnID]*connection
 	classes     map[string]ClassSpec
 	misses      map[string]*cacheMiss // cache servers at which each request missed, by request id
-	missOrder   []*cacheMiss          // the values of misses in the order of their first misses
+	missOrder   []*cacheMiss          // the values of the map misses, in the order of cacheMiss.at
 
 	discoveryLagRandom, linkRandom, corruptionRandom *rand.Rand
 
@@ -34,7 +34,7 @@
 	Trace func(entry []byte) // receives each line of the event log, if set; it must not retain the slice
 }
 
-// New returns a system that has not started. Start brings it into its state at time 0.
+// New returns a system that is not yet started. Start must be called first, which starts it at time 0.
 func New(spec Spec) *System {
 	sys := &System{
 		spec:        spec,
@@ -73,8 +73,8 @@
 	return sys.takeEffects()
 }
 
-// Step runs everything that is scheduled up to now, processes an event, and returns the resulting effects. Time must not
-// go back; a time before the latest one counts as the latest.
+// Step runs everything that is scheduled up to now, processes an event, and returns the resulting effects. Time never goes back:
+// if now is before the time that the system has reached, the system stays at that time.
 func (sys *System) Step(now Time, event Event) []Effect {
 	sys.runScheduled(now)
 	switch event := event.(type) {
--- a/internal/testbed/nodes/process.go
+++ b/internal/testbed/nodes/process.go
@@ -20,7 +20,7 @@
 
 const (
 	pollInterval = 20 * time.Millisecond // interval at which a node is checked for readiness
-	pingTimeout  = time.Second           // timeout of one such check
+	pingTimeout  = time.Second           // timeout of one check of readiness
 	maxTail      = 600                   // maximum number of bytes of the log that an error quotes
 )
 
@@ -31,7 +31,7 @@
 	LogPath string
 
 	cmd     *exec.Cmd
-	done    chan struct{} // closed by the goroutine that waits for the process
+	done    chan struct{} // closed when the process has ended
 	exitErr error         // result of waiting for the process; valid once done is closed
 
 	mu         sync.Mutex
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the log of node %s: %w", command.Name, err)
 	}
-	defer func() { _ = log.Close() }() // the child has its own descriptor
+	defer func() { _ = log.Close() }() // the child has its own descriptor of the log
 	// The context never ends the process. Stop ends it gracefully.
 	process.cmd = exec.CommandContext(context.Background(), command.Program, command.Args...)
 	process.cmd.Env = append(os.Environ(), "LB_CONFIG="+command.Config)
@@ -71,7 +71,7 @@
 	if command.Sockets > 0 {
 		limit := unix.Rlimit{Cur: uint64(command.Sockets), Max: uint64(command.Sockets)}
 		if err := unix.Prlimit(process.PID(), unix.RLIMIT_NOFILE, &limit, nil); err != nil {
-			_ = process.cmd.Process.Kill() // the node must not run without its limit
+			_ = process.cmd.Process.Kill() // the node must not run without its limit on descriptors
 			return nil, errors.Join(fmt.Errorf("limit the descriptors of node %s: %w", command.Name, err), process.cmd.Wait())
 		}
 	}
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := p.WaitReady(ctx); err != nil {
-		_ = p.Stop(time.Second) // the error of WaitReady says more
+		_ = p.Stop(time.Second) // its error is dropped: the error of WaitReady says more
 		return nil, err
 	}
 	return p, nil
--- a/internal/testbed/nodes/process_test.go
+++ b/internal/testbed/nodes/process_test.go
@@ -27,15 +27,15 @@
 	start := time.Unix(1000, 0)
 	quota := cpuQuota{share: 0.25, lastCheck: start}
 	for i, step := range []struct {
-		after, used time.Duration // since the start of the test
+		after, used time.Duration // time, and processor time used, since the start of the test
 		isExceeded  bool
 	}{
-		{time.Second, 0, false}, // an idle second earns no more than the burst
+		{time.Second, 0, false}, // after an idle second, the process may use no more than the burst
 		{time.Second, throttleBurst, false},
 		{time.Second, throttleBurst + time.Millisecond, true},
 		{time.Second + 3*time.Millisecond, throttleBurst + time.Millisecond, true},
 		{time.Second + 4*time.Millisecond, throttleBurst + time.Millisecond, false},
-		{time.Second + 400*time.Millisecond, throttleBurst + 100*time.Millisecond, false}, // the process used exactly what it earned
+		{time.Second + 400*time.Millisecond, throttleBurst + 100*time.Millisecond, false}, // the process used exactly the burst and a quarter of 400 ms
 	} {
 		if got := quota.isExceeded(start.Add(step.after), step.used); got != step.isExceeded {
 			t.Errorf("step %d: exceeded %v, want %v", i, got, step.isExceeded)
--- a/internal/testbed/overhead/client.go
+++ b/internal/testbed/overhead/client.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	keys              = 512 // number of keys that each client requests in turn
+	keys              = 512 // number of keys that each client requests one after another, in a cycle
 	maxLatency        = time.Minute
 	significantDigits = 3
 )
@@ -56,7 +56,7 @@
 	return requests, latency, firstErr
 }
 
-// run sends requests until the time end or the end of the context.
+// run sends requests until the time given by end, or until the context ends.
 func (c *client) run(ctx context.Context, address string, end time.Time) error {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	moreElements := 0
 	if header == "*3\r\n" {
-		moreElements = 2 // "hit" and a nil load report
+		moreElements = 2 // besides the value, the array holds "hit" and a nil load report
 		if header, err = reader.ReadString('\n'); err != nil {
 			return err
 		}
--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -17,7 +17,7 @@
 	"shelfproxy/internal/testbed/nodes"
 )
 
-// Options says how to measure.
+// Options says which programs a measurement starts and how it sends requests.
 type Options struct {
 	Self      string        // path of the program that implements CacheServerVerb and CopyVerb
 	Node      string        // path of the node's program
@@ -55,18 +55,18 @@
 	Path     string // name of the path
 	Requests int64
 	Elapsed  time.Duration
-	CPU      time.Duration           // processor time of the process on the path; 0 for the direct path
-	Memory   int64                   // highest resident memory of the process on the path, in bytes
+	CPU      time.Duration           // processor time that the copying program or the node used; 0 on the direct path
+	Memory   int64                   // highest resident memory of the copying program or the node, in bytes; 0 on the direct path
 	Latency  *hdrhistogram.Histogram // latencies in microseconds
 }
 
 // Rate returns the number of requests per second.
 func (r Result) Rate() float64 { return float64(r.Requests) / max(r.Elapsed.Seconds(), 1e-9) }
 
-// CPUPerRequest returns the processor time per request of the process on the path.
+// CPUPerRequest returns the processor time that the copying program or the node used per request.
 func (r Result) CPUPerRequest() time.Duration { return r.CPU / time.Duration(max(r.Requests, 1)) }
 
-// setup holds the process of each path and the address at which the process answers.
+// setup holds, for each path, the process to which clients connect, and its address.
 type setup struct {
 	addresses [numPaths]string
 	processes [numPaths]*nodes.Process
@@ -150,7 +150,7 @@
 func (s *setup) stop() {
 	for _, process := range s.processes {
 		if process != nil {
-			_ = process.Stop(stopTimeout) // an error no longer affects the result
+			_ = process.Stop(stopTimeout) // all results are measured, so an error does not matter
 		}
 	}
 }
--- a/internal/testbed/overhead/servers.go
+++ b/internal/testbed/overhead/servers.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// ServeCopy copies bytes in both directions between its clients and the address to, until the context ends.
+// ServeCopy copies bytes in both directions between its clients and the server at the address in to, until the context ends.
 func ServeCopy(ctx context.Context, address, to string) error {
 	return serve(ctx, address, func(client net.Conn) {
 		server, err := (&net.Dialer{}).DialContext(ctx, "tcp", to)
@@ -49,7 +49,7 @@
 			return
 		}
 		defer func() { _ = server.Close() }()
-		go func() { // ends when the client's connection ends, which serve closes
+		go func() { // ends when the connection to the client ends; serve closes this connection
 			copyBytes(server, client)
 			_ = server.Close()
 		}()
--- a/internal/testbed/scenario/drawservers.go
+++ b/internal/testbed/scenario/drawservers.go
@@ -9,8 +9,8 @@
 	"shelfproxy/internal/testbed/model"
 )
 
-// drawCacheServers draws the properties of the kinds, and then the cache servers. The numbers of cache servers of each
-// kind and in each zone are proportional to the weights.
+// drawCacheServers draws the properties of the kinds, and then the cache servers. The numbers of cache servers of each kind and
+// in each zone are proportional to the weights of the kinds and zones.
 func (s *Scenario) drawCacheServers(stream streams) []model.CacheServerSpec {
 	kinds := make([]*model.CacheServerKind, len(s.Kinds))
 	kindWeights := make([]float64, len(s.Kinds))
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -32,7 +32,7 @@
 	Lag          Span              `toml:"lag"`
 }
 
-// requiredFields lists the fields that each kind of fault requires, because it has no effect without them.
+// requiredFields lists the fields that are required in a fault of each kind. Without these fields, such a fault has no effect.
 var requiredFields = map[model.FaultKind][]string{
 	model.Deploy:          {"for", "batch"},
 	model.Shrink:          {"for"},
@@ -44,10 +44,10 @@
 	model.Flap:            {"period"},
 }
 
-// minPeriod is the shortest period that a fault or an arrival process may have.
+// minPeriod is the minimum of the field period of a fault or an arrival process.
 const minPeriod = tomlfile.Duration(10 * time.Millisecond)
 
-// validateFault checks the fault at an index of the fault schedule.
+// validateFault checks a fault. index is its position in the fault schedule, for error texts.
 func (s *Scenario) validateFault(index int, fault Fault) error {
 	table := fmt.Sprintf("fault[%d].", index)
 	kind := slices.Index(model.FaultKinds[:], fault.Kind)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// validateFaultValues checks the values in the fields of a fault. The field names in errors start with table.
+// validateFaultValues checks the values in the fields of a fault. table is the prefix of the field names in errors.
 func (s *Scenario) validateFaultValues(table string, fault Fault) error {
 	hasKind := slices.ContainsFunc(s.Kinds, func(kind CacheServerKind) bool { return kind.Name == fault.OfKind })
 	hasZone := slices.Contains(s.Zones.Names, fault.Zone)
@@ -88,7 +88,7 @@
 	)
 }
 
-// draw returns the fault with a value drawn from each range.
+// draw returns the fault with one value drawn from each of its ranges.
 func (f Fault) draw(random *rand.Rand) model.Fault {
 	fault := model.Fault{
 		Kind: model.FaultKind(slices.Index(model.FaultKinds[:], f.Kind)),
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -5,7 +5,7 @@
 // Class describes a class of requests.
 type Class struct {
 	Name             string            `toml:"name"`
-	Share            float64           `toml:"share"` // weight of the class in the load
+	Share            float64           `toml:"share"` // weight of the class in the load, relative to the sum of the weights of all classes
 	Work             Span              `toml:"work"`
 	LatencyObjective tomlfile.Duration `toml:"aim"`
 	Deadline         tomlfile.Duration `toml:"deadline"`
@@ -14,7 +14,7 @@
 	Write            bool              `toml:"write"`
 	Effect           string            `toml:"effect"` // "idempotent", "deduplicated" or "at_most_once"
 	DedupWindow      tomlfile.Duration `toml:"window"`
-	Bytes            Range             `toml:"bytes"` // size of the value of a write
+	Bytes            Range             `toml:"bytes"` // size of the value of a write, in bytes
 }
 
 // Keys describes the distribution of the keys of requests.
@@ -42,7 +42,7 @@
 	At     Span              `toml:"at"`
 	For    Span              `toml:"for"`
 	Period tomlfile.Duration `toml:"period"`
-	Class  string            `toml:"class"` // class of all requests of the process; if empty, they are of all classes
+	Class  string            `toml:"class"` // class of all requests of the process; if empty, drawn for each by Class.Share
 }
 
 // PopularKeys directs a part of the requests to a few keys.
@@ -51,5 +51,5 @@
 	Keys        int               `toml:"keys"`
 	At          Span              `toml:"at"`
 	For         Span              `toml:"for"`
-	ChangeEvery tomlfile.Duration `toml:"move"` // interval after which other keys become popular; 0 never changes them
+	ChangeEvery tomlfile.Duration `toml:"move"` // interval after which the popular keys are replaced by other keys; 0 never replaces them
 }
--- a/internal/testbed/scenario/parse.go
+++ b/internal/testbed/scenario/parse.go
@@ -42,7 +42,7 @@
 	return scenario, scenario.validate()
 }
 
-// fillKinds sets the fields that the kinds in a file leave out to the values of the standard kind.
+// fillKinds sets each field that a kind in the file leaves out to the value that it has in the standard kind.
 func (s *Scenario) fillKinds(standard CacheServerKind) {
 	from := reflect.ValueOf(standard)
 	for i := range s.Kinds {
--- a/internal/testbed/scenario/plan.go
+++ b/internal/testbed/scenario/plan.go
@@ -9,7 +9,7 @@
 	"shelfproxy/internal/testbed/workload"
 )
 
-// Plan is a scenario in which a seed has drawn a value from each range.
+// Plan is a scenario with one value drawn from each of its ranges, as determined by a seed.
 type Plan struct {
 	Name       string
 	Seed       uint64
@@ -33,9 +33,9 @@
 	return rate
 }
 
-// streams returns the random number generator of a part of a plan. Each part has a generator of its own, so that a
-// further fault, for example, does not change the cache servers. The order of the draws within a part must not change,
-// because another order changes the plans of all seeds.
+// streams returns the random number generator of a part of a plan. Each part has its own generator, so that adding a fault, for
+// example, does not change which cache servers are drawn. The order in which a part draws its values must not change, because
+// this would change the plans of all seeds.
 type streams func(part string) *rand.Rand
 
 // Draw draws the plan of a seed. The same seed always gives the same plan.
@@ -89,7 +89,7 @@
 	return spec
 }
 
-// drawNodes draws the number of nodes and assigns the nodes to the zones in turn.
+// drawNodes draws the number of nodes and distributes the nodes evenly over the zones.
 func (s *Scenario) drawNodes(random *rand.Rand) []model.NodeSpec {
 	nodes := make([]model.NodeSpec, s.Nodes.Count.Int(random))
 	for i := range nodes {
@@ -122,7 +122,7 @@
 	return weights
 }
 
-// drawWorkload draws the parameters of the load. The steady rate is the first arrival process.
+// drawWorkload draws the parameters of the load. The first arrival process is the load's steady rate.
 func (s *Scenario) drawWorkload(seed uint64, stream streams) workload.Spec {
 	random := stream("load")
 	steady := workload.ArrivalProcess{Kind: workload.Steady, Rate: s.Workload.Rate.Draw(random)}
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -47,11 +47,11 @@
 // Zones lists the zones and how the load and the cache servers are distributed over them.
 type Zones struct {
 	Names        []string  `toml:"names"`
-	Traffic      []float64 `toml:"traffic"` // weight of each zone in the load; evenly distributed if empty
-	CacheServers []float64 `toml:"boxes"`   // weight of each zone for the cache servers; evenly distributed if empty
+	Traffic      []float64 `toml:"traffic"` // weight of each zone in the load; if empty, all zones have the same weight
+	CacheServers []float64 `toml:"boxes"`   // weight of each zone for the cache servers; if empty, all zones have the same weight
 }
 
-// CacheServers holds the number of cache servers, and the number of cache servers that share a cell.
+// CacheServers holds the number of cache servers in all, and the number of cache servers in each cell of the endpoint list.
 type CacheServers struct {
 	Count    Range `toml:"count"`
 	CellSize Range `toml:"cell_size"`
@@ -68,14 +68,14 @@
 	SlowStartFloor    Range   `toml:"cold_from"`
 	SlowStartDuration Span    `toml:"warm_after"`
 	MemoryMB          Range   `toml:"memory_mb"`
-	Eviction          string  `toml:"eviction"` // "lru" or "fifo"
+	Eviction          string  `toml:"eviction"` // which value is evicted from a full cache: "lru" or "fifo"
 	Connections       Range   `toml:"connections"`
 	ConnectionWork    Span    `toml:"connection_work"`
 	HealthCheckWork   Span    `toml:"probe_work"`
 	MissWork          Range   `toml:"miss_work"`
 	ChokeAt           Range   `toml:"choke_at"`
 	Choke             Range   `toml:"choke"`
-	Cancel            string  `toml:"cancel"` // "none", "queued" or "all"
+	Cancel            string  `toml:"cancel"` // requests dropped when their connection ends: "none", "queued" or "all"
 	DropExpired       bool    `toml:"drop_expired"`
 	ErrorRate         Range   `toml:"error_rate"`
 }
@@ -101,7 +101,7 @@
 	PerEntry  tomlfile.Duration `toml:"line"`
 	Timeout   tomlfile.Duration `toml:"timeout"`
 	Heartbeat tomlfile.Duration `toml:"beat"`
-	Batch     tomlfile.Duration `toml:"batch"` // changes are published at multiples of this interval; 0 publishes each at once
+	Batch     tomlfile.Duration `toml:"batch"` // changes are published together at multiples of this interval; 0 publishes each change at once
 }
 
 // Link describes the network between the nodes and the servers.
@@ -114,8 +114,8 @@
 
 // Invariants holds the tolerances of the invariants that the emulator checks.
 type Invariants struct {
-	DrainWithin    tomlfile.Duration `toml:"drain_within"` // time from the notification of a drain to the last new request
-	NotifyWithin   tomlfile.Duration `toml:"told_within"`  // time after which a node counts as notified of a change
+	DrainWithin    tomlfile.Duration `toml:"drain_within"` // time for which a node notified of a drain may still send new requests
+	NotifyWithin   tomlfile.Duration `toml:"told_within"`  // time after which a node counts as notified of a change, even if it was not
 	Grace          tomlfile.Duration `toml:"grace"`        // tolerance that is added to every time limit
 	OverloadFactor float64           `toml:"fall_factor"`
 	OverloadWindow tomlfile.Duration `toml:"fall_after"`
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Every scenario file in the folder scenarios is valid, and the same seed always draws the same plan from it.
+// Guards against an invalid file in the folder scenarios, and against a seed that does not always give the same plan.
 func TestShippedScenariosAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < 6 {
@@ -112,8 +112,8 @@
 	return scenario.Draw(seed)
 }
 
-// A kind in a file states only what differs from the standard kind. The weights decide how many cache servers there are of
-// each kind and in each zone.
+// Guards against fields that a kind in a file leaves out and that do not get the values of the standard kind, and against numbers
+// of cache servers of a kind or in a zone that are not proportional to the weights.
 func TestCacheServersAreDrawnByTheWeightsOfKindsAndZones(t *testing.T) {
 	plan := drawPlan(t, kindsAndZones, 7)
 	kinds, zones := map[string]int{}, map[string]int{}
--- a/internal/testbed/scenario/validate.go
+++ b/internal/testbed/scenario/validate.go
@@ -18,9 +18,9 @@
 	maxNodes        = 200
 	maxRate         = 100000 // requests per second
 	maxKeys         = 1e8
-	maxParallel     = 1e6 // requests that the origin executes at the same time
+	maxParallel     = 1e6 // maximum of the number of requests that the origin executes at the same time
 	maxSlotsPerCore = 1e5
-	maxValueBytes   = 60 << 10 // leaves room for the request id and the key that a value of 64 KB contains
+	maxValueBytes   = 60 << 10 // 60 of 64 KB; the rest is for the request id and the key, which a value also contains
 )
 
 // requirement is a condition on a field of a scenario, and the text of the error if the condition is not met.
@@ -33,8 +33,8 @@
 	return requirement{isMet, field, fmt.Sprintf(format, args...)}
 }
 
-// firstError returns an error for the first requirement that is not met. The field names in errors start with table,
-// which is empty or ends with a dot.
+// firstError returns an error for the first requirement that is not met. table is the prefix of the field name in the error; it
+// is empty or ends with a dot.
 func (s *Scenario) firstError(table string, requirements ...requirement) error {
 	for _, requirement := range requirements {
 		if !requirement.isMet {
--- a/internal/testbed/trace/append_test.go
+++ b/internal/testbed/trace/append_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// appendTo opens an existing trace to add requests, as a program does that always records to the same file. It truncates an
+// appendTo opens an existing trace to add requests, as a program would that records all its runs to one file. It truncates an
 // incomplete last block and returns the metadata and the number of bytes that it removed.
 func appendTo(t testing.TB, path string) (*Writer, Meta, int64) {
 	t.Helper()
--- a/internal/testbed/trace/change.go
+++ b/internal/testbed/trace/change.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = reader.Close() }() // the file was only read
+	defer func() { _ = reader.Close() }() // the file was only read, so an error of Close does not matter
 	writer, err := Create(to, reader.Meta)
 	if err != nil {
 		return 0, err
@@ -45,8 +45,8 @@
 	}
 }
 
-// Cut keeps the requests that are due at from or later, and before until. The time from becomes the start of the new trace.
-// If until is 0, Cut keeps all requests to the end of the trace.
+// Cut keeps the requests that are due in the interval [from, until). The new trace starts at the start of this interval. If until
+// is 0, Cut keeps all requests up to the end of the trace.
 func Cut(from, until time.Duration) Change {
 	return func(arrival workload.Arrival) (workload.Arrival, bool) {
 		keep := arrival.At >= from && (until <= 0 || arrival.At < until)
@@ -55,15 +55,15 @@
 	}
 }
 
-// CheckSpeed returns ErrInvalidSpeed for a speed that Scale cannot take.
+// CheckSpeed returns ErrInvalidSpeed for a speed that is not above 0, and for NaN.
 func CheckSpeed(speed float64) error {
-	if speed > 0 { // this comparison is false for NaN
+	if speed > 0 { // false for NaN as well, which is no valid speed
 		return nil
 	}
 	return ErrInvalidSpeed
 }
 
-// Scale divides the times at which requests are due by speed, which must be above 0: 2 is twice as fast.
+// Scale divides the due times of requests by speed, which must be above 0. With a speed of 2, the load is sent twice as fast.
 func Scale(speed float64) Change {
 	return func(arrival workload.Arrival) (workload.Arrival, bool) {
 		arrival.At = time.Duration(float64(arrival.At) / speed)
--- a/internal/testbed/trace/inspect.go
+++ b/internal/testbed/trace/inspect.go
@@ -15,7 +15,7 @@
 	Length        time.Duration // time at which the last request was due
 	ByClass       []int         // number of requests of each class, by class number
 	Keys          int           // number of distinct keys
-	HottestKey    string        // key with the most requests; of several, the first in alphabetical order
+	HottestKey    string        // key with the most requests; if several keys tie, the first of them in alphabetical order
 	HottestPart   float64       // fraction of all requests that have the hottest key, from 0 to 1
 	BusiestSecond int           // number of requests in the second with the most requests
 	TornBytes     int64         // size of an incomplete last block; 0 if the last block is complete
@@ -27,7 +27,7 @@
 	if err != nil {
 		return Info{}, err
 	}
-	defer func() { _ = reader.Close() }() // the file was only read
+	defer func() { _ = reader.Close() }() // the file was only read, so an error of Close does not matter
 	info := Info{Meta: reader.Meta, ByClass: make([]int, len(reader.Meta.Classes))}
 	byKey, bySecond := map[string]int{}, map[time.Duration]int{}
 	for {
--- a/internal/testbed/trace/jsonlines.go
+++ b/internal/testbed/trace/jsonlines.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = reader.Close() }() // the file was only read
+	defer func() { _ = reader.Close() }() // the file was only read, so an error of Close does not matter
 	encoder := json.NewEncoder(out)
 	for {
 		arrival, err := reader.Next()
@@ -91,7 +91,7 @@
 	}
 }
 
-// validate checks a request. The previous request was due at last.
+// validate checks a request. last is the time at which the previous request was due.
 func (j jsonRequest) validate(last time.Duration) error {
 	switch {
 	case j.Class == "" || j.Key == "" || j.ScheduledMicroseconds < 0 || j.Size < 0 || j.Node < 0:
--- a/internal/testbed/trace/reader.go
+++ b/internal/testbed/trace/reader.go
@@ -92,7 +92,7 @@
 	length := int64(header.length)
 	end := r.offset + blockHeaderSize + length
 	if end > r.size {
-		return nil, errTorn // a corrupt length gives the same result and cannot be distinguished
+		return nil, errTorn // a corrupt length cannot be distinguished from an incomplete block
 	}
 	if length > maxBlockSize {
 		return nil, fmt.Errorf("%w at byte %d: its length is %d bytes", ErrCorrupt, r.offset, length)
@@ -155,7 +155,8 @@
 // Close closes the file.
 func (r *Reader) Close() error { return r.file.Close() }
 
-// decoder decodes the fields of the requests in a block. After the first field that cannot be decoded, failed stays true.
+// decoder decodes the fields of the requests in a block. failed becomes true at the first field that cannot be decoded, and stays
+// true.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/internal/testbed/trace/replay.go
+++ b/internal/testbed/trace/replay.go
@@ -20,8 +20,8 @@
 	scale   Change
 }
 
-// NewReplay prepares a replay at a speed; 2 is twice as fast. The plan must have every class of the trace. Node i of the
-// trace is mapped to node i modulo the number of nodes of the plan.
+// NewReplay prepares a replay at a speed; 2 is twice as fast as recorded. classes and nodes are the classes and the number of
+// nodes of the plan, which must have every class of the trace. Node i of the trace becomes node i modulo nodes.
 func NewReplay(reader *Reader, classes []string, nodes int, speed float64) (*Replay, error) {
 	numbers := make([]int, len(reader.Meta.Classes))
 	for i, name := range reader.Meta.Classes {
--- a/internal/testbed/trace/trace_test.go
+++ b/internal/testbed/trace/trace_test.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// Guards against a trace that is unusable after its writer was interrupted. If the file ends anywhere in its last block, all
-// blocks before are read, and requests can be added after the incomplete block was truncated.
+// Guards against a trace that is unusable after its writer was interrupted. If the file ends in the middle of its last block, all
+// earlier blocks are read. Requests can be added once the incomplete block was truncated.
 func TestIncompleteLastBlockIsIgnoredAndReported(t *testing.T) {
 	dir := t.TempDir()
 	arrivals := testArrivals(requestsPerBlock + 10)
@@ -135,7 +135,7 @@
 		}
 	}
 	corrupt := bytes.Clone(content)
-	corrupt[firstBlockSize-3] ^= 1 // in a block that another block follows
+	corrupt[firstBlockSize-3] ^= 1 // in the first block of requests, which is not the last block
 	path := filepath.Join(dir, "corrupt")
 	writeFile(t, path, corrupt)
 	if _, _, err := readTrace(path); !errors.Is(err, ErrCorrupt) {
@@ -240,7 +240,8 @@
 	}
 }
 
-// A reader must reach the end of any file, with or without an error, whatever bytes the file contains.
+// Guards against a reader that hangs or panics on a corrupt file: whatever bytes a file contains, the reader must stop, at the
+// end or with an error.
 func FuzzReader(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "seed")
 	writeTrace(f, path, testArrivals(300))
--- a/internal/testbed/trace/writer.go
+++ b/internal/testbed/trace/writer.go
@@ -51,8 +51,8 @@
 	return w.buffer.Flush()
 }
 
-// Add adds a request. Requests must be added in the order in which they were due. A request that is due before the
-// previous request is written with the due time of the previous request.
+// Add adds a request. Requests should be added in the order in which they were due: if a request was due before the previous
+// request, Add writes the due time of the previous request instead.
 func (w *Writer) Add(arrival workload.Arrival) error {
 	if w.requests == 0 {
 		w.lastAt = 0
--- a/internal/testbed/workload/process.go
+++ b/internal/testbed/workload/process.go
@@ -11,12 +11,12 @@
 // ProcessKind says how the rate of an arrival process changes over time.
 type ProcessKind int
 
-// The kinds of arrival processes. A process adds its rate to those of the others between At and At+For. A process with a
-// For of 0 lasts until the end of the load.
+// The kinds of arrival processes. Between At and At+For, a process adds its rate to the rates of the other processes. If For is
+// 0, the process lasts until the end of the load.
 const (
 	Steady ProcessKind = iota // the rate is always Rate
 	Ramp                      // the rate grows linearly from 0 to Rate
-	Surge                     // the rate grows to Rate in a tenth of the time, stays for eight tenths, and falls to 0 in the last tenth
+	Surge                     // the rate grows to Rate in the first tenth of the time, stays for eight tenths, and falls to 0 in the last tenth
 	Sine                      // the rate oscillates between 0 and Rate, one cycle each Period; it starts at half of Rate and rises
 	Burst                     // the rate is Rate in the first tenth of each Period and 0 in the rest
 	numProcessKinds
@@ -42,7 +42,7 @@
 	Rate    float64       // highest rate, in requests per second
 	At, For time.Duration // start and duration; a duration of 0 lasts until the end of the load
 	Period  time.Duration // length of a cycle of Sine and Burst
-	Class   string        // class of all requests of the process; if empty, each class is drawn by the weights
+	Class   string        // class of all requests of the process; if empty, drawn for each by Class.Weight
 }
 
 // rate returns the rate at a time in requests per second; length is the duration of the whole load.
@@ -74,13 +74,14 @@
 
 // PopularKeys directs a fixed fraction of the requests to a few hot keys.
 type PopularKeys struct {
-	Fraction    float64       // fraction of all requests that go to these keys, from 0 to 1
-	Keys        int           // number of keys, all equally likely
+	Fraction    float64       // fraction of all requests that go to the hot keys, from 0 to 1
+	Keys        int           // number of hot keys at a time, all equally likely
 	At, For     time.Duration // start and duration; a duration of 0 lasts until the end of the load
-	RotateEvery time.Duration // interval after which other keys become popular; 0 never changes them
+	RotateEvery time.Duration // interval after which the hot keys are replaced by other keys; 0 never replaces them
 }
 
-// keySet returns the number of the set of keys that is popular at a time. It returns false if no set is popular then.
+// keySet returns which set of hot keys is in use at the given time; sets are numbered from 0. It returns false if there are no
+// hot keys at that time.
 func (p PopularKeys) keySet(now time.Duration) (set int, ok bool) {
 	elapsed := now - p.At
 	if elapsed < 0 || p.For > 0 && elapsed >= p.For {
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -11,7 +11,7 @@
 // Class is a class of requests in the load.
 type Class struct {
 	Name                  string
-	Weight                float64 // weight of the class, relative to the sum over all classes
+	Weight                float64 // weight of the class in the load, relative to the sum of the weights of all classes
 	HasIdempotencyKey     bool    // requests of the class carry an idempotency key
 	BytesLeast, BytesMost int     // range of the size of a written value, drawn uniformly; 0 for reads
 }
@@ -28,7 +28,7 @@
 	Offset      float64       // offset of the Zipf distribution, 1 or more: the larger, the flatter its head
 	Drift       time.Duration // interval after which the rank of every key changes by one; 0 never changes the ranks
 	PopularKeys []PopularKeys
-	NodeWeights []float64 // weight of each node in the load, relative to the sum of the weights
+	NodeWeights []float64 // weight of each node in the load, relative to the sum of all nodes' weights
 }
 
 // Arrival is one request of a schedule.
@@ -48,11 +48,11 @@
 	zipf     *rand.Zipf
 	now      time.Duration // time of the last arrival
 	peakRate float64       // upper bound of the rate, in requests per second
-	fraction float64       // integral of the rate minus the number of arrivals; for evenly spaced arrivals
+	fraction float64       // integral of the rate minus the number of arrivals; used only for evenly spaced arrivals
 }
 
-// randomStreams holds the random number generators of a schedule. Each kind of draw has a generator of its own, so that
-// popular keys that are added to a specification change no arrival time.
+// randomStreams holds the random number generators of a schedule. Each kind of random value has its own generator. So adding
+// popular keys to a specification, for example, changes no arrival time.
 type randomStreams struct {
 	times, mix, keys, rest, popularKeys *rand.Rand
 }
@@ -131,8 +131,8 @@
 	}
 }
 
-// draw draws the request that arrives now. The order of the draws must not change, because another order changes the
-// schedules of all seeds.
+// draw draws the request that arrives at the time now. The order in which its random values are drawn must not change, because
+// this would change the schedules of all seeds.
 func (s *Schedule) draw() Arrival {
 	arrival := Arrival{At: s.now, Class: s.drawClass(), Key: s.drawKey(), Node: s.drawNode()}
 	class := s.spec.Classes[arrival.Class]
@@ -146,8 +146,8 @@
 	return arrival
 }
 
-// drawClass draws an arrival process in proportion to the current rates and returns the class of the process. If the
-// process has none, drawClass draws a class by its weight.
+// drawClass draws an arrival process, in proportion to the current rates of the processes, and returns the class of this process.
+// If the process has no class, drawClass draws a class in proportion to the classes' weights.
 func (s *Schedule) drawClass() int {
 	position := s.random.mix.Float64() * s.Rate(s.now)
 	for _, process := range s.spec.Processes {
@@ -182,7 +182,8 @@
 	return max(0, n-1)
 }
 
-// drawKey draws a popular key, or a key by its rank. Both cases consume the same random numbers.
+// drawKey draws a hot key, or a key by its popularity rank. It draws the same random numbers in both cases, so that hot keys do
+// not change which other keys are drawn.
 func (s *Schedule) drawKey() string {
 	rank := s.zipf.Uint64()
 	position, member := s.random.popularKeys.Float64(), s.random.popularKeys.Uint64()
--- a/internal/testbed/workload/schedule_test.go
+++ b/internal/testbed/workload/schedule_test.go
@@ -56,7 +56,7 @@
 			spec := testSpec(test.processes...)
 			spec.Uniform = uniform
 			got := countBetween(drawAll(spec), test.from, test.until)
-			slack := 5*math.Sqrt(test.want) + 1 // five standard deviations
+			slack := 5*math.Sqrt(test.want) + 1 // five standard deviations of a Poisson-distributed number
 			if uniform {
 				slack = test.want*0.01 + 2
 			}
