--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -89,8 +89,8 @@
 	crossed int64 // attempts that a node may have left unread; see Crossed
 }
 
-// Crossed returns how many attempts a node may have left unread because it closed the connection just then. It counts only
-// connections that had been idle for longIdle at most, to nodes that were not told to end.
+// Crossed returns how many attempts nodes may have left unread because they closed the connection at the same time. It counts
+// only connections that had been idle for longIdle at most, to nodes that were not told to end.
 func (c *Clients) Crossed() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -33,7 +33,7 @@
 	Every    time.Duration // interval between two reports of the progress
 	Restarts int           // number of times that each node is restarted during the load
 	NodeArgs []string
-	Rollout  *Rollout // if set, the nodes agree when each of them restarts with another release
+	Rollout  *Rollout // if set, another release is rolled out to the nodes during the load
 	// Disturb, if set, runs concurrently with the load and may disturb nodes. Its argument running returns the current processes
 	// of the nodes that are in use. Disturb must return when the context ends.
 	Disturb func(ctx context.Context, running func() []*nodes.Process)
@@ -132,7 +132,7 @@
 func (r *run) close() {
 	for _, instance := range r.instances {
 		if process := instance.currentProcess(); process != nil {
-			_ = process.Stop(stopTimeout) // an error is not reported here: finish reports nodes that do not stop
+			_ = process.Stop(stopTimeout) // the error is ignored: finish has already reported nodes that do not stop
 		}
 	}
 	if r.emulator != nil {
@@ -203,7 +203,7 @@
 	return failures
 }
 
-// runningProcesses returns the current process of each instance in use.
+// runningProcesses returns the current process of each instance to which the front end connects clients.
 func (r *run) runningProcesses() (processes []*nodes.Process) {
 	for _, instance := range r.instances {
 		if instance.isInUse.Load() {
--- a/internal/testbed/demo/instance.go
+++ b/internal/testbed/demo/instance.go
@@ -24,8 +24,8 @@
 	mu      sync.Mutex
 	process *nodes.Process
 
-	// As long as the goroutine that restarts instances or runs the rollout exists, only that goroutine uses the fields below.
-	// Other goroutines read the fields after that goroutine has ended.
+	// Only the goroutine that restarts the instances, or runs the rollout, uses the fields below while this goroutine runs. Other
+	// goroutines read the fields after this goroutine has ended.
 	earlierCPU    time.Duration // processor time of the processes before the current one
 	drainingSince time.Time     // when the instance began to drain for the rollout; zero while it does not drain
 }
@@ -37,8 +37,8 @@
 	return in.process
 }
 
-// start starts a process, waits until the process answers and puts the instance in use. The process may use at most
-// limits.Sockets descriptors and, if limits.CPUShare is above 0, this fraction of a processor.
+// start starts a process, waits until the process answers and puts the instance in use. limits.Sockets limits the descriptors of
+// the process, and limits.CPUShare the fraction of a processor that it may use. 0 means no limit.
 func (in *instance) start(ctx context.Context, program string, args []string, limits scenario.Nodes) error {
 	process, err := nodes.Start(nodes.Command{Program: program, Args: args, Name: in.Name, Listen: in.Listen, Config: in.Path,
 		Sockets: limits.Sockets})
@@ -67,7 +67,7 @@
 }
 
 // restartNodes restarts every node Options.Restarts times, one node after another. The restarts are spread evenly over the load.
-// It returns early if the load ends.
+// If the load ends early, restartNodes returns.
 func (r *run) restartNodes(ctx context.Context, loadEnded <-chan struct{}) error {
 	interval := r.options.Plan.Length / time.Duration(r.options.Restarts*len(r.instances)+1)
 	for range r.options.Restarts {
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -22,7 +22,7 @@
 // Proxy forwards datagrams until it is closed. It is safe for concurrent use.
 type Proxy struct {
 	faults  Faults
-	sockets [][]*net.UDPConn // sockets[i][j] receives the datagrams that node i sends to node j, and sockets[i][i] those to all; see open
+	sockets [][]*net.UDPConn // sockets[i][j] gets the datagrams of node i to node j, sockets[i][i] those to all nodes; see open
 	nodes   []*net.UDPAddr   // addresses at which the nodes listen
 
 	mu            sync.Mutex
--- a/internal/testbed/nodes/process_test.go
+++ b/internal/testbed/nodes/process_test.go
@@ -35,7 +35,7 @@
 		{time.Second, throttleBurst + time.Millisecond, true},
 		{time.Second + 3*time.Millisecond, throttleBurst + time.Millisecond, true},
 		{time.Second + 4*time.Millisecond, throttleBurst + time.Millisecond, false},
-		{time.Second + 400*time.Millisecond, throttleBurst + 100*time.Millisecond, false}, // the process used exactly the burst and a quarter of 400 ms
+		{time.Second + 400*time.Millisecond, throttleBurst + 100*time.Millisecond, false}, // exactly the burst and 25% of 400 ms
 	} {
 		if got := quota.isExceeded(start.Add(step.after), step.used); got != step.isExceeded {
 			t.Errorf("step %d: exceeded %v, want %v", i, got, step.isExceeded)
--- a/internal/testbed/overhead/measure.go
+++ b/internal/testbed/overhead/measure.go
@@ -150,7 +150,7 @@
 func (s *setup) stop() {
 	for _, process := range s.processes {
 		if process != nil {
-			_ = process.Stop(stopTimeout) // all results are measured, so an error does not matter
+			_ = process.Stop(stopTimeout) // the measurement has ended, so an error does not matter
 		}
 	}
 }
--- a/internal/testbed/scenario/validate.go
+++ b/internal/testbed/scenario/validate.go
@@ -18,9 +18,9 @@
 	maxNodes        = 200
 	maxRate         = 100000 // requests per second
 	maxKeys         = 1e8
-	maxParallel     = 1e6 // maximum of the number of requests that the origin executes at the same time
+	maxParallel     = 1e6 // maximum number of requests that the origin executes at the same time
 	maxSlotsPerCore = 1e5
-	maxValueBytes   = 60 << 10 // 60 of 64 KB; the rest is for the request id and the key, which a value also contains
+	maxValueBytes   = 60 << 10 // a value may have 64 KB, but it also contains the request id and the key
 )
 
 // requirement is a condition on a field of a scenario, and the text of the error if the condition is not met.
