--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -39,7 +39,7 @@
 	MaxStreams     int               `toml:"streams_per_connection"`
 	ConnectTimeout tomlfile.Duration `toml:"connect_timeout"`
 	ConnectionIdle tomlfile.Duration `toml:"connection_idle"`
-	RetryAfter     tomlfile.Duration `toml:"max_retry_after"` // 0 means that clients do not honour Retry-After
+	RetryAfter     tomlfile.Duration `toml:"max_retry_after"` // longest Retry-After that clients follow; 0 means that they follow none
 	HealthChecks   bool              `toml:"probes"`
 	Cancel         bool              `toml:"cancel"`
 }
