--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -12,9 +12,9 @@
 	// ErrCallTimeout ends a call that got no response in time.
 	ErrCallTimeout = errors.New("discovery: the call was not answered in time")
 	// ErrWatchTimeout ends a watch on which neither a line nor a list was completed for polling.WatchTimeout.
-	ErrWatchTimeout = errors.New("discovery: nothing arrived on the watch in time")
+	ErrWatchTimeout = errors.New("discovery: the watch fell silent")
 	// ErrWatchClosed ends a watch that the discovery service closed.
-	ErrWatchClosed = errors.New("discovery: the service closed the watch")
+	ErrWatchClosed = errors.New("discovery: the watch ended")
 )
 
 // Errors of ListValidator. After each of them the endpoint list in force stays in force.
