--- a/internal/fleet/rollout/event.go
+++ b/internal/fleet/rollout/event.go
@@ -69,7 +69,7 @@
 func (DrainGranted) effect() {}
 func (LogEvent) effect()     {}
 
-// AllNodes, as the destination of a message, means all nodes except this one.
+// AllNodes as the destination of a message means all nodes except this one.
 const AllNodes = agreement.AllNodes
 
 // LogEventKind is the kind of a LogEvent.
