--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -19,7 +19,7 @@
 	Cause      Cause
 }
 
-// Fail is a final answer after which the client must assume that the request may have had an effect.
+// Fail is a final answer without a result. The client must assume that the request may have had an effect.
 type Fail struct {
 	ID    uint64
 	Cause Cause
@@ -31,7 +31,7 @@
 	Attempt int
 }
 
-// HealthCheck asks for a health check of a server. A HealthChecked event brings the result.
+// HealthCheck asks for a health check of a server. The caller reports the result with a HealthChecked event.
 type HealthCheck struct{ Server string }
 
 // CloseIdle asks the caller to close the idle connections to a server.
@@ -49,8 +49,8 @@
 // Gossip asks the caller to send a datagram of at most 256 bytes to all other routers. The datagram may be lost.
 type Gossip struct{ Data []byte }
 
-// Announce asks the caller to send an announcement to all other routers, on behalf of this router as the holder of the
-// role. See RoleAnnouncement. The announcement may be lost.
+// Announce asks the caller to notify all other routers, in the name of this router as the holder of a role. So far the
+// only such notice is the DiscoveryPoller's: discovery answers again. The notice may be lost.
 type Announce struct{ Role Role }
 
 // Log asks for a log line for the operators.
--- a/internal/policy/cause.go
+++ b/internal/policy/cause.go
@@ -1,21 +1,21 @@
 package policy
 
-// Cause is the reason why a router ended a request with Reject or Fail. Counters and logs show its name.
+// Cause is the reason why a router ended a request with Reject or Fail. Counters and logs show the name of the cause.
 type Cause int
 
 // The reasons why a router ends a request with Reject or Fail.
 const (
 	CauseDeadline        Cause = iota // the deadline passed before the request could take its next step
-	CauseNoTime                       // a new read had less time left than the fastest recent cache hits took
+	CauseNoTime                       // a new read had less time until its deadline than the fastest recent hits took
 	CauseNodeBehind                   // shed because the node is behind with its own work
 	CauseServerCrowded                // shed because the request's cache server is overloaded
 	CauseOriginSlow                   // shed because the origin is overloaded
 	CauseNoServer                     // no server is available for the request
 	CauseMaxAttempts                  // the request has used up Settings.MaxAttempts
 	CauseWait                         // the request waited too long for the origin, for a fetch or for its retry
-	CauseRetryNotAllowed              // as an earlier attempt was possibly executed, the class forbids another one
+	CauseRetryNotAllowed              // an earlier attempt was possibly executed, so another could repeat its effect
 	CauseRetryBudget                  // the retry budget of the request's class is spent
-	CauseServerBusy                   // a cache server failed or rejected a read in bucket bulk, which gets no retry
+	CauseServerBusy                   // a cache server failed or rejected a read in bulk, the bucket that is shed first
 	CauseTimedOut                     // the request's last attempt timed out
 	CauseNeverSent                    // the request's last attempt was never written to a connection
 	causeCount                        // number of causes
--- a/internal/policy/coalescing.go
+++ b/internal/policy/coalescing.go
@@ -6,20 +6,21 @@
 	waiters []*request
 }
 
-// joinFlight makes a request wait for the fetch of its key that is already in flight. After a flush of the caches, all
-// readers of a popular key miss at once, and one fetch has to serve them all.
+// joinFlight makes a request wait for the fetch of its key that another request has already started. After a flush of
+// the caches, all readers of a popular key miss at once, and one fetch has to serve them all.
 func (r *Router) joinFlight(req *request) {
 	joined := r.flights[req.Key]
 	joined.waiters = append(joined.waiters, req)
-	// While the fetch is queued, each waiter adds its weight, so that a fetch for many requests is sent early.
+	// While the fetch waits in the queue for the origin, the priority weight of each request that waits for the fetch
+	// is added to the weight of the fetch. So a fetch that serves many requests is sent early.
 	if r.originQueue.Contains(joined.leader) {
 		r.originQueue.Add(joined.leader, req.priorityWeight)
 	}
 	r.waitUntil(req, r.waitLimit(req))
 }
 
-// completeFlight ends the flight whose leader is the request, if there is one. If the fetch succeeded, the waiting
-// requests are sent to the cache server, which now holds the object. Otherwise they need another fetch.
+// completeFlight ends the fetch that the request started, if there is one. If the fetch succeeded, the requests that
+// waited for it are sent to the cache server, which now holds the object. Otherwise the key must be fetched again.
 func (r *Router) completeFlight(leader *request, hasSucceeded bool) {
 	ended := r.flights[leader.Key]
 	if ended == nil || ended.leader != leader {
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -6,10 +6,10 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// Timing of the polls of discovery. All routers poll the same discovery service.
+// Timing of the polls of discovery, the service from which all routers get the endpoint list.
 const (
-	pollSpacing       = 50 * time.Millisecond // intended time between the first polls of two routers, see pollSpread
-	updateKnownWithin = 6 * time.Second       // so long after a change of the list, a router counts as notified of it
+	pollSpacing       = 50 * time.Millisecond // intended mean time from one router's first poll to the next router's
+	updateKnownWithin = 6 * time.Second       // a router is assumed to know of a change of the list after this time
 	pollCallTimeout   = 2 * time.Second       // a poll that takes longer fails
 )
 
@@ -56,10 +56,10 @@
 	}
 }
 
-// pollSlack returns the longest allowed wait before a poll. After a change of the endpoint list, attempts may follow
-// the old list for at most updateKnownWithin (or MaxPollInterval, if that is shorter) plus DrainGrace. Three durations
-// are subtracted from this time: foundOutAfter (until the router notices that it has to poll), the longest poll, and
-// the wait for the next upkeep, which makes the poll.
+// pollSlack returns the longest allowed wait before a poll. Attempts may follow an outdated endpoint list for at most
+// updateKnownWithin (or MaxPollInterval, if that is shorter) plus DrainGrace. Three waits are subtracted from this
+// time: foundOutAfter (until the router notices that it has to poll), upkeepInterval (until the next upkeep makes the
+// poll) and pollCallTimeout (the poll itself).
 func (r *Router) pollSlack(foundOutAfter time.Duration) time.Duration {
 	knownWithin := updateKnownWithin
 	if r.settings.MaxPollInterval > 0 {
@@ -68,13 +68,14 @@
 	return max(upkeepInterval, knownWithin+r.settings.DrainGrace-foundOutAfter-pollCallTimeout-upkeepInterval)
 }
 
-// pollSpread returns the time over which routers spread their first polls. The time must be short enough for the worst
-// case: a watch breaks unnoticed just as the list changes, and the router notices this only after polling.WatchTimeout.
+// pollSpread returns the time over which routers spread their first polls. The time must be short enough that no
+// router uses an outdated list for too long (see pollSlack). In the worst case, a watch breaks unnoticed just as the
+// list changes, and the router notices the break only after polling.WatchTimeout.
 func (r *Router) pollSpread() time.Duration {
 	return min(pollSpacing*time.Duration(r.settings.Nodes), r.pollSlack(polling.WatchTimeout))
 }
 
-// maxPollBackoff returns the longest wait after a failed poll. The wait must be short enough for the worst case:
-// discovery recovers just after the poll was sent, and the router notices only after polling.CallTimeout that the poll
-// failed.
+// maxPollBackoff returns the longest wait after a failed poll. The wait must be short enough that the router does not
+// use an outdated list for too long (see pollSlack). In the worst case, discovery recovers just after the poll was
+// sent, and the router notices only after polling.CallTimeout that the poll failed.
 func (r *Router) maxPollBackoff() time.Duration { return r.pollSlack(polling.CallTimeout) }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -9,7 +9,7 @@
 // Event is something that the router is notified of: one of the types below.
 type Event interface{ event() }
 
-// Request is a client's request. The router must give it exactly one final answer by its Deadline.
+// Request is a client's request. The router must give the client exactly one final answer by the request's Deadline.
 type Request struct {
 	ID       uint64
 	Key      string // cache key that the request is for; may be empty
@@ -101,8 +101,9 @@
 	Reason Reason
 }
 
-// LoadLevel says how far the program around the router is behind with its own work. Level is the fraction of requests
-// that should be shed, from 0 (none) to 1 (all but critical requests). The level applies until the next LoadLevel.
+// LoadLevel says how far the program around the router is behind with its own work. Level ranges from 0, at which no
+// requests are shed for this reason, to 1, at which all but critical requests are shed. The level applies until the
+// next LoadLevel.
 type LoadLevel struct{ Level float64 }
 
 // GossipReceived delivers a datagram that another router sent with Gossip.
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -2,8 +2,8 @@
 
 import "shelfproxy/internal/fleet/gossip"
 
-// gossipReceived counts another router's observations like those of this router. A single router sends too few requests
-// to most servers to judge them by its own attempts. A malformed datagram is ignored.
+// gossipReceived counts what another router observed as if this router had observed it. The attempts of a single
+// router are too few to judge most servers. A malformed datagram is ignored.
 func (r *Router) gossipReceived(e GossipReceived) {
 	message, _ := gossip.Decode(e.Data) // a malformed datagram yields an empty message
 	for _, key := range message.Keys {
@@ -18,7 +18,7 @@
 
 // applyObservation applies what another node observed of a server. The parameter from is the number of that node.
 func (r *Router) applyObservation(from int, srv *server, seen gossip.Observation) {
-	if srv.gauge.samples < 2*minLatencySamples { // otherwise there are enough samples without the reported ones
+	if srv.gauge.samples < 2*minLatencySamples { // a server with more samples than this needs no reported ones
 		srv.gauge.addReported(r.now, float64(seen.Attempts), float64(seen.Failures))
 	}
 	r.assess(srv)
@@ -42,7 +42,8 @@
 
 // believesUnresponsive reports whether this router accepts another node's report that a server does not respond. The
 // parameter from is the number of that node. The report is accepted if this router's own health check failed. It is
-// also accepted if a second node reports the same and the ejection budget is not spent.
+// also accepted if a second node reports the same and the ejection budget, which bounds the capacity out of use, is
+// not spent.
 func (r *Router) believesUnresponsive(from int, srv *server) bool {
 	if srv.isUnresponsive || r.now-srv.lastSeen <= minRecheckInterval/2 {
 		return false
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -4,19 +4,21 @@
 
 const (
 	connectRefusedWithin = 50 * time.Millisecond // a connect that fails sooner counts as refused: no process listens
-	maxCheckResets       = 2                     // number of reset health checks in a row that do not count as failed
+	maxCheckResets       = 2                     // a health check that ends with Reset is repeated, at most so often
 	minRecheckInterval   = time.Second           // shortest wait before a router checks an unresponsive server again
 
-	// An unresponsive server is checked about once in this time by all routers together: recheckSpacingAlone applies
-	// without gossip, recheckSpacingShared if routers tell each other of recoveries by gossip.
+	// Mean time from one health check of an unresponsive server to the next, if the checks of all routers are counted.
+	// recheckSpacingAlone applies without gossip, recheckSpacingShared if routers tell each other of recoveries by
+	// gossip.
 	recheckSpacingAlone  = 10 * time.Millisecond
 	recheckSpacingShared = 50 * time.Millisecond
 
-	delegatedRecheckFactor  = 16                 // multiplies a router's recheckInterval if another is HealthChecker
-	assignedRecheckInterval = upkeepInterval / 2 // below upkeepInterval, so the HealthChecker checks at each upkeep
+	delegatedRecheckFactor  = 16                 // multiplies recheckInterval while another router is HealthChecker
+	assignedRecheckInterval = upkeepInterval / 2 // short enough that the HealthChecker checks every upkeepInterval
 )
 
-// checkHealth starts a health check of a server, unless one is in progress.
+// checkHealth starts a health check of a server, unless one is in progress, the server has left the endpoint list, or
+// health checks are not allowed.
 func (r *Router) checkHealth(srv *server) {
 	if r.settings.MayHealthCheck && srv.isListed && !srv.isBeingChecked {
 		srv.isBeingChecked, srv.checkedAt = true, r.now
@@ -52,8 +54,8 @@
 	}
 }
 
-// markResponsive records that a server responds. A server that was unresponsive for longer than minRecheckInterval may
-// have restarted.
+// markResponsive records that a server responds. If the server was unresponsive for longer than minRecheckInterval, it
+// may have restarted, so its slow start begins.
 func (r *Router) markResponsive(srv *server) {
 	srv.lastSeen, srv.checkResets = r.now, 0
 	srv.breaker.Succeeded(r.now)
@@ -68,7 +70,8 @@
 	r.logf("server %s responds again", srv.ID)
 }
 
-// markUnresponsive removes a server from routing. Its attempts are cancelled if they may be repeated at another server.
+// markUnresponsive removes a server from routing. Attempts in flight at the server are cancelled if they may be
+// repeated at another server.
 func (r *Router) markUnresponsive(srv *server) {
 	srv.isUnresponsive, srv.unresponsiveSince, srv.connectRefused, srv.hitsToClear = true, r.now, false, 0
 	r.logf("server %s is unresponsive: removed from routing", srv.ID)
@@ -80,10 +83,11 @@
 }
 
 // recheckInterval returns the least time between two of this router's health checks of an unresponsive server. All
-// routers check such a server, so the interval grows with their number. If one router is the HealthChecker, it checks
-// at each upkeep, and every other router checks delegatedRecheckFactor times less often. A router that finds the server
-// responsive tells all others. So if only the HealthChecker can't reach a server, some other router soon finds that the
-// server responds: in a large fleet, within about delegatedRecheckFactor times recheckSpacing.
+// routers check such a server, so the interval grows with their number. If one router is the HealthChecker, this one
+// checks every upkeepInterval, and every other router checks delegatedRecheckFactor times less often. A router that
+// finds the server responsive tells all others. So if only the HealthChecker can't reach a server, some other router
+// soon finds that the server responds. In a large fleet this takes at most about delegatedRecheckFactor times
+// recheckSpacing: 16 times 50 ms, which is 0.8 s.
 func (r *Router) recheckInterval() time.Duration {
 	shared := max(minRecheckInterval, r.recheckSpacing*time.Duration(r.settings.Nodes))
 	switch r.responsibilities[HealthChecker] {
@@ -96,8 +100,9 @@
 }
 
 // checkIfUnresponsive starts a health check of a server if one is due. For a server in use, a check is due if attempts
-// wait for a response and none has arrived for longer than the maximum latency of the cache servers. For an
-// unresponsive server, a check is due after recheckInterval.
+// wait for a response and the server has been silent for longer than maxWait. maxWait is the latency above which an
+// answer of a cache server counts as very slow, or upkeepInterval, if that is longer. For an unresponsive server, a
+// check is due after recheckInterval.
 func (r *Router) checkIfUnresponsive(srv *server) {
 	maxWait := max(r.cacheGauge.max, upkeepInterval)
 	sinceCheck := r.now - srv.checkedAt
--- a/internal/policy/hedging.go
+++ b/internal/policy/hedging.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxHedgesPerServer = 4 // maximum number of reads at one cache server that are hedged in one upkeep
-	slowServerFactor   = 2 // if many answers of a server are slow, multiplies the time until its reads are hedged
+	maxHedgesPerServer = 4 // maximum number of reads of one cache server that are hedged per upkeepInterval
+	slowServerFactor   = 2 // multiplies the wait before a read is hedged, if many answers of its server are slow
 )
 
 // isCancellable reports whether an attempt may be cancelled and replaced by an attempt at another server.
@@ -18,15 +18,15 @@
 	r.emit(Cancel{ID: attempt.request.ID, Attempt: index})
 }
 
-// mayHedge reports whether slow reads may be moved to the origin. During a general overload, hedging would only add
-// load.
+// mayHedge reports whether slow reads may be moved to the origin. This is so while few answers of the cache servers
+// and of the origin are slow. During a general overload, hedging would only add load.
 func (r *Router) mayHedge() bool {
 	return r.cacheGauge.slowFraction(r.now) <= calmUtilisation && r.originHasCapacity(calmUtilisation)
 }
 
-// hedgeSlowReads moves slow reads of a cache server to the origin, at most maxHedgesPerServer at a time. A read is slow
-// once it has been in flight for longer than the server's maximum latency. If many of the server's answers are slow,
-// slowServerFactor times that latency applies.
+// hedgeSlowReads moves slow reads of a cache server to the origin, at most maxHedgesPerServer at a time. A read is
+// slow once it has been in flight for longer than gauge.max, the latency above which the server's answers count as
+// very slow. If many of the server's answers are slow, slowServerFactor times that latency applies.
 func (r *Router) hedgeSlowReads(srv *server) {
 	if len(srv.gauge.inFlight) == 0 {
 		return
--- a/internal/policy/hotkey.go
+++ b/internal/policy/hotkey.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	hotKeyFraction       = 0.5              // above this fraction of a server's fair share of requests, a key is spread
-	minRequestsPerServer = 8.0              // below this number of counted requests per server, counts fade slowly
+	hotKeyFraction       = 0.5              // a key is hot above this fraction of the requests of an average server
+	minRequestsPerServer = 8.0              // with fewer counted requests per server, the counts fade more slowly
 	sparseRequestWindow  = 30 * time.Second // time in which a count below minRequestsPerServer falls to 1/e
 )
 
-// countRequest counts a request and its key, and samples the key for gossip to the other routers. Each request counts
-// with a greater weight than those before, so old requests matter less and less.
+// countRequest counts a request and its key. Some keys are reported to the other routers by gossip. Each request
+// counts with a greater weight than those before, so old requests matter less and less.
 func (r *Router) countRequest(key string) {
 	r.requestWeight = decay.Increment(r.requestTotal, r.requestWeight, r.now-r.requestTotalAt,
 		latencyWindow, minRequestsPerServer*float64(len(r.servers)), sparseRequestWindow)
@@ -32,9 +32,10 @@
 }
 
 // chooseServer returns the cache server for a request, or nil if there is none. Usually this is the owner of the key's
-// slot. A key whose requests alone exceed hotKeyFraction of the owner's fair share would overload the owner. Such a key
-// is spread over the owner and the servers that follow in the slot's order, just enough of them to bring each below
-// that fraction. Of these servers, the one with the fewest attempts in flight gets the request.
+// slot. A key whose requests alone exceed hotKeyFraction of the owner's fair share would overload the owner. Such a
+// hot key is spread over the owner and the servers that follow in the slot's order. There are just enough of them that
+// each gets less than that fraction of its fair share from this key. Of these servers, the one with the fewest
+// attempts in flight gets the request.
 func (r *Router) chooseServer(req *request) *server {
 	order := r.orderOf(slotOf(req.Key), req)
 	var best *server
@@ -75,8 +76,9 @@
 	return inFlight < fewest || inFlight == fewest && r.rng.IntN(candidates) == 0
 }
 
-// pruneKeyCounts drops keys that are no longer requested. The weight with which a request counts grows with each
-// request. So once in each sparseRequestWindow all counts are divided by this weight, and the weight returns to 1.
+// pruneKeyCounts drops keys that are no longer requested. It also keeps requestWeight, which grows with each request,
+// from becoming too large: once in each sparseRequestWindow, the sums of weights are divided by requestWeight, which
+// then is set to 1.
 func (r *Router) pruneKeyCounts() {
 	r.keyCounts.Prune(r.now)
 	if r.now < r.rescaleAt {
--- a/internal/policy/originqueue.go
+++ b/internal/policy/originqueue.go
@@ -1,15 +1,16 @@
 package policy
 
 const (
-	maxOriginInFlight = 64 // first and highest limit on attempts in flight at the origin
-	// writePrecedence is added to the weight of a queued write that is within its tenant's quota. So such writes are
-	// sent before reads.
+	maxOriginInFlight = 64 // limit on attempts in flight at the origin; originLimiter may lower it
+	// writePrecedence is added to the weight of a queued write that is within its tenant's quota. As the sum far
+	// exceeds the weight of a read, such writes are sent before reads.
 	writePrecedence  = 1e6
-	minOriginSamples = minLatencySamples / 2 // up to this number of samples, originHasCapacity returns false
+	minOriginSamples = minLatencySamples / 2 // with this number of samples or fewer, originHasCapacity is false
 )
 
-// originHasCapacity reports whether recent samples show that the origin can take more load. There must be more than
-// minOriginSamples samples, and the origin's utilisation must be less than utilisationLimit.
+// originHasCapacity reports whether recent latency samples show that the origin can take more load. There must be more
+// than minOriginSamples samples, and the origin's utilisation (the fraction of slow answers) must be less than
+// utilisationLimit.
 func (r *Router) originHasCapacity(utilisationLimit float64) bool {
 	return r.origin != nil && r.origin.gauge.slowFraction(r.now) < utilisationLimit &&
 		r.origin.gauge.samples > minOriginSamples
@@ -43,7 +44,8 @@
 	}
 	until, weight := req.objectiveAt-r.origin.gauge.target, req.priorityWeight
 	if req.Write {
-		// A write that is still queued half-way to its deadline is given up.
+		// A write is given up if it is still queued at its latency objective, or after half of the time to its
+		// deadline.
 		until = min(req.objectiveAt, (r.now+req.Deadline)/2)
 		if !req.isOverQuota {
 			weight += writePrecedence
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -6,7 +6,7 @@
 	"shelfproxy/internal/admission"
 )
 
-// idleCostUnit is the number of idle connections at each server whose cost is Settings.ConnectionCost.
+// idleCostUnit is the number of idle connections at each server that together cost Settings.ConnectionCost.
 const idleCostUnit = 100
 
 // attemptEnded handles the outcome of an attempt. It updates the state of the server, and the request takes its next
@@ -120,8 +120,8 @@
 	r.completeFlight(ended.request, e.Reason == Succeeded)
 }
 
-// observeLatency records a latency sample of a server and assesses the server again. If the server is suspect (it does
-// worse than the others), the sample may be sent to the other routers by gossip.
+// observeLatency records a latency sample of a server and compares the server with the others again. If the server has
+// clearly more slow or failed answers than the others, gossip may send the sample to the other routers.
 func (r *Router) observeLatency(srv *server, latency time.Duration, hasFailed bool) {
 	srv.gauge.observe(r.now, latency, hasFailed)
 	if srv != r.origin {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -6,20 +6,21 @@
 	"shelfproxy/internal/policy/outlier"
 )
 
-// assess compares a server with all cache servers. A server that is slower or fails more often than the others gives up
-// a part of its slots.
+// assess compares a server with all cache servers together, by the fraction of their answers that were slow or failed.
+// A server with a clearly larger fraction gives up a part of its slots.
 func (r *Router) assess(srv *server) {
 	before := srv.assessment.EjectionFraction()
 	srv.assessment.Update(srv.gauge.slowFraction(r.now), r.cacheGauge.slowFraction(r.now))
-	// If the fraction changed, more or less of the ejection budget is left for the other servers.
+	// If the server is now to give up more or fewer slots than before, less or more of the ejection budget is left for
+	// the other servers.
 	if srv.assessment.EjectionFraction() != before {
 		r.limitEjections()
 	}
 }
 
-// assessAll compares all cache servers with each other. Among thousands of servers most have no recent samples. Such a
-// server is assumed to be as slow as all servers together. If it is in this router's zone, it is assumed to be as slow
-// as the servers of the zone instead.
+// assessAll compares each cache server with all cache servers together. Among thousands of servers most have no recent
+// samples. Such a server is assumed to be as slow as all servers together. If it is in this router's zone, it is
+// assumed to be as slow as the servers of the zone instead.
 func (r *Router) assessAll() {
 	ofAll, ofZone := r.cacheGauge.slowFraction(r.now), r.zoneGauge.slowFraction(r.now)
 	for _, listed := range r.keyServers {
@@ -41,8 +42,8 @@
 	return srv != r.origin && srv.isListed && !r.isOriginKind(srv)
 }
 
-// ejectionStates returns, for each cache server, its capacity and the fractions of it that are unavailable and to be
-// ejected. The next call reuses the slice.
+// ejectionStates returns, for each cache server, its capacity, the fraction of the capacity that is unavailable, and
+// the fraction that the server is to give up as an outlier. The next call reuses the slice.
 func (r *Router) ejectionStates() []outlier.Server {
 	r.ejectionCandidates = r.ejectionCandidates[:0]
 	for _, srv := range r.servers {
@@ -63,14 +64,14 @@
 	return r.ejectionCandidates
 }
 
-// isEjectionBudgetSpent reports whether no more capacity may be taken out of use. If so, a server stays in use when
-// only other routers report it as unresponsive.
+// isEjectionBudgetSpent reports whether no more capacity of the cache servers may be taken out of use. If so, a server
+// stays in use when only other routers report the server as unresponsive.
 func (r *Router) isEjectionBudgetSpent() bool {
 	return r.ejectionBudget.IsBounded() && r.ejectionBudget.IsSpent(r.ejectionStates())
 }
 
-// limitEjections bounds the number of slots that outliers give up, so that the ejected capacity stays within the
-// ejection budget. Without a bounded budget it does nothing.
+// limitEjections bounds the fraction of its slots that each outlier gives up. So the capacity out of use stays within
+// the ejection budget. If the settings set no bound, limitEjections does nothing.
 func (r *Router) limitEjections() {
 	if !r.ejectionBudget.IsBounded() {
 		return
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -10,7 +10,7 @@
 	Request
 	class          *Class
 	bucket         bucket
-	priorityWeight float64 // PriorityWeight divided by the greatest of all classes; reduced if isOverQuota
+	priorityWeight float64 // the class's PriorityWeight / the greatest of all classes; reduced if isOverQuota
 	objectiveAt    Time    // time until which an answer earns the full PriorityWeight
 	isOverQuota    bool    // the request is beyond its tenant's quota
 
@@ -19,8 +19,8 @@
 	possiblyExecuted *attempt // first attempt that may have been executed; nil if there is none
 	hasMissed        bool     // the origin is asked next: a cache server did not hold the object or was too slow
 	avoidedServer    *server  // the request must not go to this server, which failed or rejected it
-	// After a rejection by a suspect server, the request must not go to any server for which assessment.IsSuspect is
-	// true.
+	// avoidsSuspects is set after a rejection by a suspect server, one with clearly more slow or failed answers than
+	// the others. From then on the request must not go to any suspect server.
 	avoidsSuspects bool
 
 	isWaiting bool // the request waits for another request's fetch, in the queue for the origin, or for its retry
@@ -85,8 +85,9 @@
 	}
 }
 
-// sendToCache starts an attempt at the cache server of the request's key. If that server is too overloaded for the
-// request, the key is fetched from the origin instead. If the origin has no capacity either, the request is rejected.
+// sendToCache starts an attempt at the cache server of the request's key. If that server is overloaded and should shed
+// the request, the key is fetched from the origin instead. If the origin has no capacity either, the request is
+// rejected.
 func (r *Router) sendToCache(req *request) {
 	srv := r.chooseServer(req)
 	switch {
@@ -103,8 +104,8 @@
 	}
 }
 
-// send starts an attempt at the server. If the server is nil, or the class allows no attempt there, send gives up the
-// request.
+// send starts an attempt at the server. If the server is nil, or an attempt there might repeat the effect of an
+// earlier attempt, send gives up the request.
 func (r *Router) send(req *request, srv *server) {
 	switch {
 	case srv == nil:
@@ -138,7 +139,8 @@
 	return req.attempts[index]
 }
 
-// waitLimit returns the time until which it is worthwhile for a request to wait.
+// waitLimit returns the time until which it is worthwhile for a request to wait. This is the deadline if a late answer
+// is worth something, and otherwise the latency objective.
 func (r *Router) waitLimit(req *request) Time {
 	if req.class.LateFraction > 0 {
 		return req.Deadline
@@ -148,13 +150,14 @@
 
 // waitUntil makes a request wait for its next step, until the given time at the latest.
 func (r *Router) waitUntil(req *request, until Time) {
-	// The time is rounded up to whole microseconds: a request woken too early would have to wait again at once.
+	// wakeAt is rounded up to whole microseconds: a request woken too early would have to wait again at once.
 	req.isWaiting = true
 	req.wakeAt = (min(until, r.waitLimit(req)) + time.Microsecond - 1).Truncate(time.Microsecond)
 	r.emit(SetTimer{At: req.wakeAt, Token: req.ID})
 }
 
-// resume takes the next step of a request whose wait is over.
+// resume takes the next step of a request whose wait is over. The request is given up if it is still queued for the
+// origin or has waited until its waitLimit.
 func (r *Router) resume(req *request) {
 	req.isWaiting = false
 	if r.originQueue.Contains(req) || r.now >= r.waitLimit(req) {
@@ -164,7 +167,8 @@
 	}
 }
 
-// giveUp gives a final answer to a request that has no further step. After the latency objective the answer is Fail.
+// giveUp gives a final answer to a request for which nothing more can be done. Before the latency objective the
+// request is rejected; afterwards the answer is Fail.
 func (r *Router) giveUp(req *request, cause Cause) {
 	if r.now >= req.objectiveAt {
 		r.emit(Fail{ID: req.ID, Cause: cause})
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -6,36 +6,40 @@
 	"shelfproxy/internal/admission"
 )
 
-// Bounds on the retries of a class. A retry needs a token from the retry budget of its class.
+// Constants of the retry budgets. Each class has a budget of tokens, and a retry takes a token from the budget of its
+// class.
 const (
-	// retryRatio is the number of tokens that each request of most classes adds. So in a partial failure, the retries
-	// of these classes add at most a third to the load.
+	// retryRatio is the number of tokens that each request of most classes adds to the budget of its class. So in a
+	// partial failure, the retries of these classes add at most about a third to the load.
 	retryRatio = 0.34
-	// criticalRetryRatio replaces retryRatio for classes of great weight. Each of their requests may be retried more
-	// than once.
+	// criticalRetryRatio replaces retryRatio for classes of great PriorityWeight. As each of their requests adds more
+	// than one token, a request may be retried more than once.
 	criticalRetryRatio = 1.5
-	// minRetriesPerSecond is the number of tokens that each second adds, even without requests. With 3 instead of 0.5,
-	// 300 routers would add 900 tokens a second to each class.
+	// minRetriesPerSecond is the number of tokens that a budget gets each second, even without requests. With 3
+	// instead of 0.5, the budgets of 300 routers would get 900 tokens a second for each class.
 	minRetriesPerSecond = 0.5
-	// retryBurst is the number of tokens that a budget may always save. It saves more only if they were added within
-	// about the last second. Without this bound, 300 routers would have saved 300 * maxSavedRetries = 9,000 retries of
-	// each class when an overload begins. That is more than half of the 16,200 requests that they get in three seconds
-	// at 18 requests a second each.
+	// retryBurst is the number of unused tokens that a budget may keep for any length of time. Further tokens expire
+	// about a second after they were added. Without this rule, 300 routers would have saved 300 * maxSavedRetries =
+	// 9,000 retries of each class when an overload begins. That is more than half of the 300 * 18 * 3 = 16,200
+	// requests that they get in three seconds at 18 requests a second each.
 	retryBurst             = 3
-	maxSavedRetries        = 30  // maximum number of tokens that a budget saves
-	criticalWeightFraction = 0.7 // fraction of the greatest PriorityWeight above which criticalRetryRatio applies
+	maxSavedRetries        = 30  // maximum number of unused tokens that a budget keeps
+	criticalWeightFraction = 0.7 // above this fraction of the greatest PriorityWeight, criticalRetryRatio applies
 )
 
 const (
-	// maxImmediateAttempts is the maximum number of attempts without a wait in between, if servers that serve keys
-	// reject the request or answer with errors.
+	// maxImmediateAttempts is the maximum number of attempts that follow each other without a wait, if cache servers
+	// in use reject the request or answer with errors.
 	maxImmediateAttempts = 3
 
-	spillUtilisation    = 0.05                  // below this origin utilisation, rejected requests try another server
+	// spillUtilisation bounds the fraction of the origin's answers that are slow. Below this bound, a request that a
+	// cache server rejected tries another one at once, which may cause a miss.
+	spillUtilisation    = 0.05
 	firstBackoff        = 25 * time.Millisecond // mean wait before the first retry at a server whose queue is full
-	maxBackoffDoublings = 4                     // maximum number of times that the mean wait doubles
+	maxBackoffDoublings = 4                     // maximum number of times that firstBackoff is doubled
 
-	// dedupMarginTicks is the number of Settings.Tick by which a retry is written before its DedupWindow ends.
+	// dedupMarginTicks is a safety margin, in multiples of Settings.Tick. A retry must be written at least this long
+	// before the DedupWindow of the request ends.
 	dedupMarginTicks = 2
 )
 
@@ -60,8 +64,8 @@
 	return false
 }
 
-// mayRetryAt reports whether the request may be sent to the server, even if an earlier attempt was possibly executed.
-// It ensures that no effect happens twice. A first attempt is always allowed.
+// mayRetryAt reports whether the server may get an attempt of the request. If an earlier attempt was possibly
+// executed, another one is allowed only if the effect can't happen twice. A first attempt is always allowed.
 func (r *Router) mayRetryAt(req *request, srv *server) bool {
 	if req.possiblyExecuted == nil || req.class.Effect == Idempotent {
 		return true
@@ -107,8 +111,9 @@
 }
 
 // mayRedirect reports whether a request that a cache server rejected goes to another server at once, without a charge
-// to the retry budget. This is so if the server no longer serves keys. It is also so if the server is suspect, a server
-// that is not suspect remains, and the request has had fewer than maxImmediateAttempts attempts.
+// to the retry budget. This is so if the rejecting server is no longer live. It is also so if three conditions hold:
+// the rejecting server is suspect (it has clearly more slow or failed answers than the others), a server that is not
+// suspect remains, and the request has had fewer than maxImmediateAttempts attempts.
 func (r *Router) mayRedirect(ended *attempt) bool {
 	req, srv := ended.request, ended.server
 	if srv == r.origin {
@@ -153,8 +158,8 @@
 	return false
 }
 
-// backOff makes a request wait before its retry, because a server's full queue empties within a few service times. The
-// mean wait doubles with each attempt, at most maxBackoffDoublings times.
+// backOff makes a request wait before its retry. The wait gives a server's full queue time to empty, which takes a few
+// service times. The mean wait doubles with each attempt, at most maxBackoffDoublings times.
 func (r *Router) backOff(req *request) {
 	wait := firstBackoff << min(len(req.attempts)-1, maxBackoffDoublings)
 	r.waitUntil(req, r.now+wait/2+time.Duration(r.rng.Int64N(int64(wait))))
--- a/internal/policy/roles.go
+++ b/internal/policy/roles.go
@@ -1,7 +1,7 @@
 package policy
 
-// assignRole records which router has a role from now on. It passes this on to the poll schedule or to the gossip
-// sender, depending on the role.
+// assignRole records which router has a role from now on. It also notifies the poll schedule if the role is
+// DiscoveryPoller, and the gossip sender if the role is HealthChecker.
 func (r *Router) assignRole(e RoleAssigned) {
 	r.responsibilities[e.Role] = e.Responsibility
 	switch e.Role {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -30,8 +30,8 @@
 	quotas            *quota.Tracker
 	maxPriorityWeight float64 // greatest priority weight of all classes
 	retryBudgets      map[*Class]*admission.RetryBudget
-	loadLevel         float64           // fraction of non-critical requests to shed, see LoadLevel
-	shedDebt          [bulk + 1]float64 // by bucket: fraction of a rejection, below 1, left over from earlier requests
+	loadLevel         float64           // from 0 to 1: how far the node is behind with its work, see LoadLevel
+	shedDebt          [bulk + 1]float64 // by bucket: each request adds the fraction to shed; at 1, a request is shed
 	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first hit
 
 	// State of servers and zones.
@@ -39,12 +39,12 @@
 	serverByID          map[string]*server
 	serverByFingerprint map[gossip.Fingerprint]*server
 	keyServers          []keyServer   // cache servers that are listed as live, sorted by id
-	ranked              rankedServers // buffer that each slotOrder reuses
+	ranked              rankedServers // memory that each slotOrder reuses for its heap
 	zones               map[string]*zone
 	ownZone             *zone
 	cacheGauge          gauge   // utilisation of all cache servers together
 	zoneGauge           gauge   // utilisation of the cache servers in this router's zone together
-	totalWeight         float64 // sum of the weights of keyServers
+	totalWeight         float64 // sum of the capacityWeight of all keyServers
 	zoneFraction        float64 // fraction of totalWeight that is in this router's zone
 	activeServers       float64 // number of keyServers, including unresponsive ones
 	meanCapacity        float64 // mean Capacity of keyServers
@@ -61,22 +61,23 @@
 	requestTotal   float64         // sum of the weights of this router's requests
 	requestWeight  float64         // weight with which a request counts at present
 	requestTotalAt Time            // when requestTotal last grew
-	servedTotal    float64         // sum of the weights of hits, divided by the number of active cache servers
+	servedTotal    float64         // sum over all hits: weight of the hit / number of active cache servers
 	rescaleAt      Time            // when pruneKeyCounts next divides the sums by requestWeight
 
-	// Ejection of outliers, see outlier.go.
+	// Ejection of outliers: servers with clearly more slow or failed answers than the others give up slots, see
+	// outlier.go.
 	ejectionBudget     outlier.Budget
 	ejectionCandidates []outlier.Server // buffer that ejectionStates reuses
 	ejectionGrants     []float64        // buffer that limitEjections reuses
-	isEjectionLimited  bool             // ejectionBudget was too small for all outliers at the last check
+	isEjectionLimited  bool             // at the last check, ejectionBudget did not suffice for all outliers
 
 	// Cooperation with the other routers.
 	gossipSender     gossip.Sender
-	recheckSpacing   time.Duration    // time in which all routers together check an unresponsive server about once
+	recheckSpacing   time.Duration    // mean time between checks of an unresponsive server by all routers together
 	polls            polling.Schedule // when to poll discovery
 	responsibilities [roleCount]Responsibility
 	configuredNodes  int  // Settings.Nodes as passed to New
-	isTimerRunning   bool // the first timer of upkeep has been set
+	isTimerRunning   bool // the periodic work, upkeep, has been started
 }
 
 // New returns a router with the settings, or a *SettingsError. The seed determines all random numbers of the router:
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -48,8 +48,9 @@
 	return srv == req.avoidedServer || req.avoidsSuspects && srv.assessment.IsSuspect()
 }
 
-// avoidSuspects makes a request avoid the server that rejected it and all other suspect servers, which do worse than
-// the rest. It reports whether a server remains for the request. If none remains, the request is left unchanged.
+// avoidSuspects makes a request avoid the server that rejected it and all suspect servers, those with clearly more
+// slow or failed answers than the others. It reports whether a server remains for the request. If none remains, the
+// request is left unchanged.
 func (r *Router) avoidSuspects(req *request, rejectedBy *server) bool {
 	avoided := req.avoidedServer
 	req.avoidedServer, req.avoidsSuspects = rejectedBy, true
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -30,9 +30,9 @@
 	slowStartFrom   Time // start of the slow start; 0 if there was none
 	slowStartBefore Time // slowStartFrom before the last outage; restored if the server did not restart
 	connectRefused  bool // a connect was refused while the server was unresponsive
-	hitsToClear     int  // number of further hits without a miss that rule out a restart; 0 if none are awaited
-	// offered is the weighted number of requests for which this server was a candidate. A request for a hot key counts
-	// only in part, as it has several candidates.
+	hitsToClear     int  // if above 0: so many more hits without a miss show that the server did not restart
+	// offered is the number of requests that this server could have been given, weighted so that old requests count
+	// less. A request for a hot key, which any of several servers could be given, counts only in part.
 	offered float64
 
 	assessment gossip.Assessment // comparison with the other servers, see outlier.go
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -14,7 +14,7 @@
 // The values of Effect.
 const (
 	Idempotent   Effect = iota // may be retried at any time
-	Deduplicated               // servers in DedupScope drop a request that they got before, within DedupWindow
+	Deduplicated               // may be retried within DedupWindow at servers in DedupScope, which drop duplicates
 	AtMostOnce                 // may be retried only if no earlier attempt can have been executed
 )
 
@@ -23,7 +23,7 @@
 
 // The values of DedupScope.
 const (
-	AllServers DedupScope = iota // all servers drop the request
+	AllServers DedupScope = iota // all servers drop a request that was possibly executed already
 	SameZone                     // only servers in the zone of the possibly executed attempt drop the request
 	SameCell                     // only servers in the zone and cell of the possibly executed attempt drop the request
 )
@@ -36,7 +36,7 @@
 	LateFraction     float64       // fraction of PriorityWeight that an answer after LatencyObjective earns
 	Effect           Effect
 	DedupScope       DedupScope    // Deduplicated only: servers that drop a request that was executed before
-	DedupWindow      time.Duration // Deduplicated only: how long after an attempt servers drop the same request
+	DedupWindow      time.Duration // Deduplicated only: time after an attempt in which servers drop its duplicates
 }
 
 // Tenant is a customer with a quota.
@@ -75,9 +75,10 @@
 	// locality.DefaultAffinityBudget.
 	AffinityBudget float64
 
-	// MaxEjectedFraction is the fraction of the cache servers' total capacity that may be out of use at once. Once it
-	// is reached, further outliers keep their keys. Capacity is out of use if its server drains, is unresponsive or in
-	// slow start, and if it belongs to slots that an outlier gives up. 0 means no bound.
+	// MaxEjectedFraction is the fraction of the cache servers' total capacity that may be out of use at once. Once
+	// this bound is reached, further outliers keep their keys. The capacity of a server is out of use while the server
+	// drains or is unresponsive. Part of it is out of use in slow start, and while the server gives up slots as an
+	// outlier. 0 means no bound.
 	MaxEjectedFraction float64
 
 	MaxAttempts   int           // maximum number of attempts of a request
--- a/internal/policy/shedding.go
+++ b/internal/policy/shedding.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	criticalMaxUtilisation = 0.2   // critical reads are shed only if a larger fraction of answers exceeds gauge.max
-	criticalTargetMultiple = 1.5   // critical reads are shed only above this multiple of shedThresholds[degraded]
-	hitThresholdFactor     = 0.125 // multiplies shedThresholds at cache servers, where hits are slow only if they queue
+	criticalMaxUtilisation = 0.2   // critical reads are shed only if more than this fraction of answers is very slow
+	criticalTargetMultiple = 1.5   // a critical read is shed only if utilisation > this * shedThresholds[degraded]
+	hitThresholdFactor     = 0.125 // multiplies shedThresholds at cache servers: a hit is slow only if it had to queue
 	minInFlightOverloaded  = 2     // a cache server with fewer attempts in flight is not overloaded
 )
 
-// shedThresholds holds, for each bucket, the utilisation of the origin above which some of the bucket's misses are
-// shed. At twice the threshold all of the bucket's misses are shed. A threshold of 0.1 rejected 17 to 45% of reads on
-// days without overload. Thresholds of 0.6 and more did not contain overload.
+// shedThresholds holds, for each bucket, the origin's utilisation (fraction of slow answers) above which some of the
+// bucket's misses are shed. At twice the threshold all of the bucket's misses are shed. Critical requests have a rule
+// of their own, see shouldShed. A threshold of 0.1 rejected 17 to 45% of reads on days without overload. Thresholds of
+// 0.6 and more did not contain overload.
 var shedThresholds = [...]float64{critical: math.Inf(1), degraded: 0.55, bestEffort: 0.55, bulk: 0.45}
 
-// minBucketWeight holds the bounds between the buckets. The reads of a bucket have a greater priority weight than the
-// bucket's bound, which is a fraction of the greatest weight of all classes. Reads of lower weights are in bulk.
+// minBucketWeight holds, for each bucket, the priority weight that a read must exceed to be in the bucket, as a
+// fraction of the greatest weight of all classes. A read that exceeds none of these weights is in bulk.
 var minBucketWeight = [...]float64{critical: 0.7, degraded: 0.3, bestEffort: 0.12}
 
 // bucketOf returns the load-shedding bucket of a request. Writes are in the critical bucket.
@@ -39,15 +40,16 @@
 	return rank
 }
 
-// shouldShed reports whether a request in the bucket is shed, given the utilisation of the gauge's server. No request
-// is shed below the bucket's threshold. Above the threshold, the fraction of requests that are shed grows with the
-// utilisation. Shed requests are spread evenly among the other requests.
+// shouldShed reports whether a request in the bucket is shed because of the utilisation (fraction of slow answers) of
+// the server that the gauge measures. No request is shed below the bucket's threshold. Above the threshold, the
+// fraction of requests that are shed grows with the utilisation. Shed requests are spread evenly among the other
+// requests.
 func (r *Router) shouldShed(rank bucket, g *gauge) bool {
 	utilisation, maxUtilisation := g.utilisation(r.now)
 	threshold := shedThresholds[rank]
 	if queued := float64(r.originQueue.Len()); g.aggregate != nil {
 		threshold *= hitThresholdFactor
-	} else if queued > 0 { // at the origin, each queued request counts as a slow answer
+	} else if queued > 0 { // at the origin, a request that waits in the queue counts as a slow answer
 		utilisation = (utilisation*g.samples + queued) / (g.samples + queued)
 	}
 	excess := utilisation - threshold
@@ -59,8 +61,9 @@
 	return excess > 0 && r.isSelectedForShedding(rank, excess/threshold)
 }
 
-// isSelectedForShedding reports whether the present request of a bucket is rejected. Of all requests of the bucket, the
-// given fraction is rejected, evenly spread.
+// isSelectedForShedding reports whether the present request of a bucket is rejected. Of all requests of the bucket,
+// the given fraction is rejected, evenly spread: shedDebt grows by the fraction with each request, and each time it
+// reaches 1, a request is rejected.
 func (r *Router) isSelectedForShedding(rank bucket, fraction float64) bool {
 	rejections, debt := math.Modf(r.shedDebt[rank] + min(1, fraction))
 	r.shedDebt[rank] = debt
@@ -77,9 +80,9 @@
 	return r.isSelectedForShedding(req.bucket, r.loadLevel*float64(req.bucket))
 }
 
-// isOverloadedFor reports whether the first attempt of a read is shed at its cache server because that server is the
-// bottleneck. A server with fewer than minInFlightOverloaded attempts in flight has only old samples, so it does not
-// count as overloaded.
+// isOverloadedFor reports whether a read must not be sent to its cache server because the server is overloaded. Only a
+// read without an earlier attempt is kept away. A server with fewer than minInFlightOverloaded attempts in flight has
+// only old samples, so it does not count as overloaded.
 func (r *Router) isOverloadedFor(req *request, srv *server) bool {
 	return len(req.attempts) == 0 && !req.Write && len(srv.gauge.inFlight) >= minInFlightOverloaded &&
 		r.shouldShed(req.bucket, &srv.gauge)
--- a/internal/policy/slotorder.go
+++ b/internal/policy/slotorder.go
@@ -9,28 +9,29 @@
 // The owner of the slot comes first. Routers agree on the order without communicating. An order is valid until the
 // router's next event, or until the next call of orderOf.
 //
-// A first pass over all servers finds only the owner. Each further pass ranks the next batch of servers: it puts them
-// into a heap. A batch is about twice as large as the one before. So a key that is spread over many servers costs
+// The first pass over all servers finds only the owner. Each further pass, a call of rank, puts the next servers of
+// the order into a heap, about twice as many as the pass before. So a key that is spread over many servers costs
 // little more than a key that is served by its owner alone.
 type slotOrder struct {
 	router     *Router
 	slot       uint64
 	req        *request
-	hasOwner   bool          // next has returned the owner already
-	last       float64       // score of the server that next returned last
-	limit      float64       // the passes so far covered all servers whose scores are below limit
-	step       float64       // how much limit grows in the next pass
-	isComplete bool          // the passes so far covered all servers, so no further pass is needed
-	remaining  rankedServers // heap of the ranked servers that next has not returned yet
+	hasOwner   bool          // the owner has already been returned
+	last       float64       // score of the server that was returned last
+	limit      float64       // all servers with scores below limit have been found
+	step       float64       // amount by which the next call of rank raises limit
+	isComplete bool          // all servers have been found, so rank need not be called again
+	remaining  rankedServers // heap of the servers that rank has found and that have not been returned yet
 }
 
-// firstRankedServers is the expected number of servers in the first batch that is ranked after the owner.
+// firstRankedServers is the expected number of servers that the first call of rank finds. They follow the owner in the
+// order.
 const firstRankedServers = 8
 
 // keyServer is a server that serves keys, with the values from which a lower bound of its score is cheap to compute.
 type keyServer struct {
 	hash      uint64
-	maxWeight float64 // upper bound of the server's rendezvous weight at any time
+	maxWeight float64 // upper bound of rendezvousWeight, which changes with time
 	server    *server
 }
 
@@ -60,7 +61,8 @@
 	return first.server
 }
 
-// owner returns the server with the lowest score, and that score. The server is nil if there is none.
+// owner returns the server with the lowest score, and that score. If the request may go to no server, the server is
+// nil.
 func (o *slotOrder) owner() (best *server, lowest float64) {
 	lowest = math.Inf(1)
 	for i := range o.router.keyServers {
@@ -76,8 +78,8 @@
 	return best, lowest
 }
 
-// rank raises limit by a step. It puts the servers whose scores are between the old and the new limit into the heap,
-// which must be empty before.
+// rank finds the next servers of the order. It raises limit by step and puts the servers whose scores are between the
+// old and the new limit into the heap, which must be empty before.
 func (o *slotOrder) rank() {
 	from := o.limit
 	o.limit += o.step
@@ -118,12 +120,12 @@
 	return keepsSlot(srv, o.slot) && !o.router.isExcluded(srv) && !o.req.avoids(srv)
 }
 
-// draw returns the server's pseudo-random number for the slot, which is the same at every router.
+// draw returns a pseudo-random number between 0 and 1 for the server and the slot, the same at every router.
 func (o *slotOrder) draw(candidate *keyServer) float64 {
 	return unitInterval(mix(o.slot ^ candidate.hash))
 }
 
-// score returns the value by which servers are ordered. The server with the lowest score comes first.
+// score returns the value by which the servers of the order are sorted. The server with the lowest score comes first.
 func (o *slotOrder) score(srv *server, draw float64) float64 {
 	return -math.Log(draw) / o.router.rendezvousWeight(srv)
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -3,9 +3,9 @@
 import "shelfproxy/internal/fleet/gossip"
 
 const (
-	slowStartSafety = 0.7 // a server in slow start gets up to this fraction of the load that would overload it
-	// servedPrior is the number of hits and requests per server that is added to the counted numbers, so that a router
-	// without samples also uses servers in slow start.
+	slowStartSafety = 0.7 // a server in slow start gets at most this fraction of the load that would overload it
+	// servedPrior is added to the counted numbers of hits and requests per server. So a router that has counted none
+	// yet also uses servers in slow start.
 	servedPrior      = 0.1
 	hitsProvingCache = 4 // number of hits without a miss that show that the server's cache survived
 )
@@ -25,11 +25,11 @@
 
 // admitsDuringSlowStart reports whether a server in slow start may take the request. A hot key or a surge at all
 // routers together must not overload the server. So each router sends the server only a safe fraction of the requests
-// that a fully started server of the same capacity answers for this router. In a large fleet each router has few
-// samples; there, the fraction grows at half the rate. Requests are admitted at random. The more popular a key is at
-// all routers, the less likely its requests are admitted. If this router has not seen a key before, perhaps all routers
-// begin to get requests for it at this moment. So if less than one request is safe, requests for a new key are admitted
-// even less often.
+// that a fully started server of the same capacity answers for this router. This fraction grows as the slow start
+// proceeds, but only about half as fast in a large fleet, where each router has few samples. Requests are admitted at
+// random. The more popular a key is at all routers, the less likely its requests are admitted. If this router has not
+// seen a key before, perhaps all routers begin to get requests for it at this moment. So if less than one request is
+// safe, requests for a new key are admitted even less often.
 func (r *Router) admitsDuringSlowStart(srv *server, req *request) bool {
 	weight := r.slowStartWeight(srv)
 	meanServed := (r.servedTotal + servedPrior*r.requestWeight) * r.relativeCapacity(srv)
@@ -44,8 +44,8 @@
 }
 
 // suspectRestart starts a slow start for a server that responds again, as if it had restarted. The slow start ends
-// early if hits show that the server's cache survived. The endpoint list can correct the time of the restart. A refused
-// connect proves that the server's process was gone, so after a refused connect the hits are ignored.
+// early if hits show that the server's cache survived. An entry of the endpoint list can correct the start of the slow
+// start. A refused connect proves that the server's process was gone, so after a refused connect the hits are ignored.
 func (r *Router) suspectRestart(srv *server) {
 	srv.slowStartBefore, srv.slowStartFrom, srv.hitsToClear = srv.slowStartFrom, r.now, hitsProvingCache
 	if srv.connectRefused {
@@ -53,8 +53,8 @@
 	}
 }
 
-// countHitAfterRestart counts a hit as a sign that the server did not restart. Enough hits without a miss show that the
-// server was only unreachable. Then its slow start is undone.
+// countHitAfterRestart counts a hit after an outage as a sign that the server did not restart. Enough hits without a
+// miss show that the server was only unreachable. Then the slow start that began after the outage is undone.
 func countHitAfterRestart(srv *server) {
 	if srv.hitsToClear == 1 {
 		srv.slowStartFrom = srv.slowStartBefore
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	upkeepInterval = 250 * time.Millisecond
-	upkeepToken    = uint64(1) << 62 // timer token of upkeep, greater than every request id
+	upkeepInterval = 250 * time.Millisecond // time from one run of the periodic work to the next
+	upkeepToken    = uint64(1) << 62        // token of upkeep's timer; a greater number than the id of any request
 )
 
 // startUpkeep starts the periodic work at the first endpoint update. A random delay keeps routers that start together
@@ -22,7 +22,8 @@
 	r.emit(SetTimer{At: r.now + r.jitter(upkeepInterval), Token: upkeepToken})
 }
 
-// superviseServers hedges slow reads if mayHedge is set, and starts health checks of servers that no longer respond.
+// superviseServers starts health checks of servers that no longer respond. If mayHedge is set, it also hedges slow
+// reads.
 func (r *Router) superviseServers(mayHedge bool) {
 	for _, listed := range r.keyServers {
 		if mayHedge {
@@ -32,8 +33,8 @@
 	}
 }
 
-// upkeep does the periodic work. It assesses all servers, checks those that no longer respond, hedges slow reads,
-// adjusts the weight of other zones, sends gossip and polls discovery.
+// upkeep does the periodic work, every upkeepInterval. It assesses all servers, checks those that no longer respond,
+// hedges slow reads, adjusts the weight of other zones in the choice of servers, sends gossip and polls discovery.
 func (r *Router) upkeep() {
 	r.emit(SetTimer{At: r.now + upkeepInterval, Token: upkeepToken})
 	r.pruneKeyCounts()
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -7,22 +7,24 @@
 	"shelfproxy/internal/policy/decay"
 )
 
-// How fast latency samples fade, and how many samples an estimate needs.
+// How fast latency samples lose weight, and how many samples an estimate of utilisation needs. Utilisation is the
+// fraction of answers that are slow.
 const (
 	latencyWindow       = 1500 * time.Millisecond // time in which the weight of a sample falls to 1/e
-	minLatencySamples   = 4.0                     // minimum number of samples from which utilisation is estimated
+	minLatencySamples   = 4.0                     // if there are fewer samples, utilisation fills in the missing ones
 	sparseLatencyWindow = 8 * time.Second         // replaces latencyWindow while there are fewer than minLatencySamples
 )
 
-// How the target latency, above which an answer counts as slow, is learned from quiet samples (see objectives).
+// How the target latency, above which an answer counts as slow, is learned from quiet samples: latencies measured
+// while load was low.
 const (
-	quietSampleCount  = 64  // number of latest quiet samples that are kept
-	minQuietSamples   = 2   // number of quiet samples that are needed before the target is learned from them
-	relearnInterval   = 8   // after quietSampleCount quiet samples, only every eighth one updates the target
-	targetPerMedian   = 3   // target latency as a multiple of the median of the quiet samples
-	maxPerTarget      = 2   // maximum latency as a multiple of the target
+	quietSampleCount  = 64  // number of latest quiet samples (measured at low load) that are kept
+	minQuietSamples   = 2   // the target is learned only from at least this number of quiet samples
+	relearnInterval   = 8   // once quietSampleCount samples are kept, only every eighth updates the target
+	targetPerMedian   = 3   // the target is this many times the median latency at low load
+	maxPerTarget      = 2   // an answer counts as very slow above this many times the target latency
 	riseDivisor       = 50  // a learned latency rises by at most 1/riseDivisor (1/50) of its value in one update
-	calmUtilisation   = 0.2 // below this utilisation the load counts as low, and latency samples count as quiet
+	calmUtilisation   = 0.2 // the load is low while less than this fraction of the recent answers is slow
 	minTargetFraction = 0.5 // minimum target of cache servers, as a fraction of the shortest LatencyObjective
 )
 
@@ -30,15 +32,15 @@
 // from quiet samples, which are latencies measured while few answers were slow and no requests queued. Several servers
 // may share one value of this type.
 type objectives struct {
-	quietSamples         [quietSampleCount]time.Duration // ring buffer of the most recent quiet samples
-	sampleCount          int                             // number of quiet samples so far
+	quietSamples         [quietSampleCount]time.Duration // ring buffer of the latest latencies at low load
+	sampleCount          int                             // number of latencies at low load so far
 	minTarget, maxTarget time.Duration                   // lower and upper bound of target
 	target, max          time.Duration
 }
 
-// learn adds a quiet sample and updates target and max. Both latencies fall at once but rise slowly, so that latency
-// under growing load is not mistaken for normal latency. Before the first samples, the target is the shortest
-// LatencyObjective.
+// learn adds a quiet sample, a latency measured at low load, and updates target and max. Both latencies fall at once
+// but rise slowly, so that latency under growing load is not mistaken for normal latency. Before the first samples,
+// the target is the shortest LatencyObjective.
 func (o *objectives) learn(latency time.Duration) {
 	o.quietSamples[o.sampleCount%quietSampleCount] = latency
 	o.sampleCount++
@@ -60,22 +62,23 @@
 type gauge struct {
 	*objectives
 	inFlight  []*attempt // attempts that still wait for a response, oldest first
-	aggregate *gauge     // gauge that counts the samples of this one too; nil for the origin's gauge and cacheGauge
-	hasQueue  bool       // requests queue for the server, so its samples are not quiet
+	aggregate *gauge     // gauge of several servers that also counts this one's samples, or nil
+	hasQueue  bool       // requests queue for the server, so the load is not low
 
-	samples, overTarget, overMax float64 // weighted numbers of samples: all, slower than target, slower than max
+	samples, overTarget, overMax float64 // weighted numbers of samples: all, those above target, those above max
 	fadedAt                      Time    // when fade last reduced these numbers because of the samples' age
 }
 
-// observe records the latency of an answer, or a failure. A failure counts as slower than the maximum latency.
+// observe records the latency of an answer, or a failure. A failure counts as slower than gauge.max, which means very
+// slow.
 func (g *gauge) observe(now Time, latency time.Duration, hasFailed bool) {
 	if !hasFailed && !g.hasQueue && g.slowFraction(now) < calmUtilisation {
-		g.learn(latency) // only quiet samples: samples taken under load would raise the target
+		g.learn(latency) // only at low load: a latency under high load would raise the target
 	}
 	g.record(now, latency, hasFailed)
 }
 
-// record counts a sample in the gauge, in its aggregate, and in that aggregate's own aggregate.
+// record counts a sample in the gauge and in the gauges of all groups that the server is part of (aggregate).
 func (g *gauge) record(now Time, latency time.Duration, hasFailed bool) {
 	if g.aggregate != nil {
 		g.aggregate.record(now, latency, hasFailed)
@@ -96,9 +99,9 @@
 	g.samples, g.overTarget = g.samples+samples, g.overTarget+overTarget
 }
 
-// utilisation returns the fractions of recent samples that were slower than the target and than the maximum latency. An
-// attempt that has already been in flight for longer than these latencies counts as such a sample, because a stalled
-// origin returns no answers that could be measured.
+// utilisation returns two fractions of the recent samples: those that were slower than the target latency, and those
+// that were slower than the maximum latency. An attempt that has already been in flight for longer than one of these
+// latencies counts as such a sample, because a stalled origin returns no answers that could be measured.
 func (g *gauge) utilisation(now Time) (overTarget, overMax float64) {
 	g.fade(now)
 	samples, slow, verySlow := g.samples, g.overTarget, g.overMax
@@ -113,8 +116,8 @@
 		}
 	}
 	if missing := minLatencySamples - samples; missing > 0 {
-		// The samples that are missing from minLatencySamples are assumed to be as slow as those of the aggregate. If
-		// there is no aggregate, they count as fast.
+		// If there are fewer than minLatencySamples samples, the missing ones are assumed to be as slow as those of
+		// the aggregate, the gauge of several servers. Without an aggregate, they count as fast.
 		samples = minLatencySamples
 		if g.aggregate != nil {
 			overTarget, overMax = g.aggregate.utilisation(now)
@@ -130,8 +133,8 @@
 	return slow
 }
 
-// isUnused reports whether the gauge has no samples and no attempts in flight. The utilisation of an unused gauge is
-// that of its aggregate.
+// isUnused reports whether the gauge has no samples and no attempts in flight. Then its utilisation is that of the
+// aggregate, the gauge of several servers.
 func (g *gauge) isUnused() bool { return g.samples == 0 && len(g.inFlight) == 0 }
 
 // fade reduces the weight of earlier samples: fast while there are many samples, slowly once fewer than
