--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestBreakerOpensAfterThreeFailuresInARow guards against a breaker that opens too early: after fewer than three
-// failures, or for a server that responded a moment ago. An open breaker must let one attempt through after each wait,
-// and the waits must grow. An answer must close the breaker.
+// failures, or for a server that responded a moment ago. An open breaker must let one attempt through after each wait.
+// The waits must grow from 1 s to 8 s. An answer must close the breaker.
 func TestBreakerOpensAfterThreeFailuresInARow(t *testing.T) {
 	var breaker Breaker
 	breaker.Succeeded(10 * time.Second)
@@ -44,7 +44,7 @@
 		}
 		now += 100 * time.Millisecond
 		breaker.Failed(now)
-		breaker.Failed(now) // failure of an attempt from before the breaker opened
+		breaker.Failed(now) // this failed attempt was sent before the breaker opened, so the wait must not grow
 	}
 	breaker.Succeeded(now)
 	if breaker.IsOpen(now) {
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestBreakerLetsFewAttemptsThrough checks random orders of attempts and of failures without an answer. Few attempts
-// may go to a server that is down, and a server that has recovered must be tried within maxBackoff.
+// TestBreakerLetsFewAttemptsThrough checks a server that answers no attempt, with attempts and failures in random
+// order. Few attempts may go to the server. A trial attempt must be allowed again after at most maxBackoff, so that a
+// recovery is noticed.
 func TestBreakerLetsFewAttemptsThrough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var breaker Breaker
@@ -68,7 +69,9 @@
 				breaker.Failed(now)
 			}
 		}
-		if most := 40 + int(now/firstBackoff); attempts > most { // 40 allows for attempts before the third failure
+		// Before the third failure the breaker is closed; 40 attempts are allowed for this time. After that, the waits
+		// between trial attempts are firstBackoff or longer.
+		if most := 40 + int(now/firstBackoff); attempts > most {
 			t.Fatalf("got %d attempts in %v, want at most %d", attempts, now, most)
 		}
 		if breaker.IsOpen(now + maxBackoff + 1) {
--- a/internal/policy/coalescing_test.go
+++ b/internal/policy/coalescing_test.go
@@ -7,8 +7,9 @@
 	"shelfproxy/internal/admission"
 )
 
-// TestMissesOfOneKeyAreCoalesced checks that while a key is being fetched, other reads of the key wait instead of
-// starting further fetches. Once the fetch has stored the object, they are sent to the cache server.
+// TestMissesOfOneKeyAreCoalesced checks that while a key's object is being fetched, other reads of the key wait instead
+// of starting further fetches. Once the fetch has stored the object at the cache server, the waiting reads are sent
+// there.
 func TestMissesOfOneKeyAreCoalesced(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	driver.readOtherKeys(20)
@@ -27,7 +28,7 @@
 	if got := actionsOf[Send](driver.endAttempt(leader, Succeeded, 50*ms)); !slices.Equal(got, want) {
 		t.Errorf("after the fetch: got %v, want %v", got, want)
 	}
-	// When a fetch fails, one of the requests that wait for it makes the next fetch.
+	// When a fetch fails, one of the requests that waited for its result makes the next fetch.
 	leader, _ = driver.request("high", "k9", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, _ = driver.request("high", "k9", nil)
@@ -47,8 +48,9 @@
 	leader, _ := driver.requestMiss("high", "k", nil)
 	driver.now += 10 * ms
 	follower, _ := driver.request("high", "k", nil)
-	// The leader's fetch is given up. The follower has not read the cache server yet, and does so before it fetches:
-	// without this read, the fetched object would not be stored there.
+	// When the leader's client disconnects, the leader's fetch is given up. The follower has not read the cache server
+	// yet, and must do so before it fetches: without this read, the fetched object would not be stored at the cache
+	// server.
 	driver.handle(ClientDisconnected{ID: leader})
 	driver.endAttempt(follower, Miss, ms)
 	sends := actionsOf[Send](driver.endAttempt(first, Succeeded, 50*ms))
--- a/internal/policy/decay/counts.go
+++ b/internal/policy/decay/counts.go
@@ -13,28 +13,34 @@
 type Time = time.Duration
 
 const (
-	otherRequestsPrior = 0.5 // requests for other keys that Popularity adds per server, for nodes with few samples
-	// minRequestsPerServer is the number of requests per server below which counts fade slowly, so that enough are left
-	// to estimate popularity from. With 300 nodes, gossip brings about this many samples per server in one second.
+	// otherRequestsPrior is how many more requests for other keys Popularity assumes, per server. Without them, a node
+	// that has counted only a few requests would regard their keys as popular.
+	otherRequestsPrior = 0.5
+	// minRequestsPerServer is the number of counted requests per server below which counts fade slowly. This leaves
+	// enough requests to estimate the popularity of keys from. With 300 nodes, gossip brings about this many samples
+	// per server in one second.
 	minRequestsPerServer = 4.0
-	window               = 1500 * time.Millisecond // time in which a count falls to 1/e, above minRequestsPerServer
-	sparseWindow         = 30 * time.Second        // time in which a count falls to 1/e, below minRequestsPerServer
+	// window is the time in which counts fall to 1/e while more than minRequestsPerServer are counted.
+	window = 1500 * time.Millisecond
+	// sparseWindow is the time in which counts fall to 1/e while at most minRequestsPerServer are counted.
+	sparseWindow = 30 * time.Second
 
-	seenThreshold = 1.5  // a key that counts for more requests than this was seen before the current request
-	keepDivisor   = 10   // a key that counts for less than 1/keepDivisor of a request is dropped
-	minDivisor    = 1e-9 // keeps divisors above zero
+	seenThreshold = 1.5  // a key that counts for more requests was seen before; the current request counts 1
+	keepDivisor   = 10   // Prune drops a key that counts for less than 1/keepDivisor of a new request
+	minDivisor    = 1e-9 // least value of a divisor, to avoid a division by zero
 )
 
 // Fade returns what is left of a count after the elapsed time. While the count is above the parameter enough, it falls
-// to 1/e in each window. Once about enough is left, the count falls to 1/e only in each sparseWindow.
+// to 1/e of its value in each window. Below the value of enough, the count falls to 1/e only in each sparseWindow.
 func Fade(count float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration) float64 {
 	return max(count*math.Exp(-float64(elapsed)/float64(window)),
 		min(count, enough)*math.Exp(-float64(elapsed)/float64(sparseWindow)))
 }
 
 // Increment returns the weight with which the next request counts. total is the sum of the weights of all requests so
-// far, and increment is the weight of the latest request. The returned weight is greater, so that earlier requests
-// count less in comparison. For the remaining parameters see Fade.
+// far, and increment is the weight of the latest request. The longer the elapsed time, the greater is the returned
+// weight. So earlier requests count less in comparison, without a change to their counts. For the remaining parameters
+// see Fade.
 func Increment(
 	total, increment float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration,
 ) float64 {
@@ -49,14 +55,14 @@
 type KeyCounts struct {
 	counts    map[gossip.Fingerprint]float64
 	total     float64 // sum of all counts
-	increment float64 // weight with which a request counts at present
+	increment float64 // weight of the latest request
 	totalAt   Time    // when total was last added to
 	pruneAt   Time    // when Prune next drops keys that are no longer requested
 }
 
-// Add counts a request for a key; servers is the number of cache servers. Samples from other nodes count like this
-// node's requests. Nodes report each request with the same probability, so a key's fraction of the counts is its
-// fraction of the requests of the whole fleet.
+// Add counts a request for a key; servers is the number of cache servers. Requests that other nodes report count like
+// this node's requests. Each node reports each of its requests with the same probability. So a key's fraction of the
+// counts is its fraction of the requests of the whole fleet.
 func (k *KeyCounts) Add(now Time, key gossip.Fingerprint, servers float64) {
 	if k.counts == nil {
 		k.counts, k.increment = map[gossip.Fingerprint]float64{}, 1
@@ -67,7 +73,8 @@
 	k.counts[key] += k.increment
 }
 
-// Popularity returns the requests for a key, without the latest one, as a multiple of an average server's requests.
+// Popularity returns how many requests for a key were counted, as a multiple of what an average server gets for all its
+// keys. The latest request for the key is left out.
 func (k *KeyCounts) Popularity(key gossip.Fingerprint, servers float64) float64 {
 	return max(0, k.counts[key]-k.increment) /
 		max(k.total+otherRequestsPrior*servers*k.increment, minDivisor) * servers
@@ -78,8 +85,8 @@
 	return k.counts[key] > seenThreshold*k.increment
 }
 
-// Prune drops keys that are no longer requested, and divides all counts by the present weight of a request. It does so
-// at most once in each sparseWindow.
+// Prune drops keys that are no longer requested. It also divides all counts by the weight of the latest request, which
+// would otherwise grow without bound. Prune does so at most once in each sparseWindow.
 func (k *KeyCounts) Prune(now Time) {
 	if now < k.pruneAt || k.counts == nil {
 		return
--- a/internal/policy/decay/counts_test.go
+++ b/internal/policy/decay/counts_test.go
@@ -8,9 +8,9 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestPopularityFollowsRequests counts 700 requests a second for 200 servers. A key that gets a tenth of the requests
-// brings as much load as 20 average servers have. KeyCounts must show its popularity within two seconds of the first
-// requests for it, and no longer show it 15 s after the last.
+// TestPopularityFollowsRequests counts 700 requests a second for 200 servers. A hot key, which gets a tenth of the
+// requests for 10.25 s, brings as much load as 20 average servers have. After 0.25 s KeyCounts must show a popularity
+// of at least 0.5, and at the end one of about 20. Another 15 s later the popularity must be 0.2 at most.
 func TestPopularityFollowsRequests(t *testing.T) {
 	const (
 		servers = 200
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFadeIsSlowBelowEnough checks that a count above Fade's parameter enough falls to 1/e in window, and a count below
-// enough falls to 1/e in the longer sparseWindow.
+// TestFadeIsSlowBelowEnough checks both speeds of Fade. A count above the parameter enough falls to 1/e of its value in
+// each window. A count below the parameter falls to 1/e only in each sparseWindow, which is longer.
 func TestFadeIsSlowBelowEnough(t *testing.T) {
 	const enough, window, sparseWindow = 10, time.Second, 10 * time.Second
 	for _, test := range []struct {
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -9,11 +9,11 @@
 	"shelfproxy/internal/discovery/polling"
 )
 
-// countPolls returns the number of polls (Subscribe actions) among the actions.
+// countPolls returns how many of the actions are polls of discovery (Subscribe).
 func countPolls(actions []Action) int { return len(actionsOf[Subscribe](actions)) }
 
-// TestPollsBackOff checks that the waits between failed polls grow, that the last endpoint list stays in use
-// meanwhile, and that a router whose watch works makes no polls.
+// TestPollsBackOff checks a router whose polls of discovery fail: the waits between polls must grow, and the last
+// endpoint list must stay in use. A router whose watch works must make no polls.
 func TestPollsBackOff(t *testing.T) {
 	settings := testSettings()
 	settings.MustPoll, settings.DrainGrace = true, 2500*ms
@@ -46,7 +46,7 @@
 }
 
 // TestServersThatLeftTheListAreForgotten checks that a router forgets servers that left the endpoint list. Otherwise
-// its memory would grow with every server that comes and goes.
+// its memory would grow with every server that was ever listed.
 func TestServersThatLeftTheListAreForgotten(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s0")
 	for i := range 200 {
@@ -58,8 +58,9 @@
 	}
 }
 
-// TestPollsOfAFleetAreSpread checks that routers that start together, or lose their watches together, spread their
-// polls over time. Each router has one poll in flight at a time, and uses its last endpoint list meanwhile.
+// TestPollsOfAFleetAreSpread checks that routers that start at the same time spread their polls of discovery over time,
+// and do so again when all these polls failed. Each router has one poll in flight at a time, and uses its last endpoint
+// list meanwhile.
 func TestPollsOfAFleetAreSpread(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MustPoll, settings.DrainGrace = 80, true, 2500*ms
@@ -98,15 +99,17 @@
 	}
 }
 
-// TestPollsKeepTheBoundsOfTheProtocol checks the bounds on polls for fleets of several sizes. A router is treated as
-// notified of a change 6 s after discovery could first have told it. The drain grace follows these 6 s. Each of these
-// cases has to fit into the 6 s and the drain grace together:
+// TestPollsKeepTheBoundsOfTheProtocol checks the bounds on polls of discovery for fleets of several sizes. A router
+// counts as notified of a change of the endpoint list 6 s after the change (updateKnownWithin). For the drain grace
+// after that, it may still send to servers that drain or are gone. So each of these cases has to end within 6 s plus
+// the drain grace:
 //   - A watch falls silent as a change is made: the router notices the silence, polls, and gets the answer.
 //   - Discovery recovers just after a router has begun a poll that fails: the router polls again and gets the answer.
-//   - The first poll after a start fails: the router makes a second poll.
+//   - The first poll after a start fails: the router makes a second poll; here upkeepInterval more is allowed.
 //
-// Polls of different routers are at least 5 ms apart on average. In runs with a whole fleet, one discovery service took
-// 5 ms to answer with a list of 200 servers. With a drain grace of only 500 ms, polls are at least 4 ms apart.
+// In fleets of up to 300 routers, the first polls of different routers are at least 5 ms apart on average. In runs with
+// a whole fleet, one discovery service took 5 ms to answer with a list of 200 servers. With a drain grace of only 500
+// ms, the polls are at least 4 ms apart on average.
 func TestPollsKeepTheBoundsOfTheProtocol(t *testing.T) {
 	for grace, pace := range map[time.Duration]time.Duration{2500 * ms: 5 * ms, 500 * ms: 4 * ms} {
 		for _, routers := range []int{1, 4, 80, 300, 1000} {
@@ -120,8 +123,8 @@
 	}
 }
 
-// checkPollBounds checks the longest times that a router takes for its polls. It also checks that the first polls of
-// all routers are spread so widely that the mean time between two of them is pace.
+// checkPollBounds checks the longest times that a router takes for its polls of discovery. In fleets of up to 300
+// routers, it also checks that the mean time between the first polls of different routers is at least pace.
 func checkPollBounds(t *testing.T, driver *routerDriver, pace time.Duration) {
 	t.Helper()
 	routers := driver.router.settings.Nodes
@@ -130,10 +133,11 @@
 	if worst := polling.WatchTimeout + upkeepInterval + spread + pollCallTimeout; worst > limit {
 		t.Errorf("poll after a silent watch: answered up to %v after a change, want at most %v", worst, limit)
 	}
-	for range 10 { // each failed poll makes the next wait longer
+	for range 10 { // each failed poll lengthens the wait for the next one
 		driver.router.polls.Failed(driver.now)
 	}
-	driver.router.polls.Jitter = func(wait time.Duration) time.Duration { return wait } // no jitter: the longest wait
+	// Without jitter the wait is as long as it can be.
+	driver.router.polls.Jitter = func(wait time.Duration) time.Duration { return wait }
 	failedAt := driver.now
 	driver.handle(EndpointUpdate{Scope: PollFailed})
 	for countPolls(driver.runUpkeep()) == 0 {
@@ -154,9 +158,10 @@
 }
 
 // TestAllRoutersHaveTheListInTime checks how long 300 routers take to get the endpoint list from one discovery service
-// that needs 5 ms for each answer. The time counts from when the list is available. The bound is the time after which a
-// router is treated as notified of a change, plus the drain grace. The cases are: all watches fall silent at once, the
-// service was down for 8 s, and all routers move to another service in the same moment.
+// that needs 5 ms for each answer. The time counts from when the service can give the list. It must not exceed
+// updateKnownWithin (the time after which a router counts as notified of a change) plus the drain grace. In the three
+// cases, all watches fall silent at once, the service was down for 8 s, or all routers move to another service in the
+// same moment.
 func TestAllRoutersHaveTheListInTime(t *testing.T) {
 	for name, test := range map[string]listRecovery{
 		"watches fall silent":        {isWatchUnresponsive: true},
@@ -172,14 +177,16 @@
 	}
 }
 
-// listRecovery says how all routers lose the endpoint list before they get it again.
+// listRecovery describes one case of TestAllRoutersHaveTheListInTime: how all routers lose the endpoint list before
+// they get it again.
 type listRecovery struct {
 	isWatchUnresponsive bool
 	downFor             time.Duration
 	isMoved             bool
 }
 
-// timeToRecover returns the time from when the list is available again until the last router has it.
+// timeToRecover returns how long the last router takes to get the endpoint list, counted from when discovery can give
+// it.
 func (test listRecovery) timeToRecover(t *testing.T, fleet *simulatedFleet) (last time.Duration) {
 	t.Helper()
 	began := fleet.drivers[0].now
@@ -210,7 +217,7 @@
 	return last
 }
 
-// stepOne advances one router by one step and reports whether the router got the list in this step.
+// stepOne advances one router by one step and reports whether the router got the endpoint list in this step.
 func (test listRecovery) stepOne(fleet *simulatedFleet, service *discoveryService, step, index int, began Time) bool {
 	driver, hasList := fleet.drivers[index], false
 	driver.now += stepTime
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -32,7 +32,7 @@
 	// The cache server does not hold the key of this read, so the read goes on to the origin.
 	show(now, policy.Request{ID: 2, Key: "item/2", Class: "read", Deadline: now + time.Second})
 	show(now, policy.Outcome{ID: 2, Reason: policy.Miss, Took: time.Millisecond})
-	// This request is rejected, because no server is listed any more.
+	// This list is empty. The next request is rejected, because no server is listed any more.
 	show(now, policy.EndpointUpdate{Scope: policy.FullUpdate})
 	show(now, policy.Request{ID: 3, Key: "item/3", Class: "read", Deadline: now + time.Second})
 	// Output:
--- a/internal/policy/explain_test.go
+++ b/internal/policy/explain_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestExplainNamesTheServersOfAKey checks the list of servers in an explanation. The server that requests for the key
-// are sent to comes first. Servers that get no requests come last, with the reasons why they get none. An explanation
-// must not change the state of the router.
+// TestExplainNamesTheServersOfAKey checks the list of servers that an explanation of a key's routing contains. The
+// server to which the key's requests go comes first. Servers that get no requests come last, with the reasons. An
+// explanation must not change the state of the router.
 func TestExplainNamesTheServersOfAKey(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(5)...)
 	state := func() string {
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -11,7 +11,7 @@
 const stepTime = 10 * ms
 
 // simulatedFleet is a group of routers that all see the same servers; each router gets a small part of the requests. A
-// gossip datagram arrives in the step after it was sent, or is lost.
+// gossip datagram that one router sends arrives at the other routers in the next step, or is lost.
 type simulatedFleet struct {
 	drivers      []*routerDriver
 	undelivered  []GossipReceived
@@ -21,8 +21,8 @@
 	healthChecks int
 }
 
-// newFleet returns a fleet of routers that all have the same endpoint list. Without gossip each router knows only what
-// it observes itself.
+// newFleet returns a fleet of routers that all have the same endpoint list. With mayGossip false, each router knows
+// only what it observes itself.
 func newFleet(t *testing.T, routers int, mayGossip bool, lossRate float64, servers ...string) *simulatedFleet {
 	t.Helper()
 	fleet := &simulatedFleet{lossRate: lossRate, rng: rand.New(rand.NewPCG(1, 1))}
@@ -36,8 +36,8 @@
 	return fleet
 }
 
-// carryOut carries out the actions of a router: it keeps gossip datagrams for delivery and answers health checks. A
-// health check of a server that is down fails.
+// carryOut carries out those actions of a router that concern gossip or health checks. Gossip datagrams are kept for
+// delivery. A health check fails if isDown says that the server is down.
 func (fleet *simulatedFleet) carryOut(from int, actions []Action, isDown func(server string) bool) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// tick advances one router by one step. The router receives the datagrams that are not lost, and does its periodic work
-// in the steps that isUpkeepStep selects, four times a second.
+// tick advances one router by one step (stepTime). The router receives the datagrams of other routers that are not
+// lost. In the steps that isUpkeepStep selects, four times a second, it also does its periodic work.
 func (fleet *simulatedFleet) tick(step, index int, received []GossipReceived, isDown func(server string) bool) {
 	driver := fleet.drivers[index]
 	driver.now += stepTime
@@ -74,7 +74,7 @@
 // isUpkeepStep reports whether a router does its periodic work in this step. The routers do it in different steps.
 func isUpkeepStep(step, index int) bool { return (step+index)%int(upkeepInterval/stepTime) == 0 }
 
-// takeUndelivered removes and returns the datagrams that were sent since the last step.
+// takeUndelivered removes and returns the gossip datagrams that were sent since the last step.
 func (fleet *simulatedFleet) takeUndelivered() []GossipReceived {
 	received := fleet.undelivered
 	fleet.undelivered = nil
@@ -84,8 +84,8 @@
 // neverDown is the isDown function of a fleet whose servers are all up.
 func neverDown(string) bool { return false }
 
-// drawKey returns a random one of 5000 keys. If there is a hot key, drawKey returns the hot key with a probability of
-// 0.1.
+// drawKey returns a key that is picked at random from 5000 keys. If there is a hot key, drawKey returns the hot key
+// instead with a probability of 0.1.
 func (fleet *simulatedFleet) drawKey(hasHotKey bool) string {
 	if hasHotKey && fleet.rng.IntN(10) == 0 {
 		return "hot"
@@ -94,8 +94,8 @@
 }
 
 // serveStep advances all routers by one step and returns the number of attempts at each server. Each router serves one
-// request every upkeepInterval. The function answer says how an attempt at a server ends; TimedOut stands for a slow
-// answer.
+// request every upkeepInterval, so only some routers serve one in this step. The function answer returns how an attempt
+// at a server ends; TimedOut stands for an answer that takes 2 s.
 func (fleet *simulatedFleet) serveStep(step int, answer func(server string) Reason) (attempts map[string]int) {
 	attempts = map[string]int{}
 	isDown := func(server string) bool { return answer(server) == NoConnection }
@@ -148,16 +148,16 @@
 	isSucceeded bool
 }
 
-// discoveryService simulates a discovery service that answers polls one after the other. Each poll takes a while. A
-// poll fails if it would have to wait for too long.
+// discoveryService simulates a discovery service that answers polls one after the other. Each answer takes perPoll. A
+// poll that would not be answered within pollCallTimeout fails.
 type discoveryService struct {
 	perPoll   time.Duration
-	idleAt    Time // when the service will have answered all polls that it has received
+	idleAt    Time // when the service will have answered all polls so far
 	downUntil Time // polls before this time fail at once
 	responses map[int]pollResponse
 }
 
-// poll takes a poll of a router and puts its response into responses, which is indexed by the number of the router.
+// poll handles a poll of a router: it sets when and how the poll ends in responses, by the index of the router.
 func (service *discoveryService) poll(now Time, router int) {
 	if now < service.downUntil {
 		service.responses[router] = pollResponse{at: now + ms}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -7,7 +7,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenExplanation compares the JSON of explanations with a golden file, as operators' scripts read this JSON.
+// TestGoldenExplanation compares the JSON of explanations of a key's routing with a golden file. Operators' scripts
+// read this JSON, so it must not change by accident.
 func TestGoldenExplanation(t *testing.T) {
 	full := Explanation{
 		Key:        "anna",
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestFleetFindsAnOutlierWithGossip checks that gossip lets a fleet of 60 routers find an outlier. Each router has 4
-// requests a second for 40 servers, so it sends to any one server only every ten seconds. Together the routers must
-// find the outlier within a few seconds, and give its keys back when it has recovered.
+// TestFleetFindsAnOutlierWithGossip checks that gossip lets a fleet of 60 routers find an outlier: a server that is
+// slow or returns errors. Each router has 4 requests a second for 40 servers, so it sends to any one server only every
+// ten seconds. Together the routers must find the outlier within 6 s, and give it its keys back when it has recovered.
 func TestFleetFindsAnOutlierWithGossip(t *testing.T) {
 	const (
 		outlierID       = "s20"
 		badFrom         = 800
-		foundBy         = 1400 // 6 s after badFrom, as some router has to send to the outlier twice first
+		foundBy         = 1400 // 6 s (600 steps) after badFrom, as a router has to send to the outlier twice
 		goodFrom        = 1800
 		recoveredBy     = 2600
 		steps           = 3400
@@ -21,7 +21,9 @@
 		maxDatagramSize = 256
 	)
 	for name, bad := range map[string]Reason{"errors": Errored, "slow": TimedOut} {
-		attemptShare := map[bool]float64{} // attempts at the bad outlier divided by its usual attempts; by mayGossip
+		// attemptShare holds how many attempts the outlier gets while it is bad, as a fraction of its attempts in the
+		// same time before; by whether the fleet gossips.
+		attemptShare := map[bool]float64{}
 		for _, mayGossip := range []bool{false, true} {
 			fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(40)...)
 			before, during, after := 0, 0, 0
@@ -34,7 +36,7 @@
 					return Succeeded
 				})
 				switch {
-				case step < badFrom: // 8 s long, as each server gets only six attempts a second
+				case step < badFrom: // the first 8 s; a shorter time has too few attempts, at six a second
 					before += attempts[outlierID]
 				case step >= foundBy && isBad:
 					during += attempts[outlierID]
@@ -61,15 +63,15 @@
 }
 
 // TestFleetAgreesThatAServerIsUnresponsive checks that the routers that find a server unresponsive tell the others by
-// gossip, so that not every router has to check the server. An old observation that the server responds, reported by
-// some router, must not keep the server in use.
+// gossip, so that not every router has to check the server itself. A router may still report by gossip that the server
+// responds, from an older observation. Such a report must not keep the server in use.
 func TestFleetAgreesThatAServerIsUnresponsive(t *testing.T) {
 	const (
 		downID    = "s15"
 		downFrom  = 300
 		downUntil = 1100
 	)
-	healthChecks := map[bool]int{} // number of health checks of the whole fleet, with gossip (true) or without
+	healthChecks := map[bool]int{} // health checks by the whole fleet, with gossip (true) or without
 	for _, mayGossip := range []bool{false, true} {
 		fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(20)...)
 		for step := range 1500 {
@@ -96,7 +98,7 @@
 	}
 }
 
-// TestReceivedGossipIsNotPassedOn checks that a router sends no gossip about observations that it received as gossip:
+// TestReceivedGossipIsNotPassedOn checks that a router does not send on what it learned by gossip from other routers:
 // otherwise an observation would circulate for ever. A malformed datagram must have no effect.
 func TestReceivedGossipIsNotPassedOn(t *testing.T) {
 	settings := testSettings()
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -11,7 +11,7 @@
 // originID is the id of the origin in these tests; no cache server has this id.
 const originID = "o"
 
-// testSettings returns the settings of a router that may do everything except gossip.
+// testSettings returns the settings of a router that may make health checks and cancel attempts, but may not gossip.
 func testSettings() Settings {
 	return Settings{
 		Nodes: 2, OriginKind: "origin", OverQuotaFraction: 0.1, MayHealthCheck: true, MayCancel: true,
@@ -36,7 +36,8 @@
 	}
 }
 
-// routerDriver feeds events to one router. It is not a simulation: the test writes out every event.
+// routerDriver feeds events to one router. It simulates no servers: a test has to pass every event, such as the end of
+// an attempt, to the router itself.
 type routerDriver struct {
 	t         *testing.T
 	router    *Router
@@ -62,7 +63,7 @@
 }
 
 // newTrainedDriver returns the driver of a router that has learned that its origin answers in 50 ms at low load. The
-// cache servers are s1 to s3 and those in more.
+// cache servers are s1, s2, s3 and the servers named in more.
 func newTrainedDriver(t *testing.T, more ...string) *routerDriver {
 	t.Helper()
 	driver := newDriver(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
@@ -79,8 +80,8 @@
 	return actions
 }
 
-// request sends the router a read whose deadline is in two seconds, and returns its id and the actions. If change is
-// not nil, it modifies the request first.
+// request sends the router a read whose deadline is in two seconds, and returns the read's id and the router's actions.
+// If change is not nil, it can modify the read first, for example make it a write.
 func (driver *routerDriver) request(class, key string, change func(*Request)) (uint64, []Action) {
 	event := Request{ID: driver.nextID, Class: class, Key: key, Deadline: driver.now + 2*time.Second}
 	if change != nil {
@@ -96,7 +97,8 @@
 // ofTenant changes a request into a request of the tenant named t, which has a quota.
 func ofTenant(request *Request) { request.Tenant = "t" }
 
-// requestMiss sends the router a read and ends its attempt at the cache server with a miss.
+// requestMiss sends the router a read and, if the router sends it to a server, ends the attempt with a miss. It returns
+// the read's id and the router's last actions.
 func (driver *routerDriver) requestMiss(class, key string, change func(*Request)) (uint64, []Action) {
 	id, actions := driver.request(class, key, change)
 	if len(actionsOf[Send](actions)) == 1 {
@@ -112,18 +114,18 @@
 	})
 }
 
-// runUpkeep fires the timer of the router's periodic work and returns the actions.
+// runUpkeep fires the timer of the router's periodic work, which is due every 250 ms, and returns the actions.
 func (driver *routerDriver) runUpkeep() []Action {
 	return driver.handle(TimerFired{Token: upkeepToken})
 }
 
-// restart tells the router, by a change of the endpoint list, that a cache server has just restarted and is now in the
-// given zone.
+// restart gives the router a changed entry of the endpoint list. The entry says that a cache server has just restarted
+// and that the server is in the given zone.
 func (driver *routerDriver) restart(id, zone string) {
 	driver.update(Server{ID: id, Kind: "cache", Zone: zone, Capacity: 1, StartedAt: driver.now})
 }
 
-// update passes changed entries of the endpoint list to the router.
+// update gives the router changed entries of the endpoint list. All other entries stay as they were.
 func (driver *routerDriver) update(changed ...Server) {
 	driver.handle(EndpointUpdate{Scope: DeltaUpdate, Servers: changed})
 }
@@ -137,8 +139,8 @@
 	}
 }
 
-// readOtherKeys sends reads of keys that tests do not use otherwise. Without these reads, a key that a test reads again
-// and again would get most of all requests, which would make it a hot key.
+// readOtherKeys sends reads of keys that tests do not use otherwise. Without these reads, the key that a test reads
+// would get most of all requests, which would make it a hot key.
 func (driver *routerDriver) readOtherKeys(count int) {
 	for range count {
 		id, _ := driver.request("high", fmt.Sprint("other", driver.nextID), nil)
@@ -164,7 +166,8 @@
 	return ""
 }
 
-// sentTo returns the server of the only Send among the actions. It fails the test unless there is exactly one.
+// sentTo returns the server to which the router sends an attempt. It fails the test unless exactly one of the actions
+// is a Send.
 func (driver *routerDriver) sentTo(actions []Action) string {
 	driver.t.Helper()
 	sends := actionsOf[Send](actions)
--- a/internal/policy/healthcheck_test.go
+++ b/internal/policy/healthcheck_test.go
@@ -7,8 +7,9 @@
 )
 
 // TestCorruptResponsesAndResetsDoNotTakeAServerOut checks that a server keeps its keys after a corrupt response, a
-// broken connection, or a health check whose connection breaks. A read with a corrupt response is retried at the same
-// server, where its object is. Two health checks without an answer do take the server out.
+// broken connection, or a health check whose connection breaks. After a corrupt response, the read is retried at the
+// same server first, because the object is there. Two health checks without a connection do take the server's keys
+// away.
 func TestCorruptResponsesAndResetsDoNotTakeAServerOut(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	ownerID := driver.ownerOf("k")
@@ -38,9 +39,9 @@
 	}
 }
 
-// TestServerIsOutAfterTwoFailedHealthChecks checks that a server is regarded as unresponsive after two failed health
-// checks. Its attempts in flight are cancelled and tried elsewhere. Once the server responds again, its slow start
-// begins.
+// TestServerIsOutAfterTwoFailedHealthChecks checks that a server counts as unresponsive after two failed health checks.
+// The server's attempts in flight are then cancelled, and their requests go to other servers. Once the server responds
+// again, its slow start begins.
 func TestServerIsOutAfterTwoFailedHealthChecks(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -89,7 +90,7 @@
 	}
 }
 
-// awaitHealthCheck runs rounds of upkeep until the router starts a health check.
+// awaitHealthCheck repeats the router's periodic work until the router starts a health check.
 func (driver *routerDriver) awaitHealthCheck() {
 	driver.t.Helper()
 	for range 1000 {
@@ -102,8 +103,9 @@
 	driver.t.Fatal("no health check in 1000 rounds of upkeep")
 }
 
-// TestOneFailedConnectDoesNotTakeAServerOut checks that one failed connect does not take a server out, as a full
-// connection table may be the cause. The request goes to another server, and the first server gets a health check.
+// TestOneFailedConnectDoesNotTakeAServerOut checks that a server does not count as unresponsive after one failed
+// connect, as a full connection table may be the cause. The request goes to another server, and the first server gets a
+// health check.
 func TestOneFailedConnectDoesNotTakeAServerOut(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	id, actions := driver.request("high", "k", nil)
@@ -117,8 +119,8 @@
 	}
 }
 
-// TestRechecksArePacedByTheFleetSize checks that the time between a router's checks of an unresponsive server grows
-// with the number of routers.
+// TestRechecksArePacedByTheFleetSize checks that a router in a larger fleet waits longer between its health checks of
+// an unresponsive server.
 func TestRechecksArePacedByTheFleetSize(t *testing.T) {
 	for routers, want := range map[int]struct{ least, most int }{2: {15, 20}, 400: {4, 5}} {
 		settings := testSettings()
@@ -126,7 +128,7 @@
 		driver := newDriver(t, settings, "s1", "s2")
 		driver.router.markUnresponsive(driver.router.serverByID["s1"])
 		got := 0
-		for range 80 { // 80 rounds of upkeep take 20 s
+		for range 80 { // 80 times upkeepInterval are 20 s
 			driver.now += upkeepInterval
 			for _, check := range actionsOf[HealthCheck](driver.runUpkeep()) {
 				if check.Server == "s1" {
@@ -142,8 +144,9 @@
 }
 
 // TestUnresponsiveServerIsFoundWithoutHealthChecks checks how a router that must not use health checks treats a server
-// that accepts no connections. After a few failed attempts the server loses its keys and gets one attempt at a time.
-// When the server answers again, it gets its keys back. Its zone must not count as unreachable.
+// that accepts no connections. After a few failed attempts the server loses its keys; from then on, it gets a single
+// attempt now and then. When the server answers again, it gets its keys back. Its zone, in which it is the only server,
+// must not count as unreachable.
 func TestUnresponsiveServerIsFoundWithoutHealthChecks(t *testing.T) {
 	settings := testSettings()
 	settings.MayHealthCheck, settings.Zone = false, "a"
@@ -178,7 +181,7 @@
 	if got := attemptsAtFar(20*time.Second, true); got == 0 || got > 6 {
 		t.Errorf("20 s at a server that is left out: got %d attempts, want 1 to 6", got)
 	}
-	if got := attemptsAtFar(30*time.Second, false); got < 300 { // in slow start the server gets only some attempts
+	if got := attemptsAtFar(30*time.Second, false); got < 300 { // in slow start the server gets only some requests
 		t.Errorf("30 s at a server that is back: got %d of 1500 requests, want at least 300", got)
 	}
 }
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -9,7 +9,7 @@
 // its owner alone.
 func TestHotKeyIsSpreadOverServers(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4")
-	sends := map[string]int{} // number of attempts for the hot key, by server
+	sends := map[string]int{} // number of attempts for the hot key, by the id of the server
 	for i := range 400 {
 		key := "hot"
 		if i%2 == 0 {
@@ -25,9 +25,10 @@
 	}
 }
 
-// TestFleetSpreadsHotKeySoonerWithGossip checks that a fleet spreads a hot key sooner with gossip. Each of 100 routers
-// has 10 requests a second for 50 servers. At one moment one key becomes hot: a tenth of the requests are for it. A
-// single router gets the key once a second; together the routers must spread it within one second.
+// TestFleetSpreadsHotKeySoonerWithGossip checks that a fleet spreads a hot key over several servers sooner with gossip.
+// Each of 100 routers has 10 requests a second for 50 servers. At one moment a key becomes hot: from then on, a tenth
+// of all requests are for this key. A single router gets a request for the key once a second. Half a second after this
+// moment, counting begins: with gossip, the owner must get at most 0.6 of the requests that it gets without.
 func TestFleetSpreadsHotKeySoonerWithGossip(t *testing.T) {
 	const hotFrom, countFrom, steps = 1000, 1050, 1150
 	ownerShare := map[bool]float64{} // the owner's fraction of the hot key's requests, with gossip (true) or without
@@ -62,8 +63,9 @@
 	}
 }
 
-// TestHotKeysOfSmallServersAreSpreadSooner checks that a server's fair share depends on its capacity, so that a hot
-// key of a small server is spread at a lower popularity.
+// TestHotKeysOfSmallServersAreSpreadSooner checks that a key is spread over several servers once it exceeds its owner's
+// fair share of the requests. A server of low capacity has a small fair share, so its keys are spread at a lower
+// popularity.
 func TestHotKeysOfSmallServersAreSpreadSooner(t *testing.T) {
 	const small, large = 1.0, 9.0
 	settings := testSettings()
@@ -75,13 +77,16 @@
 	}
 	driver.handle(list)
 	driver.readOtherKeys(400)
-	isSpread := map[float64]map[string]bool{small: {}, large: {}} // whether each key is spread, by its owner's capacity
+	// isSpread holds, by the owner's capacity and by key, whether requests for a key went to other servers too.
+	isSpread := map[float64]map[string]bool{small: {}, large: {}}
 	for i := range 40 {
 		key := fmt.Sprint("warm", i)
 		order := driver.router.orderOf(slotOf(key), &request{})
 		owner := order.next()
 		spread := isSpread[owner.Capacity]
-		for range 6 { // the key gets 0.15 to 0.25 of an average server's requests; relative capacities are 0.2 and 1.8
+		// After six reads the key has had 0.15 to 0.25 of an average server's requests. A small server has 0.2 of the
+		// average server's capacity (1 of 5), and a large one 1.8 (9 of 5).
+		for range 6 {
 			id, actions := driver.request("high", key, nil)
 			spread[key] = spread[key] || driver.sentTo(actions) != owner.ID
 			driver.endAttempt(id, Succeeded, ms)
--- a/internal/policy/limits_test.go
+++ b/internal/policy/limits_test.go
@@ -16,7 +16,8 @@
 	tabCharacters = 4
 )
 
-// TestSourceFilesStayShort checks that no file other than a test is too long for a newcomer to read.
+// TestSourceFilesStayShort checks that no file other than a test is too long, or has lines too wide, for a newcomer to
+// read.
 func TestSourceFilesStayShort(t *testing.T) {
 	checked := 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
--- a/internal/policy/locality/weight_test.go
+++ b/internal/policy/locality/weight_test.go
@@ -7,11 +7,12 @@
 )
 
 // redirectedFraction returns the fraction of requests that go to a server of the own zone instead of the owner of their
-// key. The own zone has the fraction home of all servers, and the servers of other zones have the given weight.
+// key. home is the fraction of all servers that is in the own zone. weight is the weight of each server of another
+// zone.
 func redirectedFraction(home, weight float64) float64 { return home/(home+(1-home)*weight) - home }
 
-// TestWeightFollowsTheLoad checks that the weight of other zones falls while nothing is overloaded, and rises if the
-// own zone, all zones or the origin are overloaded.
+// TestWeightFollowsTheLoad checks that the weight of the other zones' servers falls while nothing is overloaded, and
+// rises if the own zone, all zones or the origin are overloaded.
 func TestWeightFollowsTheLoad(t *testing.T) {
 	quiet := Load{OriginUtilisation: 0.1, ZoneUtilisation: 0.1, CacheUtilisation: 0.1}
 	for name, test := range map[string]struct {
@@ -39,8 +40,9 @@
 	}
 }
 
-// TestWeightStaysWithinBounds checks the bounds of the weight and the affinity budget under random loads. After 4 s of
-// overload the weight must be back at 1.
+// TestWeightStaysWithinBounds checks the weight of the other zones' servers under random loads. It must stay between
+// minZoneWeight and 1. No larger fraction of requests than AffinityBudget may go to the own zone instead of the owner
+// of their key. After 4 s of overload the weight must be 1 again, which means no preference for the own zone.
 func TestWeightStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1)
@@ -72,7 +74,8 @@
 	})
 }
 
-// TestAffinityBudgetIsUsed checks that at least 0.9 of the affinity budget is used while nothing is overloaded,
+// TestAffinityBudgetIsUsed checks that the own zone is preferred almost as much as AffinityBudget allows while nothing
+// is overloaded. At least 0.9 of the allowed requests must go to the own zone instead of the owner of their key,
 // whatever fraction of the servers is in the own zone.
 func TestAffinityBudgetIsUsed(t *testing.T) {
 	for _, home := range []float64{0.1, 0.25, 0.5, 0.9} {
--- a/internal/policy/originqueue_test.go
+++ b/internal/policy/originqueue_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin checks that writes beyond a tenant's quota are sent at once to an
-// origin that is not overloaded. At an overloaded origin they wait behind the writes within their quota.
+// origin that is not overloaded. At an overloaded origin, these writes wait until the writes within a quota have been
+// sent.
 func TestOverQuotaWritesWaitOnlyForAnOverloadedOrigin(t *testing.T) {
 	driver := newTrainedDriver(t)
 	writeOfTenant := func(request *Request) {
@@ -23,7 +24,7 @@
 		t.Errorf("quiet origin: got %v, want the write beyond the quota sent", actions)
 	}
 	driver.feedOrigin(60, time.Second, TimedOut)
-	driver.request("high", "k", writeOfTenant) // this write takes the last slot of the origin
+	driver.request("high", "k", writeOfTenant) // this write fills the origin to its limit of attempts in flight
 	driver.request("high", "k", writeOfTenant)
 	if _, actions := driver.request("high", "k", writeOfTenant); len(actionsOf[Send](actions)) > 0 {
 		t.Errorf("overloaded origin: got %v, want the write beyond the quota to wait", actions)
@@ -43,9 +44,9 @@
 	t.Error("no queued write was sent when the origin had a free slot again")
 }
 
-// TestOriginQueueServesWritesThenPopularFetches checks the order of the queue of an origin that has no free slot:
-// writes first, then the fetch that most requests wait for. A request that can no longer be answered in time is
-// rejected, and the other requests that wait for its fetch go on.
+// TestOriginQueueServesWritesThenPopularFetches checks the order of the queue in front of an origin that has no free
+// slot: writes first, then the fetch that most requests wait for. A queued fetch that can no longer be answered in time
+// is rejected, and leaves the queue.
 func TestOriginQueueServesWritesThenPopularFetches(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
@@ -67,7 +68,7 @@
 		}
 		inFlight = want
 	}
-	driver.now += 400 * ms // the fetch that is left can no longer be answered within 500 ms
+	driver.now += 400 * ms // too little of 500 ms is left for the lone fetch, which still waits in the queue
 	if got := actionsOf[Reject](driver.handle(TimerFired{Token: lone})); len(got) != 1 || got[0].ID != lone {
 		t.Errorf("too late: got %v rejected, want the lone fetch %d", got, lone)
 	}
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestSlowOriginGetsFewerAttempts checks that fewer attempts are in flight at the origin when more of its answers are
-// late, however many requests arrive.
+// TestSlowOriginGetsFewerAttempts checks that a router lowers the number of its attempts in flight at the origin when
+// many of the origin's answers are late, however many requests arrive.
 func TestSlowOriginGetsFewerAttempts(t *testing.T) {
 	driver := newTrainedDriver(t)
 	most := 0
--- a/internal/policy/outlier/budget.go
+++ b/internal/policy/outlier/budget.go
@@ -12,11 +12,11 @@
 // Server is a node's view of one server.
 type Server struct {
 	Capacity float64 // capacity relative to the other servers, above 0
-	// UnavailableFraction is the fraction of Capacity that is out for reasons other than ejection. It is 1 if the
-	// server drains or is unresponsive; during slow start it is the fraction of its slots that the server does not have
-	// yet.
+	// UnavailableFraction is the fraction of Capacity that can't be used, for reasons other than ejection. It is 1 if
+	// the server drains or is unresponsive. During slow start it is the fraction of its slots that the server does not
+	// have yet.
 	UnavailableFraction float64
-	EjectionFraction    float64 // fraction of its keys that the server should give up as an outlier
+	EjectionFraction    float64 // fraction of its keys that the server should give up because it is an outlier
 	TieBreaker          uint64  // orders servers of equal EjectionFraction; each node uses the same value
 }
 
@@ -33,9 +33,10 @@
 
 // Grant sets granted[i] to the fraction of its keys that servers[i] gives up; both slices must have the same length.
 // Unavailable capacity is charged to the budget first; if it alone exceeds the budget, no server gives up keys. Then
-// each server gives up its EjectionFraction while the budget lasts, the worst server first. Nodes with the same view
-// grant the same fractions, so the capacity that all nodes eject stays near the budget. The result is true if a server
-// gives up less than its EjectionFraction because of the budget.
+// the servers give up keys in the order of EjectionFraction, the highest first, each as much as its EjectionFraction
+// while the budget lasts. Nodes with the same view grant the same fractions, so the capacity that all nodes together
+// eject stays near the budget. The result is true if a server gives up less than its EjectionFraction because of the
+// budget.
 func (b Budget) Grant(servers []Server, granted []float64) (isLimited bool) {
 	left := b.left(servers)
 	clear(granted)
@@ -54,8 +55,8 @@
 	return isLimited
 }
 
-// left returns the capacity that may still be ejected. The result is negative if more is unavailable than the budget
-// allows.
+// left returns how much capacity may be ejected. The result is negative if the unavailable capacity alone exceeds the
+// budget.
 func (b Budget) left(servers []Server) float64 {
 	var total, left float64
 	for _, server := range servers {
@@ -65,7 +66,8 @@
 	return left + total*b.MaxFraction
 }
 
-// ejectionOrder returns the indexes of the servers that have keys to give up, the worst first.
+// ejectionOrder returns the indexes of the servers that should give up keys, the highest EjectionFraction first. A
+// server whose whole capacity is unavailable is left out.
 func ejectionOrder(servers []Server) []int {
 	order := make([]int, 0, len(servers))
 	for i, server := range servers {
@@ -80,8 +82,8 @@
 	return order
 }
 
-// IsSpent reports whether the unavailable capacity and the capacity that outliers should give up together reach the
-// budget. If so, no server may be taken out only because other nodes report it as unresponsive.
+// IsSpent reports whether the budget is used up by the unavailable capacity together with the capacity that outliers
+// should give up. If so, no server may be taken out only because other nodes report it as unresponsive.
 func (b Budget) IsSpent(servers []Server) bool {
 	if !b.IsBounded() {
 		return false
--- a/internal/policy/outlier/budget_test.go
+++ b/internal/policy/outlier/budget_test.go
@@ -11,7 +11,7 @@
 // tolerance is the allowed rounding error of sums of floating-point numbers.
 const tolerance = 1e-9
 
-// newFleet returns servers of capacity 1 after calling change for each.
+// newFleet returns servers of capacity 1. It calls change for each server, so that change can set the other fields.
 func newFleet(count int, change func(i int, server *Server)) []Server {
 	servers := make([]Server, count)
 	for i := range servers {
@@ -21,7 +21,8 @@
 	return servers
 }
 
-// outliers returns a change that sets EjectionFraction of the servers with indexes in [from, until).
+// outliers returns a function for newFleet that sets EjectionFraction of the servers with the indexes from, from+1 and
+// so on, below until.
 func outliers(from, until int, ejectionFraction float64) func(int, *Server) {
 	return func(i int, server *Server) {
 		if i >= from && i < until {
@@ -30,7 +31,7 @@
 	}
 }
 
-// unavailable returns a change that sets UnavailableFraction of the servers with indexes below until.
+// unavailable returns a function for newFleet that sets UnavailableFraction of the servers with indexes below until.
 func unavailable(until int, fraction float64) func(int, *Server) {
 	return func(i int, server *Server) {
 		if i < until {
@@ -39,7 +40,7 @@
 	}
 }
 
-// both returns a change that applies two changes to each server.
+// both returns a function for newFleet that applies two changes to each server.
 func both(first, other func(int, *Server)) func(int, *Server) {
 	return func(i int, server *Server) {
 		first(i, server)
@@ -47,7 +48,7 @@
 	}
 }
 
-// ejected returns the capacity that the servers give up by the granted fractions.
+// ejected returns the capacity that the servers give up if each gives up its granted fraction.
 func ejected(servers []Server, granted []float64) (capacity float64) {
 	for i, server := range servers {
 		capacity += server.Capacity * (1 - server.UnavailableFraction) * granted[i]
@@ -55,8 +56,8 @@
 	return capacity
 }
 
-// TestGrantEjectsTheWorstWithinTheBudget checks that outliers give up their EjectionFraction while the budget lasts, and
-// that unavailable capacity is charged to the budget.
+// TestGrantEjectsTheWorstWithinTheBudget checks that outliers give up their EjectionFraction while the budget lasts,
+// and that capacity that is unavailable for other reasons leaves less of the budget for ejections.
 func TestGrantEjectsTheWorstWithinTheBudget(t *testing.T) {
 	everyEighth := func(i int, server *Server) {
 		if i%8 == 0 {
@@ -66,7 +67,7 @@
 	for name, test := range map[string]struct {
 		maxFraction float64
 		servers     []Server
-		wantEjected float64 // ejected capacity
+		wantEjected float64 // sum of the capacity that all servers give up
 		wantLimited bool
 	}{
 		"no bound":                       {0, newFleet(10, outliers(0, 8, 0.95)), 7.6, false},
@@ -89,9 +90,9 @@
 	}
 }
 
-// TestGrantStaysWithinTheBudget checks Grant with random fleets. No more capacity may be ejected than the budget has
-// left after the unavailable capacity. The worst servers are ejected first. The order of the slice must not change the
-// result.
+// TestGrantStaysWithinTheBudget checks Grant with random fleets. The ejected and the unavailable capacity together must
+// not exceed the budget; if the unavailable capacity alone exceeds it, nothing may be ejected. The servers with the
+// highest EjectionFraction must be ejected first. The order of the slice must not change the result.
 func TestGrantStaysWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fraction := rapid.Float64Range(0, 1)
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -8,9 +8,10 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// TestOutliersKeepTheirKeysPastTheEjectionBudget checks that outliers keep keys when there are more outliers than the
-// ejection budget allows. A quarter of the servers drain, which uses up part of the budget. With the budget spent, a
-// server that other nodes report as unresponsive stays in use until a health check of this router fails.
+// TestOutliersKeepTheirKeysPastTheEjectionBudget checks that outliers (servers that fail more often than the others)
+// keep keys that they would lose if there were no ejection budget. A quarter of the servers drain, which uses up part
+// of the budget; the outliers use up the rest. With the budget used up, a server that other nodes report as
+// unresponsive must stay in use until a health check of this router fails.
 func TestOutliersKeepTheirKeysPastTheEjectionBudget(t *testing.T) {
 	retainedFraction := func(budget float64) (fraction float64) {
 		settings := testSettings()
@@ -53,14 +54,14 @@
 	}
 }
 
-// TestOutliersGiveUpSlots checks that a server that is slow or fails far more often than the others keeps few of its
-// slots, and that it keeps the same slots at every router. When the server has recovered, it gets all slots back. If
-// all servers are slow, none of them is an outlier.
+// TestOutliersGiveUpSlots checks that a server that is slow or fails far more often than the others keeps only few of
+// its slots. Other servers keep all of theirs. When the bad answers are long past, the server gets nearly all slots
+// back. If all servers are slow, none of them is an outlier.
 func TestOutliersGiveUpSlots(t *testing.T) {
 	ids := []string{"s1", "s2", "s3", "s4", "s5", "s6"}
 	for _, test := range []struct {
 		name        string
-		reason      Reason // how attempts at bad servers end
+		reason      Reason // how attempts at the bad servers end
 		took        time.Duration
 		bad         []string
 		maxRetained float64 // largest fraction of its slots that a bad server may keep
@@ -100,7 +101,7 @@
 			if after["s2"] < before["s2"] {
 				t.Errorf("s2 has %d slots, want at least the %d that it had", after["s2"], before["s2"])
 			}
-			for range 12 { // 12 s pass without any attempt
+			for range 12 { // 12 s pass without any attempt, and the bad answers count less and less
 				driver.now += time.Second
 				driver.runUpkeep()
 			}
@@ -111,7 +112,8 @@
 	}
 }
 
-// countOwned returns how many of the keys key0, key1 and so on each server owns. The parameter is the number of keys.
+// countOwned returns how many keys each server owns, of the keys key0, key1 and so on. keys is the number of these
+// keys.
 func (driver *routerDriver) countOwned(keys int) map[string]int {
 	count := map[string]int{}
 	for i := range keys {
--- a/internal/policy/quota/tracker.go
+++ b/internal/policy/quota/tracker.go
@@ -9,7 +9,7 @@
 
 const (
 	burst         = 4.0  // requests that a tenant may send at once beyond the quota of one second
-	minTotalQuota = 1e-9 // keeps a divisor above zero
+	minTotalQuota = 1e-9 // least value of a divisor, to avoid a division by zero
 )
 
 // Tracker tracks the tenants' use of their quotas at one node of several. Each tenant has three token buckets. The
@@ -24,15 +24,15 @@
 	tenants    map[string]*tenant
 	totalQuota float64
 	nodes      float64
-	requests   float64 // number of requests of known tenants so far
+	requests   float64 // number of requests so far, of all tenants that were added
 }
 
 // tenant holds the quota and the token buckets of one tenant.
 type tenant struct {
 	quota             float64 // requests a second, at all nodes together
 	byTime            float64 // tokens of the bucket that fills with time
-	byTraffic         float64 // tokens of the bucket that fills with the node's requests
-	atOneNode         float64 // tokens of the bucket that bounds what one node lets through
+	byTraffic         float64 // tokens of the bucket that fills with the requests of all tenants at this node
+	atOneNode         float64 // tokens of the bucket that keeps the tenant to its whole quota at this node alone
 	refilledAt        Time
 	refilledAtRequest float64 // value of Tracker.requests at the tenant's last refill
 }
@@ -52,12 +52,12 @@
 	t.totalQuota += quota
 }
 
-// Resize sets how many nodes share the traffic from now on. Buckets keep their tokens, up to the new size of the
-// bucket.
+// Resize sets how many nodes share the traffic from now on. This changes the size of a tenant's buckets. A bucket keeps
+// its tokens, as far as they fit into the new size.
 func (t *Tracker) Resize(nodes int) { t.nodes = float64(max(1, nodes)) }
 
-// IsWithin counts a request of the named tenant and reports whether the request is within the tenant's quota. Requests
-// of unknown tenants are always within.
+// IsWithin counts a request of the named tenant and reports whether the request is within the tenant's quota. A tenant
+// that was not added has no quota, so all its requests are within.
 func (t *Tracker) IsWithin(now Time, name string) bool {
 	sender := t.tenants[name]
 	if sender == nil {
@@ -82,7 +82,9 @@
 	sender.byTraffic = min(rate+burst, sender.byTraffic+
 		(t.requests-sender.refilledAtRequest)*sender.quota/max(t.totalQuota, sender.quota, minTotalQuota))
 	sender.refilledAt, sender.refilledAtRequest = now, t.requests
-	if len(t.tenants) < 2 { // the traffic of a single tenant can't be compared with that of other tenants
+	// The second bucket compares a tenant's traffic with that of the other tenants. A single tenant has none to compare
+	// with.
+	if len(t.tenants) < 2 {
 		sender.byTraffic = 0
 	}
 }
--- a/internal/policy/quota/tracker_test.go
+++ b/internal/policy/quota/tracker_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestTenantIsLimitedToItsQuotaAtOneNode simulates ten seconds of three tenants' requests at one node of two. It checks
-// which fraction of each tenant's requests is over the quota.
+// TestTenantIsLimitedToItsQuotaAtOneNode simulates ten seconds of requests at one of two nodes. Three tenants with quotas, or one
+// without, send the requests. The test checks which fraction of each tenant's requests is over the quota.
 func TestTenantIsLimitedToItsQuotaAtOneNode(t *testing.T) {
 	quotas := map[string]float64{"a": 40, "b": 40, "c": 20} // requests per second at both nodes together
 	for name, test := range map[string]struct {
 		rates    map[string]float64 // requests per second at this node
-		wantOver map[string]float64 // fraction of a tenant's requests that is over its quota; tolerance 0.06
+		wantOver map[string]float64 // fraction of a tenant's requests that is over its quota, +-0.06; 0 if not listed
 	}{
 		"each tenant sends its even share":               {map[string]float64{"a": 20, "b": 20, "c": 10}, nil},
 		"the load balancer sends three quarters":         {map[string]float64{"a": 30, "b": 30, "c": 15}, nil},
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestLoneTenantIsJudgedByTimeAlone checks that a single tenant is limited by time alone: there are no other tenants whose
-// traffic would show which part of the traffic this node gets.
+// TestLoneTenantIsJudgedByTimeAlone checks that a single tenant gets its quota divided by the number of nodes at this node. There
+// are no other tenants whose traffic would show which part of all traffic this node gets.
 func TestLoneTenantIsJudgedByTimeAlone(t *testing.T) {
 	tracker, over := New(4), 0
 	tracker.Add("t", 8)
--- a/internal/policy/request_test.go
+++ b/internal/policy/request_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestWaitingRequestIsAnsweredInTime checks that a request that waits for a fetch gets exactly one final answer, by
-// its deadline.
+// TestWaitingRequestIsAnsweredInTime checks that a request that waits for the fetch of another request gets exactly one
+// final answer, by its deadline.
 func TestWaitingRequestIsAnsweredInTime(t *testing.T) {
 	for _, class := range []string{"high", "late"} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestIdleConnectionsOfManyRoutersAreClosed checks that a router closes its idle connections to a cache server when
-// the last attempt there ends, if the idle connections of all routers cost more than new ones.
+// TestIdleConnectionsOfManyRoutersAreClosed checks a router in a fleet so large that keeping all routers' idle
+// connections to a cache server costs the server more than new connections. When its last attempt at the server ends,
+// the router must close its idle connections to the server.
 func TestIdleConnectionsOfManyRoutersAreClosed(t *testing.T) {
 	for routers, want := range map[int]int{3: 0, 300: 1} {
 		settings := testSettings()
@@ -74,11 +75,11 @@
 }
 
 // TestWaitingRequestResumesAtItsTimeAndNotBefore guards against an endless loop that the simulation found with seed 53.
-// A request was resumed a fraction of a microsecond before the end of its wait, so it waited again until the same
-// moment. As the clock did not move meanwhile, this repeated for ever.
+// A request was resumed a fraction of a microsecond before the end of its wait, so a timer for the same moment was set
+// again. As the clock did not move meanwhile, this repeated for ever.
 func TestWaitingRequestResumesAtItsTimeAndNotBefore(t *testing.T) {
 	driver := newTrainedDriver(t)
-	driver.now += 101 // 101 ns, so that deadlines are no whole microseconds
+	driver.now += 101 // 101 ns, so that the end of a wait is not on a whole microsecond
 	leader, _ := driver.request("high", "k", nil)
 	driver.endAttempt(leader, Miss, ms)
 	follower, actions := driver.request("high", "k", nil)
@@ -103,9 +104,9 @@
 	t.Fatalf("got %v, want a timer for the request that waits", actions)
 }
 
-// TestReadsWithoutTimeLeftAreRejectedAtOnce checks that a read with less time left than the fastest recent answers took
-// is rejected at once. A read with a little more time left is not rejected. This must still hold right after a few
-// slow answers, such as a pause of the servers causes.
+// TestReadsWithoutTimeLeftAreRejectedAtOnce checks that a read is rejected at once if its deadline is sooner than even
+// the fastest recent answers would arrive. A read with more time left is not rejected. This must still hold right after
+// a few slow answers, such as a pause of the servers causes.
 func TestReadsWithoutTimeLeftAreRejectedAtOnce(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2")
 	isRejectedWith := func(timeLeft time.Duration) bool {
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -7,13 +7,14 @@
 )
 
 // TestRetriesRespectTheEffectOfTheClass checks that a write whose attempt was possibly executed is retried only as far
-// as its class allows. It is rejected only where a retry by the client is harmless.
+// as its class allows. The write may be rejected, which tells the client to retry, only where such a retry is harmless.
+// Otherwise it fails.
 func TestRetriesRespectTheEffectOfTheClass(t *testing.T) {
 	for _, test := range []struct {
 		class       string
 		reason      Reason
 		after       time.Duration
-		wantSends   int // number of sends wanted after the first one
+		wantSends   int // wanted number of attempts after the first one
 		wantRejects int
 		wantFails   int
 	}{
@@ -48,9 +49,9 @@
 	}
 }
 
-// TestReadsRejectedByAFullServerGoElsewhere checks when a read that a full server rejected goes to another cache
-// server. While the origin has a low load, the read goes to another cache server. While the origin is busy, the
-// read does so only if some cache servers reject fewer requests than the full one. The read then goes to none of the
+// TestReadsRejectedByAFullServerGoElsewhere checks when a read that a full cache server rejected is retried at another
+// cache server. While the origin has a low load, the read is always retried. While the origin is busy, the read is
+// retried only if some cache servers reject fewer requests than the full one. The retry then goes to none of the
 // servers that reject as many requests as the full one, and the retry budget is not charged.
 func TestReadsRejectedByAFullServerGoElsewhere(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -94,7 +95,7 @@
 	}
 }
 
-// spendRetryBudgets uses up the saved retries of all classes.
+// spendRetryBudgets uses up the retry budget of each class, so that no retry is allowed that is charged to a budget.
 func (driver *routerDriver) spendRetryBudgets() {
 	for _, budget := range driver.router.retryBudgets {
 		for budget.AllowRetry(driver.now) {
@@ -103,9 +104,9 @@
 	}
 }
 
-// TestDeduplicatedRetryHasAWriteDeadline checks that a retry of a deduplicated request that was possibly executed has
-// a time by which it must be written, counted from the first attempt. There is no such bound for a first attempt, for
-// a retry after attempts that were never executed, and for a retry of an idempotent class.
+// TestDeduplicatedRetryHasAWriteDeadline checks that a retry of a deduplicated request that was possibly executed has a
+// time by which it must be written to the server, counted from the first attempt. The other attempts have no such
+// bound: a first attempt, a retry after attempts that were never executed, and a retry of an idempotent class.
 func TestDeduplicatedRetryHasAWriteDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		class     string
@@ -139,13 +140,13 @@
 	}
 }
 
-// TestReadRejectedByADrainingServerIsRedirected checks that a read is redirected to the new owner of its key if the
-// server that rejected it is no longer listed as live. This also holds before the router has any sample of the origin,
-// and for the class that is shed first. A read that a live server rejected is not redirected.
+// TestReadRejectedByADrainingServerIsRedirected checks a read that a server rejected while the endpoint list no longer
+// has the server as live. The read must be redirected to the new owner of its key, even if the router has no answers of
+// the origin yet, and even if its class is shed first. A read that a live server rejected is not redirected.
 func TestReadRejectedByADrainingServerIsRedirected(t *testing.T) {
 	for _, isDraining := range []bool{true, false} {
 		driver := newDriver(t, testSettings(), "s1", "s2")
-		for range 50 { // the outcomes are all good, so that the server is no outlier
+		for range 50 { // 50 good answers, so that the server does not count as an outlier
 			id, _ := driver.request("high", "k", nil)
 			driver.endAttempt(id, Succeeded, ms)
 		}
@@ -162,8 +163,8 @@
 	}
 }
 
-// TestRetriesHaveABudget checks that attempts do not multiply when many requests fail at once: once the retry budget
-// is spent, a request ends instead of being retried.
+// TestRetriesHaveABudget checks that attempts do not multiply when all requests fail: once the retry budget is spent, a
+// request is not retried.
 func TestRetriesHaveABudget(t *testing.T) {
 	const requests = 400
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
@@ -182,8 +183,8 @@
 	}
 }
 
-// TestReadIsRetriedElsewhereAfterAnError checks that a read is retried at another cache server after an error. In
-// a large fleet, each router seldom sends to any one server, and so takes long to find out that a server answers with
+// TestReadIsRetriedElsewhereAfterAnError checks that a read is retried at another cache server after an error. In a
+// large fleet, each router seldom sends to any one server, and so takes long to find out that a server answers with
 // errors. Until then, the server's errors must not fail reads. After three errors, no fourth attempt follows at once.
 func TestReadIsRetriedElsewhereAfterAnError(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
--- a/internal/policy/roles_test.go
+++ b/internal/policy/roles_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// roleHolder is the index of the router of a simulated fleet that has the role.
+// roleHolder is the index of the only router of a simulated fleet to which assign gives a role.
 const roleHolder = 7
 
-// assign assigns the role to one router of the fleet and tells all routers.
+// assign gives a role, which is a task that one router does for all, to the router roleHolder. It tells all routers
+// whether they have the role.
 func (fleet *simulatedFleet) assign(role Role) {
 	for i, driver := range fleet.drivers {
 		responsibility := AssignedElsewhere
@@ -21,8 +22,9 @@
 }
 
 // TestFleetSizeSetsThePaceOfChecksAndPolls checks that a router follows a change of the fleet size. In a smaller fleet
-// each router checks an unresponsive server more often, so that the fleet as a whole checks as often as before. The
-// routers spread their polls over less time. A size of 0 means the size in the settings.
+// each router checks an unresponsive server more often, so that the fleet as a whole checks as often as before. In a
+// smaller fleet the first polls of discovery are also spread over less time. An event with a size of 0 restores the
+// size in the settings.
 func TestFleetSizeSetsThePaceOfChecksAndPolls(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.MayGossip, settings.DrainGrace = 60, true, 2500*ms
@@ -44,20 +46,21 @@
 	}
 }
 
-// serverOutageCost is what a server outage of 20 s costs a fleet.
+// serverOutageCost is what it costs a fleet that a server is down for 20 s.
 type serverOutageCost struct {
 	healthChecks int           // health checks in the last 17 s of the outage
 	recovery     time.Duration // time from the end of the outage until nine in ten routers use the server again
 }
 
-// simulateServerOutage returns what a server outage costs a fleet of 60 routers, with or without a HealthChecker.
+// simulateServerOutage returns what it costs a fleet of 60 routers that a server is down for 20 s. If hasRole is true,
+// one router has the role HealthChecker: it checks unresponsive servers for all routers.
 func simulateServerOutage(t *testing.T, hasRole bool, lossRate float64) (result serverOutageCost) {
 	t.Helper()
 	const (
 		routers   = 60
 		downID    = "s20"
 		downFrom  = 200
-		knownFrom = downFrom + 300 // by this step all routers know of the outage
+		knownFrom = downFrom + 300 // by this step, 3 s into the outage, the routers know that the server is down
 		downUntil = 2200
 	)
 	fleet := newFleet(t, routers, true, lossRate, serverIDs(40)...)
@@ -87,9 +90,9 @@
 	return result
 }
 
-// TestAssignedHealthCheckerChecksForAll checks the effect of the HealthChecker role when a server is unresponsive for
-// 20 s. The fleet needs only a fraction of the health checks, and has the server back at most 500 ms later than
-// without the role.
+// TestAssignedHealthCheckerChecksForAll checks the effect of the HealthChecker role, with which one router checks
+// unresponsive servers for all. While a server is down for 20 s, the fleet must make at most a third of the health
+// checks. The fleet may use the server again at most 500 ms later than without the role.
 func TestAssignedHealthCheckerChecksForAll(t *testing.T) {
 	for _, lossRate := range []float64{0, 0.1} {
 		unassigned, assigned := simulateServerOutage(t, false, lossRate), simulateServerOutage(t, true, lossRate)
@@ -101,22 +104,24 @@
 	}
 }
 
-// discoveryOutageCost is what an outage of discovery costs a fleet.
+// discoveryOutageCost is what it costs a fleet that discovery does not answer for a while.
 type discoveryOutageCost struct {
 	failedPolls int
 	recovery    time.Duration // time from the end of the outage until all routers have the endpoint list again
 }
 
-// discoveryOutage simulates a discovery service that does not answer for a while, and records what that costs.
+// discoveryOutage simulates a discovery service that does not answer for a while, and records what this costs the
+// fleet.
 type discoveryOutage struct {
 	length    time.Duration
-	hasList   []bool // whether each router has the endpoint list, by its index
-	missing   int    // number of routers without the endpoint list
-	announced bool   // in this step a router announced that discovery answers again
+	hasList   []bool // whether each router has the endpoint list again, by the index of the router
+	missing   int    // number of routers that do not have the endpoint list yet
+	announced bool   // whether a router announced in this step that discovery answers again
 	result    discoveryOutageCost
 }
 
-// carryOut answers the polls of a router and records its announcements.
+// carryOut answers a router's polls of discovery, and records whether the router announces that discovery answers
+// again.
 func (outage *discoveryOutage) carryOut(at time.Duration, index int, driver *routerDriver, actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -138,8 +143,8 @@
 	}
 }
 
-// simulateDiscoveryOutage returns what a discovery outage of eight seconds costs a fleet of 80 routers, with or
-// without a DiscoveryPoller.
+// simulateDiscoveryOutage returns what it costs a fleet of 80 routers that discovery does not answer for eight seconds.
+// If hasRole is true, one router has the role DiscoveryPoller: it polls discovery for all routers.
 func simulateDiscoveryOutage(t *testing.T, hasRole bool, lossRate float64) discoveryOutageCost {
 	t.Helper()
 	const routers = 80
@@ -178,9 +183,9 @@
 }
 
 // TestAssignedPollerPollsForAll checks the effect of the DiscoveryPoller role. While discovery does not answer, one
-// router polls for all and announces when discovery answers again. All routers have the list as soon as without the
-// role, with at most two thirds of the failed polls. If every announcement is lost, each router still polls before the
-// time at which it is treated as notified of a change.
+// router polls for all and announces when discovery answers again. The fleet must make at most two thirds of the failed
+// polls that it makes without the role. All routers must have the endpoint list within 6 s of the end of the outage. If
+// every announcement is lost, the routers poll for themselves and must have the list within 4.5 s.
 func TestAssignedPollerPollsForAll(t *testing.T) {
 	unassigned, assigned := simulateDiscoveryOutage(t, false, 0), simulateDiscoveryOutage(t, true, 0)
 	allLost := simulateDiscoveryOutage(t, true, 1)
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestEventsOfUnknownIDsAreIgnored checks that events of requests, attempts and servers that the router does not know
-// cause no actions.
+// TestEventsOfUnknownIDsAreIgnored checks that an event causes no actions if the router does not know its request,
+// attempt or server.
 func TestEventsOfUnknownIDsAreIgnored(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1")
 	for _, event := range []Event{
@@ -44,14 +44,15 @@
 	}
 }
 
-// TestRandomEventsKeepTheInvariants feeds legal random events to a router and checks the invariants that a single
-// router can keep. Each request gets one final answer, by its deadline. An at-most-once request that was possibly
-// executed is not retried. A request has one attempt in flight at most. Nothing is sent to a server that is known to
-// drain. Two routers that get the same events must return the same actions.
+// TestRandomEventsKeepTheInvariants feeds random events that are possible in operation to a router, and checks the
+// invariants that a single router can keep. Each request gets one final answer, by its deadline. An at-most-once
+// request that was possibly executed is not retried. A request has one attempt in flight at most. Nothing is sent to a
+// server that is known to drain. Two routers that get the same events must return the same actions.
 func TestRandomEventsKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(20) {
 		settings := testSettings()
-		if seed%2 == 1 { // with odd seeds: one router among many, with costs that make it close idle connections
+		// With odd seeds, the router is one of 400, with costs at which it closes idle connections.
+		if seed%2 == 1 {
 			settings.Nodes, settings.ConnectionCost, settings.HandshakeCost = 400, 0.03, 0.03
 		}
 		run := newRandomRun(t, seed, settings)
@@ -70,7 +71,7 @@
 	}
 }
 
-// trackedRequest is a request with its progress, as its client and the servers see it.
+// trackedRequest is a request together with what its client and the servers know of its progress.
 type trackedRequest struct {
 	Request
 	inFlight, sends  int
@@ -102,7 +103,8 @@
 	}
 }
 
-// handle gives both routers an event, and checks that their actions are the same and allowed.
+// handle gives the same event to both routers, and checks that they return the same actions and that these actions are
+// allowed.
 func (run *randomRun) handle(event Event) {
 	run.t.Helper()
 	actions := run.driver.handle(event)
@@ -124,7 +126,7 @@
 	}
 }
 
-// checkSend checks that the router may start this attempt, and records it.
+// checkSend checks that the request may have one more attempt, at this server, and records the attempt.
 func (run *randomRun) checkSend(send Send, event Event) {
 	run.t.Helper()
 	request := run.requests[send.ID]
@@ -135,7 +137,8 @@
 	request.inFlight, request.sends = request.inFlight+1, request.sends+1
 }
 
-// checkReject checks that the request has no final answer yet and that a retry by the client is harmless.
+// checkReject checks that the request has no final answer yet. A rejection tells the client to retry, so a retry must
+// be harmless.
 func (run *randomRun) checkReject(reject Reject) {
 	run.t.Helper()
 	request := run.requests[reject.ID]
@@ -186,7 +189,8 @@
 	run.handle(request)
 }
 
-// endAttempts ends some of the attempts in flight at random, and all attempts of requests whose deadline has passed.
+// endAttempts ends some of the attempts in flight, picked at random, and all attempts of requests whose deadline has
+// passed.
 func (run *randomRun) endAttempts() {
 	run.t.Helper()
 	for _, id := range run.order {
--- a/internal/policy/routing_test.go
+++ b/internal/policy/routing_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// addFarServers adds cache servers far0, far1 and so on, which are in another zone, to the endpoint list.
+// addFarServers adds cache servers far0, far1 and so on to the endpoint list. They are in another zone than the router.
 func (driver *routerDriver) addFarServers(count int) {
 	var far []Server
 	for i := range count {
@@ -16,11 +16,11 @@
 	driver.update(far...)
 }
 
-// isFar reports whether a server is one of those that addFarServers adds.
+// isFar reports whether the server with this id is one that addFarServers added.
 func isFar(id string) bool { return strings.HasPrefix(id, "far") }
 
-// TestOnlyKeysOfTheMissingServerChangeOwner checks that when one server is missing, the keys of all other servers keep
-// their owner.
+// TestOnlyKeysOfTheMissingServerChangeOwner checks that when one server is missing from the endpoint list, only its
+// keys get another owner.
 func TestOnlyKeysOfTheMissingServerChangeOwner(t *testing.T) {
 	ownersOf := func(servers ...string) map[string]string {
 		driver := newDriver(t, testSettings(), servers...)
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestDrainingAndRemovedServersGetNoRequests checks where requests for the keys of a draining or removed server go: to
-// the other cache server, and to the origin if there is no cache server. Without any server they are rejected.
+// TestDrainingAndRemovedServersGetNoRequests checks where requests go whose key is owned by a draining or removed
+// server: to the other cache server, and to the origin if there is no cache server. Without any server, the requests
+// are rejected.
 func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
 	for _, list := range []EndpointUpdate{
 		{Scope: DeltaUpdate, Servers: []Server{{ID: "s1", Kind: "cache", State: Draining}}},
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestUnreachableZoneGetsNoRequests checks that after a few failed connects to servers of one zone, no server of that
-// zone gets a request until one of them responds.
+// TestUnreachableZoneGetsNoRequests checks that after a few failed connects to servers of one zone, no server of the
+// zone gets a request until a server of the zone responds.
 func TestUnreachableZoneGetsNoRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "a"
@@ -102,9 +103,9 @@
 	}
 }
 
-// TestReadsStayInTheirZoneWhereCrossingHasACost checks that nearly all reads go to servers of the router's own zone
-// while the load is low, if crossing zones has a cost. An overloaded origin makes reads cross zones again. If crossing
-// costs nothing, the zone has no influence.
+// TestReadsStayInTheirZoneWhereCrossingHasACost checks to which zone reads go. If crossing zones has a cost, nearly all
+// reads go to servers of the router's own zone while the load is low. When the origin is overloaded, reads go to all
+// zones again. If crossing zones costs nothing, the zone has no influence.
 func TestReadsStayInTheirZoneWhereCrossingHasACost(t *testing.T) {
 	for _, cost := range []float64{0, 0.13} {
 		settings := testSettings()
@@ -126,8 +127,8 @@
 	}
 }
 
-// crossingFraction sends reads, and writes that the origin answers after originLatency. It returns the fraction of the
-// reads that went to far servers.
+// crossingFraction sends reads and writes for the time span; the origin answers the writes after originLatency. It
+// returns the fraction of the reads that went to servers of another zone.
 func (driver *routerDriver) crossingFraction(span, originLatency time.Duration) float64 {
 	reads, crossed := 0, 0
 	for end := driver.now + span; driver.now < end; driver.now += 25 * ms {
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// TestLowestPriorityWeightIsShedFirst checks which classes of reads are shed: first the one with the lowest priority
-// weight and, when more fetches are slow, further classes. Writes are never shed.
+// TestLowestPriorityWeightIsShedFirst checks which classes of reads are shed when fetches from the origin are slow. The
+// class with the lowest priority weight is shed first; when more fetches are slow, further classes are shed too. Writes
+// are never shed.
 func TestLowestPriorityWeightIsShedFirst(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		fetches int
-		slow    int // how many of the fetches are slow
+		slow    int // how many of the fetches take longer than usual (see took)
 		took    time.Duration
 		shed    map[string]bool // classes of which some reads must be rejected
 	}{
@@ -39,8 +40,8 @@
 	}
 }
 
-// countRejectedMisses sends reads that their cache servers miss, and returns how many of them are rejected. The
-// clients of the reads that are not rejected disconnect.
+// countRejectedMisses sends reads, all of which miss at their cache servers, and returns how many of the reads are
+// rejected. The clients of all other reads disconnect, so that no fetches stay in flight.
 func (driver *routerDriver) countRejectedMisses(class string, reads int) (rejected int) {
 	for i := range reads {
 		id, actions := driver.request(class, fmt.Sprint(class, "-", driver.nextID, i), nil)
@@ -56,10 +57,10 @@
 	return rejected
 }
 
-// TestReadsBypassACrowdedCacheServer checks when reads bypass a cache server because it is crowded (overloaded). A slow
-// server, or the owner of a popular key, is not crowded while it answers well within the latency objective or has
-// hardly any attempts in flight. Reads of a crowded server's keys go to the origin while the origin has a low load, and
-// are rejected otherwise.
+// TestReadsBypassACrowdedCacheServer checks when reads bypass a cache server because it is crowded (overloaded). A
+// server is not crowded while its answers take far less than the latency objective, or while it has hardly any attempts
+// in flight. If a server is crowded, reads of its keys go to the origin while the origin has a low load; otherwise they
+// are rejected.
 func TestReadsBypassACrowdedCacheServer(t *testing.T) {
 	for _, test := range []struct {
 		took         time.Duration
@@ -100,15 +101,17 @@
 	}
 }
 
-// TestOverQuotaRequestsAreShedFirst checks that at a load at which requests beyond a tenant's quota are shed, requests
-// within the quota are not shed.
+// TestOverQuotaRequestsAreShedFirst checks that requests beyond a tenant's quota are shed first: at a load at which
+// some of them are shed, no request within the quota is shed.
 func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 10 { // these reads use up the tenant's quota at this router
 		driver.request("high", "k", ofTenant)
 	}
 	for _, srv := range driver.router.servers {
-		for i := range 200 { // utilisation 0.5 sheds bulk reads, but no critical ones; the origin is busy
+		// Half of the answers of all servers, and of the origin, are slow. At this utilisation of 0.5, bulk requests
+		// are shed (here those beyond the quota), but no critical ones.
+		for i := range 200 {
 			srv.gauge.observe(driver.now, 50*ms, i%2 == 0)
 		}
 	}
@@ -124,11 +127,11 @@
 	}
 }
 
-// TestRequestsWithinASmallQuotaAreNotOverIt checks a tenant whose part of the quota at this router is less than one
-// request a second. A single request now and then must not count as over the quota.
+// TestRequestsWithinASmallQuotaAreNotOverIt checks a tenant whose quota, divided by the number of routers, is less than
+// one request a second. A single request now and then must not count as over the quota.
 func TestRequestsWithinASmallQuotaAreNotOverIt(t *testing.T) {
 	settings := testSettings()
-	settings.Nodes = 40 // each router's part of the quota is half a request a second
+	settings.Nodes = 40 // half a request a second for each router: the quota of 20 divided by 40
 	driver := newDriver(t, settings, "s1")
 	countOverQuota := func(gap time.Duration) (count int) {
 		for range 30 {
@@ -149,16 +152,19 @@
 	}
 }
 
-// TestRoutersDoNotShedInStep checks that routers under the same load do not shed in step: the first miss that a router
-// rejects must not be, for example, the third one at every router.
+// TestRoutersDoNotShedInStep checks that routers under the same load do not all shed at the same moment. For example,
+// the first miss that a router rejects must not be the third miss at every router.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	firstRejected := map[int]int{} // number of routers, by which of their misses (1, 2, ...) they reject first
+	// firstRejected holds the number of routers, by the number of the first miss that they reject (1, 2, ...).
+	firstRejected := map[int]int{}
 	for seed := range uint64(60) {
 		router, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		loaded := gauge{ // utilisation of 1.2 times the bucket's threshold, at which a fifth of the misses are shed
+		// The utilisation (fraction of slow answers) is 1.2 times the threshold above which misses are shed. The excess
+		// is 0.2 of the threshold, so a fifth of the misses are shed.
+		loaded := gauge{
 			objectives: router.newObjectives(),
 			samples:    100,
 			overTarget: 120 * shedThresholds[degraded],
@@ -176,9 +182,9 @@
 	}
 }
 
-// TestLoadLevelShedsTheLowestPriorityWeight checks that while the node is behind with its own work, a part of the
-// requests that may be shed is rejected, those of the lowest priority weight first. Writes and critical reads are never
-// rejected for this reason.
+// TestLoadLevelShedsTheLowestPriorityWeight checks that a part of the requests is rejected while the node is behind
+// with its own work, those of the lowest priority weight first. Writes and critical reads are never rejected for this
+// reason.
 func TestLoadLevelShedsTheLowestPriorityWeight(t *testing.T) {
 	driver := newTrainedDriver(t)
 	countRejected := func(class string, change func(*Request)) (count int) {
@@ -206,9 +212,9 @@
 	}
 }
 
-// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold checks that reads bypass a crowded server while the origin has
-// a low load. They already do so at a fraction of slow hits that is far below the fraction of slow fetches at which
-// fetches are shed.
+// TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold checks that reads bypass an overloaded cache server early:
+// when a fifth of its answers are slow, and the origin has a low load. Fetches are shed only when a much larger
+// fraction of them is slow.
 func TestCrowdedCacheServerIsRelievedBelowTheFetchThreshold(t *testing.T) {
 	driver := newTrainedDriver(t)
 	crowded := driver.router.serverByID[driver.ownerOf("k")]
--- a/internal/policy/slotorder_test.go
+++ b/internal/policy/slotorder_test.go
@@ -11,8 +11,8 @@
 	"shelfproxy/internal/policy/outlier"
 )
 
-// newManyServersDriver returns the driver of a router with many cache servers, which are in two zones and have
-// different capacities.
+// newManyServersDriver returns the driver of a router with the given number of cache servers. The servers are in two
+// zones and have different capacities.
 func newManyServersDriver(t *testing.T, servers int) *routerDriver {
 	t.Helper()
 	settings := testSettings()
@@ -28,8 +28,8 @@
 	return driver
 }
 
-// TestSlotOrderFollowsTheScores checks that a slot order yields each server once, by ascending score, and leaves out
-// the servers that get no requests for the slot.
+// TestSlotOrderFollowsTheScores checks the order in which servers are tried for the keys of a slot. It must contain
+// each server once, by ascending score, except the servers that get no requests for the slot.
 func TestSlotOrderFollowsTheScores(t *testing.T) {
 	driver := newManyServersDriver(t, 40)
 	router := driver.router
@@ -60,7 +60,8 @@
 	}
 }
 
-// minDuration returns the shortest time that a function takes in nine runs. A busy machine does not change it much.
+// minDuration returns the time of the fastest of nine runs of a function. On a busy machine, this time varies less than
+// the time of a single run.
 func minDuration(run func()) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for range 9 {
@@ -71,11 +72,12 @@
 	return least
 }
 
-// popularKey is the key that most requests of the fleet are for in checkGrowth.
+// popularKey is the key that gets most requests of the fleet in checkGrowth.
 const popularKey = "popular"
 
-// checkGrowth fails the test if the time that run takes grows faster than the number of servers. With sixteen times as
-// many servers, run may take 16*4 times as long; the factor of 4 allows for processor caches and logarithms.
+// checkGrowth fails the test if the time of run grows faster than the number of servers. With sixteen times as many
+// servers, run may take 16*4 times as long; the factor of 4 allows for effects of processor caches and for costs that
+// grow logarithmically.
 func checkGrowth(t *testing.T, what string, run func(driver *routerDriver)) {
 	t.Helper()
 	const few, times, slack = 200, 16, 4
@@ -91,8 +93,9 @@
 	}
 }
 
-// TestCostOfAPopularKeyFollowsTheNumberOfServers guards against requests for a popular key that cost the square of the
-// number of servers (report 7e0653). Requests that waited for the same fetch had the same quadratic cost.
+// TestCostOfAPopularKeyFollowsTheNumberOfServers guards against a cost of requests for a popular key that grows with
+// the square of the number of servers (report 7e0653). Requests that waited for the same fetch had the same quadratic
+// cost.
 func TestCostOfAPopularKeyFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "requests for a popular key", func(driver *routerDriver) {
 		for range 4 {
@@ -103,8 +106,9 @@
 }
 
 // TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers guards against a cost that grows with the square of the
-// number of servers: in explanations that operators ask for, in upkeep, and in outcomes with an ejection budget. Each
-// of these once blocked the event loop for as long as requests for a popular key had blocked it.
+// number of servers. It checks explanations that operators ask for. With a budget that bounds ejections of outliers, it
+// also checks the periodic upkeep, and how the ends of attempts are handled. Each of these once blocked the event loop
+// for as long as requests for a popular key had blocked it.
 func TestCostOfUpkeepAndExplanationsFollowsTheNumberOfServers(t *testing.T) {
 	checkGrowth(t, "an explanation", func(driver *routerDriver) { driver.router.Explain(driver.now, popularKey) })
 	checkGrowth(t, "upkeep with an ejection budget", func(driver *routerDriver) {
@@ -117,8 +121,8 @@
 	})
 }
 
-// TestServersWithoutSlotsEndTheOrder checks that a slot order ends when only servers without slots are left. A server
-// that has just started has no slots if SlowStartFloor is 0.
+// TestServersWithoutSlotsEndTheOrder checks the order in which servers are tried for the keys of a slot. The order must
+// not contain servers that have no slots. A server that has just started has none if SlowStartFloor is 0.
 func TestServersWithoutSlotsEndTheOrder(t *testing.T) {
 	driver := newManyServersDriver(t, 12)
 	driver.router.settings.SlowStartFloor = 0
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -9,15 +9,15 @@
 	"shelfproxy/internal/fleet/gossip"
 )
 
-// isAdmitted reports whether a server in slow start may take a request for the key. offered is the number of requests
-// that the server has been a candidate for.
+// isAdmitted reports whether a server in slow start may take a request for the key. offered is how many requests the
+// router could have sent to the server so far.
 func (driver *routerDriver) isAdmitted(srv *server, key string, offered float64) bool {
 	srv.offered = offered
 	return driver.router.admitsDuringSlowStart(srv, &request{Request: Request{Key: key}})
 }
 
-// TestRestartedServerStaysWithinItsBudget checks that a server that restarted gets only a part of its keys at first,
-// and all of them after its slow start. A hot key must not overload the server during its slow start.
+// TestRestartedServerStaysWithinItsBudget checks that a server that restarted gets only a part of its requests at
+// first, and all of them after its slow start. A hot key must not overload the server during its slow start.
 func TestRestartedServerStaysWithinItsBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	countSent := func(requests int) (count int) {
@@ -51,15 +51,16 @@
 			got++
 		}
 	}
-	// An average server gets about 100 requests in the window over which popularity is counted; 110 is a little more.
-	// In slow start, a server can serve 0.2 (SlowStartFloor) of them, and OverloadFactor allows 3 times as many.
+	// Popularity is counted over about 1.5 s, in which each of the three servers gets about 100 of the 200 requests a
+	// second; 110 is a little more. In slow start, a server can serve 0.2 (SlowStartFloor) of them, and OverloadFactor
+	// allows 3 times as many.
 	if limit := 3 * 0.2 * 110; float64(got) > limit {
 		t.Errorf("hot key while the server warms up: got %d requests, want at most %.0f", got, limit)
 	}
 }
 
 // TestManyRoutersDoNotOverloadARestartedServer checks that 400 routers together do not overload a server that
-// restarted. Each router sees few requests, a third of them for a key of that server.
+// restarted. Each router gets few requests, a third of them for one key that the restarted server owns.
 func TestManyRoutersDoNotOverloadARestartedServer(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 400
@@ -90,19 +91,20 @@
 			}
 		}
 	}
-	// Each of the ten servers gets a tenth of the requests on average. In slow start, a server can serve at least 2/10
-	// of that tenth, and the overload factor of 3 allows 3 times as many.
+	// Each of the ten servers gets a tenth of the offered requests on average. In slow start, a server can serve at
+	// least 2/10 (SlowStartFloor) of this tenth. The overload factor of 3 allows 3 times as many.
 	if limit := offered / 10 * 2 * 3 / 10; sent == 0 || sent > limit {
 		t.Errorf("got %d of %d requests at a restarted server with a hot key, want some and at most %d", sent, offered, limit)
 	}
 }
 
-// TestPartsOfHotKeysCountAgainstTheSlowStartBudget checks hot keys of other servers that are spread over a server in
-// slow start too. Their requests must not exceed what that server may get during its slow start (its budget).
+// TestPartsOfHotKeysCountAgainstTheSlowStartBudget checks hot keys whose owners are other servers than s1. Their
+// requests are spread over several servers, also over s1, which is in slow start. s1 must not get more of these
+// requests than it may get in all during its slow start (its budget).
 func TestPartsOfHotKeysCountAgainstTheSlowStartBudget(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 	driver.restart("s1", "")
-	var hot []string // keys for which s1, in slow start, comes second in the slot order
+	var hot []string // keys for which s1, which is in slow start, is the second server to try
 	for i := 0; len(hot) < 3; i++ {
 		key := fmt.Sprint("h", i)
 		order := driver.router.orderOf(slotOf(key), &request{})
@@ -127,9 +129,9 @@
 	}
 }
 
-// TestSlowStartBudgetFollowsAnswersNotDemand checks that the load that a server may get during its slow start depends
-// on the number of answers of other servers, not on the number of requests. In a retry storm, clients repeat their
-// requests again and again, and only one request in ten is answered.
+// TestSlowStartBudgetFollowsAnswersNotDemand checks how many requests a server may get during its slow start. The
+// number must depend on how many requests an average server answers, not on how many arrive. In a retry storm, clients
+// repeat their requests again and again, and only one request in ten is answered.
 func TestSlowStartBudgetFollowsAnswersNotDemand(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	for i := range 600 {
@@ -146,27 +148,29 @@
 			admitted++
 		}
 	}
-	// Each server answered 20 requests. In slow start, a server can serve a fifth of that, which is 4, and the overload
-	// factor of 3 allows 12. The bound is higher, because the first few requests are admitted before the key counts as
-	// hot.
+	// Each of the three servers answered 20 of the 600 requests. In slow start, a server can serve a fifth
+	// (SlowStartFloor) of 20, which is 4, and the overload factor of 3 allows 12. The bound of 45 is higher, because
+	// the first few requests are admitted before the key counts as hot.
 	if admitted == 0 || admitted > 45 {
 		t.Errorf("got %d of 100 requests admitted while an average server answers 20, want 1 to 45", admitted)
 	}
 }
 
 // TestFleetDoesNotOverloadTheRestartedOwnerOfAHotKey checks a fleet of 300 routers when the owner of a hot key, which
-// gets a tenth of all requests, restarts. Without a bound, each router would send its first request for the key to the
-// owner, because it knows of no other requests for that key. A third of the routers have only just started themselves.
-// In any 1.5 s the owner must get fewer requests than would overload it, even if its cache did not fill in that time.
+// gets a tenth of all requests, restarts. Without a bound, each router would send its first request for the hot key to
+// the owner, because the router knows of no other requests for the key. A third of the routers restart in the same
+// moment and have no samples. In any 1.5 s the owner must get fewer requests than would overload it, even if its cache
+// did not fill in that time.
 func TestFleetDoesNotOverloadTheRestartedOwnerOfAHotKey(t *testing.T) {
 	const (
 		steps, restartAt = 1400, 800
 		servers          = 50
-		window           = 150 // in steps: 1.5 s
+		window           = 150 // 1.5 s, in steps of 10 ms
 	)
 	fleet := newFleet(t, 300, true, 0.1, serverIDs(servers)...)
 	ownerID := fleet.drivers[0].ownerOf("hot")
-	sent, requests := make([]int, steps), 0 // sent: requests sent to the owner, by step
+	// sent holds the requests that went to the owner, by step. requests counts the requests to all servers.
+	sent, requests := make([]int, steps), 0
 	for step := range steps {
 		if step == restartAt {
 			fleet.restartOwnerAndThirdOfRouters(ownerID, serverIDs(servers))
@@ -187,7 +191,7 @@
 		}
 	}
 	settings := fleet.drivers[0].router.settings
-	fair := float64(requests) / steps * window / servers // requests that a server with a full cache gets in a window
+	fair := float64(requests) / steps * window / servers // requests that an average server gets in a window
 	most, total := 0, sum(sent[restartAt:])
 	for step := restartAt; step+window <= steps; step++ {
 		most = max(most, sum(sent[step:step+window]))
@@ -208,8 +212,8 @@
 	return total
 }
 
-// restartOwnerAndThirdOfRouters restarts every third router, which loses all its state, and tells all routers that the
-// owner restarted.
+// restartOwnerAndThirdOfRouters restarts every third router, so that these routers lose all their state. It tells all
+// routers that the owner restarted.
 func (fleet *simulatedFleet) restartOwnerAndThirdOfRouters(ownerID string, servers []string) {
 	for i, driver := range fleet.drivers {
 		if i%3 == 0 {
@@ -223,8 +227,8 @@
 }
 
 // TestSlowStartAdmitsByPopularityAtAllRouters checks a router that has had no requests yet for a server in slow start.
-// The router sends the server requests for an ordinary key. Of the requests for a key that is popular at the other
-// routers, it sends the server only one in many.
+// Of 1000 requests for an ordinary key, the router must admit at least 500 to the server. Of 1000 requests for a key
+// that is popular at the other routers, it must admit at least one and at most 150.
 func TestSlowStartAdmitsByPopularityAtAllRouters(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 300
@@ -250,9 +254,9 @@
 	}
 }
 
-// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that the number of requests that a server in slow start
-// takes does not grow when half of the servers are removed. It would grow if past answers were divided by the new
-// number of servers, instead of the number at the time of each answer.
+// TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved checks that a server in slow start does not take more requests
+// when half of the servers are removed. The limit follows from how many requests an average server answered. It would
+// grow if past answers were divided by the new number of servers, instead of the number at the time of each answer.
 func TestSlowStartBudgetDoesNotGrowWhenServersAreRemoved(t *testing.T) {
 	driver := newDriver(t, testSettings(), serverIDs(8)...)
 	for i := range 400 {
@@ -282,9 +286,9 @@
 }
 
 // TestUnreachableServerIsDistinguishedFromRestartedOne checks how a router distinguishes a restarted server from one
-// that was only unreachable. When an unresponsive server answers again, its slow start begins, as it may have
-// restarted. Hits show that the server was only unreachable. A connect that was refused meanwhile, a miss, or the
-// endpoint list shows that the server restarted.
+// that was only unreachable. When an unresponsive server answers again, its slow start begins, as the server may have
+// restarted. Four hits without a miss show that the server was only unreachable, and end its slow start. A connect that
+// was refused while the server was unresponsive, a miss, or the endpoint list shows that the server restarted.
 func TestUnreachableServerIsDistinguishedFromRestartedOne(t *testing.T) {
 	for name, test := range map[string]struct {
 		meanwhile     Reason // how an attempt ended while the server was unresponsive
@@ -322,7 +326,9 @@
 			}
 			for i, reason := range test.answers {
 				id, actions := driver.request("high", fmt.Sprint("k", i), nil)
-				for driver.sentTo(actions) != "s1" { // a request that s1 does not admit goes to the origin
+				// During its slow start, s1 does not take all requests; the others go to the origin. So the loop sends
+				// requests until s1 takes one.
+				for driver.sentTo(actions) != "s1" {
 					driver.endAttempt(id, Succeeded, 5*ms)
 					id, actions = driver.request("high", fmt.Sprint("k", i, driver.nextID), nil)
 				}
--- a/internal/policy/utilisation_test.go
+++ b/internal/policy/utilisation_test.go
@@ -12,8 +12,9 @@
 	return driver.router.origin.gauge.utilisation(driver.now)
 }
 
-// TestTargetIsLearnedOnlyInQuietTimes checks that the target latency is learned only at low load. Slow answers of an
-// overloaded origin must not raise it: overload must not be taken for the normal state.
+// TestTargetIsLearnedOnlyInQuietTimes checks that the target latency, above which an answer counts as slow, is learned
+// only at low load. Slow answers of an overloaded origin must not raise the target. Otherwise overload would be taken
+// for the normal state.
 func TestTargetIsLearnedOnlyInQuietTimes(t *testing.T) {
 	driver := newTrainedDriver(t)
 	before := driver.router.origin.gauge.target
@@ -23,8 +24,8 @@
 	}
 }
 
-// TestFetchesInFlightCountAsSlow checks that attempts that have been in flight for longer than the target latency count
-// as slow, because a stalled origin sends no answers that could be measured.
+// TestFetchesInFlightCountAsSlow checks that an attempt counts as slow once it has been in flight for longer than the
+// target latency, even without an answer. A stalled origin sends no answers that could be measured.
 func TestFetchesInFlightCountAsSlow(t *testing.T) {
 	driver := newTrainedDriver(t)
 	for range 20 {
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestFewFetchesAreJudgedByTheLatest checks that a router with only one fetch every two seconds notices when an
-// overload of the origin begins and when it ends.
+// TestFewFetchesAreJudgedByTheLatest checks a router with only one fetch every two seconds. It must notice an overload
+// of the origin within four slow fetches. After a minute without fetches, the overload must be forgotten.
 func TestFewFetchesAreJudgedByTheLatest(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.now += time.Minute
@@ -55,8 +56,8 @@
 	}
 }
 
-// TestOverloadFromTheStartIsSeen checks that a latency of three times the shortest latency objective, from the first
-// fetch on, counts as overload and is not learned as the normal latency.
+// TestOverloadFromTheStartIsSeen checks an origin that takes three times the shortest latency objective from the first
+// fetch on. This must count as overload, and must not be learned as the normal latency.
 func TestOverloadFromTheStartIsSeen(t *testing.T) {
 	driver := newDriver(t, testSettings(), "s1", "s2", "s3")
 	driver.feedOrigin(12, 1500*ms, Succeeded)
