--- a/internal/admission/concurrency_limiter.go
+++ b/internal/admission/concurrency_limiter.go
@@ -25,11 +25,11 @@
 const (
 	cutFactor            = 0.5              // fraction of the limit that is left after a cut
 	congestedFactor      = 1.6              // multiple of the smallest mean latency (minMean) above which a latency indicates queueing
-	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing before the limit is cut: one lost or a few slow requests can raise the mean
-	minUsefulLimit       = 2.0              // up to this limit a long latency is attributed to the server itself, not to its queue
-	growthStep           = 0.1              // increase of the limit for each response while the limit is reached; 1/limit if that is more
-	meanSamples          = 8                // number of samples in a mean
-	minMeanGrowthTime    = 30 * time.Second // time in which minMean grows by a factor of e
+	minCongestedFraction = 0.5              // fraction of samples that must indicate queueing before the limit is cut, as one lost request or a few slow ones can raise the mean
+	minUsefulLimit       = 2.0              // at a limit up to this one, a long latency is attributed to the server itself, not to its queue
+	growthStep           = 0.1              // added to the limit for each response while the limit is almost reached; 1/limit if that is more
+	meanSamples          = 8                // number of latencies that a mean is taken over
+	minMeanGrowthTime    = 30 * time.Second // time in which minMean, the smallest mean latency, grows by a factor of e
 )
 
 // LatencySample describes how one request to the server ended.
@@ -118,7 +118,7 @@
 	s.minMean, s.updatedAt = grown, now
 }
 
-// hasMean reports whether the mean has its full number of samples.
+// hasMean reports whether enough samples (meanSamples) were taken for a mean.
 func (s *latencyStats) hasMean() bool { return s.samples == meanSamples }
 
 // congestedLatency returns the latency above which requests are assumed to wait in the server's queue.
--- a/internal/admission/concurrency_limiter_test.go
+++ b/internal/admission/concurrency_limiter_test.go
@@ -9,7 +9,7 @@
 // queueServer models a server that serves a number of requests at a time, in the order of their arrival.
 type queueServer struct {
 	work   time.Duration // average time that a request takes
-	freeAt []Time        // when each of the server's places becomes free
+	freeAt []Time        // when each place becomes free; a place serves one request at a time
 }
 
 // serve accepts a request and returns the time of its response.
@@ -50,8 +50,9 @@
 	return total / time.Duration(max(responses, 1)), float64(responses) / span.Seconds()
 }
 
-// TestLimitFollowsTheServer checks that the limit keeps a server of four places busy, with latencies near the time that
-// the work itself takes. The same holds after the server has become four times as slow, and as fast as before again.
+// TestLimitFollowsTheServer checks that the limit keeps a server busy that serves four requests at a time, with
+// latencies near the time that the work itself takes. The same holds after the server has become four times as slow,
+// and as fast as before again.
 func TestLimitFollowsTheServer(t *testing.T) {
 	const span = 20 * time.Second
 	for seed := range uint64(20) {
--- a/internal/admission/connection_policy.go
+++ b/internal/admission/connection_policy.go
@@ -13,22 +13,24 @@
 	// the interval between its requests, up to Long, so that a client with rare requests keeps its connection.
 	IdleTimeouts   [numStages]IdleTimeouts
 	IntervalFactor float64
-	// CrowdedFrom and CrowdedFull are fractions of MaxConnections. Idle timeouts are Long up to CrowdedFrom, shrink between
-	// the two, and are Short from CrowdedFull on.
+	// CrowdedFrom and CrowdedFull are fractions of MaxConnections. While the table is filled up to CrowdedFrom, the
+	// idle timeouts are IdleTimeouts.Long. They shrink as the table fills further, and are IdleTimeouts.Short from
+	// CrowdedFull on.
 	CrowdedFrom, CrowdedFull float64
 	// MaxUnsentBytes bounds the unsent bytes of responses on all connections together; 0 means no bound. Past it,
 	// connections whose clients read nothing for StuckTimeout are closed. The connection that has made no progress for
 	// the longest time is closed first.
 	MaxUnsentBytes int
 	StuckTimeout   time.Duration
-	// LookAhead is how far the growth of the table is extrapolated: a table that fills counts as fuller than it is.
+	// LookAhead is how far ahead the growth of the table is extrapolated: a table that grows counts as fuller than it
+	// is.
 	LookAhead time.Duration
 }
 
 const (
 	maxNewIdle      = time.Second            // longest idle time without a complete command, in a crowded table
 	maxInvalidIdle  = 2 * time.Second        // longest idle time after an invalid command, while there is capacity
-	minRegularIdle  = 400 * time.Millisecond // shortest idle timeout of a regular connection, in a crowded table: its requests have gaps
+	minRegularIdle  = 400 * time.Millisecond // shortest idle timeout of a connection with several requests, in a crowded table, because there are gaps between its requests
 	crowdedFrom     = 0.1
 	crowdedFull     = 0.4
 	intervalFactor  = 4
--- a/internal/admission/connection_stage.go
+++ b/internal/admission/connection_stage.go
@@ -38,10 +38,13 @@
 // connection is one connection of the table.
 type connection struct {
 	id           uint64
-	openCommands int  // commands that wait for a response
-	idleSince    Time // when openCommands became 0, or when the first part of a later partial command arrived
-	stage        Stage
-	isClosing    bool // the connection has been marked for closing, and Closed has not been called yet
+	openCommands int // commands that wait for a response
+	// idleSince is when the connection was accepted or when openCommands last became 0. If part of a command has
+	// arrived since then, idleSince is when its first part arrived: a connection with an incomplete command counts as
+	// idle.
+	idleSince Time
+	stage     Stage
+	isClosing bool // the connection has been marked for closing, and Closed has not been called yet
 
 	requests      int
 	lastRequest   Time
@@ -51,9 +54,9 @@
 	hasPartial    bool    // the connection has sent part of a command
 
 	unsent     int  // bytes of responses that are ready but not written
-	progressAt Time // when unsent bytes were last written, or when the first became ready
+	progressAt Time // when bytes of responses were last written or, after all were written, the next became ready
 
-	queue          *idleQueue // idle queue that holds the connection, or nil
+	queue          *idleQueue // queue of idle connections that holds this connection; nil if none does
 	previous, next *connection
 }
 
@@ -99,8 +102,8 @@
 	return StageNew
 }
 
-// Regular connections are grouped into classes by the interval between their requests. The upper bound of each class is
-// twice that of the class before. The last class also holds all longer intervals.
+// Connections with several requests (StageRegular) are grouped into classes by the interval between their requests. The
+// upper bound of each class is twice that of the class before. The last class also holds all longer intervals.
 const (
 	intervalClasses  = 14
 	shortestInterval = 8 * time.Millisecond
--- a/internal/admission/connection_table.go
+++ b/internal/admission/connection_table.go
@@ -1,7 +1,8 @@
 package admission
 
-// ConnectionTable decides which connections of a listener are kept. Idle connections of one stage and interval class
-// are queued in the order in which they became idle, so the next connection to expire is always at the head of one of a
+// ConnectionTable decides which connections of a listener are kept. There is a queue of idle connections for each
+// stage; connections with several requests have a queue for each class of the interval between requests. A queue is in
+// the order in which its connections became idle, so the next connection to expire is always at the head of one of a
 // few queues. The cost of an event does not depend on the number of connections, and the table is never scanned.
 //
 // The table closes no connection itself: ExpireIdle, Admit and NextStuck mark connections for closing. The caller closes
@@ -16,8 +17,9 @@
 	growth      growthRate
 }
 
-// numQueues is the number of queues: one for each stage and one for each interval class. The queue of StageRegular stays
-// empty, as regular connections are in the queues of their interval classes.
+// numQueues is the number of queues: one for each stage, and one for each interval class: a range of the interval
+// between requests. The queue of StageRegular stays empty, as regular connections are in the queues of their interval
+// classes.
 const numQueues = int(numStages) + intervalClasses
 
 // NewConnectionTable returns an empty table.
@@ -120,7 +122,7 @@
 	}
 }
 
-// enqueue puts an idle connection into the queue of its stage, unless it is marked for closing.
+// enqueue puts an idle connection into the queue that queueIndex gives, unless it is marked for closing.
 func (t *ConnectionTable) enqueue(c *connection) {
 	c.unlink()
 	if c.isClosing {
@@ -130,8 +132,8 @@
 	t.queues[queueIndex(c)].push(c)
 }
 
-// queueIndex returns the index of a connection's queue: that of its stage or, for a regular connection, of its interval
-// class.
+// queueIndex returns the index of a connection's queue: the queue of its stage or, for a regular connection, of the
+// class of its mean interval between requests.
 func queueIndex(c *connection) int {
 	if c.stage != StageRegular {
 		return int(c.stage)
--- a/internal/admission/descriptor_split.go
+++ b/internal/admission/descriptor_split.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Side is one of the uses among which file descriptors are divided.
+// Side is one of the purposes that share the file descriptors: clients, cache servers or the origin.
 type Side int
 
 // The sides, each with its own limit of descriptors.
@@ -24,28 +24,28 @@
 
 // DescriptorSplitPolicy configures a DescriptorSplit.
 type DescriptorSplitPolicy struct {
-	Start, Floor [NumSides]int // number of descriptors of each side at the start, and its minimum
+	Start, Floor [NumSides]int // for each side: how many descriptors it has at the start, and the minimum that it always keeps
 	Step         int           // maximum number of descriptors that move at a time
 	Hold         time.Duration // time for which a side that gained descriptors gives none away
 	Fade         time.Duration // time in which a peak of use decays to 1/e
 }
 
-// DescriptorSplit divides descriptors among the sides by need. A side gains only what another side gives, so the sum
-// never changes. A side gives only descriptors that it has not used recently, and never goes below its floor. A side
-// that has just gained descriptors keeps them for a while, so that two sides in need do not pass the same ones back and
-// forth.
+// DescriptorSplit divides descriptors among the sides (clients, cache servers and the origin) by need. A side gains
+// only what another side gives, so the sum never changes. A side gives only descriptors that it has not used recently,
+// and never goes below its floor. A side that has just gained descriptors keeps them for a while, so that two sides in
+// need do not pass the same ones back and forth.
 type DescriptorSplit struct {
 	policy    DescriptorSplitPolicy
 	limits    [NumSides]int
 	peak      [NumSides]float64 // peak number of descriptors in use, which decays with time
-	exhausted [NumSides]int64   // SideUsage.Exhausted as of the last Rebalance
+	exhausted [NumSides]int64   // SideUsage.Exhausted of each side at the last call of Rebalance
 	gainedAt  [NumSides]Time    // when each side last gained descriptors; 0 for never
 	updatedAt Time
 	isStarted bool
 }
 
 const (
-	peakHeadroom          = 1.25 // multiple of its peak use that a side keeps
+	peakHeadroom          = 1.25 // a side keeps this many times its recent peak use
 	spareDescriptors      = 2    // descriptors that a side keeps in addition to peakHeadroom times its peak use
 	nearlyExhaustedTenths = 9    // tenths of its limit that a side has to use before its use counts as a need for more
 )
@@ -76,7 +76,8 @@
 	return true
 }
 
-// mostInNeed updates the peaks and returns the side with the greatest need; ok is false if no side needs more.
+// mostInNeed updates the peak use of each side and returns the side with the greatest need; ok is false if no side
+// needs more descriptors.
 func (s *DescriptorSplit) mostInNeed(now Time, usage [NumSides]SideUsage) (recipient Side, ok bool) {
 	decay := 1.0
 	if s.isStarted && s.policy.Fade > 0 {
@@ -94,8 +95,8 @@
 	return recipient, ok
 }
 
-// need returns how urgently a side needs more descriptors; 0 means not at all. Each time that no descriptor was
-// available counts as much as a limit that is used completely.
+// need returns how urgently a side needs more descriptors; 0 means not at all. Each time since the last call that no
+// descriptor was available counts as much as a limit that is used completely.
 func (s *DescriptorSplit) need(side Side, usage SideUsage) float64 {
 	need := 0.0
 	if s.isStarted {
--- a/internal/admission/descriptor_split_test.go
+++ b/internal/admission/descriptor_split_test.go
@@ -12,7 +12,7 @@
 	policy     DescriptorSplitPolicy
 	split      *DescriptorSplit
 	exhausted  [NumSides]int64
-	lastChange [NumSides]int // last change of each limit that was not 0
+	lastChange [NumSides]int // the last nonzero change of each limit
 	reversals  int           // how often a limit rose after a fall, or fell after a rise
 }
 
--- a/internal/admission/eviction_test.go
+++ b/internal/admission/eviction_test.go
@@ -78,11 +78,11 @@
 
 // TestCrowdDoesNotDisconnectRegularClients guards against a crowd of other clients that keeps regular clients out or
 // makes the table close their connections. In one case the clients of the crowd send one request each and never close
-// their connections. They connect at four times the rate at which the table could keep each connection for 2 s. In the
-// other case a connection that sends nothing is opened every 7 ms.
+// their connections. They open 200 connections per second: four times as many as a table of 100 connections could keep
+// for 2 s each. In the other case a connection that sends nothing is opened every 7 ms.
 func TestCrowdDoesNotDisconnectRegularClients(t *testing.T) {
 	for name, test := range map[string]struct {
-		interval     time.Duration // time between two connections of the crowd
+		interval     time.Duration // time from one new connection of the crowd to the next
 		sendsRequest bool
 	}{"one-shot clients": {5 * ms, true}, "silent connections": {7 * ms, false}} {
 		t.Run(name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 			if c.reconnects > 20 {
 				t.Errorf("got %d reconnects of regular clients, want 20 at most", c.reconnects)
 			}
-			if test.sendsRequest && c.notAdmitted > c.opened/4 { // connections without a request are allowed to wait
+			if test.sendsRequest && c.notAdmitted > c.opened/4 { // connections that send no request are allowed to wait for space
 				t.Errorf("got %d of %d connections not admitted at once, want a quarter at most", c.notAdmitted, c.opened)
 			}
 		})
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -4,11 +4,11 @@
 // (Shreedhar and Varghese, 1995). Hundreds of commands of one connection then delay each other, but not the commands of
 // other connections. Each connection has a queue of its own, of bounded length.
 type FairQueue[T any] struct {
-	Quantum          int // cost that is added to the deficit of a connection at each of its turns
+	Quantum          int // a connection's deficit, the cost that it may still take in its turn, grows by this much at each of its turns
 	MaxPerConnection int // items of one connection that may wait; further items are not accepted; 0 means no bound
 
 	queues map[uint64]*connectionQueue[T]
-	active []*connectionQueue[T] // queues that hold items, in the order of their turns; starts at index first
+	active []*connectionQueue[T] // active[first:] are the queues that hold items, in the order of their turns
 	first  int
 	total  int
 	spare  []*connectionQueue[T] // empty queues to be reused
@@ -98,7 +98,7 @@
 	return item.value
 }
 
-// discard removes an empty queue. Its connection loses the unused deficit.
+// discard removes an empty queue. Its connection loses the unused deficit, the cost that it might still have taken.
 func (q *FairQueue[T]) discard(queue *connectionQueue[T]) {
 	delete(q.queues, queue.id)
 	*queue = connectionQueue[T]{items: queue.items[:0]}
--- a/internal/admission/idle_expiry.go
+++ b/internal/admission/idle_expiry.go
@@ -11,7 +11,8 @@
 	updatedAt Time
 }
 
-// growthWindow is the time constant of the rate in seconds: a connection's weight has decayed to 1/e after this time.
+// growthWindow is the time constant of the rate in seconds: after this time, an accepted or closed connection counts
+// only 1/e as much.
 const growthWindow = 0.5
 
 func (g *growthRate) record(now Time, connections float64) {
@@ -23,8 +24,8 @@
 	return g.perSecond * math.Exp(-(now-g.updatedAt).Seconds()/growthWindow)
 }
 
-// Crowding returns how crowded the table is, from 0 to 1: at 0 connections have their long idle timeouts, at 1 their
-// short ones.
+// Crowding returns how crowded the table is, from 0 to 1: at 0 connections have the timeouts IdleTimeouts.Long, at 1
+// IdleTimeouts.Short.
 func (t *ConnectionTable) Crowding(now Time) float64 {
 	policy := t.policy
 	expected := float64(t.Len()-t.closing) + max(0, t.growth.at(now))*policy.LookAhead.Seconds()
--- a/internal/admission/memory_pressure.go
+++ b/internal/admission/memory_pressure.go
@@ -6,7 +6,7 @@
 // It extrapolates a rise of the use, to react before the memory is full. The fraction falls slowly, as the garbage
 // collector frees memory late.
 type MemoryPressure struct {
-	Limit int64 // bytes past which the node is killed; 0 means no limit
+	Limit int64 // bytes of memory past which the node is killed; 0 means no limit
 
 	isStarted bool
 	lastUsed  int64 // bytes in use at the last call of Observe
@@ -20,11 +20,12 @@
 	memoryLow = 0.72
 	// memoryHigh is the fraction of the limit from which on the whole sheddable load is shed.
 	memoryHigh = 0.90
-	// memoryLookAhead is how far a rise of the use is extrapolated. maxMemoryLookAhead is the largest fraction of the limit
-	// that the extrapolation may add, because the use rises fast when a node starts, and then stops.
+	// memoryLookAhead is how far ahead a rise of the memory use is extrapolated. maxMemoryLookAhead is the largest
+	// fraction of the limit that the extrapolation may add, because the use rises fast when a node starts, and then
+	// stops.
 	memoryLookAhead    = 500 * time.Millisecond
 	maxMemoryLookAhead = 0.15
-	// pressureFall is how much the level may fall per second.
+	// pressureFall is how much the level, the fraction of the sheddable load to shed, may fall per second.
 	pressureFall = 0.5
 )
 
--- a/internal/admission/memory_pressure_test.go
+++ b/internal/admission/memory_pressure_test.go
@@ -10,7 +10,7 @@
 	const step = 250 * time.Millisecond
 	for name, test := range map[string]struct {
 		used       []int64 // MB in use, of a limit of 100 MB, every 250 ms
-		least, top float64 // bounds of the level at the end
+		least, top float64 // bounds of the fraction to shed, at the end
 	}{
 		"little":          {[]int64{20, 20, 20}, 0, 0},
 		"level, not much": {[]int64{70, 70, 70}, 0, 0},
--- a/internal/admission/priority_queue.go
+++ b/internal/admission/priority_queue.go
@@ -22,7 +22,7 @@
 	q.items, q.weights = append(q.items, item), append(q.weights, weight)
 }
 
-// Contains reports whether an item waits.
+// Contains reports whether the item is in the queue.
 func (q *PriorityQueue[T]) Contains(item T) bool { return slices.Contains(q.items, item) }
 
 // Remove removes an item and reports whether it was in the queue.
--- a/internal/admission/queue_delay.go
+++ b/internal/admission/queue_delay.go
@@ -8,7 +8,7 @@
 // of the sheddable load to shed, the level. The level rises while the queue stays behind, and falls otherwise.
 type QueueDelay struct {
 	Target   time.Duration // longest wait that is acceptable
-	Interval time.Duration // time over which the shortest wait is taken; should be several service times
+	Interval time.Duration // time over which the shortest wait is taken; should be several times as long as serving one item takes
 
 	intervalStart Time
 	isStarted     bool
@@ -18,10 +18,10 @@
 }
 
 const (
-	levelRise        = 0.1  // after an interval whose shortest wait exceeds Target, the level rises by this times (shortest wait / Target)
-	maxRiseMultiple  = 4    // the level rises by at most this many times levelRise after one interval
-	levelFall        = 0.15 // fall of the level after an interval whose shortest wait is at most Target, or that has no sample
-	maxIdleIntervals = 64   // number of intervals without a call after which the level is set to 0
+	levelRise        = 0.1  // after an interval whose shortest wait exceeds Target, the level rises by levelRise * shortest wait / Target
+	maxRiseMultiple  = 4    // the level rises by at most maxRiseMultiple * levelRise after one interval
+	levelFall        = 0.15 // fall of the level after an interval whose shortest wait is at most Target, or in which no item left the queue
+	maxIdleIntervals = 64   // after more than about this many intervals without a call the level is set to 0, instead of ending the intervals one by one
 )
 
 // Observe records how long an item that has just left the queue waited in it.
--- a/internal/admission/request_memory.go
+++ b/internal/admission/request_memory.go
@@ -4,7 +4,7 @@
 // keeps for it. Only writes carry values. Writes have the greatest weight and are never shed, so the last part of the
 // memory is reserved for them. Past the bound a request is rejected before any of it is executed.
 type RequestMemory struct {
-	Limit int // bytes of all requests in progress; 0 means no bound
+	Limit int // maximum bytes of all requests in progress together; 0 means no bound
 
 	used int // bytes that are reserved
 }
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -7,9 +7,11 @@
 // tokens are earned by time alone, as a node with few requests would otherwise never earn one.
 type RetryBudget struct {
 	Ratio        float64 // tokens that each first attempt earns
-	MinPerSecond float64 // tokens that each second earns
+	MinPerSecond float64 // tokens earned per second, even without attempts
 	MaxSaved     float64 // maximum number of saved tokens
-	Burst        float64 // tokens that may always be saved; more may be saved only if they were earned in about the last second; 0 means no bound
+	// Burst is the number of tokens that may always be saved. More tokens may be saved only if they were earned in
+	// about the last second. 0 means that MaxSaved is the only bound.
+	Burst float64
 
 	recentlyEarned float64 // tokens earned recently; a token earned a second ago counts 1/e
 	tokens         float64
--- a/internal/admission/unsent_bytes.go
+++ b/internal/admission/unsent_bytes.go
@@ -42,8 +42,8 @@
 	return worst.id, true
 }
 
-// longestStuck returns the slow reader that has made no progress for the longest time, or nil if none has reached the
-// stuck timeout.
+// longestStuck returns the slow reader (a connection with more than slowReaderBytes unsent bytes) that has made no
+// progress for the longest time. It returns nil if no slow reader has reached the stuck timeout.
 func (t *ConnectionTable) longestStuck(now Time) (worst *connection) {
 	timeout := t.stuckTimeout()
 	for _, c := range t.slowReaders {
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -60,10 +60,10 @@
 
 // arrivalAcrossPause returns the earliest time at which a command that is read now may have arrived on this connection. For most
 // connections that is earliest: the beginning of a pause that has just ended, or else now. If this connection waited to be
-// accepted, the command may have arrived as soon as its client opened the connection. The result is never before the write of
-// the previous response began, because only a client that pipelines sends its next command earlier.
+// accepted, the command may have arrived as soon as its client opened the connection. The result is never before the write of the
+// previous response began, because only a client that pipelines sends a command before it has the response to the previous one.
 func (c *Conn) arrivalAcrossPause(now, earliest time.Time) time.Time {
-	waited := pause.IsShown(c.sentAfter, c.acceptedAt) // false once a response was written, which moves sentAfter
+	waited := pause.IsShown(c.sentAfter, c.acceptedAt) // false once a response was written: sentAfter is then not before acceptedAt
 	if waited && now.Sub(c.acceptedAt) < settleTime || earliest.Before(c.sentAfter) {
 		return c.sentAfter
 	}
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -24,15 +24,15 @@
 
 	start             time.Time // time zero of the connection table's clock
 	pause             pauseTracker
-	table             *admission.ConnectionTable // the open connections without the lingering ones
+	table             *admission.ConnectionTable // decides which connections are kept; holds the open connections, not the lingering ones
 	maxConnections    int
 	conns             map[uint64]*Conn // the open connections by id
-	lingering         []*Conn          // lingering connections, earliest deadline first
+	lingering         []*Conn          // connections that have ended but are still read for a while, earliest deadline first
 	lastID            uint64
 	capacityExhausted int64 // number of times that a connection had to wait for capacity
 
 	isDraining    bool
-	drainDeadline time.Time // valid while draining: until then connections with a partial command stay open
+	drainDeadline time.Time // while draining: the time up to which connections with a partial command stay open
 }
 
 // NewCore returns a core. A request whose class is not among classes is answered with an error. A request whose tenant is not among
@@ -139,9 +139,9 @@
 // timers before the bytes that arrived during the pause.
 func (c *Core) closeUnlessUnread(now time.Time, conn *Conn, effects *Effects) {
 	switch {
-	case conn.isFramingBroken || conn.endReason == EndedByQuit: // no later command gets a response
+	case conn.isFramingBroken || conn.endReason == EndedByQuit: // later commands get no response anyway, so unread bytes do not matter
 		c.closeGracefully(now, conn, effects)
-	case conn.isPaused: // the bytes that were already read may hold commands
+	case conn.isPaused: // the bytes that were already read may hold commands, which are decoded first
 		effects.add(ResumeReading, conn, nil)
 	case !conn.isClosed && !conn.isCheckingUnread:
 		conn.isCheckingUnread = true
@@ -157,7 +157,7 @@
 	case conn.isClosed || !conn.closeAfterResponses:
 	case len(conn.slots) == 0 && !conn.isPaused && (!hasUnread || c.mayCloseDespiteUnread(now, conn)):
 		c.closeGracefully(now, conn, effects)
-	case conn.endReason != EndedByDrain: // it was to be closed as idle, but the check shows that it is not idle
+	case conn.endReason != EndedByDrain: // the connection was to be closed as idle, but has unread bytes or a pending response
 		conn.closeAfterResponses = false
 		c.table.Retain(conn.id)
 		effects.capacityAvailable()
@@ -186,8 +186,8 @@
 	c.cancelRequests(conn, effects)
 }
 
-// closeGracefully closes a connection whose client may still read responses. The connection lingers until the client has closed it
-// too, or until its linger deadline.
+// closeGracefully closes a connection whose client may still read responses. The connection then lingers: it is still read until
+// the client has closed it too, or until its linger deadline.
 func (c *Core) closeGracefully(now time.Time, conn *Conn, effects *Effects) {
 	if conn.isClosed {
 		return
--- a/internal/listener/core_property_test.go
+++ b/internal/listener/core_property_test.go
@@ -12,7 +12,7 @@
 	"shelfproxy/internal/request"
 )
 
-// invalidCommand stands in modelClient.unanswered for a command without an id.
+// invalidCommand stands in modelClient.unanswered for an invalid command, which has no id.
 const invalidCommand = "?"
 
 // modelClient models a client and its side of a connection.
@@ -21,7 +21,7 @@
 	unanswered       []string // ids of the commands without a response, in the order in which they were sent
 	sent             []byte   // bytes that the client has sent and the core has not read yet
 	mayResume        bool     // the core has asked for Resume, which has not been called yet
-	received         string   // responses of the write that is in progress
+	beingWritten     string   // bytes of the responses in the write that is in progress; the client receives them if the write succeeds
 	isWriting        bool
 	isEnded          bool
 	isCheckRequested bool // the core has asked for CheckUnread, which has not been carried out yet
@@ -97,7 +97,7 @@
 	}
 }
 
-// pickClient draws one of the clients; it returns nil if there is none.
+// pickClient returns a random client, or nil if there is none.
 func (m *coreModel) pickClient(t *rapid.T) *modelClient {
 	if len(m.clients) == 0 {
 		return nil
@@ -105,7 +105,7 @@
 	return m.clients[rapid.IntRange(0, len(m.clients)-1).Draw(t, "client")]
 }
 
-// deliver passes the bytes that a client has sent to the core, until the core pauses the connection.
+// deliver passes to the core the bytes that a client has sent, until the core pauses the connection.
 func (m *coreModel) deliver(t *rapid.T, client *modelClient) {
 	for !client.conn.IsClosed() && (client.mayResume || !client.conn.IsPaused() && len(client.sent) > 0) {
 		var effects Effects
@@ -155,8 +155,8 @@
 
 // checkReceived checks the responses that a client received: they must be the responses to its commands, in order.
 func (m *coreModel) checkReceived(t *rapid.T, client *modelClient) {
-	for client.received != "" {
-		header, rest, _ := strings.Cut(client.received, "\r\n")
+	for client.beingWritten != "" {
+		header, rest, _ := strings.Cut(client.beingWritten, "\r\n")
 		if len(client.unanswered) == 0 {
 			t.Fatalf("got response %q, want none: there is no command", header)
 		}
@@ -179,7 +179,7 @@
 		default:
 			t.Fatalf("%s: got response %q, want a value or an error", id, header)
 		}
-		client.received = rest
+		client.beingWritten = rest
 	}
 }
 
@@ -202,7 +202,7 @@
 		return
 	}
 	for _, response := range responses {
-		client.received += string(response)
+		client.beingWritten += string(response)
 	}
 	client.isWriting = true
 }
@@ -231,7 +231,7 @@
 	}
 }
 
-// reply has the handler answer one of the open requests.
+// reply makes the handler answer one of the open requests.
 func (m *coreModel) reply(t *rapid.T) {
 	m.current = t
 	for id, r := range m.requests {
--- a/internal/listener/end.go
+++ b/internal/listener/end.go
@@ -11,7 +11,7 @@
 	EndedIdle                            // the connection was idle for too long
 	EndedWithoutCommand                  // no complete command arrived in time
 	EndedForCapacity                     // the connection was idle and was closed to make space for a new connection
-	EndedStuck                           // the client read no responses
+	EndedStuck                           // the client read no responses for too long, while too many bytes of responses were unsent
 	EndedWriteFailed                     // a response could not be written
 	EndedBadFraming                      // the client sent bytes that are not a RESP2 command
 )
--- a/internal/listener/expiry.go
+++ b/internal/listener/expiry.go
@@ -73,7 +73,8 @@
 }
 
 // Drain starts to close all connections, each as soon as its pending responses are written. A connection with a partial command
-// has lingerTimeout to send the rest of it, and a connection that is accepted from now on has lingerTimeout to send a command.
+// has 500 ms (lingerTimeout) to send the rest of it, and a connection that is accepted from now on has lingerTimeout to send a
+// command.
 func (c *Core) Drain(now time.Time, effects *Effects) {
 	c.isDraining, c.drainDeadline = true, now.Add(lingerTimeout)
 	effects.capacityAvailable()
--- a/internal/listener/framing.go
+++ b/internal/listener/framing.go
@@ -40,10 +40,10 @@
 	expectBulkLF
 )
 
-// framingGuard is the input of redcon's reader. It checks the framing and ends the stream before the byte that breaks it. redcon's
-// reader cannot be left to check it: it drops valid commands that arrive in the same read as a broken one. An array count near the
-// largest integer makes it loop forever, and a bulk string length of that size makes it panic. A command without an end makes its
-// buffer grow without bound.
+// framingGuard is the input of redcon's reader. It checks the framing and ends the stream before the byte that breaks it.
+// redcon's reader cannot be left to check the framing: the reader drops valid commands that arrive in the same read as a broken
+// one. An array count near the largest integer makes it loop forever, and a bulk string length of that size makes it panic. A
+// command without an end makes its buffer grow without bound.
 //
 // framingGuard never waits for bytes: when it has none it returns errNeedMoreBytes. It is not safe for concurrent use.
 type framingGuard struct {
@@ -51,7 +51,7 @@
 	state    framingState
 	isBulk   bool // number is the length of a bulk string, not the count of an array
 	number   int  // value of the digits read so far; within a bulk string, the number of its bytes that are still to come
-	digits   int  // digits of the number read so far
+	digits   int  // how many digits of the number have been read so far
 	argsLeft int  // bulk strings of the command that are not complete yet
 	length   int  // bytes of the command's bulk strings so far
 
@@ -82,7 +82,7 @@
 	if accepted == 0 {
 		return 0, g.err
 	}
-	return accepted, nil // even if g.err is set: the bytes before the error may complete a command
+	return accepted, nil // no error yet, even if g.err is set: the bytes before the broken one may complete a command
 }
 
 // accept checks the framing of input up to the end of the current command, or up to the byte that breaks the framing, and returns
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -22,7 +22,7 @@
 	initialEffectsCapacity         = 8 // number of effects; enough for most calls of the core
 	initialResponseEffectsCapacity = 2 // number of effects; enough for most calls of Core.Respond
 
-	maxCopiedSize    = 4 << 10               // up to this many bytes, responses are copied into one buffer and written at once
+	maxCopiedSize    = 4 << 10               // responses of up to this many bytes together are copied into one buffer and written in one system call
 	acceptRetryDelay = 5 * time.Millisecond  // wait after a failed accept, for example for lack of descriptors, some of which are freed soon
 	finalAcceptTime  = 20 * time.Millisecond // how long Close still accepts from the kernel's queue; commands on connections left in the queue are lost
 )
@@ -116,7 +116,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded): // the deadline that Close set: the time for the connections in the kernel's queue is over
+		case errors.Is(err, os.ErrDeadlineExceeded): // the deadline that Close set has passed: no further connection is accepted from the kernel's queue
 			return l.netListener.Close()
 		case err != nil:
 			l.count.AcceptFailed.Add(1)
@@ -189,7 +189,7 @@
 	}
 }
 
-// StopAccepting closes the listening socket. New connections are left to others that accept on the same socket.
+// StopAccepting closes the listening socket. New connections are left to other processes that accept on the same socket.
 func (l *Listener) StopAccepting() {
 	_ = l.netListener.Close() // an error means that it is closed already
 }
--- a/internal/listener/loops.go
+++ b/internal/listener/loops.go
@@ -29,7 +29,7 @@
 		isPaused = !conn.IsClosed() && conn.IsPaused()
 		l.mu.Unlock()
 		l.carryOut(effects)
-		clear(effects) // the effects refer to the commands that were read
+		clear(effects) // the effects refer to commands, which would otherwise stay in memory
 	}
 }
 
@@ -82,7 +82,7 @@
 func (l *Listener) writeLoop(conn *Conn, socket *socket) {
 	defer l.loops.Done()
 	var responses [][]byte
-	var buffer []byte // holds at most maxCopiedSize bytes and some line ends
+	var buffer []byte // for copies of small responses; holds at most maxCopiedSize bytes and some line ends
 	var effects Effects
 	for range socket.notify {
 		for {
--- a/internal/listener/parse.go
+++ b/internal/listener/parse.go
@@ -39,8 +39,8 @@
 	timeoutParameter = "d" // in milliseconds
 )
 
-// parseRequest returns the request of a command "CACHE.GET key id parameters" or "CACHE.SET key id parameters value". If the command
-// is invalid it returns one of the errors above.
+// parseRequest returns the request of a command "CACHE.GET key id parameters" or "CACHE.SET key id parameters value". If the
+// command is invalid, it returns an error whose text is sent to the client.
 func (c *Core) parseRequest(receivedAt time.Time, command redcon.Command) (*request.Request, error) {
 	parsed := &request.Request{ReceivedAt: receivedAt, IsWrite: isCommand(command.Args[0], setCommand)}
 	wantArgs := 4
--- a/internal/listener/pause.go
+++ b/internal/listener/pause.go
@@ -15,7 +15,7 @@
 	isFailing                 bool      // the most recent accept failed
 }
 
-// blocked records that no connection could be accepted in a period.
+// blocked records that no connection could be accepted between from and until.
 func (q *acceptQueue) blocked(from, until time.Time) { q.blockedFrom, q.blockedUntil = from, until }
 
 // failed records a failed accept. Consecutive failures form one period in which no connection could be accepted.
@@ -35,8 +35,8 @@
 	return now
 }
 
-// pauseTracker detects pauses, in which the process did not run, by calls that are due at known times and come late. Bytes that
-// are read after a pause may have arrived at its beginning, and their client's timeout is counted from then.
+// pauseTracker detects pauses, in which the process did not run: a periodic call then comes later than it was due. Bytes that are
+// read after a pause may have arrived at its beginning, and their client's timeout is counted from that beginning.
 type pauseTracker struct {
 	lastCall, nextCall      time.Time // time of the last call, and when the next call is due
 	pausedFrom, pausedUntil time.Time // beginning and end of the last pause
--- a/internal/listener/pause_test.go
+++ b/internal/listener/pause_test.go
@@ -40,7 +40,7 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for name, test := range map[string]struct {
-		acceptedAt, openedSince int // times in ms
+		acceptedAt, openedSince int // in ms: when the connection was accepted, and the earliest time at which its client may have opened it
 		writtenAt               int // when the last response was written; 0 for none
 		readAt, earliest        int
 		arrivedBy               int // arrival time that the kernel reports; 0 for none
--- a/internal/listener/responses.go
+++ b/internal/listener/responses.go
@@ -24,7 +24,8 @@
 	c.notifyWriter(conn, effects)
 }
 
-// encodeResponse returns the RESP2 encoding of a response. It does not copy a value, and the caller must write CRLF after the value.
+// encodeResponse returns the RESP2 encoding of a response: prefix and, if value is not nil, value after it. The value is not
+// copied, so the caller must write the CRLF that follows the value.
 func encodeResponse(response request.Response) (prefix, value []byte) {
 	switch response.Kind {
 	case request.Served:
--- a/internal/listener/socket.go
+++ b/internal/listener/socket.go
@@ -28,9 +28,9 @@
 	raw            syscall.RawConn
 	pollFDs        [1]unix.PollFd
 	isDisconnected bool                  // the client has closed the connection, whether or not unread bytes are left
-	pollClose      func(fd uintptr) bool // sets isDisconnected and returns it
+	pollClose      func(fd uintptr) bool // sets isDisconnected from the state of the socket, and returns it
 	sinceData      time.Duration         // time since the last bytes arrived; see socketstate.SinceData
-	pollSinceData  func(fd uintptr)      // sets sinceData
+	pollSinceData  func(fd uintptr)      // sets sinceData from the state of the socket
 }
 
 func newSocket(conn net.Conn) *socket {
@@ -53,7 +53,7 @@
 	// An error means that the connection is closed or that the wait was interrupted; the next read shows which.
 	_ = s.raw.Read(s.pollClose)
 	_ = s.conn.SetReadDeadline(time.Time{})                 // cleared before the next call of the core, whose effects may set the deadline again
-	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // polls once more, because a wait that was interrupted before it began has not polled
+	_ = s.raw.Control(func(fd uintptr) { s.pollClose(fd) }) // the wait may have been interrupted before it polled, so poll once more
 	return s.isDisconnected
 }
 
@@ -77,7 +77,8 @@
 	return now.Add(-s.sinceData)
 }
 
-// resumeReading interrupts the reader's current wait, in awaitClose or in a read, or else its next one.
+// resumeReading interrupts the wait of the reader, in awaitClose or in a read. If the reader does not wait now, its next wait is
+// interrupted.
 func (s *socket) resumeReading() {
 	_ = s.conn.SetReadDeadline(past) // fails only on a closed connection, which interrupts the wait as well
 }
