--- a/internal/testbed/invariants/attempt.go
+++ b/internal/testbed/invariants/attempt.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// attempt is an attempt of a request that arrived at a server.
+// attempt is one attempt of a request. It has arrived at a server.
 type attempt struct {
 	seq    uint64
 	server string
--- a/internal/testbed/invariants/endpointlist.go
+++ b/internal/testbed/invariants/endpointlist.go
@@ -79,8 +79,9 @@
 }
 
 // drainingFor returns the state of a server that takes no new requests, and the time at which the node was notified of
-// that state. A node that was not notified counts as notified Tolerances.NotifyWithin after the discovery service
-// listed the state or became reachable again. draining is false if there is no such time.
+// that state. If the node was not notified, the time is Tolerances.NotifyWithin after the later of two events: the
+// discovery service listed the state, and it became reachable again. In this case draining is false if the server is
+// listed as up, if the discovery service is unreachable now, or if NotifyWithin is 0.
 func (c *Checker) drainingFor(node int, server string) (drain drainState, draining bool) {
 	if view := c.nodes[node]; view != nil {
 		if drain, draining = view.draining[server]; draining {
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -36,7 +36,7 @@
 	Window time.Duration // for Deduplicated: how long retries are allowed after the first attempt that may have been executed
 }
 
-// Tolerances bound how long nodes may take to follow a change.
+// Tolerances bound how long nodes may take to react to a change of the endpoint list.
 type Tolerances struct {
 	// DrainWithin is the time for which a node may still send new requests to a draining server. It counts from the
 	// notification that told the node that the server is draining.
--- a/internal/testbed/simulation/clients.go
+++ b/internal/testbed/simulation/clients.go
@@ -232,9 +232,9 @@
 	}
 }
 
-// checkLiveness checks the history of the clients. It also checks that the requests from Plan.HealthyFrom on were served. Besides
-// one request, at most a twentieth of these requests may be unserved; a sixth with Plan.ScarceCapacity, a third with
-// Plan.ManyNodes.
+// checkLiveness checks the history of the clients. It also checks that the requests from Plan.HealthyFrom on were served. If
+// there are n such requests, at most 1 + n/20 of them may be unserved. The limit is 1 + n/6 with Plan.ScarceCapacity, and 1 + n/3
+// with Plan.ManyNodes.
 func (c *clients) checkLiveness() {
 	c.history.check(c.world)
 	unserved, total := 0, 0
--- a/internal/testbed/simulation/discovery_call.go
+++ b/internal/testbed/simulation/discovery_call.go
@@ -194,9 +194,9 @@
 	return c.watch.ResponseReceived(c.node.now(), http.StatusOK)
 }
 
-// notified reports to the checker that a list has arrived at the node.
+// notified reports to the checker that a list has arrived at the node, unless the stream lost the list.
 func (c *discoveryCall) notified(list *model.List) {
-	if c.nodeStream.isClosed || c.nodeStream.isUnresponsive { // a reset overtook the list, or the stream went silent
+	if c.nodeStream.isClosed || c.nodeStream.isUnresponsive { // the list did not arrive: a reset overtook it, or nothing arrives on the stream any more
 		return
 	}
 	states := map[string]string{}
--- a/internal/testbed/simulation/draw.go
+++ b/internal/testbed/simulation/draw.go
@@ -126,7 +126,7 @@
 		scarceCapacity(r, s, p) // divided by 20 to 30 nodes, the capacity of a server in slow start is less than one request per node
 		s.Nodes.Count, s.Workload.Rate = scenario.Range{Least: 20, Most: 30}, scenario.Range{Least: 30, Most: 40}
 		p.ManyNodes = true
-		// A restarted process does not know which requests its predecessor sent.
+		// One or more nodes are killed and restarted: a new process does not know which requests its predecessor sent.
 		p.NodeFaults = append(p.NodeFaults, NodeFault{KillNode, r.IntN(10), at().Least, 100 * time.Millisecond, r.IntN(10)})
 	}},
 	{"no-messages", 0.1, func(_ *rand.Rand, _ *scenario.Scenario, p *Plan, _ func() scenario.Span) { p.NoGossip = true }},
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -23,7 +23,7 @@
 
 	lastHolder      map[string]int    // by resource: the node that last held the lease
 	lastToken       map[string]uint64 // by resource: the fencing token of the last holder's lease
-	pendingHalts    int               // number of operators' halts that have not ended yet
+	pendingHalts    int               // number of halts that operators ordered and that have not ended yet
 	haltedForHealth bool
 }
 
--- a/internal/testbed/simulation/fleet_faults.go
+++ b/internal/testbed/simulation/fleet_faults.go
@@ -44,7 +44,7 @@
 		for _, node := range f.nodes {
 			f.crash(node, f.drawBetween(0, fault.For))
 		}
-	case FleetClockBack: // fencing tokens come from dates: they stay in order only if a clock goes back by less than another node's lease lasts
+	case FleetClockBack: // fencing tokens are made from dates: they stay in order only if a clock is set back by less than the time for which another node holds a lease
 		target.clockOffset = f.drawBetween(0, fleetLeaseDuration/2)
 		f.crash(target, fault.For)
 	case FleetRemove:
@@ -75,8 +75,9 @@
 	}
 }
 
-// forgetHolder makes the nodes that granted a lease forget its holder. isolated is the index of a node: for 4 s, datagrams from the
-// holder to this node are dropped. Meanwhile, all nodes except the holder and the isolated node are restarted.
+// forgetHolder makes the nodes that granted a lease forget its holder. isolated is the index of a node: for 4 s, datagrams from
+// the holder to this node are dropped. Meanwhile, all nodes except the holder and the isolated node are restarted. So the
+// isolated node hears nothing from the holder, and the restarted nodes no longer know what they granted.
 func (f *fleet) forgetHolder(isolated int) {
 	holder := f.lastHolder[fleetResources[0]]
 	if holder == isolated {
--- a/internal/testbed/simulation/fleet_node.go
+++ b/internal/testbed/simulation/fleet_node.go
@@ -155,7 +155,7 @@
 			case e.Kind == rollout.LogNodeReady && e.Node == n.index:
 				n.isOut = false
 			case e.Kind == rollout.LogHalted && e.Reason != rollout.ReasonOperator:
-				n.fleet.haltedForHealth = true // no operator reacts to such a halt, so at the end of the run nodes may still wait to drain
+				n.fleet.haltedForHealth = true // no operator resumes a rollout that halted for such a reason, so at the end of the run nodes may still wait to drain
 			}
 		}
 	}
--- a/internal/testbed/simulation/fleet_plan.go
+++ b/internal/testbed/simulation/fleet_plan.go
@@ -61,12 +61,12 @@
 type FleetPlan struct {
 	Seed                           uint64
 	Nodes, Budget                  int
-	Dropped, Duplicated, Corrupted float64       // shares of datagrams until fleetNetworkFaultsEnd; duplication and some loss go on after that
+	Dropped, Duplicated, Corrupted float64       // fractions of all datagrams until fleetNetworkFaultsEnd; duplication and some loss go on after that
 	MaxDelay                       time.Duration // longest delay of a datagram
 	MaxLag                         time.Duration // longest delay until a process that is ready to run gets to run
 	SuspendAtGrant                 float64       // probability that a process is suspended (SIGSTOP) at the moment when its drain is granted
 	Faults                         []FleetFault
-	drawn                          []int // by index in Faults: the number of the fault, for the argument skip of DrawFleet
+	faultNumbers                   []int // for each fault in Faults: its number among all faults drawn, before some were left out; DrawFleet takes such numbers as skip
 }
 
 // DrawFleet returns the plan of a seed. Faults whose numbers are in skip are left out; this does not change the other faults.
@@ -88,7 +88,7 @@
 	for i := range 2 + random.IntN(14) {
 		fault := plan.drawFault(model.RandomStream(seed, "fleet/fault/"+strconv.Itoa(i)), kinds, centre, clustering, skip[i])
 		if fault != nil {
-			plan.Faults, plan.drawn = append(plan.Faults, *fault), append(plan.drawn, i)
+			plan.Faults, plan.faultNumbers = append(plan.Faults, *fault), append(plan.faultNumbers, i)
 		}
 	}
 	return plan
@@ -108,8 +108,9 @@
 	return fleetFaultsFrom + time.Duration(random.Int64N(int64(fleetFaultsTo-fleetFaultsFrom)))
 }
 
-// drawFault returns a random fault. random is a stream for this fault alone. With the probability clustering, the time of the
-// fault is within half a second of centre, so that faults overlap. drawFault returns nil if the fault is left out.
+// drawFault returns a random fault. random is a source of random numbers for this fault alone. With the probability clustering,
+// the time of the fault is within half a second of centre, so that faults overlap. drawFault returns nil if the fault is left
+// out.
 func (p *FleetPlan) drawFault(random *rand.Rand, kinds []FleetFaultKind, centre Time, clustering float64, skip bool) *FleetFault {
 	fault := FleetFault{
 		At:   drawFaultTime(random),
--- a/internal/testbed/simulation/history.go
+++ b/internal/testbed/simulation/history.go
@@ -78,10 +78,12 @@
 	},
 }
 
-// checkTimeout bounds porcupine's search. A history whose check takes longer counts as linearizable.
+// checkTimeout bounds the search of porcupine, the library that checks a history. A history whose check takes longer counts as
+// linearizable.
 const checkTimeout = 500 * time.Millisecond
 
-// check checks that the history is linearizable. If it is not, check reports a violation for one record whose history is not.
+// check checks that the history is linearizable. If it is not, check reports a violation for one record whose own history is not
+// linearizable.
 func (h *history) check(w *world) {
 	if porcupine.CheckOperationsTimeout(recordModel, h.operations, checkTimeout) != porcupine.Illegal {
 		return
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -20,8 +20,8 @@
 	"shelfproxy/internal/upstream/resp"
 )
 
-// node is one simulated node: the program's own cores in the current process, and code that replaces their shells. Where a
-// goroutine of the shell could cause a delay, the node waits for a random time.
+// node is one simulated node: the program's own cores, for the process that the node currently simulates, and code that replaces
+// the shells of these cores. Where a goroutine of the shell could cause a delay, the node waits for a random time.
 type node struct {
 	world       *world
 	index       int
@@ -36,7 +36,7 @@
 	conns             []*listenerConn // open connections of clients, in the order in which they were accepted
 	responseMemory    *upstream.ResponseMemory
 	timerAt           Time // when the next call of HandleTimers is scheduled; 0 if none is
-	listUpdateAt      Time // time for which the handling of the latest list update is scheduled
+	listUpdateAt      Time // time at which the latest list update will be handled, or was handled
 	lastDiscoveryData Time // when the node last received a byte from discovery
 	counters          *counters.Counters
 	agreements        *agreements // nil if Plan.Agreements is not set
@@ -53,7 +53,7 @@
 // lag returns a random delay, up to MaxLag. It stands for the time that a goroutine that is ready to run waits until it runs.
 func (n *node) lag() time.Duration { return n.world.drawBetween(0, n.world.plan.Network.MaxLag) }
 
-// schedule runs work of the current process after a delay. The work is dropped if the process has ended by then.
+// schedule runs work of the node's current simulated process after a delay. The work is dropped if the process has ended by then.
 func (n *node) schedule(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.world.after(delay, func() {
@@ -138,8 +138,8 @@
 	}
 }
 
-// upstreamFactory returns the function with which the node core makes its connection pools. The pools belong to the current
-// process. They share two descriptor budgets: one for cache servers and one for origins.
+// upstreamFactory returns the function with which the node core makes its connection pools. The pools belong to the process that
+// the node currently simulates. They share two descriptor budgets: one for cache servers and one for origins.
 func (n *node) upstreamFactory() func(discovery.Server, bool, func(*upstream.Attempt, upstream.Response)) nodecore.Upstream {
 	plan, incarnation := n.world.plan, n.incarnation
 	cacheServers := upstream.NewDescriptorBudget(plan.Nodes.Sockets / 3)
--- a/internal/testbed/simulation/node_connections.go
+++ b/internal/testbed/simulation/node_connections.go
@@ -112,7 +112,7 @@
 }
 
 // halfClose closes the node's end of a connection. Data that the node wrote before still arrives, and data from the client is
-// dropped. So the node need not wait until the client closes its end, as it would on a real network.
+// dropped. On a real network the node would have to wait until the client closes its end; here it need not.
 func (n *node) halfClose(c *listenerConn) {
 	c.stream.close()
 	n.schedule(n.lag(), func() {
--- a/internal/testbed/simulation/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -16,7 +16,7 @@
 
 	MaxLag         time.Duration // longest delay until a goroutine that is ready to run gets to run
 	MaxClockOffset time.Duration // largest offset of a node's clock from the run's clock, in either direction
-	PipelineWithin time.Duration // passed to the pools as upstream.Limits.PipelineWithin
+	PipelineWithin time.Duration // a pool pipelines an attempt behind one that was sent less than this long ago; see upstream.Limits
 
 	ResetBefore     float64 // probability, for each segment that arrives at a server, that the connection is reset before the server reads the segment
 	ResetAfter      float64 // probability, for each request to a server, that the connection is reset right after the request has arrived
--- a/internal/testbed/simulation/server_conn.go
+++ b/internal/testbed/simulation/server_conn.go
@@ -17,8 +17,8 @@
 	"shelfproxy/internal/testbed/wireformat"
 )
 
-// serverConn is the server's end of a connection from a node. The server is a cache server or the origin. The model decides which
-// responses the server sends, and when.
+// serverConn is the server's end of a connection from a node. The server is a cache server or the origin. The testbed's model of
+// the servers decides which responses the server sends, and when.
 type serverConn struct {
 	world    *world
 	id       model.ConnID
@@ -34,7 +34,7 @@
 	firstByteSentAt Time // when the node sent the first byte of the request that is being received
 	httpInput       []byte
 	pending         []*pendingResponse // responses that are not sent yet, in the order of the requests
-	isCorrupt       bool               // a corrupt response was sent; no response follows, because the node could not tell where it begins
+	isCorrupt       bool               // a corrupt response was sent; the server sends no more, because the node could not tell where the next response begins
 	arrived         map[string]bool    // ids of the requests that arrived completely
 }
 
@@ -199,8 +199,8 @@
 	c.attempt(wireformat.ParseRequest(c.world.classes, isWrite, args))
 }
 
-// attempt handles an attempt that has arrived completely: it passes the attempt to the model. If problem is not empty, the request
-// is malformed, and problem says why.
+// attempt handles an attempt that has arrived completely: it passes the attempt to the model of the servers (world.system). If
+// problem is not empty, the request is malformed, and problem says why.
 func (c *serverConn) attempt(request model.Request, problem string) {
 	if problem != "" {
 		c.malformed(problem)
@@ -226,15 +226,16 @@
 	}
 }
 
-// healthCheck handles a health check that has arrived completely: it passes the health check to the model.
+// healthCheck handles a health check that has arrived completely: it passes the health check to the model of the servers
+// (world.system).
 func (c *serverConn) healthCheck() {
 	c.world.seq++
 	c.pending = append(c.pending, &pendingResponse{seq: c.world.seq})
 	c.world.execute(c.world.system.Step(c.world.now, model.HealthCheck{Conn: c.id, Seq: c.world.seq}))
 }
 
-// responseReady handles a response of the model. It sends the response after the responses to all earlier requests on the
-// connection.
+// responseReady handles a response that the model of the servers has made. It sends the response after the responses to all
+// earlier requests on the connection.
 func (w *world) responseReady(response model.Response) {
 	if response.Request != "" {
 		w.reportResponse(response)
--- a/internal/testbed/simulation/shrink.go
+++ b/internal/testbed/simulation/shrink.go
@@ -15,7 +15,7 @@
 
 // ShrinkFleet searches for a smaller plan of a fleet that still violates the invariant, as Shrink does. It leaves out faults.
 func ShrinkFleet(seed uint64, invariant string) (skip map[int]bool, report *Report) {
-	return shrink(DrawFleet(seed, nil).drawn, invariant, func(skip map[int]bool) *Report { return RunFleet(DrawFleet(seed, skip), Options{}) })
+	return shrink(DrawFleet(seed, nil).faultNumbers, invariant, func(skip map[int]bool) *Report { return RunFleet(DrawFleet(seed, skip), Options{}) })
 }
 
 func shrink(drawn []int, invariant string, run func(skip map[int]bool) *Report) (skip map[int]bool, report *Report) {
--- a/internal/testbed/simulation/stream.go
+++ b/internal/testbed/simulation/stream.go
@@ -21,7 +21,7 @@
 type link struct {
 	minDelay, maxDelay time.Duration // bounds of the one-way delay of a segment
 	segmentProbability float64       // probability that a write is cut into segments
-	lateProbability    float64       // probability that a segment is late by up to maxLateness
+	lateProbability    float64       // probability that a segment is late: by up to maxLateness, in addition to its delay
 	maxLateness        time.Duration
 }
 
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -182,7 +182,7 @@
 	w.report.Taken = w.checker.Counts().Requests
 }
 
-// execute executes effects that the model returned.
+// execute executes effects that the model of servers, origin and discovery returned.
 func (w *world) execute(effects []model.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
