--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -44,8 +44,8 @@
 	// If ClosedLoop is above 0, this number of clients sends the requests in a closed loop instead of an open loop: each client
 	// sends its next request when its last request was answered. The results show that a closed loop hides stalls of the nodes.
 	ClosedLoop int
-	// Source, if set, provides the requests instead of the plan's schedule. It returns false after the last request. Its class
-	// and node numbers are those of the plan. Calls do not overlap.
+	// Source, if set, provides the requests instead of the plan's schedule. It returns false after the last request. The class
+	// and node numbers in these requests refer to the plan. Calls do not overlap.
 	Source func() (workload.Arrival, bool)
 	// Record, if set, is called with every request that Source or the schedule returned. Calls do not overlap.
 	Record func(workload.Arrival)
@@ -86,11 +86,12 @@
 
 	mu      sync.Mutex
 	classes []Class
-	crossed int64 // attempts that a node may have left unread; see Crossed
+	crossed int64 // number of attempts that nodes may have left unread; Crossed says how this comes about
 }
 
-// Crossed returns how many attempts nodes may have left unread because they closed the connection at the same time. It counts
-// only connections that had been idle for longIdle at most, to nodes that were not told to end.
+// Crossed returns how many attempts nodes may have left unread, because they closed the connection at about the time at which the
+// client wrote the attempt. It counts only connections that had been idle for longIdle at most, to nodes that were not told to
+// end.
 func (c *Clients) Crossed() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/clients/generator.go
+++ b/internal/testbed/clients/generator.go
@@ -16,8 +16,8 @@
 const (
 	lateAfter       = 10 * time.Millisecond  // a request counts as late if it is sent more than this after its due time
 	maxLateFraction = 0.01                   // highest valid fraction of the sent requests that were late
-	maxLag          = 500 * time.Millisecond // highest valid lag of a request
-	maxCPUFraction  = 0.9                    // highest valid fraction of the processor time that is available to the program
+	maxLag          = 500 * time.Millisecond // longest valid time from the due time of a request until the generator begins to send it
+	maxCPUFraction  = 0.9                    // maximum fraction of the available processor time that the program may use
 	maxGCFraction   = 0.02                   // highest valid fraction of the elapsed time that pauses of the garbage collector take
 )
 
--- a/internal/testbed/clients/histogram.go
+++ b/internal/testbed/clients/histogram.go
@@ -25,8 +25,8 @@
 	return hdrhistogram.Import(histogram.Export())
 }
 
-// Millis formats a percentile, from 0 to 100, of a histogram of microseconds in milliseconds. It returns "-" if the
-// histogram is empty.
+// Millis returns a percentile of a histogram as text. quantile is from 0 to 100. The histogram holds microseconds; the
+// text is in milliseconds. It returns "-" if the histogram is empty.
 func Millis(histogram *hdrhistogram.Histogram, quantile float64) string {
 	if histogram.TotalCount() == 0 {
 		return "-"
--- a/internal/testbed/demo/owed.go
+++ b/internal/testbed/demo/owed.go
@@ -39,7 +39,7 @@
 // this check leaves more requests unread.
 const (
 	maxCrossed     = 2
-	maxCrossedPart = 0.01 // fraction of all requests, from 0 to 1
+	maxCrossedPart = 0.01 // maximum fraction of all requests, from 0 to 1, that nodes may leave unread when they close a connection
 )
 
 // checkCrossings returns a failure if crossed exceeds both maxCrossed and the fraction maxCrossedPart of all requests. crossed is
--- a/internal/testbed/scenario/plan.go
+++ b/internal/testbed/scenario/plan.go
@@ -25,7 +25,8 @@
 // SetLength sets the duration of the load.
 func (p *Plan) SetLength(length time.Duration) { p.Length, p.Workload.Length = length, length }
 
-// Peak returns an upper bound of the rate of the load, in requests per second: the sum of the peak rates of its processes.
+// Peak returns an upper bound of the rate of the load, in requests per second: the sum of the peak rates of its arrival
+// processes.
 func (p *Plan) Peak() (rate float64) {
 	for _, process := range p.Workload.Processes {
 		rate += process.Rate
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -47,7 +47,7 @@
 	random   randomStreams
 	zipf     *rand.Zipf
 	now      time.Duration // time of the last arrival
-	peakRate float64       // upper bound of the rate, in requests per second
+	peakRate float64       // sum of the peak rates of all arrival processes, in requests per second: an upper bound of the current rate
 	fraction float64       // integral of the rate minus the number of arrivals; used only for evenly spaced arrivals
 }
 
@@ -77,7 +77,7 @@
 	return s
 }
 
-// Rate returns the sum of the rates of all processes at a time, in requests per second.
+// Rate returns the sum of the rates of all arrival processes at the time now, in requests per second.
 func (s *Schedule) Rate(now time.Duration) (rate float64) {
 	for _, process := range s.spec.Processes {
 		rate += process.rate(now, s.spec.Length)
