--- a/internal/admission/connection_policy.go
+++ b/internal/admission/connection_policy.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	maxNewIdle      = time.Second            // longest idle time without a complete command, in a crowded table
-	maxInvalidIdle  = 2 * time.Second        // longest idle time after an invalid command, while there is capacity
+	maxNewIdle      = time.Second            // longest idle time of a connection without a complete command, in a crowded table
+	maxInvalidIdle  = 2 * time.Second        // longest idle time of a connection after an invalid command, while there is capacity
 	minRegularIdle  = 400 * time.Millisecond // shortest idle timeout of a connection with several requests, in a crowded table, because there are gaps between its requests
 	crowdedFrom     = 0.1
 	crowdedFull     = 0.4
--- a/internal/admission/connection_table.go
+++ b/internal/admission/connection_table.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// enqueue puts an idle connection into the queue that queueIndex gives, unless it is marked for closing.
+// enqueue puts an idle connection into the queue that queueIndex gives, unless the connection is marked for closing.
 func (t *ConnectionTable) enqueue(c *connection) {
 	c.unlink()
 	if c.isClosing {
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// newConnectionGrace is how long a newly accepted connection is not evicted, as it is probably about to send a command.
+// newConnectionGrace is how long a newly accepted connection is safe from eviction, as it is probably about to send a
+// command.
 const newConnectionGrace = 100 * time.Millisecond
 
 // Admit reports whether one more connection may be accepted. If the table is full, Admit marks for closing the idle
--- a/internal/listener/core.go
+++ b/internal/listener/core.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// mayCloseDespiteUnread reports whether a connection is closed although unread bytes have arrived. Until the drain deadline,
+// mayCloseDespiteUnread reports whether a connection may be closed although unread bytes have arrived. Until the drain deadline,
 // a connection is kept open as long as its client sends. Past the deadline, it is kept open only once.
 func (c *Core) mayCloseDespiteUnread(now time.Time, conn *Conn) bool {
 	if !c.isDraining || now.Before(c.drainDeadline) {
--- a/internal/testbed/demo/owed.go
+++ b/internal/testbed/demo/owed.go
@@ -43,7 +43,7 @@
 )
 
 // checkCrossings returns a failure if crossed exceeds both maxCrossed and the fraction maxCrossedPart of all requests. crossed is
-// the result of clients.Clients.Crossed.
+// the number of requests that nodes left unread, as clients.Clients.Crossed returns it.
 func checkCrossings(crossed int64, classes []clients.Class) []error {
 	requests := int64(0)
 	for i := range classes {
--- a/internal/testbed/demo/owed_test.go
+++ b/internal/testbed/demo/owed_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against a node that closes connections without a check for unread bytes. The node then leaves more requests unread than
-// allowed, and the run must fail.
+// Guards against a node that closes connections without a check for unread bytes. Such a node leaves more requests unread
+// (crossings) than allowed, and the run must fail.
 func TestCrossingsAreBounded(t *testing.T) {
 	classes := []clients.Class{{Scheduled: 400}, {Scheduled: 100}}
 	for crossed, isFailure := range map[int64]bool{0: false, 2: false, 5: false, 6: true} {
--- a/internal/testbed/simulation/fleet_faults.go
+++ b/internal/testbed/simulation/fleet_faults.go
@@ -103,7 +103,7 @@
 		target.order(rollout.DrainRequested{})
 	case FleetRelease:
 		if !target.isUp || target.isEnding || target.isStopped {
-			return // an operator would see that this node did not take the order, and give the order to another node
+			return // this fault does nothing: an operator would see that this node cannot take the order, and would give it to another node
 		}
 		release := releases[fault.To%len(releases)]
 		for _, node := range f.nodes {
--- a/internal/testbed/simulation/plan.go
+++ b/internal/testbed/simulation/plan.go
@@ -22,7 +22,7 @@
 	ResetAfter      float64 // probability, for each request to a server, that the connection is reset right after the request has arrived
 	BreakWrite      float64 // probability, for each write to a server, that the write fails after a part of its bytes
 	CloseAfter      float64 // probability, for each response, that the server closes the connection after the response
-	TrailingBytes   float64 // probability, for each response, that the server sends a copy of the response after it
+	TrailingBytes   float64 // probability, for each response, that the server sends the same bytes once more after the response
 	GoSilent        float64 // probability that a connection to a server goes silent: from some time on, nothing sent on the connection arrives
 	WatchGoesSilent float64 // probability that the connection of a watch goes silent: from some time on, nothing sent on the connection arrives
 	FailConnect     float64 // probability that a connection attempt to a server fails
--- a/internal/testbed/simulation/shrink.go
+++ b/internal/testbed/simulation/shrink.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// Shrink searches for a smaller plan of a seed that still violates the invariant. It leaves out each part that the violation does
-// not need. It returns the numbers of the parts that are left out, and the report of the run without these parts.
+// Shrink searches for a smaller plan that still violates the invariant. From the plan of the seed, it leaves out each part that
+// the violation does not need. It returns the numbers of the parts that are left out, and the report of the run without these
+// parts.
 func Shrink(seed uint64, invariant string) (skip map[int]bool, report *Report) {
 	return shrink(Parts(seed), invariant, func(skip map[int]bool) *Report { return Run(Draw(seed, skip), Options{}) })
 }
