--- a/internal/fleet/agreement/agreement.go
+++ b/internal/fleet/agreement/agreement.go
@@ -12,7 +12,7 @@
 // Special values in place of the index of a node, as a destination or as a holder.
 const (
 	AllNodes = -1 // destination of a message: all nodes except this one
-	NoNode   = -1 // holder of a resource: no node
+	NoNode   = -1 // holder of a resource: no node holds it
 )
 
 // Majority returns the smallest number of nodes that is more than half of the configured nodes. Two majorities share at least
@@ -30,7 +30,7 @@
 	return hash.Sum32()
 }
 
-// ErrNotInFleet is returned for a list of nodes that is empty, is too long, or does not contain this node.
+// ErrNotInFleet is returned if the list of the fleet's nodes is empty, is too long, or does not contain this node.
 var ErrNotInFleet = InvalidField("nodes", "this one is not among them")
 
 // ValidateNodes returns ErrNotInFleet unless there are 1 to maxNodes nodes and self is the index of one of them.
--- a/internal/fleet/agreement/agreement_test.go
+++ b/internal/fleet/agreement/agreement_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestNameIsHashedByFNV1a(t *testing.T) {
-	for name, want := range map[string]uint32{"": 0x811c9dc5, "a": 0xe40c292c, "foobar": 0xbf9cf968} { // published test vectors
+	for name, want := range map[string]uint32{"": 0x811c9dc5, "a": 0xe40c292c, "foobar": 0xbf9cf968} { // published test vectors of FNV-1a
 		if got := HashName(name); got != want {
 			t.Errorf("HashName(%q) = %#x, want %#x", name, got, want)
 		}
--- a/internal/fleet/agreement/shell/shell.go
+++ b/internal/fleet/agreement/shell/shell.go
@@ -1,5 +1,6 @@
-// Package shell holds what the agents of the fleet's protocols have in common. Each agent runs a core in an event loop, sends
-// the core's datagrams and answers operators' queries from the core's state.
+// Package shell holds what the agents of the protocols between a fleet's nodes have in common. Each agent runs a core, which is
+// a state machine without clock or I/O, in an event loop. The agent sends the core's datagrams and answers operators' queries
+// from the core's state.
 package shell
 
 import (
@@ -18,7 +19,7 @@
 }
 
 // Send sends data to one node or, if to is agreement.AllNodes, to all other nodes in the order of their indices. Otherwise to is
-// the index of the node. A datagram that cannot be sent counts as lost on the way: the protocols repeat what matters.
+// the index of the node. An error of SendTo is ignored: the protocols expect lost datagrams and send again what matters.
 func (p *Peers) Send(to int, data []byte) {
 	for node := range p.Nodes {
 		if node != p.Self && (to == agreement.AllNodes || to == node) {
--- a/internal/fleet/lease/agent/agent.go
+++ b/internal/fleet/lease/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs the lease agreement inside a node. One goroutine owns the core and takes its events from a bounded queue.
-// The agent makes no decisions itself.
+// Package agent runs the lease agreement inside a node. One goroutine runs the core, which makes all decisions, with the events
+// from a bounded queue. The agent carries out the effects that the core returns.
 package agent
 
 import (
@@ -27,7 +27,7 @@
 	Log           *slog.Logger
 }
 
-// Agent is one node's part in the lease agreement. Its methods are safe for concurrent use, except for Serve.
+// Agent runs the core that grants, requests and holds leases for one node. Its methods are safe for concurrent use, except for Serve.
 type Agent struct {
 	*eventloop.Loop[lease.Event, lease.Effect]
 	options Options
@@ -53,7 +53,8 @@
 // Receive passes a datagram from another node to the core. It never blocks: while the queue is full, the datagram is dropped.
 func (a *Agent) Receive(from int, data []byte) { a.Post(lease.MessageReceived{From: from, Data: data}) }
 
-// Announce sends an announcement under a lease to all other nodes, if this node still holds the lease at that moment.
+// Announce sends an announcement with the token of a lease to all other nodes. It sends nothing if this node does not hold the
+// lease when the agent handles the call.
 func (a *Agent) Announce(resource string) { a.Post(lease.Announce{Resource: resource}) }
 
 // Resign gives back all leases and requests no more.
@@ -62,7 +63,7 @@
 // UpdatePeers replaces the list of peers. Datagrams that are sent afterwards go to the new peers.
 func (a *Agent) UpdatePeers(changed lease.PeersChanged) {
 	a.Submit(func() {
-		a.Step(changed) // the releases of this node's leases still go to the peers of the old list
+		a.Step(changed) // this node gives its leases back; the datagrams for this still go to the peers of the old list
 		a.peers.Self, a.peers.Nodes = changed.Self, changed.Nodes
 	})
 }
--- a/internal/fleet/lease/config.go
+++ b/internal/fleet/lease/config.go
@@ -14,8 +14,8 @@
 	PeerListID    uint32        // ID of the list of nodes; messages from nodes that have another list are ignored
 	Resources     []string      // names of the resources that leases are granted on, 1 to MaxResources, without duplicates
 	LeaseDuration time.Duration // how long a granted lease lasts, by the clocks of the nodes that grant it
-	MaxClockDrift float64       // greatest difference between the rates of two clocks, as a fraction
-	Epoch         uint64        // Unix time in milliseconds at Time 0; lets fencing tokens grow even if a majority forgot the last one
+	MaxClockDrift float64       // greatest fraction by which the rates of two nodes' clocks differ; 0.05 is 5 %
+	Epoch         uint64        // Unix time in ms at Time 0; new tokens are at least the date, so they grow even if a majority forgot the last token
 	Seed          uint64
 }
 
--- a/internal/fleet/lease/core.go
+++ b/internal/fleet/lease/core.go
@@ -1,5 +1,5 @@
 // Package lease grants leases on the resources of a fleet, each to one node at a time. The core is a state machine without
-// clock or I/O: it takes events with the time and returns effects.
+// clock or I/O: its inputs are events with the time, its outputs are effects, such as datagrams to send.
 //
 // A node requests a lease from all nodes under a fencing token that is greater than any token it knows of. Each node grants a
 // resource to one node and token at a time, for a LeaseDuration by its own clock. A node becomes the holder when a majority of
@@ -20,16 +20,17 @@
 // their rates may differ by Config.MaxClockDrift.
 type Time = time.Duration
 
-// maxClockSkew is how far a token may be ahead of this node's date. The date of no node is off by more than that.
+// maxClockSkew is how far the dates of two nodes may be apart. A new token is usually the date in milliseconds. So a message
+// whose token is further ahead of this node's date is treated as corrupt.
 const maxClockSkew = time.Hour
 
-// Core is one node's part in the lease agreement. It is not safe for concurrent use.
+// Core decides for one node which leases it grants, requests and holds. It is not safe for concurrent use.
 type Core struct {
 	cfg         Config
 	rng         *rand.Rand
 	resources   []*resource
 	isStarted   bool
-	peersSince  Time // when this process got its list of peers
+	peersSince  Time // when this process got its current list of the fleet's nodes
 	hasResigned bool
 	effects     []Effect // effects of the event that is being handled
 }
@@ -53,7 +54,7 @@
 	if !c.isStarted {
 		c.isStarted, c.peersSince = true, now
 	}
-	// Expire leases first: an answer that arrives after the end of a lease must not find the lease still held.
+	// Leases expire before the event is handled: an answer that arrives after a lease ended must not prolong the lease.
 	for _, r := range c.resources {
 		c.expire(now, r)
 	}
@@ -108,22 +109,23 @@
 // majority returns how many nodes have to grant a lease to a node.
 func (c *Core) majority() int { return agreement.Majority(c.cfg.Nodes) }
 
-// holderTimeout returns how long the holder of a lease relies on its grants, by its own clock.
+// holderTimeout returns how long the holder of a lease relies on the other nodes' grants, by its own clock. This is shorter than
+// a LeaseDuration, as the holder's clock may be slow.
 func (c *Core) holderTimeout() time.Duration {
 	return agreement.HolderTimeout(c.cfg.LeaseDuration, c.cfg.MaxClockDrift)
 }
 
-// isAbstaining reports whether this node may not grant leases yet. The node does not know what it granted before it started.
-// Grants under an earlier list of peers counted towards another majority. Both kinds of grants have expired after a
-// LeaseDuration.
+// isAbstaining reports whether this node may not grant leases yet, because it has just started or has just got a new list of
+// peers. A node does not know what it granted before it started, and a grant under the old list counted towards a majority of
+// the old list. After a LeaseDuration, all such grants have expired.
 func (c *Core) isAbstaining(now Time) bool {
 	return c.cfg.Nodes > 1 && !agreement.HasExpired(now-c.peersSince, c.cfg.LeaseDuration, c.cfg.MaxClockDrift)
 }
 
-// date returns the Unix time in milliseconds by this node's clock.
+// date returns the Unix time in milliseconds, by this node's clock, at the point in time now.
 func (c *Core) date(now Time) uint64 { return c.cfg.Epoch + uint64(now/time.Millisecond) }
 
-// maxToken returns the greatest token that another node may have, given the clock skew.
+// maxToken returns the greatest token that this node accepts from another node, whose date may be ahead by maxClockSkew.
 func (c *Core) maxToken(now Time) uint64 { return c.date(now) + uint64(maxClockSkew/time.Millisecond) }
 
 // changePeers replaces the list of peers. Leases that are held under the old list are given back. This node grants nothing
@@ -140,7 +142,7 @@
 			c.setHolder(now, r, NoNode, r.holder.token)
 		}
 		r.grant.node, r.own.nextRequest = NoNode, 0
-		clear(r.released) // the indices of nodes differ in the new list of peers
+		clear(r.released) // its keys are indices of nodes, which differ in the new list of peers
 	}
 	c.cfg, c.peersSince = changed, now
 }
--- a/internal/fleet/lease/core_test.go
+++ b/internal/fleet/lease/core_test.go
@@ -10,7 +10,7 @@
 var seeds = flag.Int("lease.seeds", 1500, "runs that TestNoLeaseHasTwoHolders simulates")
 
 // TestNoLeaseHasTwoHolders simulates thousands of short runs of small fleets in which any fault may hit any node. It fails as
-// soon as two nodes would act on the same lease, or a new holder's token is not greater than that of the holder before it.
+// soon as two nodes hold the same lease at once, or a new holder's token is not greater than the previous holder's token.
 func TestNoLeaseHasTwoHolders(t *testing.T) {
 	changes := 0
 	for seed := range uint64(*seeds) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// faultScenarios are faults that occur while a node holds the lease.
+// faultScenarios are faults that occur while a node holds the lease, with what is expected of the lease afterwards.
 var faultScenarios = []struct {
 	name         string
 	nodes        int
@@ -106,7 +106,7 @@
 				holder, _ := fleet.runUntilAcquired(NoNode)
 				token := fleet.highestToken[testResource]
 				test.play(fleet, holder)
-				fleet.run(testLease) // the lease has expired by then in any case
+				fleet.run(testLease) // after this, a lease that was not renewed since the fault has expired
 				fleet.unheldFor = 0
 				fleet.run(3 * testLease)
 				if got := fleet.unheldFor < 3*testLease; got != test.wantHolder {
@@ -121,8 +121,8 @@
 }
 
 // TestStalledHolderIsReplaced checks that a stalled holder has a successor within a few lease durations, in fleets of up to 80
-// nodes that lose a tenth of their messages. Most nodes must ignore an announcement that the stalled holder sent under its
-// lease and that arrives after the successor acquired the lease.
+// nodes that lose a tenth of their messages. Most nodes must ignore an announcement that the stalled holder sent while it
+// held the lease, and that arrives after the successor acquired the lease.
 func TestStalledHolderIsReplaced(t *testing.T) {
 	for _, test := range []struct {
 		nodes      int
--- a/internal/fleet/lease/event.go
+++ b/internal/fleet/lease/event.go
@@ -13,13 +13,13 @@
 		From int
 		Data []byte
 	}
-	// Announce makes the core send an announcement under the lease on Resource to all other nodes, if this node holds that
-	// lease.
+	// Announce makes the core send an announcement to all other nodes, if this node holds the lease on Resource. The
+	// announcement carries the token of the lease.
 	Announce struct{ Resource string }
 	// Resign makes the core give back all leases and request no more, because the node is about to exit.
 	Resign struct{}
 	// PeersChanged replaces the list of peers. Two successive lists may differ by one node only: otherwise a majority of the
-	// one need not share a node with a majority of the other. A list is ignored if Config.Validate rejects it, or if its
+	// old list need not share a node with a majority of the new list. A list is ignored if Config.Validate rejects it, or if its
 	// PeerListID is that of the current list.
 	PeersChanged struct {
 		Self, Nodes int
@@ -65,7 +65,7 @@
 		Node     int
 		Token    uint64
 	}
-	// LogEvent is an event for the log and the counters.
+	// LogEvent asks the shell to log an event and to count it.
 	LogEvent struct {
 		Kind     LogEventKind
 		Resource string
@@ -86,7 +86,7 @@
 const (
 	AllNodes = agreement.AllNodes // destination: all nodes except this one
 	NoNode   = agreement.NoNode   // holder: no node
-	ThisNode = -2                 // holder, as agents report it: this node
+	ThisNode = -2                 // holder, in the calls of the agent's HolderChanged function: this node
 )
 
 // LogEventKind is the kind of a LogEvent.
@@ -100,9 +100,9 @@
 	LogRequestAbandoned                     // this node abandoned a request for a lease
 	LogLeaseDenied                          // this node denied a lease to the node that the event names
 	LogHolderChanged                        // the node that the event names, not this one, holds a lease now
-	LogTokenStale                           // an announcement arrived under a superseded token
-	LogMessageCorrupt
-	NumLogEventKinds // number of kinds
+	LogTokenStale                           // an announcement was ignored, as its token is outdated
+	LogMessageCorrupt                       // a datagram was damaged, unknown, or had a token above the greatest valid one
+	NumLogEventKinds                        // number of kinds of log events
 )
 
 // String returns the kind as it is written in the log and in the names of the counters.
@@ -117,9 +117,9 @@
 const (
 	ReasonGranted         Reason = iota // no denial: the request is granted
 	ReasonTaken                         // another node holds the lease
-	ReasonContested                     // another node has requested the lease and has not acquired it yet
-	ReasonTokenSuperseded               // the token of the request is not greater than the last one
-	ReasonAbstaining                    // the answering node has just started and does not know what it granted before
+	ReasonContested                     // another node has requested the lease and has no majority yet
+	ReasonTokenSuperseded               // the sender gave the token of the request back, or a greater one is known
+	ReasonAbstaining                    // the answering node has just started or got a new list of peers, and grants nothing yet
 	ReasonExpired                       // too few nodes renewed the lease before it ended
 	ReasonResigned                      // the node gave the lease back, as it is about to exit
 	ReasonPeersChanged                  // the list of peers changed
--- a/internal/fleet/lease/fleet_test.go
+++ b/internal/fleet/lease/fleet_test.go
@@ -30,7 +30,7 @@
 	clockRate float64
 	dateSkew  time.Duration
 	isStalled bool
-	isCutFrom []bool // by receiver: whether messages to it are dropped
+	isCutFrom []bool // whether messages from this node to another are dropped, by the index of the other
 }
 
 // testFleet simulates a fleet. Its clocks differ, drift and have different dates. Its messages are lost, delayed, duplicated
@@ -48,7 +48,7 @@
 	lastHolder    map[string]int    // last node that held the lease, by resource
 	holderChanges int
 	announcements map[int]int   // number of announcements received, by node
-	staleTokens   int           // number of announcements that were ignored
+	staleTokens   int           // number of announcements that were ignored because of an outdated token
 	unheldFor     time.Duration // how long no node has held the lease on the first resource
 }
 
@@ -142,7 +142,7 @@
 	}
 }
 
-// deliver passes on the messages whose delay is over. Messages to stalled nodes wait.
+// deliver passes the messages whose delay is over to their receivers. Messages to stalled nodes wait until the stall ends.
 func (f *testFleet) deliver() {
 	waiting := f.inFlight[:0]
 	var arriving []packet
@@ -159,7 +159,8 @@
 	}
 }
 
-// checkHolders checks that at most one node would act on each lease, and not under a lower token than before.
+// checkHolders checks that no two nodes hold a lease at once, and that the token of a lease never decreases. It also
+// updates unheldFor.
 func (f *testFleet) checkHolders() {
 	f.t.Helper()
 	for i, name := range f.nodes[0].cfg.Resources {
@@ -193,7 +194,7 @@
 	return holder
 }
 
-// holds reports whether a node is running, is not stalled and would act on a lease, and under which token.
+// holds reports whether a node is running, is not stalled and holds a lease by its own clock. It also returns the token.
 func (f *testFleet) holds(i int, name string) (token uint64, ok bool) {
 	node := &f.nodes[i]
 	if node.core == nil || node.isStalled {
@@ -234,7 +235,7 @@
 	}
 }
 
-// isolate cuts a node off from count other nodes, in both directions, starting with the lowest indices.
+// isolate cuts a node off from count other nodes, in both directions. These are the nodes with the lowest indices.
 func (f *testFleet) isolate(node, count int) {
 	for i := range f.nodes {
 		if i != node && count > 0 {
--- a/internal/fleet/lease/grant_test.go
+++ b/internal/fleet/lease/grant_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// noAnswer takes the place of a reason where a message gets no answer.
+// noAnswer is the value in place of a Reason if a message gets no answer from the core.
 const noAnswer = numReasons
 
-// settled is a time at which a core that was started at time 0 grants leases.
+// settled is a time at which a core that was started at time 0 already grants leases: twice the LeaseDuration.
 const settled = 2 * testLease
 
-// newSettledCore returns the core of node 0 in a fleet of three. The core grants leases from settled on.
+// newSettledCore returns the core of node 0 in a fleet of three. The core was started at time 0. Its time is now the constant
+// settled, so it grants leases.
 func newSettledCore(t *testing.T) *Core {
 	t.Helper()
 	core := newTestCore(t, Config{Nodes: 3, PeerListID: 1, Resources: []string{testResource}, LeaseDuration: testLease,
@@ -51,7 +52,7 @@
 	type step struct {
 		from     int
 		received message
-		after    time.Duration // time since the step before
+		after    time.Duration // time between the previous step and this one
 		want     Reason
 	}
 	const base = 1_000_000
@@ -59,14 +60,14 @@
 		name  string
 		steps []step
 	}{
-		// Found by testbed simulate --fleet, seed 1385: two nodes held the lease.
+		// The command testbed simulate --fleet found this failure with seed 1385: two nodes held the lease.
 		{"a renewal under an earlier token and its release leave the current grant", []step{
 			{0, requestOf(base+2000, false), 0, ReasonGranted},
 			{0, requestOf(base+1000, true), 0, ReasonTokenSuperseded},
 			{0, releaseOf(base + 1000), 0, noAnswer},
 			{2, requestOf(base+2500, false), 0, ReasonContested},
 		}},
-		// Found by testbed simulate --fleet, seed 1759: the holder did not get this node's vote again.
+		// The command testbed simulate --fleet found this failure with seed 1759: this node granted the holder no more renewals.
 		{"a request under a greater token that failed leaves the holder its vote", []step{
 			{0, requestOf(base+1000, false), 0, ReasonGranted},
 			{0, requestOf(base+1000, true), 0, ReasonGranted},
@@ -99,7 +100,7 @@
 // arrived.
 func TestHolderReliesOnGrantsFromItsRequestOn(t *testing.T) {
 	for _, test := range []struct {
-		answered, checked time.Duration // times since the request
+		answered, checked time.Duration // times since the request: when the answer arrives, and when the lease is checked
 		want              bool
 	}{
 		{10 * time.Millisecond, 900 * time.Millisecond, true},
--- a/internal/fleet/lease/handle.go
+++ b/internal/fleet/lease/handle.go
@@ -48,7 +48,7 @@
 		c.confirmHolder(now, r, from, request.Token)
 	}
 	if r.own.token != 0 && !r.own.isAcquired && request.Token > r.own.token {
-		c.giveBack(now, r, ReasonContested) // if two nodes request at once, the one with the greater token continues
+		c.giveBack(now, r, ReasonContested) // of two nodes that request at once, the one with the lower token gives up
 	}
 	reason := c.decide(now, r, from, request.Token, request.IsHolder)
 	if reason != ReasonGranted {
--- a/internal/fleet/lease/order_test.go
+++ b/internal/fleet/lease/order_test.go
@@ -10,12 +10,12 @@
 	orderNodes     = 3
 	maxOrderLength = 9
 	maxOrders      = 60_000
-	minOrders      = 10_000 // with fewer orders the search would show little
+	minOrders      = 10_000 // the test fails if it searched fewer orders, as it then proves too little
 )
 
-// TestNoMessageOrderMakesTwoHolders searches the orders in which the first messages of three nodes can arrive or be lost. Time
-// may pass between two messages, and only one of the nodes may notice that. Two nodes must never hold the lease at once. The
-// test fails if one of the cases of evaluateRequest or of countVote is removed.
+// TestNoMessageOrderMakesTwoHolders searches the orders in which the first messages of three nodes can arrive or be lost. Between
+// two messages, the search can let half a lease pass, and then either all nodes get a tick or only one node does. Two nodes must
+// never hold the lease at once. The test fails if one of the cases of evaluateRequest or of countVote is removed.
 func TestNoMessageOrderMakesTwoHolders(t *testing.T) {
 	search := &orderSearch{t: t, seen: map[string]bool{}}
 	search.explore(nil)
@@ -24,15 +24,17 @@
 	}
 }
 
-// orderSearch explores sequences of choices. It goes on from each state of the fleet only once.
+// orderSearch explores sequences of choices, such as which message arrives next. If two sequences lead to the same state of the
+// fleet, it continues only the first of them.
 type orderSearch struct {
 	t       *testing.T
 	seen    map[string]bool
 	orders  int
-	holders int // how often a node held the lease
+	holders int // after how many choices a node held the lease, summed over all sequences
 }
 
-// explore plays a sequence of choices from the start, as cores cannot be copied, and then all sequences with one more choice.
+// explore plays a sequence of choices on a new fleet, as the state of a core cannot be copied. Then it explores each sequence
+// that has one more choice.
 func (s *orderSearch) explore(choices []int) {
 	fleet := newOrderedFleet(s.t)
 	for _, choice := range choices {
@@ -97,8 +99,9 @@
 	}
 }
 
-// play makes a choice. Choice 0 lets half a lease pass for all nodes. A choice from 1 to the number of messages in flight
-// delivers one of these. A greater choice lets half a lease pass too, but only one node gets a tick.
+// play carries out a choice. Choice 0 advances the time by half a lease and gives all nodes a tick. A choice from 1 to the number
+// of messages in flight delivers the message with this number. A greater choice also advances the time by half a lease, but only
+// one node gets a tick.
 func (f *orderedFleet) play(choice int) {
 	switch {
 	case choice == 0:
@@ -126,7 +129,7 @@
 	return holders
 }
 
-// state returns a text that is the same for two fleets if the same can happen in both from then on.
+// state describes everything on which the further behaviour of the fleet depends. Two fleets with equal texts behave alike.
 func (f *orderedFleet) state() string {
 	state := fmt.Sprint(f.now, f.inFlight)
 	for _, core := range f.cores {
--- a/internal/fleet/lease/request.go
+++ b/internal/fleet/lease/request.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	roundsPerLease   = 3 // renewals per LeaseDuration; two of them may be lost
-	requestsPerLease = 8 // how often a request is sent per LeaseDuration while too few nodes have granted it
-	trackedRounds    = 4 // number of latest rounds whose answers still count
+	roundsPerLease   = 3 // renewals per LeaseDuration; the first datagrams of two in a row may be lost, as they are sent again in time
+	requestsPerLease = 8 // how many times per LeaseDuration a request is sent while too few nodes have granted it
+	trackedRounds    = 4 // a node's late answer counts if it belongs to one of this many latest requests or renewals
 
-	minNodesForWait = 10 // waits are drawn as for at least this many nodes; drawn for 3 nodes, a third of them would not wait at all
-	waitsPerLease   = 4  // the first wait is at most a LeaseDuration divided by this
-	maxWaitDoubling = 4  // the wait doubles with each failure, at most this many times
+	minNodesForWait = 10 // drawWait assumes at least this many nodes: for n nodes, one wait in n is zero, a third for n = 3
+	waitsPerLease   = 4  // the random wait before the first request is at most a LeaseDuration divided by this
+	maxWaitDoubling = 4  // the longest wait doubles with each failed request, at most this many times
 )
 
-// advance does what is due for a resource: it renews this node's lease, or it makes, repeats or abandons a request for one.
+// advance does what is due for the lease on a resource. If this node holds the lease, advance renews it when necessary.
+// Otherwise advance starts a request for the lease, sends the request again, or abandons it.
 func (c *Core) advance(now Time, r *resource) {
 	own := &r.own
 	switch {
@@ -33,7 +34,8 @@
 	}
 }
 
-// keepLease renews the lease when that is due. Until then it repeats the last request if that has too few grants.
+// keepLease starts a renewal of this node's lease when the last one is a third of a LeaseDuration old. Until then, it sends the
+// last renewal again if too few nodes have granted it.
 func (c *Core) keepLease(now Time, r *resource) {
 	if now-r.own.round(r.own.lastRound).sentAt >= c.cfg.LeaseDuration/roundsPerLease {
 		c.startRound(now, r)
@@ -42,7 +44,8 @@
 	c.repeatRequest(now, r)
 }
 
-// continueRequest abandons a request that can no longer succeed, or else repeats it if needed.
+// continueRequest abandons a request that timed out or that too many nodes denied. It sends any other request again while too
+// few nodes have granted it.
 func (c *Core) continueRequest(now Time, r *resource) {
 	round := r.own.round(r.own.lastRound)
 	hasTimedOut := now-round.sentAt >= c.holderTimeout()/2
@@ -73,18 +76,18 @@
 	c.startRound(now, r)
 }
 
-// drawWait returns how long to wait before a request. The waits are exponentially distributed timers. Nonnenmacher and Biersack
-// use such timers to have one member of a large group answer (Scalable feedback for large groups, 1999): few nodes have short
-// waits and these waits differ, whatever the number of nodes. Two nodes that request at once may split the votes; after that,
-// all nodes wait longer.
+// drawWait returns how long this node waits before it requests a free lease. The wait is random, so that one node is first. Two
+// nodes that request at once may split the votes, and neither gets a majority; after that, both wait longer. The waits are
+// exponentially distributed timers, by Nonnenmacher and Biersack (Scalable feedback for large groups, 1999): only a few nodes
+// have short waits, and these waits differ, whatever the number of nodes.
 func (c *Core) drawWait(r *resource) time.Duration {
 	longest := float64(c.cfg.LeaseDuration / waitsPerLease << min(r.own.failures, maxWaitDoubling))
 	lead := math.Log(1-c.rng.Float64()) / math.Log(float64(max(minNodesForWait, c.cfg.Nodes)))
 	return 1 + time.Duration(longest*max(0, 1+lead))
 }
 
-// startRound sends the request in a new round. A grant counts from the start of its own round, so that a late answer to an
-// earlier round cannot prolong the lease.
+// startRound sends this node's request, or a renewal, under the next round number. Each answer names the round that it belongs
+// to, and its grant counts from when that round was sent. So a late answer to an earlier round cannot prolong the lease.
 func (c *Core) startRound(now Time, r *resource) {
 	own := &r.own
 	own.lastRound++
@@ -99,8 +102,8 @@
 	c.emit(Send{AllNodes, request.encode()})
 }
 
-// countVote counts one node's answer to a round. If the node denied the request, takenFor is how much longer it would deny a
-// new one.
+// countVote counts the answer of the node from to the request or renewal with a round number. If that node denied the request,
+// takenFor is how much longer it would deny a new one.
 func (c *Core) countVote(now Time, r *resource, from int, number uint32, reason Reason, takenFor time.Duration) {
 	own := &r.own
 	round := own.round(number)
@@ -131,11 +134,11 @@
 	c.emit(Acquired{r.name, own.token})
 	c.log(LogLeaseAcquired, r, c.cfg.Self, own.token, ReasonGranted)
 	c.setHolder(now, r, c.cfg.Self, own.token)
-	c.startRound(now, r) // tells all other nodes at once that this node holds the lease
+	c.startRound(now, r) // a renewal says that its sender holds the lease, so all other nodes learn of the new holder at once
 }
 
-// giveBack gives back the lease or abandons the request for it, so that the nodes that granted it need not wait until the grant
-// expires.
+// giveBack gives back the lease that this node holds, or abandons its request for the lease. Nodes that granted the lease can
+// then grant it to another node before the grant expires.
 func (c *Core) giveBack(now Time, r *resource, reason Reason) {
 	token, wasAcquired := r.own.token, r.own.isAcquired
 	if token == 0 {
--- a/internal/fleet/lease/resource.go
+++ b/internal/fleet/lease/resource.go
@@ -5,11 +5,11 @@
 	name string
 	id   uint32 // hash of the name
 
-	highestAcquired uint64 // greatest token under which a node is known to have held the lease; lower tokens are superseded
+	highestAcquired uint64 // greatest token under which a node is known to have held the lease; lower tokens are outdated
 	highestGranted  uint64 // greatest token that is known to have been granted; a new request needs a greater one
-	// released holds the last token that each node gave back. Messages that arrive from the node under this token or a lower
-	// one were sent before it gave the token back. The tokens are kept per node: the token of one node's failed request does
-	// not supersede a lower token under which another node holds the lease.
+	// released holds the last token that each node gave back, by the index of the node. A message from a node under this
+	// token or a lower one was sent before the node gave the token back, and is outdated. The tokens are kept per node: one
+	// node may give back the token of a failed request while another node holds the lease under a lower token.
 	released map[int]uint64
 
 	grant  grant
@@ -19,10 +19,10 @@
 
 // grant is the last grant of a resource that this node gave.
 type grant struct {
-	node      int // NoNode after the grant was given back
+	node      int // index of the node that got the grant; NoNode if there is none, or it was given back
 	token     uint64
 	expiresAt Time
-	isHolder  bool // the request said that its sender already held the lease
+	isHolder  bool // the granted request was a renewal: its sender already held the lease
 }
 
 // holder is the node that holds the lease, as far as this node knows.
@@ -40,19 +40,20 @@
 	acquiredAt  Time // start of the lease; only valid if isAcquired
 	rounds      [trackedRounds]round
 	lastRound   uint32
-	sentAt      Time // when the request was last sent
+	sentAt      Time // when the request or renewal was last sent
 	nextRequest Time // when to request the lease; 0 if no request is planned
-	failures    int  // consecutive requests after which no node is known to hold the lease
-	freeAt      Time // when the nodes that denied the last request can grant a new one
+	failures    int  // number of failed requests in a row that no node denied because of a holder; makes the next wait longer
+	freeAt      Time // when all nodes that denied the last request can grant a new request, according to their answers
 }
 
-// round is one round of a request: the request to all nodes, and their answers.
+// round holds the answers to a request or to one renewal of a lease. Each renewal is a new round. A request that is sent again
+// because datagrams may be lost stays in its round.
 type round struct {
 	number  uint32
 	sentAt  Time
-	granted map[int]bool
-	denied  map[int]bool
-	isValid bool
+	granted map[int]bool // indices of the nodes that granted the request
+	denied  map[int]bool // indices of the nodes that denied the request
+	isValid bool         // false once the request or lease was given back: its answers no longer count
 }
 
 func newResource(name string) *resource {
@@ -65,21 +66,23 @@
 	}
 }
 
-// round returns the entry for a round. The entry may still hold an earlier round.
+// round returns the entry of rounds for the round with the given number. Entries are reused: this one may still hold an earlier
+// round.
 func (o *ownLease) round(number uint32) *round { return &o.rounds[number%trackedRounds] }
 
-// isTaken reports whether a node is known to hold the lease, or this node gave a grant that has not expired.
+// isTaken reports whether a node is known to hold the lease, or has a grant of the lease from this node that has not expired.
 func (r *resource) isTaken(now Time) bool {
 	return r.holder.node != NoNode && now < r.holder.expiresAt || r.grant.node != NoNode && now < r.grant.expiresAt
 }
 
-// isSuperseded reports whether a message from a node under a token is outdated: it was sent before that node gave the lease
-// back, or before another node acquired the lease.
+// isSuperseded reports whether a message of the node from under a token is outdated: the node has given that token back since,
+// or a node has acquired the lease under a greater token.
 func (r *resource) isSuperseded(from int, token uint64) bool {
 	return token < r.highestAcquired || token <= r.released[from]
 }
 
-// expire gives back this node's own lease, and forgets another holder of the lease, once their time is over.
+// expire gives back the lease if this node holds it and it has expired. If another node held the lease and it has expired,
+// expire records that no node holds it.
 func (c *Core) expire(now Time, r *resource) {
 	if r.own.isAcquired && now >= r.own.expiresAt {
 		c.giveBack(now, r, ReasonExpired)
@@ -90,7 +93,7 @@
 	}
 }
 
-// setHolder records which node holds the lease, and reports a change.
+// setHolder records which node holds the lease, and reports the node to the shell if the holder or its token changed.
 func (c *Core) setHolder(now Time, r *resource, node int, token uint64) {
 	isSame := r.holder.node == node && r.holder.token == token
 	r.holder = holder{node: node, token: token, expiresAt: now + c.cfg.LeaseDuration}
@@ -112,13 +115,14 @@
 	c.setHolder(now, r, node, token)
 }
 
-// decide answers a request, and records the grant if it grants the request.
+// decide decides on another node's or this node's request for the lease. It returns ReasonGranted after it recorded the grant,
+// or else the reason for the denial.
 func (c *Core) decide(now Time, r *resource, from int, token uint64, isHolder bool) Reason {
 	reason := c.evaluateRequest(now, r, from, token, isHolder)
 	if reason == ReasonGranted {
 		// A holder is granted its token again even if another node has since been granted a greater token and did not acquire
-		// the lease. Otherwise the holder would lose this vote for good. highestGranted keeps the greater token, which is not
-		// granted a second time.
+		// the lease. Otherwise this node could never again grant the holder a renewal. highestGranted keeps the greater
+		// token, which is not granted a second time.
 		r.highestGranted = max(r.highestGranted, token)
 		r.grant = grant{node: from, token: token, expiresAt: now + c.cfg.LeaseDuration, isHolder: isHolder}
 	}
@@ -146,12 +150,12 @@
 	return ReasonGranted
 }
 
-// conflict returns the reason why a grant that has not expired forbids a grant under another token, or ReasonGranted if it does
-// not.
+// conflict checks whether this grant, which has not expired, forbids a grant to the node from under another token. It returns
+// the reason for the denial, or ReasonGranted if nothing forbids the new grant.
 func (g *grant) conflict(from int, token uint64) Reason {
 	switch {
 	case g.node == NoNode || g.node == from && token >= g.token:
-		return ReasonGranted // a node that requests under a greater token has given its earlier token back
+		return ReasonGranted // the last grant was given back: a node does that before it requests under a greater token
 	case g.node == from:
 		// A renewal under an earlier token arrived late. It must not replace the current grant, because the release of the
 		// earlier token would then release that grant.
@@ -159,5 +163,5 @@
 	case g.isHolder:
 		return ReasonTaken
 	}
-	return ReasonContested // another node's request is not decided yet
+	return ReasonContested // another node has this grant, but has not acquired the lease from a majority yet
 }
--- a/internal/fleet/lease/status.go
+++ b/internal/fleet/lease/status.go
@@ -9,7 +9,9 @@
 	Token      uint64        `json:"token"`
 	IsHeldHere bool          `json:"mine"`
 	HeldFor    time.Duration `json:"held_for_ns,omitempty"` // how long this node has held the lease; 0 if it does not hold it
-	State      string        `json:"state"`                 // one of held, asking, waiting, abstains and idle
+	// State is held, asking (this node requests the lease), waiting (this node will request the lease), abstains (this node
+	// has just started or got new peers, and may not grant leases yet) or idle.
+	State string `json:"state"`
 }
 
 // Status returns the status of the leases on all resources, in the order of Config.Resources.
--- a/internal/fleet/rollout/agent/agent.go
+++ b/internal/fleet/rollout/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs the rollout agreement inside a node. One goroutine owns the core and takes its events from a bounded
-// queue. The agent makes no decisions itself.
+// Package agent runs the rollout agreement inside a node. One goroutine runs the core, which makes all decisions, with the
+// events from a bounded queue. The agent carries out the effects that the core returns.
 package agent
 
 import (
@@ -26,12 +26,12 @@
 	Config         rollout.Config
 	Send           func(to int, data []byte) error // sends a datagram; to is the index of the node that gets it; must not block
 	DrainGranted   func()                          // makes the node drain and exit; called at most once, when the fleet allows it
-	ResponseCounts func() rollout.ResponseCounts   // returns the node's responses since its start; nil if the node is not judged
+	ResponseCounts func() rollout.ResponseCounts   // returns the node's responses since its start; if nil, the node's rates are not checked
 	CountEvent     func(kind rollout.LogEventKind) // counts a log event
 	Log            *slog.Logger
 }
 
-// Agent is one node's part in the rollout agreement. Its methods are safe for concurrent use, except for Serve.
+// Agent runs the core that grants slots and decides when this node may drain. Its methods are safe for concurrent use, except for Serve.
 type Agent struct {
 	*eventloop.Loop[rollout.Event, rollout.Effect]
 	options        Options
@@ -102,7 +102,8 @@
 	}
 }
 
-// drain begins to drain the node if the node still has its slot: this process may have been stopped since the core granted it.
+// drain begins to drain the node if the node still has its slot. The slot may be lost if this process was stalled after the core
+// allowed the drain.
 func (a *Agent) drain() {
 	if a.isDraining || !a.core.MayDrain(a.Now()) {
 		return
--- a/internal/fleet/rollout/agent/agent_test.go
+++ b/internal/fleet/rollout/agent/agent_test.go
@@ -45,7 +45,7 @@
 		t.Fatal("the node was not drained")
 	}
 	a.Post(rollout.DrainRequested{})
-	status, err := a.Status() // the agent handles the event before this call
+	status, err := a.Status() // Status returns after the agent handled the second event
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,8 @@
 }
 
 func TestResponsesAreReportedOnce(t *testing.T) {
-	// A node is judged from 10 responses on: 9 are too few, but would be enough if they were reported twice.
+	// The core checks the failure rate from 10 responses on. The 9 failed responses are too few, so the node stays in the state
+	// starting. If they were reported twice, the 18 would make the node unhealthy.
 	polled := make(chan struct{})
 	a := startAgent(t, Options{ResponseCounts: func() rollout.ResponseCounts {
 		select {
--- a/internal/fleet/rollout/config.go
+++ b/internal/fleet/rollout/config.go
@@ -7,8 +7,8 @@
 )
 
 // Config configures one node's part in the rollout agreement. All nodes of a fleet should have the same values, except for
-// Self, Zone, Release, Incarnation and Seed. While a new budget is being rolled out, the smaller of the old and the new budget
-// applies wherever a majority has it.
+// Self, Zone, Release, Incarnation and Seed. The budgets may differ while a new configuration is
+// being rolled out: a slot needs the grants of a majority, so the smaller budget applies once a majority has it.
 type Config struct {
 	Self, Nodes int
 	Zone        string
@@ -16,22 +16,22 @@
 	ZoneBudget  int // number of nodes of one zone that may be out of service at once; 0 means no limit per zone
 
 	HeartbeatInterval time.Duration // time between two heartbeats of a node
-	UnresponsiveAfter time.Duration // a node counts as out of service after this time without a heartbeat
-	RequestTimeout    time.Duration // how long a slot request is valid; a node grants no slot for the same time after its start
-	ReturnTimeout     time.Duration // the release halts if a drained node is not back after this time
-	WriteOffAfter     time.Duration // the slot of a drained node that is not back after this time is released
-	ObservationPeriod time.Duration // how long a node that starts has to do well before it is ready
-	MaxClockDrift     float64       // greatest difference between the rates of two clocks, as a fraction
+	UnresponsiveAfter time.Duration // a node counts as out of service if no heartbeat of it has arrived for this time
+	RequestTimeout    time.Duration // how long a slot request is valid; a node that starts grants no slots for this time
+	ReturnTimeout     time.Duration // the release halts if a node that was granted a slot has not given it back after this time
+	WriteOffAfter     time.Duration // the slot of a node that sends no heartbeats is released this long after the slot was granted
+	ObservationPeriod time.Duration // how long the responses of a node that starts must be good enough before the node is ready
+	MaxClockDrift     float64       // greatest fraction by which the rates of two nodes' clocks differ; 0.05 is 5 %
 
 	Release        string  // name of the release that this node runs
-	MaxFailureRate float64 // how far the fraction of failed responses may exceed that of the other nodes during the observation
-	MaxSlowRate    float64 // how far the fraction of responses above their class's latency objective may exceed the other nodes'
-	MinSamples     int     // number of responses that are needed to judge a node
-	Incarnation    uint64  // greater for each start of this node, such as the milliseconds of its own clock
+	MaxFailureRate float64 // while a node starts: how far its fraction of failed responses may exceed the median of the other nodes
+	MaxSlowRate    float64 // like MaxFailureRate, but for the fraction of responses above the latency objective of their class
+	MinSamples     int     // with fewer responses than this, a node has no failure rate and no slow rate
+	Incarnation    uint64  // number of this start of the node, greater for each start, such as the Unix time in milliseconds
 	Seed           uint64
 }
 
-// MaxBudget is the greatest budget: the grants that a node knows must fit into one heartbeat.
+// MaxBudget is the greatest budget. It is bounded because a heartbeat lists all granted slots, and must fit into a datagram.
 const MaxBudget = maxGrants
 
 const (
--- a/internal/fleet/rollout/core.go
+++ b/internal/fleet/rollout/core.go
@@ -1,12 +1,12 @@
 // Package rollout lets the nodes of a fleet agree on which of them may go out of service, so that no more than a budget of them
-// is out at once. It also halts a release whose nodes do badly. The core is a state machine without clock or I/O: it takes
-// events with the time and returns effects.
+// is out at once. It also halts a release if nodes with it have too many failed or slow responses. The core is a state
+// machine without clock or I/O: its inputs are events with the time, its outputs are effects, such as datagrams to send.
 //
 // A node that wants to drain requests one of the budget's slots from all other nodes. Each node grants a slot to one node only,
 // and a slot belongs to the node that a majority of the fleet granted it. So two halves of a partitioned fleet cannot both
-// grant one. The holder releases its slot when it is back in service and ready. A slot does not expire: a holder that was
-// killed, stalled or cut off is out of service and counts against the budget. Only a node that stays away for WriteOffAfter is
-// written off. See docs/rollout.md.
+// grant one. The holder releases its slot when it is back in service and ready. A slot does not expire soon: a holder that was
+// killed, stalled or cut off is out of service and counts against the budget. Only when a holder sends no heartbeats and its
+// slot is older than WriteOffAfter, the other nodes release the slot. See docs/rollout.md.
 package rollout
 
 import (
@@ -20,7 +20,7 @@
 // differ by Config.MaxClockDrift.
 type Time = time.Duration
 
-// Core is one node's part in the rollout agreement. It is not safe for concurrent use.
+// Core decides for one node which slots it grants, and when the node may drain. It is not safe for concurrent use.
 type Core struct {
 	cfg       Config
 	rng       *rand.Rand
@@ -39,7 +39,7 @@
 	// State of the other nodes, and the granted slots that this node knows of.
 	peers       []peer
 	grants      []grantRecord
-	knowsGrants bool // an operator confirmed that this node knows of every node that is out
+	knowsGrants bool // an operator resumed the release here, so this node need not learn the grants from other nodes
 
 	halt  haltState
 	order releaseOrder
@@ -89,7 +89,7 @@
 
 func (c *Core) begin(now Time) {
 	c.isStarted, c.startedAt, c.nextHeartbeat = true, now, now
-	for i := range c.peers { // no peer is unresponsive before it had time to send a heartbeat
+	for i := range c.peers { // so that a peer counts as unresponsive only after it had time to send a heartbeat
 		c.peers[i].lastSeen = now
 	}
 }
@@ -141,7 +141,7 @@
 	}
 }
 
-// advance does what has become due by the clock.
+// advance does everything whose time has come: it may make this node ready, halt the release, and send requests and heartbeats.
 func (c *Core) advance(now Time) {
 	if c.state == Starting && c.isServing && now-c.servingSince >= c.cfg.ObservationPeriod {
 		c.becomeReady(now)
@@ -157,7 +157,7 @@
 	c.state, c.readySince = Ready, now
 	c.triggerHeartbeat()
 	c.log(LogNodeReady, c.cfg.Self, 0, ReasonGranted)
-	c.releaseSlots(c.cfg.Self, c.cfg.Incarnation, c.request.lastDone) // the slots of earlier processes of this node
+	c.releaseSlots(c.cfg.Self, c.cfg.Incarnation, c.request.lastDone) // this node is back in service: frees its earlier slots
 }
 
 func (c *Core) startDraining() {
@@ -175,8 +175,8 @@
 	}
 }
 
-// MayDrain reports whether this node still has its slot. A node has to check MayDrain at the moment at which it begins to
-// drain, as it may have stalled after DrainGranted.
+// MayDrain reports whether this node has a slot, in time to begin to drain, and the release is not halted. A node has to check
+// MayDrain when it begins to drain, as it may have stalled since the core returned the effect DrainGranted.
 func (c *Core) MayDrain(now Time) bool {
 	return c.request.isGranted && now < c.request.expiresAt && !c.halt.IsHalted
 }
--- a/internal/fleet/rollout/core_test.go
+++ b/internal/fleet/rollout/core_test.go
@@ -63,7 +63,7 @@
 		t.Run(fmt.Sprintf("%d nodes with a budget of %d", size.nodes, size.budget), func(t *testing.T) {
 			fleet := newTestFleet(t, 1, size.nodes, size.budget, nil)
 			fleet.run(5 * time.Second)
-			fleet.each(func(i int) { fleet.nodes[i].cfg.Release = "v2" }) // for processes that start from now on
+			fleet.each(func(i int) { fleet.nodes[i].cfg.Release = "v2" }) // the release of each node from its next start on
 			fleet.step(0, ReleaseOrdered{"v2"})
 			for range 200 {
 				fleet.run(2 * time.Second)
@@ -115,7 +115,7 @@
 			fleet.t.Fatal("the node was never granted a slot")
 		}
 		fleet.nodes[0].isStalled = false
-		fleet.drain(0) // the grant of node 0 expired long ago
+		fleet.drain(0) // node 0 must not drain: the time to use the slot that it was granted is over
 	}, 0, false},
 	{"one half of a partitioned fleet lets no node drain", 4, 2, func(fleet *testFleet) {
 		fleet.run(5 * time.Second)
@@ -163,12 +163,12 @@
 		fleet.run(5 * time.Second)
 		fleet.step(0, HaltRequested{})
 		fleet.step(0, DrainRequested{})
-		fleet.step(0, ReleaseOrdered{"v1"}) // the order also ends the halt
+		fleet.step(0, ReleaseOrdered{"v1"}) // all nodes run v1 already; the order also ends the halt
 		fleet.run(10 * time.Second)
 	}, 1, false},
 	{"an order back to the previous release frees the requested slot", 3, 1, func(fleet *testFleet) {
 		fleet.run(5 * time.Second)
-		fleet.each(func(i int) { // what node 0 sends is lost, so it gets no answer to its request
+		fleet.each(func(i int) { // what node 0 sends is lost, so node 0 gets no answer to its request
 			fleet.nodes[i].isCutFrom[1], fleet.nodes[i].isCutFrom[2] = i == 0, i == 0
 		})
 		fleet.step(0, ReleaseOrdered{"v2"})
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestZoneBudgetBoundsDrainsOfOneZone checks that no more than one node of a zone is out at once, although three nodes of the
-// fleet may be.
+// TestZoneBudgetBoundsDrainsOfOneZone checks that at most one node of each zone is out at once, although the budget of the fleet
+// would allow three nodes of the same zone.
 func TestZoneBudgetBoundsDrainsOfOneZone(t *testing.T) {
 	const zones, zoneBudget = 2, 1
 	fleet := newTestFleet(t, 9, 6, 3, func(cfg *Config) { cfg.ZoneBudget, cfg.Zone = zoneBudget, fmt.Sprint("z", cfg.Self%zones) })
@@ -290,8 +290,9 @@
 	}
 }
 
-// newObservedCore returns the core of node 0 after it received heartbeats from the other nodes. Of these, as many as out are
-// draining with slots, and the rest is ready. The last nodes, as many as unresponsive, have sent no heartbeat for a while.
+// newObservedCore returns the core of node 0 after it received heartbeats from the other nodes. The parameter out is the number
+// of nodes that are draining with slots; the other nodes are ready. The parameter unresponsive is the number of nodes that have
+// sent no heartbeats for a while; they have the highest indices.
 func newObservedCore(t *testing.T, nodes, budget, out, unresponsive int) (*Core, Time) {
 	t.Helper()
 	core := newTestCore(t, testConfig(0, nodes, budget))
@@ -308,7 +309,7 @@
 			core.Step(now, MessageReceived{i, heartbeat{Incarnation: 1, Sequence: sequence, State: state}.encode()})
 		}
 	}
-	for _, responsive := range []int{nodes, nodes - unresponsive} { // until the core may grant slots, then until the silent nodes count as unresponsive
+	for _, responsive := range []int{nodes, nodes - unresponsive} { // first until the core grants slots, then until silent nodes are unresponsive
 		for end := now + core.cfg.RequestTimeout + core.cfg.UnresponsiveAfter; now < end; now += core.cfg.HeartbeatInterval {
 			sendHeartbeats(responsive)
 			core.Step(now, Tick{})
--- a/internal/fleet/rollout/event.go
+++ b/internal/fleet/rollout/event.go
@@ -13,10 +13,11 @@
 		From int
 		Data []byte
 	}
-	// ServingStarted reports that this node serves from now on. The observation of the node begins.
+	// ServingStarted reports that this node serves requests from now on. For an ObservationPeriod, its rates of failed and of
+	// slow responses are compared with those of the other nodes.
 	ServingStarted struct{}
-	// ResponseCounts holds the numbers of this node's responses since the last such event. Failed and Slow are parts of
-	// Responses.
+	// ResponseCounts holds the numbers of this node's responses since the last ResponseCounts. Failed and slow responses are
+	// also counted in Responses.
 	ResponseCounts struct{ Responses, Failed, Slow int }
 	// DrainRequested is an operator's request that this node drain as soon as it has a slot.
 	DrainRequested struct{}
@@ -27,8 +28,8 @@
 	ReleaseOrdered struct{ Release string }
 	// HaltRequested is an operator's request that no further node be granted a slot.
 	HaltRequested struct{}
-	// ResumeRequested is an operator's request to end a halt. It also lets this node grant slots if it could not learn from
-	// enough other nodes which nodes are out.
+	// ResumeRequested is an operator's request to end a halt. A node that has started grants no slots until enough other nodes
+	// told it which slots are granted; after ResumeRequested, it no longer waits for them.
 	ResumeRequested struct{}
 	// BudgetChanged replaces Budget and ZoneBudget. Values that Config.Validate rejects are ignored.
 	BudgetChanged struct{ Budget, ZoneBudget int }
@@ -56,7 +57,7 @@
 	}
 	// DrainGranted allows this node to drain if it begins before Until.
 	DrainGranted struct{ Until Time }
-	// LogEvent is an event for the log and the counters.
+	// LogEvent asks the shell to log an event and to count it.
 	LogEvent struct {
 		Kind   LogEventKind
 		Node   int // index of the node that the event is about
@@ -83,14 +84,14 @@
 	LogSlotAcquired                         // this node acquired a slot
 	LogRequestAbandoned                     // this node abandoned a request for a slot
 	LogSlotReleased                         // the holder of a slot released it
-	LogSlotExpired                          // the holder of a slot was written off
-	LogHalted
-	LogResumed
-	LogReleaseOrdered
-	LogNodeReady
-	LogNodeUnhealthy
-	LogMessageCorrupt
-	NumLogEventKinds // number of kinds
+	LogSlotExpired                          // a slot expired, as its holder did not return in time and sends no heartbeats
+	LogHalted                               // the release is halted: no node is granted a slot
+	LogResumed                              // an operator ended a halt
+	LogReleaseOrdered                       // an operator ordered the fleet to run a release
+	LogNodeReady                            // this node is in service
+	LogNodeUnhealthy                        // this node has too many failed or slow responses after its start
+	LogMessageCorrupt                       // a datagram was damaged or unknown
+	NumLogEventKinds                        // number of kinds of log events
 )
 
 // String returns the kind as it is written in the log and in the names of the counters.
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -47,9 +47,9 @@
 	clockRate   float64
 	isStalled   bool
 	isOut       bool          // the node drained with a slot and is not ready again
-	restartAt   time.Duration // when the node is restarted; 0 if it is not
+	restartAt   time.Duration // when the node is restarted; 0 if no restart is planned
 	mayDrain    bool          // the node has not acted on a DrainGranted yet
-	isCutFrom   []bool        // by receiver: whether messages to it are dropped
+	isCutFrom   []bool        // whether messages from this node to another are dropped, by the index of the other
 }
 
 // testFleet simulates a fleet. Its clocks differ and drift. Its messages are lost, delayed, duplicated and reordered. Its nodes
@@ -164,7 +164,7 @@
 	}
 }
 
-// deliver passes on the messages whose delay is over. Messages to stalled nodes wait.
+// deliver passes the messages whose delay is over to their receivers. Messages to stalled nodes wait until the stall ends.
 func (f *testFleet) deliver() {
 	waiting := f.inFlight[:0]
 	var arriving []packet
@@ -209,7 +209,7 @@
 	}
 }
 
-// drain makes a node act on its grant, if the node still may: the node drains, ends, and is restarted 1 to 4 s later.
+// drain makes a node drain and exit, if MayDrain still allows this. The node is restarted 1 to 4 s later.
 func (f *testFleet) drain(i int) {
 	node := &f.nodes[i]
 	node.mayDrain = false
@@ -247,7 +247,8 @@
 	}
 }
 
-// partition cuts the nodes with indices below boundary off from the others. A boundary of 0 or of all nodes ends the partition.
+// partition cuts the nodes with indices below boundary off from the others. A boundary of 0 or
+// len(f.nodes) ends the partition.
 func (f *testFleet) partition(boundary int) {
 	for from := range f.nodes {
 		for to := range f.nodes {
--- a/internal/fleet/rollout/halt.go
+++ b/internal/fleet/rollout/halt.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// raiseHalt halts the release because of one node, unless the release is halted already.
+// raiseHalt halts the release because of a failure of the given node, unless the release is halted already.
 func (c *Core) raiseHalt(reason Reason, node int) {
 	if c.halt.IsHalted {
 		return
@@ -12,7 +12,7 @@
 	c.log(LogHalted, node, 0, reason)
 }
 
-// setHalt halts or resumes the release on behalf of this node.
+// setHalt halts or resumes the release in the whole fleet, on an operator's request to this node.
 func (c *Core) setHalt(isHalted bool, reason Reason) {
 	if c.halt.IsHalted == isHalted {
 		return
@@ -22,7 +22,8 @@
 	c.logHalt()
 }
 
-// mergeHalt adopts another node's halt state if it is newer. If two nodes changed the state at the same time, a halt wins.
+// mergeHalt adopts the halt state of another node if its epoch is greater. Two nodes that changed the state at the same time
+// have the same epoch: then a halt takes precedence over a resume.
 func (c *Core) mergeHalt(other haltState) {
 	isNewer := other.Epoch > c.halt.Epoch || other.Epoch == c.halt.Epoch && other.IsHalted && !c.halt.IsHalted
 	if !isNewer {
@@ -41,14 +42,14 @@
 	c.log(kind, int(c.halt.Node), 0, c.halt.Reason)
 }
 
-// orderRelease orders the whole fleet to run a release, on an operator's request. It also ends a halt.
+// orderRelease orders the whole fleet to run a release, on an operator's request. The order also ends a halt.
 func (c *Core) orderRelease(release string) {
 	c.setHalt(false, ReasonOperator)
 	c.mergeOrder(releaseOrder{Epoch: c.order.Epoch + 1, Release: HashName(release)})
 	c.triggerHeartbeat()
 }
 
-// mergeOrder adopts a release order that is newer than the last one.
+// mergeOrder adopts a release order whose epoch is greater than that of the current order.
 func (c *Core) mergeOrder(order releaseOrder) {
 	if order.Epoch <= c.order.Epoch {
 		return
@@ -58,7 +59,7 @@
 }
 
 // checkInstalledRelease halts the release if a node that drained for the current order came back with another release. The
-// ordered release is not installed on that node, which would drain again and again.
+// ordered release is not installed on that node: without the halt, the node would drain again and again.
 func (c *Core) checkInstalledRelease(from int, beat heartbeat) {
 	if c.order.Release == 0 || beat.Release == c.order.Release {
 		return
--- a/internal/fleet/rollout/health.go
+++ b/internal/fleet/rollout/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// responseStats counts this node's responses. While the node is ready, the counts decay, so that nodes that start are compared
-// with recent responses.
+// responseStats counts this node's responses. While the node is ready, old responses lose weight exponentially, because nodes
+// that start are compared with the recent responses of this node.
 type responseStats struct {
 	total, failed, slow float64
 	updatedAt           Time
@@ -24,7 +24,7 @@
 	s.slow += float64(counts.Slow)
 }
 
-// health returns the statistics as they are sent in heartbeats.
+// health returns the fractions of failed and of slow responses, or an unknown health if there are fewer than minSamples responses.
 func (s *responseStats) health(minSamples int) health {
 	if s.total < float64(max(1, minSamples)) {
 		return health{}
@@ -33,9 +33,10 @@
 	return health{IsKnown: true, Failed: fraction(s.failed), Slow: fraction(s.slow)}
 }
 
-// checkResponses adds counts to this node's statistics. While the node is under observation, it compares them with those of the
-// other nodes. If this node does worse, it becomes unhealthy and halts the release. If all nodes do badly, the origin or the
-// network is the cause, and going back to the previous release would not help.
+// checkResponses adds counts to this node's statistics. While this node is in the observation period after its start, its rates
+// of failed and of slow responses are compared with the medians of the other nodes. If one of them is higher by more than the
+// configured bound, this node becomes unhealthy and halts the release. High rates at all nodes halt nothing: then the cause is
+// the origin or the network, and going back to the previous release would not help.
 func (c *Core) checkResponses(now Time, counts ResponseCounts) {
 	if c.state == Ready {
 		c.responses.decay(now-c.responses.updatedAt, c.cfg.ObservationPeriod)
@@ -61,7 +62,7 @@
 func (c *Core) ownHealth() health { return c.responses.health(c.cfg.MinSamples) }
 
 // medianHealth returns the lower medians of the rates that the other ready nodes report, or zeros if none of them reports any.
-// With a median, a few nodes that report wrong rates or do badly themselves do not change how this node is judged.
+// A few nodes that report wrong or high rates hardly change the median, with which this node's rates are compared.
 func (c *Core) medianHealth() health {
 	var failed, slow []byte
 	for node, peer := range c.peers {
@@ -76,7 +77,8 @@
 	return health{IsKnown: true, Failed: lowerMedian(failed), Slow: lowerMedian(slow)}
 }
 
-// lowerMedian sorts values and returns the lower median. There must be at least one value.
+// lowerMedian sorts values and returns the median, or the smaller of the two middle values if their number is even. There must
+// be at least one value.
 func lowerMedian(values []byte) byte {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/internal/fleet/rollout/health_test.go
+++ b/internal/fleet/rollout/health_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestStartingNodeIsJudgedBesideTheOthers checks that a node under observation is judged by how much worse it does than the
-// ready nodes.
+// TestStartingNodeIsJudgedBesideTheOthers checks that a node that starts becomes unhealthy only if its rates of failed or slow
+// responses are much higher than those of the ready nodes.
 func TestStartingNodeIsJudgedBesideTheOthers(t *testing.T) {
 	for _, test := range []struct {
 		name          string
--- a/internal/fleet/rollout/heartbeat.go
+++ b/internal/fleet/rollout/heartbeat.go
@@ -6,7 +6,7 @@
 type peer struct {
 	lastSeen    Time // when the last heartbeat of the node arrived; the start of this node if there was none
 	hasReported bool // a heartbeat of the node has arrived since this node started
-	knowsGrants bool // the node was not abstaining when it sent one of its heartbeats, so its table of grants was complete
+	knowsGrants bool // the node once sent a heartbeat with IsAbstaining false: it had run long enough to know all granted slots
 
 	// Values from the last heartbeat.
 	incarnation uint64
@@ -25,8 +25,8 @@
 	return isRequestUpTo(incarnation, number, p.incarnation, p.lastDone)
 }
 
-// isRequestUpTo reports whether a request was made before lastIncarnation, or in lastIncarnation with a number up to
-// lastNumber.
+// isRequestUpTo reports whether a request was made in an incarnation of the node before lastIncarnation, or in lastIncarnation
+// with a number up to lastNumber.
 func isRequestUpTo(incarnation uint64, number uint32, lastIncarnation uint64, lastNumber uint32) bool {
 	return incarnation < lastIncarnation || incarnation == lastIncarnation && number <= lastNumber
 }
@@ -63,7 +63,7 @@
 	sender.update(now, beat)
 	if beat.State == Ready {
 		c.checkInstalledRelease(from, beat)
-		c.releaseSlots(from, beat.Incarnation, beat.LastDone) // releases slots of earlier processes, and of requests that are over
+		c.releaseSlots(from, beat.Incarnation, beat.LastDone) // the sender is in service: frees the slots of its finished requests
 	}
 	c.mergeHalt(beat.Halt)
 	c.mergeOrder(beat.Order)
@@ -72,7 +72,7 @@
 	}
 }
 
-// isStale reports whether a heartbeat was delayed or duplicated: one with this number or a later one has arrived before.
+// isStale reports whether a heartbeat was delayed or duplicated: this heartbeat or a later one of the node has arrived already.
 func (p *peer) isStale(beat heartbeat) bool {
 	return beat.Incarnation < p.incarnation ||
 		beat.Incarnation == p.incarnation && beat.Sequence <= p.sequence && p.hasReported
@@ -89,8 +89,8 @@
 	p.knowsGrants = p.knowsGrants || !beat.IsAbstaining
 }
 
-// learnGrants adopts the grants that another node knows of, while this node does not know yet what it granted before it
-// started. Slots that their holders have released since then are left out.
+// learnGrants adds the grants in another node's heartbeat to the grants that this node knows of. It is called while this node
+// does not know what it granted before its start. Slots that their holders have released already are left out.
 func (c *Core) learnGrants(now Time, grants []grant) {
 	for _, learned := range grants {
 		if int(learned.Holder) >= c.cfg.Nodes || c.hasSlot(int(learned.Holder)) || c.isReleased(learned) {
--- a/internal/fleet/rollout/message.go
+++ b/internal/fleet/rollout/message.go
@@ -17,11 +17,11 @@
 	kindSlotRequest = 2
 	kindSlotAnswer  = 3
 
-	fractionScale = 255 // a fraction from 0 to 1 is sent as a multiple of 1/fractionScale
+	fractionScale = 255 // a fraction from 0 to 1 is sent as a byte, in units of 1/255
 
-	// Sizes in bytes. The grants of a heartbeat take the space that its other fields leave in a datagram. The framing with its
-	// checksum takes 3+4 bytes, the fields from incarnation to order take 8+4+1+1+4+4 + 2+1+1+2 + 2+4, health takes 3, and the
-	// number of grants takes 1.
+	// Sizes in bytes. The grants of a heartbeat take the space that its other fields leave in a datagram. heartbeatSize is the
+	// size without grants: the framing takes 3 and its checksum 4, the fields from Incarnation to Release take 8+4+1+1+4+4, Halt
+	// takes 2+1+1+2, Order takes 2+4, Health takes 3, and the number of grants takes 1.
 	heartbeatSize = 45
 	grantSize     = 2 + 8 + 4 + 1 + 1 + 2
 	maxGrants     = (datagram.MaxSize - heartbeatSize) / grantSize
@@ -37,15 +37,15 @@
 // heartbeat is the message that each node regularly sends to all other nodes.
 type heartbeat struct {
 	Incarnation  uint64 // greater for each later process of the node
-	Sequence     uint32 // number of the heartbeat in this process; a heartbeat that a later one overtook is ignored
+	Sequence     uint32 // number of the heartbeat in this process; a heartbeat that arrives after a later one is ignored
 	State        State
 	IsAbstaining bool   // the node grants no slot yet, as it does not know what it granted before it started
-	LastDone     uint32 // requests of the node up to this number are over
+	LastDone     uint32 // the node's slot requests up to this number are finished: their slots are released
 	Release      uint32 // hash of the release that the node runs
 	Halt         haltState
 	Order        releaseOrder
 	Health       health
-	Grants       []grant // grants that the node knows of
+	Grants       []grant // granted slots that the node knows of, of all nodes
 }
 
 // health holds the fractions of failed and of slow responses among a node's recent responses, in units of 1/fractionScale.
@@ -58,16 +58,17 @@
 
 func (h health) slowRate() float64 { return float64(h.Slow) / fractionScale }
 
-// haltState says whether grants are halted in the whole fleet. The state with the greatest epoch is valid.
+// haltState says whether the release is halted in the whole fleet, so that no slot is granted. Each change increases the epoch;
+// the state with the greatest epoch is valid.
 type haltState struct {
 	Epoch    uint16
 	IsHalted bool
 	Reason   Reason
-	Node     uint16 // index of the node that the halt is about
+	Node     uint16 // index of the node whose failure caused the halt, or at which an operator halted or resumed the release
 }
 
-// releaseOrder says which release the fleet is to run. The order with the greatest epoch is valid. Epoch 0 means that there is
-// no order.
+// releaseOrder says which release the fleet is to run. Each new order has a greater epoch, and the order with the greatest epoch
+// is valid. Epoch 0 means that there is no order.
 type releaseOrder struct {
 	Epoch   uint16
 	Release uint32 // hash of the release
--- a/internal/fleet/rollout/message_test.go
+++ b/internal/fleet/rollout/message_test.go
@@ -24,7 +24,7 @@
 		}
 		const checksumSize = 4
 		fields := data[:len(data)-checksumSize]
-		later := datagram.Seal(append(slices.Clone(fields), 1, 2, 3)) // a later release may add fields
+		later := datagram.Seal(append(slices.Clone(fields), 1, 2, 3)) // the bytes 1, 2, 3 stand for fields that a later release may add
 		if got, err := decode(later); err != nil || !reflect.DeepEqual(got, message(want)) {
 			t.Fatalf("of a later release decoded as %+v, %v; want %+v", got, err, want)
 		}
--- a/internal/fleet/rollout/request.go
+++ b/internal/fleet/rollout/request.go
@@ -8,10 +8,10 @@
 
 // ownRequest is this node's own request for a slot.
 type ownRequest struct {
-	slotRequest      // the last request
+	slotRequest      // the last request that this node made
 	isPending   bool // the request waits for a majority of grants
 	startedAt   Time
-	sentAt      Time // when the request was last sent
+	sentAt      Time // when the pending request was last sent
 	granted     map[int]bool
 	denied      map[int]bool
 	isGranted   bool
@@ -20,17 +20,18 @@
 	nextAttempt Time   // earliest time for the next request
 }
 
-// advanceRequest requests a slot while this node wants to drain, and repeats that until the node has one.
+// advanceRequest requests a slot if this node wants to drain, with new requests until one is granted. It abandons a request or
+// slot that this node no longer needs, or whose time is over.
 func (c *Core) advanceRequest(now Time) {
 	request := &c.request
 	switch {
 	case c.state == Draining:
 	case !c.wantsDrain(now):
-		if request.isPending || request.isGranted { // the order to drain was withdrawn: the slot must not stay reserved
+		if request.isPending || request.isGranted { // the order to run another release was withdrawn: the slot must become free for other nodes
 			c.abandonRequest(now, ReasonRequestExpired)
 		}
 	case request.isGranted:
-		if now >= request.expiresAt { // this process was stalled: another node may have the slot by now
+		if now >= request.expiresAt { // this node did not drain in time: another node may have the slot by now
 			c.abandonRequest(now, ReasonRequestExpired)
 		}
 	case request.isPending:
@@ -40,7 +41,8 @@
 	}
 }
 
-// continueRequest abandons a pending request that can no longer succeed in time, or else repeats it, as datagrams may be lost.
+// continueRequest abandons a pending request that timed out or that too many nodes denied. It sends any other pending request
+// again every half HeartbeatInterval, as datagrams may be lost.
 func (c *Core) continueRequest(now Time) {
 	request := &c.request
 	hasTimedOut := now-request.startedAt >= c.holderTimeout()/2
@@ -54,13 +56,14 @@
 	}
 }
 
-// holderTimeout returns how long this node may rely on the slot that it was granted, by its own clock.
+// holderTimeout returns how long after its request this node may begin to drain, by its own clock. This is shorter than a
+// RequestTimeout, as this node's clock may be slow.
 func (c *Core) holderTimeout() Time {
 	return agreement.HolderTimeout(c.cfg.RequestTimeout, c.cfg.MaxClockDrift)
 }
 
-// startRequest requests a slot of the fleet, and a slot of the zone if there is a budget per zone. Both slots are free as far
-// as this node knows.
+// startRequest requests a slot of the fleet, and a slot of the zone if there is a budget per zone. Both are chosen from the
+// slots that are free as far as this node knows. If there is none, this node tries again after a HeartbeatInterval.
 func (c *Core) startRequest(now Time) {
 	request := &c.request
 	zone := uint16(HashName(c.cfg.Zone))
@@ -87,8 +90,8 @@
 	c.countVote(now, c.cfg.Self, c.decide(now, c.cfg.Self, request.slotRequest))
 }
 
-// drawFreeSlot draws one of the slots from 0 to count-1 that no other node has. The function slotOf returns the slot in a
-// record, or noSlot.
+// drawFreeSlot returns a random one of the slots from 0 to count-1 that no other node has; ok is false if there is none. The
+// function slotOf returns the slot in a record, or noSlot if the record does not count.
 func (c *Core) drawFreeSlot(count int, slotOf func(grantRecord) int) (slot int, ok bool) {
 	free := make([]int, 0, count)
 	for candidate := range count {
@@ -112,8 +115,8 @@
 	}
 }
 
-// countVote counts one node's answer to the pending request. A grant is valid for a RequestTimeout from when the request was
-// first sent, shortened by the clock drift, as this node's clock may be the slower one.
+// countVote counts one node's answer to the pending request. This node relies on the grants for a RequestTimeout from when it
+// first sent the request. This time is shortened by MaxClockDrift, as this node's clock may be slower than the others.
 func (c *Core) countVote(now Time, from int, reason Reason) {
 	request := &c.request
 	if reason != ReasonGranted {
@@ -130,8 +133,8 @@
 	}
 }
 
-// abandonRequest ends the request. The next request follows after a wait with full jitter, so that two nodes that split the
-// votes do not split them again.
+// abandonRequest ends the pending or granted request and frees its slot. The next request follows after a random wait of up to
+// a RequestTimeout. So two nodes whose requests each got a part of the votes rarely request at the same time again.
 func (c *Core) abandonRequest(now Time, reason Reason) {
 	request := &c.request
 	c.log(LogRequestAbandoned, c.cfg.Self, int(request.Slot), reason)
--- a/internal/fleet/rollout/slot.go
+++ b/internal/fleet/rollout/slot.go
@@ -9,14 +9,15 @@
 // grantRecord is a slot that this node granted, or of which it learned that other nodes granted it.
 type grantRecord struct {
 	grant
-	grantedAt  Time   // when the slot was last granted
+	grantedAt  Time   // when this node last granted the slot, or learned that it was granted
 	isOverdue  bool   // the release was halted because the holder of the slot did not return
-	orderEpoch uint16 // epoch of the release order that was in force at the grant
+	orderEpoch uint16 // Epoch of the releaseOrder that was valid when the slot was granted
 }
 
-// isAbstaining reports whether this node may not grant slots yet. The node does not know what it granted before it started.
-// Requests from that time are over after a RequestTimeout. Each slot that a majority granted is known to at least one of the
-// nodes from which this node has received a table of grants since its start.
+// isAbstaining reports whether this node may not grant slots yet, because it does not know what it granted before it started.
+// It waits for two things. Requests from before its start have timed out after a RequestTimeout. And enough other nodes must
+// have sent it the grants that they know: then each slot that a majority granted is known to at least one of them. An operator's
+// resume replaces the second condition.
 func (c *Core) isAbstaining(now Time) bool {
 	if c.cfg.Nodes == 1 {
 		return false
@@ -37,17 +38,18 @@
 		}
 	}
 	others := c.cfg.Nodes - 1
-	// If the whole fleet starts at once, no node knows all grants, but all nodes together do.
+	// If the whole fleet starts at once, no single node knows all grants, but heartbeats from all nodes contain all of them.
 	return knowing >= min(c.majority(), others) || reported == others
 }
 
-// decide answers a slot request of a node, which may be this one, and records the grant if it grants the request.
+// decide decides on a slot request of a node, which may be this one. It returns ReasonGranted after it recorded the grant, or
+// else the reason for the denial.
 func (c *Core) decide(now Time, from int, request slotRequest) Reason {
 	reason := c.evaluateRequest(now, from, request)
 	switch reason {
 	case ReasonGranted:
 		c.recordGrant(now, from, request)
-	case ReasonRequestExpired: // expired requests are not logged
+	case ReasonRequestExpired: // not logged: a late datagram of a finished request is normal
 	default:
 		c.log(LogSlotDenied, from, int(request.Slot), reason)
 	}
@@ -75,7 +77,7 @@
 	return ReasonGranted
 }
 
-// isWithinBudget reports whether the requested slots exist under the current budgets.
+// isWithinBudget reports whether the requested slots exist. Slots are numbered from 0, and there are as many as the budget allows.
 func (c *Core) isWithinBudget(request slotRequest) bool {
 	return int(request.Slot) < c.cfg.Budget && (c.cfg.ZoneBudget == 0 || int(request.ZoneSlot) < c.cfg.ZoneBudget)
 }
@@ -97,7 +99,7 @@
 	})
 }
 
-// isInZone reports whether a granted slot counts against the zone budget that the request needs.
+// isInZone reports whether a granted slot counts against the zone budget of the zone that the request names.
 func (c *Core) isInZone(record grantRecord, request slotRequest) bool {
 	return c.cfg.ZoneBudget > 0 && record.Zone == request.Zone
 }
@@ -160,8 +162,8 @@
 	c.grants[index] = record
 }
 
-// releaseSlots releases the slots that a node was granted before the given incarnation, and those that it was granted in this
-// incarnation by its requests up to last.
+// releaseSlots releases the slots of a node that were granted to earlier incarnations of the node, and those that were granted
+// to the given incarnation by its requests up to number last.
 func (c *Core) releaseSlots(node int, incarnation uint64, last uint32) {
 	c.grants = slices.DeleteFunc(c.grants, func(record grantRecord) bool {
 		isOver := int(record.Holder) == node && isRequestUpTo(record.Incarnation, record.Request, incarnation, last)
@@ -172,8 +174,8 @@
 	})
 }
 
-// checkHolders halts the release if a node that drained is not back after ReturnTimeout. It writes the node off after
-// WriteOffAfter.
+// checkHolders halts the release if another node has had its slot for ReturnTimeout, because the node should be back by then. It
+// releases a slot that is older than WriteOffAfter if its holder sends no heartbeats.
 func (c *Core) checkHolders(now Time) {
 	c.grants = slices.DeleteFunc(c.grants, func(record grantRecord) bool {
 		holder := int(record.Holder)
--- a/internal/fleet/rollout/state.go
+++ b/internal/fleet/rollout/state.go
@@ -5,10 +5,10 @@
 
 // States of a node. A node counts as out of service in every state except Ready.
 const (
-	Starting  State = iota // under observation, or not serving yet
+	Starting  State = iota // not serving yet, or serving for less than the observation period
 	Ready                  // in service
 	Draining               // draining, or about to exit
-	Unhealthy              // the node failed its observation
+	Unhealthy              // the node had too many failed or slow responses in the observation period after its start
 	numStates
 )
 
@@ -21,14 +21,14 @@
 // Reasons for an answer to a slot request, for the release of a slot, or for a halt.
 const (
 	ReasonGranted        Reason = iota // no denial: the request is granted
-	ReasonSlotTaken                    // another node has the slot
+	ReasonSlotTaken                    // another node has the requested slot
 	ReasonOverBudget                   // too many nodes are out of service already
 	ReasonHalted                       // the release is halted
-	ReasonAbstaining                   // the answering node has just started and does not know what it granted before
+	ReasonAbstaining                   // the answering node does not know yet what it granted before its last start
 	ReasonOperator                     // an operator halted or resumed the release
-	ReasonNodeUnhealthy                // a node failed its observation
+	ReasonNodeUnhealthy                // a node had too many failed or slow responses after its start
 	ReasonNotReturned                  // a node that drained did not come back in time
-	ReasonRequestExpired               // the request is over, or a newer one of the same node is known
+	ReasonRequestExpired               // the request is finished, timed out or no longer needed, or the node made a newer one
 	ReasonNotInstalled                 // a node that drained for a release came back with another release
 	numReasons
 )
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -2,7 +2,7 @@
 
 import "shelfproxy/internal/fleet/agreement"
 
-// noSlot takes the place of a slot's number for a node that has no slot.
+// noSlot is the value in place of a slot's number if a node has no slot.
 const noSlot = -1
 
 // Status is the state of the rollout agreement as this node sees it. The control socket writes it as JSON.
@@ -11,7 +11,7 @@
 	State      string       `json:"state"`
 	WantsDrain bool         `json:"wants_out"`
 	Halted     string       `json:"halted,omitempty"` // reason of the halt; empty while the release is not halted
-	HaltedBy   int          `json:"halted_by"`        // node whose failure halted the release, or at which an operator halted it; -1 while not halted
+	HaltedBy   int          `json:"halted_by"`        // node that failed, or at which an operator halted the release; -1 while not halted
 	Out        []NodeStatus `json:"out"`              // nodes that are out of service or have a slot, in the order of their indices
 	Ready      int          `json:"fit"`              // number of nodes that are ready and have no slot
 	Budget     int          `json:"budget"`
@@ -20,11 +20,11 @@
 // NodeStatus is the status of one node that is out of service, or that has a slot to go out of service.
 type NodeStatus struct {
 	Node  int    `json:"node"`
-	State string `json:"state"` // text of a State, or "silent" or "unknown"
+	State string `json:"state"` // text of a State; "silent": sends no heartbeats; "unknown": none has arrived yet
 	Slot  int    `json:"slot"`  // number of the slot; -1 if the node has none
 }
 
-// Status returns which nodes are out of service, and why no further node may drain.
+// Status returns which nodes are out of service or have a slot, and why the release is halted, if it is.
 func (c *Core) Status(now Time) Status {
 	status := Status{
 		Node:       c.cfg.Self,
