--- a/internal/fleet/datagram/datagram.go
+++ b/internal/fleet/datagram/datagram.go
@@ -1,6 +1,7 @@
-// Package datagram implements the outer format that the datagrams of all agreements between nodes share: a magic byte that tells
-// an agreement's datagrams from other traffic, one byte each for version and kind, the fields of the kind, and a CRC-32 of all
-// these bytes. Numbers are big-endian. The package has no clock, no I/O and no state.
+// Package datagram implements the outer format of the datagrams by which nodes agree on leases, on drains and on which nodes are
+// running. A datagram consists of a magic byte that identifies the protocol, one byte each for the protocol's version and the
+// kind of message, the fields of that kind, and a CRC-32 of all these bytes. Numbers are big-endian. The package has no clock, no
+// I/O and no state.
 package datagram
 
 import (
@@ -8,23 +9,24 @@
 	"hash/crc32"
 )
 
-// MaxSize is the greatest size of a datagram in bytes. The platform carries no longer ones.
+// MaxSize is the size in bytes of the longest datagram that the platform carries.
 const MaxSize = 256
 
 const (
-	headerSize   = 3 // one byte each for magic, version and kind
+	headerSize   = 3 // one byte each for the magic byte, the version and the kind of message
 	checksumSize = 4
 )
 
-// MaxPayload is the greatest size of all fields of a datagram together, in bytes.
+// MaxPayload is the greatest total size of a datagram's fields, in bytes.
 const MaxPayload = MaxSize - headerSize - checksumSize
 
-// Begin returns the header of a datagram. The caller appends the fields and passes the result to Seal.
+// Begin returns the header of a datagram, which holds the three arguments. The caller appends the fields and passes the result to
+// Seal.
 func Begin(magic, version, kind byte) []byte {
 	return append(make([]byte, 0, MaxSize), magic, version, kind)
 }
 
-// Seal appends the checksum to a header and its fields, which completes the datagram.
+// Seal appends the checksum to data, which holds a header and the fields. This completes the datagram.
 func Seal(data []byte) []byte {
 	return binary.BigEndian.AppendUint32(data, crc32.ChecksumIEEE(data))
 }
@@ -42,8 +44,8 @@
 	return data[2], &Reader{left: content[headerSize:]}, true
 }
 
-// Reader reads the fields of a datagram one after the other. Reading past the end returns 0 and makes the reader invalid.
-// It is not safe for concurrent use.
+// Reader reads the fields of a datagram one after the other. Reading past the end returns 0 and makes the reader invalid. A
+// Reader is not safe for concurrent use.
 type Reader struct {
 	left      []byte
 	isInvalid bool
@@ -59,21 +61,21 @@
 	return taken
 }
 
-// U8 reads one byte.
+// U8 reads the next byte as a number.
 func (r *Reader) U8() byte { return r.take(1)[0] }
 
-// U16 reads a number of two bytes.
+// U16 reads the next two bytes as a number.
 func (r *Reader) U16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
 
-// U32 reads a number of four bytes.
+// U32 reads the next four bytes as a number.
 func (r *Reader) U32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
 
-// U64 reads a number of eight bytes.
+// U64 reads the next eight bytes as a number.
 func (r *Reader) U64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-// IsValid reports whether the datagram had all the fields that were read. Fields after them, which a later version may add, do
-// not matter.
+// IsValid reports whether the datagram was long enough for all fields that were read. Further fields at its end, which a later
+// version may add, do not matter.
 func (r *Reader) IsValid() bool { return !r.isInvalid }
 
-// IsEmpty reports whether all bytes of the fields were read.
+// IsEmpty reports whether the datagram has no field left to read.
 func (r *Reader) IsEmpty() bool { return len(r.left) == 0 }
--- a/internal/fleet/gossip/assessment_test.go
+++ b/internal/fleet/gossip/assessment_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestOutlierGivesUpSlots: a server gives up the more slots, the worse it does compared with all servers.
+// TestOutlierGivesUpSlots: a server whose fraction of slow or failed answers is far above that of all servers gives up slots
+// (groups of keys). The greater the difference is, the more slots it gives up.
 func TestOutlierGivesUpSlots(t *testing.T) {
 	for _, test := range []struct{ utilisation, ofAll, want float64 }{
 		{0, 0, 1}, {0.3, 0, 1}, {0.45, 0, 0.5}, {1, 0, minKeptFraction}, {1, 1, 1}, {0.9, 0.8, 1}, {0.6, 0.1, 1.0 / 3},
@@ -19,8 +20,8 @@
 	}
 }
 
-// TestUnresponsivenessIsCorroborated: a single node that is cut off from a server must not take the server away from all other
-// nodes.
+// TestUnresponsivenessIsCorroborated: a single node that is cut off from a server must not make all other nodes stop using the
+// server. So its report alone is not believed.
 func TestUnresponsivenessIsCorroborated(t *testing.T) {
 	type report struct {
 		at               Time
--- a/internal/fleet/gossip/buffer.go
+++ b/internal/fleet/gossip/buffer.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Buffer collects a node's own observations and its sample of requested keys until they are encoded. The zero value is empty. It
-// is not safe for concurrent use.
+// Buffer collects a node's own observations of servers and its sample of requested keys until Encode puts them into a datagram.
+// The zero value is empty. A Buffer is not safe for concurrent use.
 type Buffer struct {
-	observations []Observation // one for each server, in the order of the first event about it
-	keys         []Fingerprint // at most maxKeys, in the order of their requests
+	observations []Observation // one for each server with an event since the last report about that server
+	keys         []Fingerprint // at most maxKeys requested keys, oldest first
 }
 
-// KeyRequested adds a key to the sample. If there are more keys than a datagram can hold, the earliest key is dropped.
+// KeyRequested adds a requested key to the keys to be sent. If a datagram cannot hold that many keys, the oldest one is dropped.
 func (b *Buffer) KeyRequested(key Fingerprint) {
 	if len(b.keys) == maxKeys {
 		b.keys = slices.Delete(b.keys, 0, 1)
@@ -20,7 +20,7 @@
 	b.keys = append(b.keys, key)
 }
 
-// observation returns the buffer's observation about a server. If there is none it adds an empty one.
+// observation returns the buffer's observation about a server. If the buffer has none, it adds an empty one and returns that.
 func (b *Buffer) observation(server Fingerprint) *Observation {
 	for i := range b.observations {
 		if b.observations[i].Server == server {
@@ -35,7 +35,7 @@
 func (b *Buffer) AttemptEnded(server Fingerprint, isFailure bool) {
 	observation := b.observation(server)
 	if observation.Attempts == maxAttempts {
-		return // maxAttempts attempts are a sufficient sample
+		return // more attempts are not needed as a sample, and would not fit into the three bits of the datagram
 	}
 	observation.Attempts++
 	if isFailure {
@@ -43,20 +43,21 @@
 	}
 }
 
-// Recovered records that a server answered after this node had taken it for unresponsive.
+// Recovered records that a server answered after this node had considered the server unresponsive.
 func (b *Buffer) Recovered(server Fingerprint) {
 	observation := b.observation(server)
 	observation.Recovered, observation.Unresponsive = true, false
 }
 
-// Unresponsive records that this node takes a server for unresponsive.
+// Unresponsive records that this node now considers a server unresponsive.
 func (b *Buffer) Unresponsive(server Fingerprint) {
 	observation := b.observation(server)
 	observation.Recovered, observation.Unresponsive = false, true
 }
 
-// Encode returns a datagram with all keys and as many observations as fit, and removes both from the buffer. If not all
-// observations fit, the most severe ones are taken. If the buffer is empty, Encode returns nil.
+// Encode returns a datagram with all keys and as many observations as fit, and removes from the buffer what the datagram holds.
+// If not all observations fit, those of unresponsive servers are taken first, then those with the most failures. If the buffer is
+// empty, Encode returns nil.
 func (b *Buffer) Encode() []byte {
 	if len(b.observations)+len(b.keys) == 0 {
 		return nil
--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -4,7 +4,7 @@
 
 // A datagram consists of the version (1 byte), the number of keys (1 byte), the keys (3 bytes each) and the observations (4 bytes
 // each). An observation is the server's fingerprint (3 bytes) and a byte with the number of attempts (3 bits), the number of
-// failures (3 bits) and two flags.
+// failures (3 bits) and two flags (recovered, unresponsive).
 const (
 	version          = 2
 	headerBytes      = 2
@@ -13,7 +13,7 @@
 
 	maxAttempts     = 7  // greatest number of attempts in one observation; it is sent in three bits
 	maxKeys         = 16 // greatest number of keys in one datagram
-	maxObservations = 50 // greatest number of observations in one datagram; the platform carries at most 256 bytes
+	maxObservations = 50 // greatest number of observations in one datagram; with 16 keys it has 250 bytes, and the platform carries 256
 	maxBytes        = headerBytes + maxKeys*fingerprintBytes + maxObservations*observationBytes
 
 	attemptsShift    = 5
@@ -22,7 +22,7 @@
 	flagUnresponsive = 2
 )
 
-// ErrMalformed is returned for a datagram that cannot come from a node of this version.
+// ErrMalformed is returned for a datagram that no node with this version of the format can have sent.
 var ErrMalformed = errors.New("gossip: malformed datagram")
 
 // encode returns the message as a datagram. The message must not have more than maxKeys keys or more than maxObservations
--- a/internal/fleet/gossip/codec_test.go
+++ b/internal/fleet/gossip/codec_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-const platformDatagramBytes = 256 // the platform carries no longer datagrams
+const platformDatagramBytes = 256 // size of the longest datagram that the platform carries
 
 // observationModel holds, for each server, the observation that a Buffer should hold.
 type observationModel map[Fingerprint]Observation
 
-// addEvent applies one random event to a buffer and to the model.
+// addEvent applies one random event about a server to the buffer and to the model.
 func (m observationModel) addEvent(t *rapid.T, buffer *Buffer) {
 	server := Fingerprint(rapid.IntRange(0, 70).Draw(t, "server") << 17)
 	want := m[server]
@@ -38,8 +38,8 @@
 	m[server] = want
 }
 
-// TestBufferRoundTrip: every observation that a buffer collects, and each of its last maxKeys keys, is decoded from exactly one
-// of its datagrams.
+// TestBufferRoundTrip: every observation that a buffer collects, and each of its last maxKeys keys, is found in exactly one of
+// the datagrams that the buffer encodes.
 func TestBufferRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var buffer Buffer
@@ -65,7 +65,7 @@
 			if !slices.Equal(message.Keys, keys) {
 				t.Fatalf("got keys %v, want %v", message.Keys, keys)
 			}
-			keys = nil // all keys are in the first datagram
+			keys = nil // the first datagram holds all keys, so the later ones must hold none
 			for _, got := range message.Observations {
 				if wanted, ok := want[got.Server]; !ok || wanted != got {
 					t.Fatalf("got %+v, want %+v", got, wanted)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -7,8 +7,8 @@
 	"shelfproxy/internal/golden"
 )
 
-// TestGoldenDatagrams: datagrams recorded from earlier releases can be decoded, and the same events are encoded to the same
-// bytes.
+// TestGoldenDatagrams: datagrams recorded from earlier releases can be decoded, and the events from which they were made are
+// still encoded to the same bytes.
 func TestGoldenDatagrams(t *testing.T) {
 	var buffer Buffer
 	buffer.KeyRequested(0x010203)
--- a/internal/fleet/gossip/sender_test.go
+++ b/internal/fleet/gossip/sender_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestNothingIsSentAboutAHealthyServer: attempts at a server that does about as well as the others are not sent to other nodes.
+// TestNothingIsSentAboutAHealthyServer: attempts at a server that is about as fast and reliable as the others are not reported to
+// other nodes.
 func TestNothingIsSentAboutAHealthyServer(t *testing.T) {
 	healthy := NewAssessment(1)
 	healthy.Update(0.05, 0)
@@ -19,7 +20,8 @@
 	}
 }
 
-// countSampled returns how many of 1000 attempts at a server are sampled if knownAttempts attempts are known.
+// countSampled returns how many of 1000 attempts at a server are selected for the report to other nodes, if the node knows of
+// knownAttempts recent attempts at the server.
 func countSampled(server *Assessment, knownAttempts float64, isFailure bool) int {
 	const attempts = 1000
 	sampled := 0
@@ -31,8 +33,8 @@
 	return sampled
 }
 
-// TestFewerAttemptsAreSampledWhereManyAreKnown: the more attempts at a suspect server are known, the fewer are sent. Failures and
-// successes are sampled alike.
+// TestFewerAttemptsAreSampledWhereManyAreKnown: the more attempts at a suspect server (one that does clearly worse than the
+// others) a node knows of, the fewer it reports to other nodes. Failures and successes are selected alike.
 func TestFewerAttemptsAreSampledWhereManyAreKnown(t *testing.T) {
 	suspect := NewAssessment(2)
 	suspect.Update(0.6, 0)
@@ -47,9 +49,10 @@
 	}
 }
 
-// TestDatagramsAreSpacedByTheFleetSize: all nodes of a fleet together send no more datagrams than one node can receive.
+// TestDatagramsAreSpacedByTheFleetSize: the larger the fleet is, the fewer datagrams one node sends. So all nodes together send
+// no more than each node can receive.
 func TestDatagramsAreSpacedByTheFleetSize(t *testing.T) {
-	const maxSent = 27 // datagrams that one of 80 nodes may send in 10 s, at 5 ms per node
+	const maxSent = 27 // in 10 s one of 80 nodes may send a datagram every 80 * 5 ms, which makes 25; 2 more are tolerated
 	sender := Sender{FleetSize: 80}
 	sent := 0
 	for now := Time(0); now < 10*time.Second; now += 10 * time.Millisecond {
@@ -105,7 +108,7 @@
 	}
 }
 
-// TestKeysAreSampled: of the keys that are not repeated, one in eight is sent with the next datagram.
+// TestKeysAreSampled: if each key is requested once, one key in eight is put into the next datagram, up to the number that fits.
 func TestKeysAreSampled(t *testing.T) {
 	const requests = 1000
 	var sender Sender
--- a/internal/fleet/membership/agent/agent.go
+++ b/internal/fleet/membership/agent/agent.go
@@ -25,15 +25,15 @@
 	Log          *slog.Logger
 }
 
-// EventKind is the kind of an event that Options.CountEvent counts. A value of membership.State stands for another node that
-// entered that state. The constants below are the other kinds.
+// EventKind is the kind of an event that Options.CountEvent counts. A value that equals a membership.State means that another
+// node entered that state. The constants below are the other values.
 type EventKind int
 
-// The kinds of events other than the states of membership.
+// The kinds of events that are not changes of another node's state.
 const (
 	MessageCorrupt      EventKind = iota + EventKind(membership.Left) + 1 // a datagram was ignored because it was corrupt
 	OtherPeerList                                                         // a datagram was ignored: its sender has another list of nodes
-	IncarnationConflict                                                   // this node learned of a later process with its own name
+	IncarnationConflict                                                   // this node learned of a later process under this node's name
 	EventKinds                                                            // number of event kinds
 )
 
@@ -84,7 +84,7 @@
 func (a *Agent) execute(effect membership.Effect) {
 	switch effect := effect.(type) {
 	case membership.Send:
-		_ = a.opt.Send(effect.To, effect.Data) // a datagram that cannot be sent counts as lost
+		_ = a.opt.Send(effect.To, effect.Data) // an error is ignored: the core copes with lost datagrams
 	case membership.StateChanged:
 		a.opt.CountEvent(EventKind(effect.To))
 		a.logStateChange(effect)
--- a/internal/fleet/membership/agent/agent_test.go
+++ b/internal/fleet/membership/agent/agent_test.go
@@ -8,7 +8,8 @@
 	"shelfproxy/internal/fleet/membership"
 )
 
-// TestEventKindsAreNamedAsCounters: event kinds have the names that the counters have, which are the states and three more.
+// TestEventKindsAreNamedAsCounters: the names of the event kinds are the names of the counters: the states of a node and three
+// more.
 func TestEventKindsAreNamedAsCounters(t *testing.T) {
 	var got []string
 	for kind := range EventKinds {
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -17,10 +17,10 @@
 // the same values on all nodes of a fleet.
 type Config struct {
 	Self, Nodes     int           // index of this node in the list of nodes, and length of that list
-	PeerListID      uint32        // identifies the list of nodes: under another list an index stands for another node
+	PeerListID      uint32        // identifies the list of nodes; datagrams from a node with another list are ignored
 	Incarnation     uint64        // Unix milliseconds of the process's start: later for each new process unless the clock is set back
-	ProbeInterval   time.Duration // time between two pings that a node sends; also called a period
-	ProbeTimeout    time.Duration // wait for an ack before other nodes are asked to ping the silent node
+	ProbeInterval   time.Duration // a node pings one other node in each period of this length
+	ProbeTimeout    time.Duration // time without an ack after which other nodes are asked to ping the silent node too
 	IndirectProbes  int           // number of nodes that are asked to ping a silent node
 	SuspicionFactor float64       // a suspect is declared dead after SuspicionFactor * log2(Nodes+1) probe intervals
 	Seed            uint64
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxPause is how many probe intervals may pass between two events. If more pass, this process was paused. Missing acks to its
-// earlier pings then say nothing about the other nodes.
+// maxPause is the greatest number of probe intervals between two events of a running process. If more pass, this process was
+// paused, and acks to its earlier pings may have been lost. Then a missing ack does not mean that the pinged node is dead.
 const maxPause = 3
 
-// Core is the membership state machine of one node. It is not safe for concurrent use.
+// Core is the membership state machine of one node. A Core is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	random  *rand.Rand
@@ -42,7 +42,8 @@
 	return c, nil
 }
 
-// reset forgets everything about the other nodes, including pings in flight, and sets the incarnation of this node.
+// reset forgets everything about the other nodes, including the pings that wait for an ack, and sets the incarnation of this
+// node.
 func (c *Core) reset(incarnation uint64) {
 	c.members = make([]member, c.cfg.Nodes)
 	c.members[c.cfg.Self] = member{state: Alive, incarnation: incarnation}
@@ -56,11 +57,12 @@
 	c.shuffleProbeOrder()
 }
 
-// fleetLogarithm returns log2(Nodes+1). Dissemination and suspicion take longer by this factor in a larger fleet.
+// fleetLogarithm returns log2(Nodes+1). The number of datagrams that pass on an update, and the time that a suspect has to
+// refute, are multiplied by this factor, because an update takes longer to reach all nodes of a larger fleet.
 func (c *Core) fleetLogarithm() float64 { return math.Log2(float64(c.cfg.Nodes) + 1) }
 
-// Step handles one event and returns the effects that the caller has to carry out, in this order. The caller owns the returned
-// slice. All events after ShutdownStarted are ignored.
+// Step handles one event and returns the effects, which the caller has to carry out in the order of the slice. The caller owns
+// the returned slice. All events after ShutdownStarted are ignored.
 func (c *Core) Step(now Time, event Event) []Effect {
 	c.effects = nil
 	if c.hasLeft {
@@ -83,8 +85,8 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// advance records the time of a step. The first step starts the core. A step after a long pause calls resumeAfterPause, because
-// acks and refutations may have been lost.
+// advance records the time of a step. The first step starts the core. The first step after a long pause of the process calls
+// resumeAfterPause, because acks and refutations may have been lost.
 func (c *Core) advance(now Time) {
 	if !c.isStarted {
 		c.isStarted, c.peersSince, c.lastStep = true, now, now
@@ -96,8 +98,8 @@
 	c.lastStep = now
 }
 
-// resumeAfterPause drops the pings in flight, because their acks may have been lost during the pause. It also restarts the
-// SuspicionTimeout of all suspects, because their refutations may have been lost too.
+// resumeAfterPause forgets the pings that wait for an ack, because the acks may have been lost during the pause. It also restarts
+// the SuspicionTimeout of all suspects, because their refutations may have been lost too.
 func (c *Core) resumeAfterPause(now Time) {
 	c.probe.isPending, c.relays = false, nil
 	for node := range c.members {
@@ -132,7 +134,7 @@
 	c.reset(c.members[previous.Self].incarnation)
 }
 
-// shutDown tells IndirectProbes+2 random nodes that this node has left. These nodes pass it on to the rest.
+// shutDown tells IndirectProbes+2 random nodes that this node has left. These nodes tell the others.
 func (c *Core) shutDown() {
 	c.members[c.cfg.Self].state = Left
 	for _, node := range c.randomAlive(c.cfg.IndirectProbes+2, c.cfg.Self) {
--- a/internal/fleet/membership/core_test.go
+++ b/internal/fleet/membership/core_test.go
@@ -89,9 +89,9 @@
 	f.converge("after the pause")
 }
 
-// TestIncarnationConflictRecursWhileTwoRun: while two processes run under one node's name, the incarnation conflict recurs. After
-// the clock was set back and the node restarted, the conflict is reported but does not recur, and the other nodes take the node
-// for alive.
+// TestIncarnationConflictRecursWhileTwoRun: while two processes run under one node's name, the incarnation conflict recurs. If
+// instead a node restarted after its clock was set back, the conflict is reported but does not recur, and the other nodes know
+// that the node is alive.
 func TestIncarnationConflictRecursWhileTwoRun(t *testing.T) {
 	const hour = uint64(time.Hour / time.Millisecond)
 	for name, bothRun := range map[string]bool{"both run": true, "the clock was set back": false} {
@@ -150,7 +150,7 @@
 	o.step(MessageReceived{from, message{kind: kindAck, updates: updates}.encode()})
 }
 
-// receiveFor passes the core a datagram from each of the nodes in every test interval, for a duration.
+// receiveFor lets a duration pass. Once in each testInterval it passes the core a datagram from each of the given nodes.
 func (o *fleetSizeObserver) receiveFor(duration time.Duration, nodes ...int) {
 	for end := o.now + duration; o.now < end; o.now += testInterval {
 		for _, node := range nodes {
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestFleetSize: once a majority is present, nodes that are still unknown count until there was time to learn of them. No other
-// node can make the fleet size smaller, and without a majority it is 0.
+// TestFleetSize: once a majority of the nodes is known to run, nodes of unknown state count as running until there was time to
+// learn their state. A false report by another node cannot make the fleet size smaller. The fleet size is 0 if no majority runs.
 func TestFleetSize(t *testing.T) {
 	const nodes = 5
 	o := &fleetSizeObserver{t: t, core: newTestCore(t, nodes), reported: -1}
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -4,7 +4,7 @@
 type Event interface{ event() }
 
 type (
-	// Tick says that time has passed. The core needs one about every half ProbeTimeout to run its timers.
+	// Tick says that time has passed. The core needs a Tick about every half ProbeTimeout to notice expired timeouts.
 	Tick struct{}
 	// MessageReceived is a datagram from another node.
 	MessageReceived struct {
@@ -49,7 +49,8 @@
 	// this node's clock was set back after that process started, or that process is still running. In the latter case the
 	// conflict recurs. This node raises its own incarnation above that of the other process.
 	IncarnationConflict struct{ Incarnation uint64 }
-	// MessageRejected says that a datagram was ignored because it was corrupt or because its sender has another list of nodes.
+	// MessageRejected says that a datagram was ignored because the datagram was corrupt or, if OtherPeerList is set, because its
+	// sender has another list of nodes.
 	MessageRejected struct {
 		From          int
 		OtherPeerList bool
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// absentProbePeriods is how many periods pass between two pings to nodes that are dead, have left or are unknown. These pings
-// reunite a fleet after a partition.
+// absentProbePeriods says how often absent nodes are pinged: once in this many periods, one node that is dead, has left or is
+// unknown is pinged. These pings reunite a fleet after a partition.
 const absentProbePeriods = 4
 
 // probe is the ping that this node sent in the current period to the next node in the probe order.
@@ -15,17 +15,17 @@
 	isIndirect bool // other nodes were asked to ping the node too
 }
 
-// relay is a ping that this node sent on behalf of another node, which asked for it by a ping-req.
+// relay is a ping that this node sent on behalf of another node, which had asked for the ping by a ping-req message.
 type relay struct {
 	requester         int
-	requesterSequence uint32 // sequence number of the ping-req, repeated by the ack to the requester
+	requesterSequence uint32 // sequence number of the ping-req; the ack to the requester has to contain the same number
 	target            int
 	sequence          uint32 // sequence number of this node's ping to the target
 	sentAt            Time
 }
 
-// startPeriod pings the next node in the probe order that is alive or suspect. In some periods it also pings a node that is
-// neither.
+// startPeriod pings the next node in the probe order that is alive or suspect. Once in absentProbePeriods periods it also pings a
+// node that is dead, has left or is unknown.
 func (c *Core) startPeriod(now Time) {
 	c.probe.isPending = false
 	c.periodCount++
@@ -59,8 +59,8 @@
 	c.random.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 }
 
-// pingAbsent pings a random node that is not present. It does so every absentProbePeriods periods, or in every period if no other
-// node is present.
+// pingAbsent pings a random one of the nodes that are dead, have left or are unknown. It does so once in absentProbePeriods
+// periods. If all other nodes are in these states, it does so in every period.
 func (c *Core) pingAbsent() {
 	var absent []int
 	for _, node := range c.probeOrder {
@@ -111,8 +111,8 @@
 	c.relays = append(c.relays, relay{requester: requester, requesterSequence: requesterSequence, target: target, sequence: sequence, sentAt: now})
 }
 
-// receiveAck handles an ack. The ack answers either this period's ping or a relayed one. For a relayed ping an ack is sent to
-// the requester.
+// receiveAck handles an ack. If the ack answers this period's ping, the pinged node is not suspected. If it answers a ping that
+// this node sent on behalf of another node, receiveAck sends that other node an ack.
 func (c *Core) receiveAck(from int, sequence uint32) {
 	if c.probe.isPending && c.probe.sequence == sequence {
 		c.probe.isPending = false
@@ -127,7 +127,8 @@
 	})
 }
 
-// expireRelays removes relayed pings that are a probe interval old: their requester no longer waits for an ack.
+// expireRelays forgets pings that this node sent on behalf of other nodes at least a probe interval ago: those nodes no longer
+// wait for an ack.
 func (c *Core) expireRelays(now Time) {
 	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool { return now-r.sentAt >= c.cfg.ProbeInterval })
 }
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -7,7 +7,8 @@
 )
 
 // maxClockAhead is how far ahead of this node's clock an incarnation may be. Incarnations are start times by the clocks of the
-// nodes' machines. If an incarnation of the far future were accepted, all later processes of that node would count as outdated.
+// nodes' machines. If an incarnation of the far future were accepted, updates about the node's later processes would be ignored
+// as older.
 const maxClockAhead = 24 * time.Hour
 
 // receive handles a datagram from another node.
@@ -25,7 +26,7 @@
 	c.answer(now, event.From, m)
 }
 
-// applyUpdates applies the updates of a datagram. It ignores those about nodes that are not on the list, and those whose
+// applyUpdates applies the updates of a datagram. It ignores updates about nodes that are not on the list, and updates whose
 // incarnation is more than maxClockAhead in the future.
 func (c *Core) applyUpdates(now Time, updates []update) {
 	maxIncarnation := c.cfg.Incarnation + uint64((now+maxClockAhead)/time.Millisecond)
@@ -36,7 +37,7 @@
 	}
 }
 
-// answer acknowledges a ping, relays the ping that a ping-req asks for, or handles an ack.
+// answer acknowledges a ping, sends the ping that a ping-req asks for, or handles an ack.
 func (c *Core) answer(now Time, from int, m message) {
 	switch m.kind {
 	case kindPing:
--- a/internal/fleet/membership/simulated_fleet_test.go
+++ b/internal/fleet/membership/simulated_fleet_test.go
@@ -37,7 +37,7 @@
 	t            *testing.T
 	random       *rand.Rand
 	now          time.Duration
-	nodes        []*Core // cores by node; nil: the node's process does not run
+	nodes        []*Core // cores by the node's index; nil: the node's process does not run
 	startedAt    []time.Duration
 	incarnations []uint64
 	isPaused     []bool
@@ -46,7 +46,7 @@
 	lossRate     float64
 
 	changes     map[State]int // number of StateChanged effects by the new state
-	falselyDead int           // how often a running node was declared dead
+	falselyDead int           // how often a node was declared dead although it ran and could be reached
 	bytesSent   int
 	conflicts   []int // number of IncarnationConflict effects by node
 }
@@ -150,7 +150,7 @@
 	}
 }
 
-// hasConverged reports whether each running node takes exactly the running nodes for present.
+// hasConverged reports whether each running node believes that exactly the running nodes are alive or suspect.
 func (f *simulatedFleet) hasConverged() bool {
 	for node, core := range f.nodes {
 		if !f.isRunning(node) {
@@ -165,7 +165,7 @@
 	return true
 }
 
-// converge runs the simulation until the fleet has converged, and returns how long that took.
+// converge runs the simulation until each running node knows which nodes run, and returns how long that took.
 func (f *simulatedFleet) converge(what string) time.Duration {
 	f.t.Helper()
 	for began := f.now; ; f.advance(simulationTick) {
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -3,8 +3,9 @@
 // takes the time and an event and returns effects.
 //
 // In each period a node pings one other node, in a random order in which every node has its turn. If the pinged node does not
-// send an ack, a few other nodes are asked to ping it (ping-req). If no ack arrives that way either, the node is suspected. A
-// suspect that does not refute the suspicion in time is declared dead. Updates about nodes are piggybacked on every datagram.
+// answer with an ack, a few other nodes are asked to ping it too (ping-req). If they bring no ack either, the pinged node is
+// suspected to be dead. A suspect that does not refute the suspicion in time is declared dead. Every datagram also carries
+// updates about the states of nodes.
 //
 // Updates about a node are ordered by its incarnation (the start of its process), then by the number of its refutations within
 // that incarnation, then by its state. So an update that is late, duplicated or out of order changes nothing. See docs/fleet.md.
@@ -15,11 +16,11 @@
 // Time is a point in time on this node's clock, as the duration since the node's start.
 type Time = time.Duration
 
-// State says whether a node is running, as far as is known.
+// State says whether a node is running, as far as this node knows.
 type State byte
 
-// The states of a node. If two updates have the same incarnation and number of refutations, the one with the greater state
-// overrides the other.
+// The states of a node. If two updates have the same incarnation and number of refutations, the one whose state is later in this
+// list overrides the other.
 const (
 	Unknown State = iota // no update was received yet
 	Alive
@@ -41,9 +42,9 @@
 type member struct {
 	state       State
 	incarnation uint64
-	refutations uint8 // number of refutations within the incarnation; wraps after 255
+	refutations uint8 // how often the node has refuted a suspicion in this incarnation; wraps after 255
 	since       Time  // when the node entered the state
-	sendsLeft   int   // how often the update about the node is still to be piggybacked on a datagram
+	sendsLeft   int   // in how many further datagrams the update about the node is to be sent
 	lastSeen    Time  // when the last datagram from the node itself was received; 0: never
 }
 
@@ -55,13 +56,14 @@
 	state       State
 }
 
-// update returns the update about this member for datagrams; node is its index.
+// update returns the update that tells other nodes about this member; node is the member's index.
 func (m member) update(node int) update {
 	return update{node: uint16(node), incarnation: m.incarnation, refutations: m.refutations, state: m.state}
 }
 
-// isOverriddenBy reports whether an update is newer than what is known: it has a later incarnation; or the same one and
-// more refutations; or the same one, as many refutations and a greater state.
+// isOverriddenBy reports whether an update is newer than what is known about the member. An update with a later incarnation is
+// newer. Within the same incarnation, one with more refutations is newer. With equal refutations, one with a greater state is
+// newer.
 func (m member) isOverriddenBy(u update) bool {
 	switch {
 	case m.state == Unknown:
@@ -75,5 +77,5 @@
 }
 
 // refutationsAhead returns by how much a is ahead of b; the result is negative if a is behind. Both are numbers of refutations,
-// which wrap.
+// which continue with 0 after 255.
 func refutationsAhead(a, b uint8) int8 { return int8(a - b) }
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -6,8 +6,9 @@
 	"shelfproxy/internal/fleet/agreement"
 )
 
-// lastSeenRounds is for how many rounds FleetSize still counts a node after the last datagram from it. In one round a node pings
-// the whole list. Within lastSeenRounds rounds every node receives a datagram from every other running node.
+// lastSeenRounds is the number of rounds for which FleetSize counts a node after the last datagram from that node. In one round a
+// node pings each node of the list once. Within lastSeenRounds rounds every node receives a datagram from every other running
+// node.
 const lastSeenRounds = 2
 
 // Member is the state of one node as this node knows it. The control socket returns it as JSON.
@@ -27,12 +28,14 @@
 	return members
 }
 
-// FleetSize returns how many nodes share the work, this one included. It returns 0 if no majority of the list is present: in a
-// partitioned fleet each part takes all nodes of the other parts for dead, while clients still reach them all.
+// FleetSize returns how many nodes share the work, this one included. It returns 0, for unknown, if this node believes that less
+// than a majority of the list is running. Otherwise, in a partitioned fleet, each part would take only its own nodes for running,
+// while clients still reach the nodes of all parts.
 //
-// It counts the nodes that are alive or suspect. It also counts the nodes from which this node received a datagram recently,
-// whatever others say about them, so that no other node can make the number smaller. Soon after the list of nodes came into use it
-// also counts the unknown nodes, because this node has not had the time to learn of them.
+// FleetSize counts the nodes that are alive or suspect. It also counts the nodes from which this node received a datagram
+// recently, even if other nodes say that they are dead. So a wrong update from another node cannot make the number smaller. Soon
+// after the list of nodes came into use, FleetSize also counts the nodes whose state is unknown, because this node has had no
+// time to learn their state.
 func (c *Core) FleetSize(now Time) int {
 	recent := lastSeenRounds * time.Duration(len(c.probeOrder)) * c.cfg.ProbeInterval
 	isStarting := now-c.peersSince < recent+c.SuspicionTimeout()
@@ -52,7 +55,7 @@
 	return present + notYetKnown
 }
 
-// reportFleetSize emits FleetSizeChanged if the fleet's size has changed.
+// reportFleetSize emits FleetSizeChanged if FleetSize has changed since the last such effect.
 func (c *Core) reportFleetSize(now Time) {
 	if nodes := c.FleetSize(now); nodes != c.fleetSize {
 		c.fleetSize = nodes
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -7,8 +7,8 @@
 	return time.Duration(c.cfg.SuspicionFactor * c.fleetLogarithm() * float64(c.cfg.ProbeInterval))
 }
 
-// suspectUnresponsive marks the node that was probed in the ending period as suspect, unless an ack or any other datagram of that
-// node was received since the ping.
+// suspectUnresponsive is called at the end of a period. It marks the node that was pinged in this period as suspect, unless an
+// ack or any other datagram from that node has arrived since the ping.
 func (c *Core) suspectUnresponsive(now Time) {
 	if !c.probe.isPending {
 		return
@@ -28,14 +28,15 @@
 	}
 }
 
-// changeState sets the state of another node after an observation of this node itself.
+// changeState sets the state of another node because of what this node itself observed, not because of a received update.
 func (c *Core) changeState(now Time, node int, state State) {
 	u := c.members[node].update(node)
 	u.state = state
 	c.apply(now, u)
 }
 
-// apply applies an update about a node if the update is newer than what is known. It refutes a wrong update about this node.
+// apply takes over the state in an update about another node if the update is newer than what is known. An update about this node
+// itself is refuted if it is wrong.
 func (c *Core) apply(now Time, u update) {
 	if u.state == Unknown || u.state >= numStates {
 		return
--- a/internal/fleet/peers/addresses.go
+++ b/internal/fleet/peers/addresses.go
@@ -1,4 +1,5 @@
-// Package peers sends datagrams to the other nodes of a fleet over UDP and receives theirs. It does not interpret their content.
+// Package peers sends datagrams to the other nodes of a fleet over UDP, and receives datagrams from them. It does not interpret
+// the content of datagrams.
 package peers
 
 import (
@@ -7,7 +8,7 @@
 	"slices"
 )
 
-// Addresses holds the UDP addresses at which the nodes of a fleet reach each other. Each has the form "IP:port".
+// Addresses holds the UDP addresses at which the nodes of a fleet reach each other. Each address has the form "IP:port".
 type Addresses struct {
 	Listen    string   // address of this node
 	Peers     []string // addresses of all nodes by index, this one included
@@ -38,7 +39,7 @@
 	return err
 }
 
-// routes holds the parsed addresses of a fleet. It is not changed after parse has returned it.
+// routes holds the parsed addresses of a fleet. A routes value is not changed after parse has returned it.
 type routes struct {
 	broadcast netip.AddrPort
 	nodes     []netip.AddrPort   // addresses of all nodes by index
@@ -73,10 +74,10 @@
 	return address, nil
 }
 
-// Self returns this node's index in Peers, or -1 if this node is not one of them.
+// Self returns this node's index in Peers, or -1 if Listen is not one of Peers.
 func (a Addresses) Self() int { return slices.Index(a.Peers, a.Listen) }
 
-// CountChanges returns how many peers have to be added and removed to get from the list of a to that of b.
+// CountChanges returns how many peers have to be added and removed to get from the peers of a to the peers of b.
 func (a Addresses) CountChanges(b Addresses) int {
 	return countMissing(a.Peers, b.Peers) + countMissing(b.Peers, a.Peers)
 }
--- a/internal/fleet/peers/socket.go
+++ b/internal/fleet/peers/socket.go
@@ -13,7 +13,7 @@
 // MaxDatagram is the size in bytes of the longest datagram that the platform carries.
 const MaxDatagram = 256
 
-// openInterval is how long a socket of OpenLater waits before it tries again to open its address.
+// openInterval is the time between two attempts of OpenLater's goroutine to open the socket at its address.
 const openInterval = 20 * time.Millisecond
 
 // Errors of Broadcast and SendTo. The datagram was not sent and is lost.
@@ -29,18 +29,18 @@
 // errListenChanged is the cause of the AddressError that UpdatePeers returns if this node's own address would change.
 var errListenChanged = errors.New("cannot be changed while the node runs")
 
-// Socket sends datagrams to the other nodes and receives theirs. Its methods are safe for concurrent use, but Receive must have
-// only one caller.
+// Socket sends datagrams to the other nodes and receives datagrams from them. Its methods are safe for concurrent use, but
+// Receive must have only one caller.
 type Socket struct {
 	listen    netip.AddrPort
 	routes    atomic.Pointer[routes]
-	conn      atomic.Pointer[net.UDPConn] // nil until the address is opened
+	conn      atomic.Pointer[net.UDPConn] // nil until the socket is open
 	opened    chan struct{}               // closed by open when conn is set
 	closed    chan struct{}               // closed by Close
 	closeOnce sync.Once
 }
 
-// Open returns a node's socket, open at the node's address.
+// Open opens a node's UDP socket at the node's address and returns it.
 func Open(a Addresses) (*Socket, error) {
 	s, err := newSocket(a)
 	if err != nil {
@@ -135,8 +135,8 @@
 }
 
 // Receive calls received for each datagram from another node, with that node's index. It calls foreign for each datagram that is
-// too long or whose sender is not a peer. It returns net.ErrClosed once the socket is closed. The function received owns its
-// data.
+// too long or whose sender is not a peer, with the sender's address. Receive returns net.ErrClosed once the socket is closed. The
+// function received may keep its argument data.
 func (s *Socket) Receive(received func(from int, data []byte), foreign func(netip.AddrPort)) error {
 	select {
 	case <-s.opened:
@@ -153,7 +153,7 @@
 		address := sender.Addr().Unmap()
 		from, isPeer := s.routes.Load().indices[address]
 		switch {
-		case address == s.listen.Addr(): // ignore this node's own broadcast
+		case address == s.listen.Addr(): // this node's own broadcast, which it receives too, is ignored
 		case !isPeer || n > MaxDatagram:
 			foreign(sender)
 		default:
--- a/internal/fleet/peers/socket_test.go
+++ b/internal/fleet/peers/socket_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed conn already
+	t.Cleanup(func() { _ = conn.Close() }) // an error is ignored: the test may have closed conn already
 	return conn
 }
 
@@ -43,14 +43,14 @@
 	})
 }
 
-// received is one datagram that a Socket passed to a function of Receive.
+// received is one datagram that Socket.Receive passed to one of its two functions.
 type received struct {
-	from      int // index of the sender; -1: foreign
+	from      int // index of the sender; -1: the sender is no peer, or the datagram is too long
 	data      string
 	isForeign bool
 }
 
-// receiveAll starts to receive, until the test ends, and returns a channel of the datagrams.
+// receiveAll receives the socket's datagrams in a goroutine until the test ends. It returns the channel on which they arrive.
 func receiveAll(t *testing.T, socket *Socket) <-chan received {
 	t.Helper()
 	datagrams, done := make(chan received, 16), make(chan error, 1)
@@ -84,7 +84,7 @@
 }
 
 // TestDatagramsCarryTheSendersIndex: a node receives each peer's datagrams with that peer's index. Datagrams that are too long or
-// whose sender is not a peer are foreign.
+// whose sender is not a peer are passed to the function foreign.
 func TestDatagramsCarryTheSendersIndex(t *testing.T) {
 	peer, own, foreign := holdAddress(t, peerIP), holdAddress(t, ownIP), holdAddress(t, foreignIP)
 	addresses := Addresses{
--- a/internal/supervisor/agent/agent.go
+++ b/internal/supervisor/agent/agent.go
@@ -23,8 +23,8 @@
 	Log     *slog.Logger
 }
 
-// Agent is a supervisor with its processes. The goroutine in Serve owns the core and the table of running processes. The
-// exported methods, except Step, may be called from any goroutine.
+// Agent starts, signals and watches processes as the core decides. The goroutine that runs Serve owns the core and the table of
+// running processes. The exported methods, except Step, may be called from any goroutine.
 type Agent struct {
 	*eventloop.Loop[supervisor.Event, supervisor.Effect]
 	opt     Options
@@ -34,8 +34,8 @@
 	stopped chan struct{}       // closed by the event loop once all processes have ended after StopRequested
 }
 
-// tickInterval is the time between two ticks of the core. If the event loop is busy, an event that must not be lost is posted again
-// after the same time.
+// tickInterval is the time between two ticks of the core. If the event loop's queue is full, an event that must not be lost is
+// posted again after tickInterval.
 const tickInterval = 50 * time.Millisecond
 
 // New returns an agent and opens the instances' listening sockets. The processes are started by Serve.
@@ -103,8 +103,8 @@
 	}
 }
 
-// signal sends a signal to a process, unless it is nil. Errors are ignored: they mean that the process has ended, which its watch
-// goroutine reports.
+// signal sends a signal to a process, unless it is nil. Errors are ignored: they mean that the process has ended, which the
+// goroutine that waits for the process reports.
 func (a *Agent) signal(process *os.Process, sig os.Signal) {
 	if process != nil {
 		_ = process.Signal(sig)
--- a/internal/supervisor/agent/calls.go
+++ b/internal/supervisor/agent/calls.go
@@ -23,7 +23,8 @@
 }
 
 // RegisterCalls registers the operators' calls: the query instances and the commands replace, halt, resume and stop. The command
-// replace takes instance=N, or is for all instances. Commands return the overview after the command.
+// replace is for the instance N if it has the parameter instance=N, otherwise for all instances. Each command returns the state
+// of all instances after the command.
 func (a *Agent) RegisterCalls(server *control.Server) {
 	server.HandleQuery("instances", a.overview)
 	handle := func(name string, parse func(url.Values) (supervisor.Event, error)) {
@@ -47,7 +48,7 @@
 	handle("replace", a.parseReplace)
 }
 
-// overview handles the call "instances".
+// overview handles the query "instances": it returns the state of all instances.
 func (a *Agent) overview(url.Values) (any, error) {
 	var overview Overview
 	err := a.Call(func() {
--- a/internal/supervisor/agent/process.go
+++ b/internal/supervisor/agent/process.go
@@ -13,8 +13,8 @@
 	"shelfproxy/internal/supervisor/handover"
 )
 
-// pipeCloseTimeout bounds how long the report of a process's end waits for the process's last notifications. A child that the
-// process started may keep the pipe open.
+// pipeCloseTimeout bounds how long watch waits for the last notifications of a process that has ended. Without a bound it could
+// wait for long, because a child of the process may keep the notification pipe open.
 const pipeCloseTimeout = time.Second
 
 // start starts a process. If that fails, it reports to the core that the process has ended.
@@ -31,7 +31,7 @@
 		child.Discard()
 	}
 	a.opt.Log.Error("failed to start a process", logs.Event, "instance_unstartable", "instance", e.Instance, "error", err.Error())
-	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the event loop must not wait for its own queue; ends once queued
+	go a.postUntilTaken(supervisor.Exited{Process: e.Process}) // the event loop must not wait for its own queue; the goroutine ends when the event is queued
 }
 
 // command returns the command that starts a process of an instance, and what the process inherits.
@@ -44,7 +44,7 @@
 	cmd := exec.CommandContext(context.Background(), program, args...) // never cancelled: only the core ends processes
 	cmd.Env, cmd.ExtraFiles = append(env, child.Env...), child.Files
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // Ctrl-C in the terminal sends SIGINT to the supervisor only
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a process group of its own, so that Ctrl-C in the terminal reaches the supervisor only
 	return cmd, child, nil
 }
 
@@ -63,8 +63,8 @@
 	a.postUntilTaken(supervisor.Exited{Process: e.Process, Clean: err == nil})
 }
 
-// readNotifications reports a process's notifications to the core until its pipe is closed. Response counts may be lost while the
-// loop is busy.
+// readNotifications reports a process's notifications to the core until its pipe is closed. Response counts are lost while the
+// event loop's queue is full.
 func (a *Agent) readNotifications(e supervisor.Start, child *handover.Child, pipeClosed chan<- struct{}) {
 	defer close(pipeClosed)
 	err := child.ReadNotifications(
--- a/internal/supervisor/agent/run.go
+++ b/internal/supervisor/agent/run.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	// Both goroutines end when stop is closed, just before this process ends. Run does not wait for them, because they hold nothing
-	// that has to be saved.
+	// The two goroutines below end when stop is closed, just before this process ends. Run does not wait for them, because they
+	// hold nothing that has to be saved.
 	stop := make(chan struct{})
 	go agent.serveControl(file.Fleet.Control, stop)
 	go agent.handleSignals(reload, terminate, stop)
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -10,20 +10,20 @@
 	Instances         int
 	MaxConcurrent     int           // maximum number of instances that are replaced at the same time
 	ReadyTimeout      time.Duration // a process that is not ready this long after its start is killed
-	ObservationPeriod time.Duration // how long after becoming ready a process's exit or failed responses count against its program
+	ObservationPeriod time.Duration // time after a process became ready in which its exit is a failed start and its failures can halt replacing
 	TerminateTimeout  time.Duration // a process that has not ended this long after it was told to terminate is killed
-	HangTimeout       time.Duration // a process that sends no report for this long after its last one counts as hung; 0: no check
-	MinBackoff        time.Duration // wait after a failed start; doubled with each failure in a row, with full jitter
-	MaxBackoff        time.Duration // upper bound for the doubling of MinBackoff
-	MaxFailureRate    float64       // how far an observed process may exceed the median failure rate of the others; from 0 to 1
-	MinSamples        int           // minimum number of responses from which a failure rate is computed
+	HangTimeout       time.Duration // a process that sends no report for this long after its last report counts as hung; 0: not checked
+	MinBackoff        time.Duration // half of it plus a random time below it is the wait after a failed start; each further failure doubles that bound
+	MaxBackoff        time.Duration // upper bound of the random part of that wait, however often it is doubled
+	MaxFailureRate    float64       // replacing halts if a new process's failure rate exceeds the others' median by more than this; 0 to 1
+	MinSamples        int           // minimum number of responses before a process's failure rate is judged
 	Seed              uint64        // seed of the backoff's jitter
 }
 
 // Bounds of the configuration.
 const (
 	maxInstances   = 1000
-	minHangTimeout = time.Second // processes send a report four times a second
+	minHangTimeout = time.Second // processes send a report four times a second, so a process that works is not silent this long
 )
 
 // Validate checks that all fields are within their bounds. The error names the first field that is not, by its key in the
--- a/internal/supervisor/core.go
+++ b/internal/supervisor/core.go
@@ -1,6 +1,6 @@
 // Package supervisor decides how the processes of many instances of a program are kept running on one machine and replaced one
-// after another without downtime: a successor is started while the process that it replaces still serves. That process is told
-// to terminate once the successor is ready.
+// after another without downtime. A new process is started while the old process of the same instance still serves. The old
+// process is told to terminate once the new one is ready.
 //
 // The core has no clock and does no I/O: it takes the time and an event and returns effects, which internal/supervisor/agent
 // carries out. docs/supervise.md describes the behaviour.
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// Time is a time on the supervisor's clock, counted from its start.
+// Time is a point in time on the supervisor's clock, as the duration since the supervisor's start.
 type Time = time.Duration
 
-// minPause is the shortest time between two steps that counts as a pause of the supervisor. Ticks come twenty times a second.
+// minPause is a time without any event from which the supervisor concludes that it was paused. Normally a Tick comes twenty times
+// a second.
 const minPause = time.Second
 
 // Core decides when the processes of all instances are started, replaced and killed. It is not safe for concurrent use.
@@ -24,7 +25,7 @@
 	rng           *rand.Rand
 	instances     []instance
 	lastProcess   int  // number of the process that was started last
-	isHalted      bool // no further replacement starts until an operator resumes
+	isHalted      bool // no further replacement starts until an operator resumes replacing
 	isReplacing   bool // replacements were requested and not all of them are done
 	isStopping    bool // StopRequested was received
 	stoppedIsSent bool // the effect Stopped was emitted
@@ -41,8 +42,9 @@
 	return &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), instances: make([]instance, cfg.Instances)}, nil
 }
 
-// Step handles one event and then everything that is due by now. It returns the effects in the order in which they are to be
-// carried out; the caller owns the slice. Events that name an unknown process or instance are ignored.
+// Step handles one event, then the timeouts that have expired, and starts the processes that are due. It returns the effects in
+// the order in which they are to be carried out; the caller owns the slice. Events that name an unknown process or instance are
+// ignored.
 func (c *Core) Step(now Time, ev Event) []Effect {
 	c.effects = nil
 	c.excludePause(now)
@@ -69,7 +71,7 @@
 }
 
 // excludePause extends the timeouts of all processes by the time in which the supervisor did not run, because no process could
-// report to it during that time.
+// report to the supervisor during that time.
 func (c *Core) excludePause(now Time) {
 	gap := now - c.lastStepAt
 	c.lastStepAt = now
@@ -121,7 +123,7 @@
 }
 
 // checkTimeouts kills the processes of an instance that did not become ready within ReadyTimeout, or did not end within
-// TerminateTimeout after they were told to.
+// TerminateTimeout after they were told to terminate.
 func (c *Core) checkTimeouts(now Time, i int) {
 	in := &c.instances[i]
 	if p := in.successor; p != nil && !p.isTerminating && !p.isKilled && now-p.startedAt >= c.cfg.ReadyTimeout {
@@ -136,13 +138,13 @@
 	}
 }
 
-// startMissing starts a process for each instance that does not serve, once its backoff is over. It returns the number of
-// instances that are out of service or being replaced.
+// startMissing starts a process for each instance that has no serving process or a hung one, once the wait after its last failed
+// start is over. It returns the number of instances that are out of service or being replaced.
 func (c *Core) startMissing(now Time) (unavailable int) {
 	for i := range c.instances {
 		in := &c.instances[i]
 		if !in.isServing() && in.successor == nil && now >= in.startAfter {
-			in.replaceRequested = false // the new process already runs the program that is installed now
+			in.replaceRequested = false // needs no replacement: the new process runs the program that is installed now
 			c.start(now, i)
 		}
 		if in.isBeingReplaced || !in.isServing() {
@@ -152,7 +154,8 @@
 	return unavailable
 }
 
-// stop tells all current processes and their successors to terminate. A replaced process was already told when it was replaced.
+// stop tells all current processes and their successors to terminate. A process that has been replaced was told to terminate when
+// its successor became ready.
 func (c *Core) stop(now Time) {
 	c.isStopping, c.isReplacing = true, false
 	for i := range c.instances {
--- a/internal/supervisor/core_test.go
+++ b/internal/supervisor/core_test.go
@@ -33,13 +33,13 @@
 	Fatalf(format string, args ...any)
 }
 
-// fakeMachine simulates the processes that a core starts. A test decides what each process does. After each step the fakeMachine
-// checks the invariants.
+// fakeMachine simulates the processes that a core starts. A test decides what each process does. After each event of the core,
+// fakeMachine checks the rules in its method check.
 type fakeMachine struct {
 	t         testingT
 	core      *Core
 	now       Time
-	alive     map[int]*fakeProcess // by the process's number
+	alive     map[int]*fakeProcess // processes that have not ended, by number
 	logged    map[LogEventKind]int
 	isStopped bool
 }
@@ -62,7 +62,7 @@
 	return m
 }
 
-// step has the core handle an event, carries out the effects and checks the invariants.
+// step has the core handle an event, carries out the effects, and checks that no rule of check is violated.
 func (m *fakeMachine) step(ev Event) {
 	m.t.Helper()
 	for _, effect := range m.core.Step(m.now, ev) {
@@ -98,8 +98,8 @@
 	m.alive[number].isKilled = true
 }
 
-// terminate tells a process to terminate. It fails the test if the process was told before, or if no other process of its
-// instance serves while the core is not stopping.
+// terminate tells a process to terminate. It fails the test if the process was told to terminate before. It also fails the test
+// if no other process of the instance serves, unless the core is stopping all processes.
 func (m *fakeMachine) terminate(number int) {
 	m.t.Helper()
 	process := m.alive[number]
@@ -112,7 +112,8 @@
 	process.isTerminating = true
 }
 
-// isServedWithout reports whether an instance has a process other than number except that is ready and was not told to terminate.
+// isServedWithout reports whether an instance has a ready process that was not told to terminate. The process whose number is
+// except does not count.
 func (m *fakeMachine) isServedWithout(instance, except int) bool {
 	for number, process := range m.alive {
 		if number != except && process.instance == instance && process.isReady && !process.isTerminating {
@@ -202,12 +203,12 @@
 }
 
 // TestReplacingAllHaltsAtUnhealthySuccessor guards against a faulty release that is installed on every instance. Replacing must
-// halt if the first successor crashes, is never ready, or fails more often than the other instances, but not if all fail alike.
-// After a halt it can be resumed.
+// halt if the first successor crashes, is never ready, or fails more often than the other instances, but not if all instances
+// fail about equally often. After a halt, an operator can resume replacing.
 func TestReplacingAllHaltsAtUnhealthySuccessor(t *testing.T) {
 	for name, test := range map[string]struct {
 		successor    func(m *fakeMachine, number int)
-		wantReplaced int // how many of the three instances have a new process in the end
+		wantReplaced int // how many of the three instances have a new process at the end of the test
 		wantHalted   bool
 	}{
 		"becomes ready":        {func(m *fakeMachine, number int) { m.becomeReady(number) }, 3, false},
@@ -346,7 +347,7 @@
 		t.Fatalf("process %d was told to terminate before its successor serves", hung)
 	}
 	machine.becomeReady(successor)
-	for range 100 { // the hung process does not end
+	for range 100 { // time passes, and the hung process does not end
 		machine.now += tickInterval
 		machine.step(ResponseCounts{healthy, 10, 0})
 		machine.step(ResponseCounts{successor, 10, 0})
@@ -358,7 +359,8 @@
 }
 
 // TestPauseOfTheSupervisorReplacesNothing guards against healthy processes that are replaced or killed after a pause of the
-// supervisor. While it does not run it reads no reports, so that time must not count towards any process's timeouts.
+// supervisor. While the supervisor does not run it reads no reports, so this time must not count towards the timeouts of
+// processes.
 func TestPauseOfTheSupervisorReplacesNothing(t *testing.T) {
 	machine := newFakeMachine(t, testConfig(4, 2))
 	machine.runHealthy(2 * time.Second)
@@ -377,9 +379,9 @@
 	}
 }
 
-// TestInstancesServeUnderAnyEvents checks the invariants under random events of processes and operators, in any order. No process
-// that serves is told to terminate before another one of its instance serves. At most MaxConcurrent instances are replaced at the
-// same time. All instances serve again once every process behaves well.
+// TestInstancesServeUnderAnyEvents sends random events of processes and operators, in any order, and checks three rules. A
+// serving process is not told to terminate before another process of the same instance serves. At most MaxConcurrent instances
+// are replaced at the same time. All instances serve again once every process behaves well.
 func TestInstancesServeUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 4).Draw(t, "instances")
--- a/internal/supervisor/event.go
+++ b/internal/supervisor/event.go
@@ -10,7 +10,8 @@
 	Tick struct{}
 	// Ready reports that a process is ready: it accepts connections.
 	Ready struct{ Process int }
-	// ResponseCounts reports the number of responses of a process since its previous report, and of the failed ones among them.
+	// ResponseCounts reports how many responses a process has given since its previous report, and how many of them were
+	// failures.
 	ResponseCounts struct{ Process, Responses, Failed int }
 	// Exited reports that a process has ended or could not be started. Clean means that it ended with exit code 0.
 	Exited struct {
@@ -45,7 +46,8 @@
 type (
 	// Start starts a process of an instance. Process is its number; processes are numbered from 1 and no number is used twice.
 	Start struct{ Instance, Process int }
-	// Terminate tells a process to shut down. Replaced means that its successor accepts all new connections from now on.
+	// Terminate tells a process to shut down. Replaced means that the process's successor accepts all new connections from now
+	// on.
 	Terminate struct {
 		Process  int
 		Replaced bool
@@ -74,7 +76,7 @@
 	noProcess  = 0
 )
 
-// LogEventKind says what a LogEvent reports.
+// LogEventKind says what happened to a process, or to the replacing of processes.
 type LogEventKind int
 
 // The kinds of log events.
@@ -83,15 +85,15 @@
 	LogServing                              // a process is ready
 	LogReplaced                             // a process was told to terminate because its successor is ready
 	LogEnded                                // a process ended after it was told to terminate
-	LogDrained                              // a process ended by itself with exit code 0: the fleet let it drain; it is started again
+	LogDrained                              // a process ended by itself with exit code 0, as after a drain that the fleet allowed; a new one is started
 	LogCrashed                              // a process ended by itself in any other way, or could not be started
 	LogNotReady                             // a process was not ready within ReadyTimeout and is killed
 	LogTerminateTimeout                     // a process did not end within TerminateTimeout and is killed
-	LogBackoff                              // the next start of an instance waits for the backoff
+	LogBackoff                              // a start failed; the instance's next start is delayed by the backoff
 	LogHalted                               // replacing halts because a successor failed or an operator asked for it
 	LogResumed                              // an operator resumed replacing
 	LogAllReplaced                          // every requested replacement is done
-	LogUnhealthy                            // an observed process has a higher failure rate than the others
+	LogUnhealthy                            // a process that replaced another one fails more often than the other instances' processes
 	LogHung                                 // a process stopped reporting and is replaced at once
 	LogEventKinds                           // the number of kinds
 )
--- a/internal/supervisor/handover/child.go
+++ b/internal/supervisor/handover/child.go
@@ -21,13 +21,13 @@
 
 // Child holds what a process that is about to be started inherits, and the supervisor's end of the notification pipe.
 type Child struct {
-	Files []*os.File // inherited as the process's descriptors from 3 on
+	Files []*os.File // files that the process inherits, as its descriptors 3, 4 and so on
 	Env   []string   // to be added to the process's environment
 	read  *os.File   // the supervisor's end of the pipe
 }
 
-// NewChild opens the notification pipe of a process that will inherit listener. After the start of the process, or after its
-// failure, the caller must call CloseInherited, and then either ReadNotifications or Discard.
+// NewChild opens the notification pipe of a process that will inherit listener. After the process was started, or could not be
+// started, the caller must call CloseInherited, and then either ReadNotifications or Discard.
 func NewChild(listener *os.File) (*Child, error) {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -41,7 +41,7 @@
 }
 
 // CloseInherited closes the supervisor's copy of the pipe's write end. The pipe then ends when the child process does.
-func (c *Child) CloseInherited() { _ = c.Files[1].Close() } // an error is ignored: the supervisor wrote nothing to it
+func (c *Child) CloseInherited() { _ = c.Files[1].Close() } // an error is ignored: the supervisor wrote nothing to the pipe
 
 // Discard closes the supervisor's end of the pipe.
 func (c *Child) Discard() { _ = c.read.Close() } // an error is ignored: this end is only read
@@ -88,20 +88,20 @@
 	return int(total), int(failures), nil
 }
 
-// ListenFile opens a listening TCP socket for processes to inherit. Its descriptor always stays in blocking mode. The mode belongs
-// to the open file description, which all processes that inherit the socket share.
+// ListenFile opens a listening TCP socket for processes to inherit. The returned file always stays in blocking mode: a change of
+// the mode would affect all processes that have inherited the socket.
 func ListenFile(addr string) (*os.File, error) {
-	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr) // needs no cancellation: it returns at once
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr) // Listen returns at once, so it needs no cancellation
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = listener.Close() }() // the duplicate from File stays open
+	defer func() { _ = listener.Close() }() // File, called below, returns a duplicate that stays open
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	fd, err := syscall.Dup(int(file.Fd())) // Fd sets blocking mode; no process has inherited the socket yet
+	fd, err := syscall.Dup(int(file.Fd())) // Fd sets blocking mode, which disturbs no process: none shares the socket yet
 	if err != nil {
 		return nil, fmt.Errorf("dup: %w", err)
 	}
--- a/internal/supervisor/handover/handover.go
+++ b/internal/supervisor/handover/handover.go
@@ -1,6 +1,6 @@
-// Package handover is the interface between a supervisor and a process that it starts. The process inherits a listening socket that
-// outlives it, passed by the protocol of systemd's socket activation (sd_listen_fds(3)). It also inherits a pipe on which it
-// notifies the supervisor of its state. The process uses Parent, the supervisor uses Child.
+// Package handover is the interface between a supervisor and a process that it starts. The process inherits a listening socket
+// that outlives it, passed by the protocol of systemd's socket activation (sd_listen_fds(3)). It also inherits a pipe on which it
+// notifies the supervisor of its state. The process uses the type Parent, and the supervisor uses the type Child.
 package handover
 
 import "syscall"
@@ -14,11 +14,12 @@
 
 // The numbers of the descriptors that a process inherits.
 const (
-	listenFD = 3 // systemd's SD_LISTEN_FDS_START
+	listenFD = 3 // the first descriptor that systemd's protocol passes, SD_LISTEN_FDS_START
 	notifyFD = listenFD + 1
 )
 
-// ReplacedSignal tells a process to shut down because its successor accepts the connections at their shared socket from now on.
+// ReplacedSignal tells a process to shut down because a new process accepts all connections at the listening socket that both
+// share.
 const ReplacedSignal = syscall.SIGUSR2
 
 // The notifications that a process writes to the pipe, one per line: "ready", and "served RESPONSES FAILED" with the numbers of
--- a/internal/supervisor/handover/parent.go
+++ b/internal/supervisor/handover/parent.go
@@ -13,7 +13,8 @@
 // notifyTimeout bounds how long a notification waits for space in the pipe if the supervisor does not read it.
 const notifyTimeout = 2 * time.Millisecond
 
-// Parent is a process's view of the supervisor that started it. It is not safe for concurrent use.
+// Parent holds what a process inherits from the supervisor that started it, and notifies the supervisor. A Parent is not safe for
+// concurrent use.
 type Parent struct {
 	Listener net.Listener // inherited listening socket; nil if there is none
 	notify   *os.File     // write end of the pipe; nil without a supervisor that reads notifications
@@ -25,7 +26,7 @@
 	parent := &Parent{}
 	listenFDs, listenPID, notify := os.Getenv(listenFDsVariable), os.Getenv(listenPIDVariable), os.Getenv(notifyFDVariable)
 	for _, variable := range []string{listenFDsVariable, listenPIDVariable, notifyFDVariable} {
-		_ = os.Unsetenv(variable) // can't fail: it rejects only malformed names
+		_ = os.Unsetenv(variable) // can't fail: Unsetenv rejects only malformed names
 	}
 	if notify != "" {
 		file, err := inheritPipe(notify)
@@ -65,14 +66,15 @@
 		return nil, fmt.Errorf("%q sockets are passed, want one", count)
 	}
 	file := os.NewFile(listenFD, "listen")
-	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
+	defer func() { _ = file.Close() }() // the listener uses a duplicate of the descriptor
 	return net.FileListener(file)
 }
 
 // IsSupervised reports whether a supervisor reads this process's notifications.
 func (p *Parent) IsSupervised() bool { return p.notify != nil }
 
-// ReportReady notifies the supervisor that this process serves. An error means that the supervisor has ended.
+// ReportReady notifies the supervisor that this process is ready: it accepts connections. An error means that the supervisor has
+// ended.
 func (p *Parent) ReportReady() error { return p.send(readyNotification) }
 
 // ReportResponses notifies the supervisor of the responses that this process gave since its last report, and how many of them
@@ -87,7 +89,7 @@
 	if p.notify == nil {
 		return nil
 	}
-	_ = p.notify.SetWriteDeadline(time.Now().Add(notifyTimeout)) // if this fails, the write fails too
+	_ = p.notify.SetWriteDeadline(time.Now().Add(notifyTimeout)) // an error is ignored: then the write fails too
 	_, err := p.notify.WriteString(notification + "\n")
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil
--- a/internal/supervisor/health.go
+++ b/internal/supervisor/health.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// handleResponseCounts records the responses that a process reports. It halts replacing if the process is observed and its
-// failure rate is too high.
+// handleResponseCounts records the responses that a process reports. It halts replacing if the process replaced another one, is
+// still in its observation period and fails too often.
 func (c *Core) handleResponseCounts(now Time, e ResponseCounts) {
 	i, p := c.findProcess(e.Process)
 	if p == nil {
@@ -11,7 +11,7 @@
 	}
 	p.responses += float64(e.Responses)
 	p.failed += float64(e.Failed)
-	p.lastReportAt = max(now, 1) // 0 would mean that there was no report
+	p.lastReportAt = max(now, 1) // at least 1, because 0 means that the process has sent no report
 	in := &c.instances[i]
 	if in.current != p || !in.isObserved || !c.hasEnoughSamples(p) {
 		return
@@ -28,8 +28,9 @@
 	return p.responses >= float64(max(1, c.cfg.MinSamples))
 }
 
-// baselineFailureRate returns the lower median of the failure rates of all instances but one. It leaves out instances that are
-// being observed or have too few samples. If no instance is left, it returns 0.
+// baselineFailureRate returns the median failure rate of the instances' processes; of two middle values it takes the lower one.
+// It leaves out the instance except, instances whose new process is still being observed, and processes that have given too few
+// responses. If no process is left, it returns 0.
 func (c *Core) baselineFailureRate(except int) float64 {
 	var rates []float64
 	for i := range c.instances {
@@ -46,7 +47,7 @@
 }
 
 // endObservation ends the observation of an instance's current process once the process has served for ObservationPeriod. The
-// instance's count of failed starts is reset then.
+// instance's number of failed starts in a row is then set to 0.
 func (c *Core) endObservation(now Time, i int) {
 	in := &c.instances[i]
 	if in.current != nil && now-in.current.readyAt >= c.cfg.ObservationPeriod {
--- a/internal/supervisor/instance.go
+++ b/internal/supervisor/instance.go
@@ -11,16 +11,17 @@
 	startedAt        Time
 	isReady          bool
 	readyAt          Time
-	isTerminating    bool // it was told to terminate
+	isTerminating    bool // the process was told to terminate
 	terminatingSince Time
 	isKilled         bool
-	responses        float64 // number of responses that it reported
-	failed           float64 // number of its responses that failed
-	lastReportAt     Time    // time of its last report; 0: it has sent none
+	responses        float64 // number of responses that the process reported
+	failed           float64 // how many of these responses were failures
+	lastReportAt     Time    // time of the process's last report; 0: it has sent none
 	isHung           bool
 }
 
-// excludePause moves the times from which the process's timeouts count, so that a pause of the supervisor does not count.
+// excludePause moves the times at which the process's timeouts began forward by the length of a pause of the supervisor, so that
+// the pause does not count towards the timeouts.
 func (p *process) excludePause(length time.Duration) {
 	p.startedAt += length
 	p.readyAt += length
@@ -36,13 +37,13 @@
 // instance is the state of one of the instances of the program, each of which has one serving process at a time.
 type instance struct {
 	current          *process   // the process that serves; nil: none
-	successor        *process   // the process that is not ready yet: current's replacement, or a start while there is no current
+	successor        *process   // the started process that is not ready yet; it becomes current, and replaces the previous one if any
 	ending           []*process // processes that were replaced and told to terminate
 	failedStarts     int        // number of failed starts in a row
-	startAfter       Time       // end of the backoff: no process is started before this
+	startAfter       Time       // end of the wait after a failed start: no process is started before
 	replaceRequested bool
-	isObserved       bool // the current process replaced another one and is within its observation period
-	isBeingReplaced  bool // from the start of the successor until its observation is over and its predecessor has ended
+	isObserved       bool // the current process replaced another one and is still within ObservationPeriod
+	isBeingReplaced  bool // true from the start of a replacement until the new process's observation is over and the old process has ended
 }
 
 // processes returns the processes of an instance that have not ended.
@@ -54,7 +55,7 @@
 // isServing reports whether the instance has a process that is ready and does not hang.
 func (in *instance) isServing() bool { return in.current != nil && !in.current.isHung }
 
-// start starts a process of instance i.
+// start asks the shell to start a process of instance i, which becomes the instance's successor.
 func (c *Core) start(now Time, i int) {
 	c.lastProcess++
 	c.instances[i].successor = &process{number: c.lastProcess, startedAt: now}
@@ -62,7 +63,7 @@
 	c.log(LogStarted, i, c.lastProcess)
 }
 
-// terminate tells a process to terminate, unless it is nil or was told before.
+// terminate tells the process p to terminate, unless p is nil or was told before.
 func (c *Core) terminate(now Time, p *process, isReplaced bool) {
 	if p != nil && !p.isTerminating {
 		p.isTerminating, p.terminatingSince = true, now
@@ -148,9 +149,9 @@
 	in.isObserved = false
 }
 
-// startFailed counts a failed start of instance i and draws the random backoff before the next start.
+// startFailed counts a failed start of instance i, and sets a random wait (the backoff) before the next start.
 func (c *Core) startFailed(now Time, i int, p *process) {
-	const maxDoublings = 30 // more doublings would overflow, and MaxBackoff is reached long before
+	const maxDoublings = 30 // more doublings of MinBackoff could overflow, and it is above MaxBackoff long before
 	in := &c.instances[i]
 	if !p.isKilled {
 		c.log(LogCrashed, i, p.number)
--- a/internal/supervisor/replacement.go
+++ b/internal/supervisor/replacement.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// startSuccessors starts the requested replacements as long as fewer than MaxConcurrent instances are unavailable.
+// startSuccessors starts the requested replacements as long as fewer than MaxConcurrent instances are unavailable, which means
+// out of service or being replaced.
 func (c *Core) startSuccessors(now Time, unavailable int) {
 	for i := range c.instances {
 		in := &c.instances[i]
@@ -50,7 +51,8 @@
 	return in.replaceRequested && in.isServing() && in.successor == nil && !in.isBeingReplaced && !c.isHalted && now >= in.startAfter
 }
 
-// finishReplacement ends the replacement of instance i once the successor's observation is over and its predecessors have ended.
+// finishReplacement ends the replacement of instance i once the new process's observation period is over and the replaced
+// processes have ended.
 func (c *Core) finishReplacement(i int) {
 	in := &c.instances[i]
 	if in.successor == nil && !in.isObserved && len(in.ending) == 0 {
