--- a/cmd/shelfproxy/ctl.go
+++ b/cmd/shelfproxy/ctl.go
@@ -19,7 +19,7 @@
 	call       string // name of the call
 	send       func(ctx context.Context, path, call string, query url.Values) (string, error)
 	args       cobra.PositionalArgs
-	query      func(args []string) url.Values // nil if the call has no parameters
+	query      func(args []string) url.Values // converts the arguments to the parameters of the call; nil if the call has no parameters
 }
 
 var ctlVerbs = []ctlVerb{
--- a/cmd/shelfproxy/main.go
+++ b/cmd/shelfproxy/main.go
@@ -100,7 +100,7 @@
 
 // version returns the revision that the program was built from, if the build recorded it, and the version of Go.
 func version() string {
-	const shortRevision = 12 // characters
+	const shortRevision = 12 // length of the printed revision, in characters
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -1,7 +1,8 @@
 package config
 
-// ChangedFixedFields returns the fields that differ in other and that a running node cannot change. It leaves out the
-// seed and the initial endpoint list, which only a start uses, and the fields that a reload applies.
+// ChangedFixedFields returns the fields that have a different value in other and that a running node cannot change. It
+// leaves out the fields that a reload applies. It also leaves out the seed and the initial endpoint list: they matter only
+// at a start, so a running node need not change them.
 func (c *Config) ChangedFixedFields(other *Config) (fields []string) {
 	before, after := c.Show(), other.Show()
 	for i, setting := range before {
@@ -19,7 +20,7 @@
 	return fields
 }
 
-// mayChange reports whether a field may differ in the new configuration without a restart.
+// mayChange reports whether ChangedFixedFields leaves out a field, so that a reload logs no warning about its change.
 func mayChange(field string) bool {
 	switch field {
 	case "discovery", "seed", "known", "peers", "duties.list", "rollout.nodes_out", "rollout.zone_out":
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,12 +23,12 @@
 	Cores                   float64 // processor cores that the node may use; 0: all cores of the machine
 	MemoryMB, Sockets       int
 	InitialList             discovery.List
-	Peers                   peers.Addresses // without a broadcast address the node sends no gossip
+	Peers                   peers.Addresses // addresses for messages among the nodes; without a broadcast address the node sends no gossip
 	Settings
 	Operator *Operator
 
 	seedText string            // the seed as it was given, in hex; empty if none was given
-	sources  map[string]string // source of the value of each field; a field with its default has no entry
+	sources  map[string]string // source of the value, by field; a field that has its default value has no entry
 }
 
 // FileVariable names the environment variable that holds the path of the operators' file. It is used if the command
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// resolveSeed reads the seed. It draws one if there is no platform configuration and no seed was given: nodes with the
+// resolveSeed reads the seed. It chooses a random seed if there is no platform configuration and no seed was given: nodes with the
 // same random numbers would all do the same thing at the same moment.
 func (c *Config) resolveSeed(hasPlatform bool) error {
 	if c.seedText == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -144,7 +144,7 @@
 func TestErrorHasItsPartsAsFields(t *testing.T) {
 	for _, test := range []struct {
 		name, platform, operator string
-		want                     Error // every field except Reason
+		want                     Error // the expected error; its Reason is left empty
 	}{
 		{"platform", `{"listen":"here"}`, "", Error{Field: "listen"}},
 		{"settings", strings.Replace(platform, `"idempotent"`, `"potent"`, 1), "", Error{Field: "settings"}},
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -12,8 +12,8 @@
 // without the parts that do not apply. Every error of Load is an *Error.
 type Error struct {
 	Path   string // path of the operators' file; empty if the value came from the platform or from the environment
-	Line   int    // line of the field, or of the nearest table around it that the file has; 0 if it has neither
-	Field  string // dotted, as in its file, or the name of a variable; empty if Reason names the field
+	Line   int    // line of the field, or of the nearest table around the field; 0 if the file has neither
+	Field  string // dotted name of the field, or name of the environment variable; empty if Reason names the field
 	Reason error
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -35,27 +35,27 @@
 	Rollout    Rollout    `toml:"rollout"`
 	Leases     Leases     `toml:"duties"`
 	Membership Membership `toml:"members"`
-	Service    *Service   `toml:"service"` // used if there is no platform configuration; nil without the table
+	Service    *Service   `toml:"service"` // used if there is no platform configuration; nil if the file has no [service] table
 
 	file *tomlfile.File // nil if there is no operators' file
 }
 
 // Listener bounds the resources that clients may use.
 type Listener struct {
-	DescriptorFraction  float64           `toml:"share"`        // fraction of the descriptors for client connections, 0.1 to 0.8
-	MaxPipelined        int               `toml:"pipelined"`    // commands of one connection that may wait for responses, 1 to 4096
-	WriteTimeout        tomlfile.Duration `toml:"write"`        // a client that reads nothing for this long is disconnected
-	FirstCommandTimeout tomlfile.Duration `toml:"silent"`       // a client that sends no complete command for this long is disconnected
+	DescriptorFraction  float64           `toml:"share"`        // fraction of the node's descriptors that client connections get at the start, 0.1 to 0.8
+	MaxPipelined        int               `toml:"pipelined"`    // maximum number of commands of one connection that wait for responses, 1 to 4096
+	WriteTimeout        tomlfile.Duration `toml:"write"`        // a client that takes longer than this to receive one write of responses is disconnected
+	FirstCommandTimeout tomlfile.Duration `toml:"silent"`       // a new client that sends no complete command within this time is disconnected
 	IdleTimeout         tomlfile.Duration `toml:"idle"`         // a client without an open request for this long is disconnected
-	CrowdedIdleTimeout  tomlfile.Duration `toml:"idle_crowded"` // replaces IdleTimeout while the connection table is crowded
+	CrowdedIdleTimeout  tomlfile.Duration `toml:"idle_crowded"` // idle timeout instead of IdleTimeout while the number of connections is near its maximum
 }
 
 // Pools bounds the connections to cache servers and the origin.
 type Pools struct {
-	CacheServerFraction float64 `toml:"target_share"` // fraction of the descriptors for connections to all cache servers, 0.05 to 0.8
-	OriginFraction      float64 `toml:"origin_share"` // fraction of the descriptors for connections to the origin, 0.02 to 0.5
-	MaxConnections      int     `toml:"connections"`  // connections to one cache server, 1 to 4096
-	MaxQueued           int     `toml:"waiting"`      // attempts that wait for a connection to one server, 1 to 65536
+	CacheServerFraction float64 `toml:"target_share"` // fraction of the node's descriptors that connections to all cache servers get at the start, 0.05 to 0.8
+	OriginFraction      float64 `toml:"origin_share"` // fraction of the node's descriptors that connections to the origin get at the start, 0.02 to 0.5
+	MaxConnections      int     `toml:"connections"`  // maximum number of connections to one cache server, 1 to 4096
+	MaxQueued           int     `toml:"waiting"`      // maximum number of attempts that wait for a connection to one server, 1 to 65536
 }
 
 // Shutdown bounds the graceful shutdown.
@@ -66,27 +66,27 @@
 
 // Zones configures how keys are placed over zones.
 type Zones struct {
-	AffinityBudget float64 `toml:"leave_owner"` // fraction of reads, 0 to 1, that may go to a server of the node's zone in place of their key's owner
+	AffinityBudget float64 `toml:"leave_owner"` // greatest fraction of reads, 0 to 1, that may go to a server in the node's own zone instead of the key's owner
 }
 
-// Rollout bounds how many nodes may be out of service at once. The nodes of the fleet agree on which ones may be.
-// Rollout takes effect where nodes may send each other messages.
+// Rollout bounds how many nodes may be out of service at once. The nodes of the fleet agree on which nodes these are.
+// Rollout takes effect only if the nodes may send each other messages.
 type Rollout struct {
-	NodesOut           int               `toml:"nodes_out"`    // nodes that may be out of service at once; 0: each node drains when it is told to
-	MaxEjectedFraction float64           `toml:"servers_out"`  // fraction of cache servers that may be out at once; past it outliers keep their keys; 0: no bound
+	NodesOut           int               `toml:"nodes_out"`    // nodes that may be out of service at once; 0: no bound, each node drains when it is told to terminate
+	MaxEjectedFraction float64           `toml:"servers_out"`  // fraction of the cache servers' capacity that may be out of use at once; beyond it, further outliers keep their keys; 0: no bound
 	ZoneOut            int               `toml:"zone_out"`     // nodes of one zone that may be out of service at once; 0: no separate bound for a zone
-	Release            string            `toml:"release"`      // release that this node runs
+	Release            string            `toml:"release"`      // name of the software release that this node runs
 	Control            string            `toml:"control"`      // path of the Unix socket for shelfproxy ctl
 	HeartbeatInterval  tomlfile.Duration `toml:"beacon"`       // time between two heartbeats of a node
-	UnresponsiveAfter  tomlfile.Duration `toml:"silent"`       // a node without a heartbeat for this long is out of service
-	RequestTimeout     tomlfile.Duration `toml:"lease"`        // a slot request is valid for this long, and a started node grants nothing for this long
-	ReturnTimeout      tomlfile.Duration `toml:"return"`       // a node that is out of service for longer halts the rollout of the release
-	WriteOffAfter      tomlfile.Duration `toml:"lost"`         // a node that is out of service for longer loses its slot
-	ObservationPeriod  tomlfile.Duration `toml:"watch"`        // a started node is ready after it has done well for this long
-	MaxFailureRate     float64           `toml:"max_failed"`   // fraction of a node's responses that may fail in ObservationPeriod, above the other nodes' fraction
-	MaxSlowRate        float64           `toml:"max_slow"`     // fraction of a node's responses that may miss their latency objective, above the other nodes' fraction
-	MinSamples         int               `toml:"least_judged"` // minimum number of responses for MaxFailureRate and MaxSlowRate to apply
-	MaxClockDrift      float64           `toml:"drift"`        // greatest difference in the rates of two nodes' clocks, as a fraction
+	UnresponsiveAfter  tomlfile.Duration `toml:"silent"`       // a node that sends no heartbeat for this long counts as out of service
+	RequestTimeout     tomlfile.Duration `toml:"lease"`        // a node's request for a drain slot is valid for this long; a node grants no slot for this long after its own start
+	ReturnTimeout      tomlfile.Duration `toml:"return"`       // if a node is not back this long after it was allowed to drain, the rollout of the release halts
+	WriteOffAfter      tomlfile.Duration `toml:"lost"`         // a node that is not back this long after it was allowed to drain, and sends no heartbeats, loses its slot
+	ObservationPeriod  tomlfile.Duration `toml:"watch"`        // how long a started node has to serve requests well before it counts as ready
+	MaxFailureRate     float64           `toml:"max_failed"`   // by how much a started node's fraction of failed responses may exceed the other nodes' median; above this, the release halts
+	MaxSlowRate        float64           `toml:"max_slow"`     // by how much a started node's fraction of responses past their latency objective may exceed the other nodes' median; above this, the release halts
+	MinSamples         int               `toml:"least_judged"` // minimum number of responses of a node before MaxFailureRate and MaxSlowRate apply to it
+	MaxClockDrift      float64           `toml:"drift"`        // greatest difference between the speeds of two nodes' clocks, as a fraction
 }
 
 // CoreConfig returns the configuration of the rollout core. self is the index of this node, and nodes is the number of
@@ -114,13 +114,13 @@
 	}
 }
 
-// Leases configures the leases that one node holds on behalf of the whole fleet. They take effect where nodes may send
-// each other messages.
+// Leases configures the leases of tasks that one node does on behalf of the whole fleet. They take effect only if the
+// nodes may send each other messages.
 type Leases struct {
-	Resources     []string          `toml:"hold"`  // leases that may be taken: prober, caller or both; none: each node does both tasks for itself
-	LeaseDuration tomlfile.Duration `toml:"lease"` // a lease holder that is not heard from for this long is replaced
-	MaxClockDrift float64           `toml:"drift"` // greatest difference in the rates of two nodes' clocks, as a fraction
-	PeerListName  string            `toml:"list"`  // name of the list of peers: the same at all nodes, and a new one for each change of the list
+	Resources     []string          `toml:"hold"`  // tasks that have a lease: prober, caller or both; empty: each node does both tasks for itself
+	LeaseDuration tomlfile.Duration `toml:"lease"` // a node that holds a lease and is not heard from for this long is replaced by another node
+	MaxClockDrift float64           `toml:"drift"` // greatest difference between the speeds of two nodes' clocks, as a fraction
+	PeerListName  string            `toml:"list"`  // name of the list of peers, the same at all nodes; each change of the list needs a new name
 }
 
 // CoreConfig returns the configuration of the lease core. self is the index of this node, and nodes is the number of
@@ -144,13 +144,14 @@
 	return lease.HashName(fmt.Sprintf("%d/%s", nodes, l.PeerListName))
 }
 
-// Membership configures the failure detection among the nodes. It takes effect where nodes may send each other messages.
+// Membership configures how the nodes detect which nodes have failed. It takes effect only if the nodes may send each
+// other messages.
 type Membership struct {
 	Enabled         bool              `toml:"on"`
 	ProbeInterval   tomlfile.Duration `toml:"period"`    // time between two probes that this node sends
-	ProbeTimeout    tomlfile.Duration `toml:"wait"`      // time to wait for an acknowledgement before indirect probes are sent
-	IndirectProbes  int               `toml:"ask"`       // number of nodes that are asked to probe on behalf of this one
-	SuspicionFactor float64           `toml:"suspicion"` // a suspect is dead after this many probe intervals times the logarithm of the fleet's size
+	ProbeTimeout    tomlfile.Duration `toml:"wait"`      // time to wait for the answer to a probe before other nodes are asked to probe the silent node
+	IndirectProbes  int               `toml:"ask"`       // number of other nodes that are asked to probe a silent node on behalf of this node
+	SuspicionFactor float64           `toml:"suspicion"` // a node suspected to have failed is declared dead after this many probe intervals times log2(nodes+1)
 }
 
 // CoreConfig returns the configuration of the membership core. self is the index of this node, and nodes is the number
@@ -180,7 +181,7 @@
 	if err != nil {
 		return nil, fileError(err)
 	}
-	if file.Line("service") == 0 { // without a [service] table the defaults must not be taken for one
+	if file.Line("service") == 0 { // the file has no [service] table, so the defaults of defaultService are dropped again
 		operator.Service = nil
 	}
 	operator.file = file
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,15 +14,15 @@
 	"shelfproxy/internal/policy"
 )
 
-// Bounds of the limits on memory and descriptors.
+// Bounds of the values that the platform may give for the limits on memory and descriptors.
 const (
 	minMemoryMB = 32
 	minSockets  = 128
-	maxInteger  = 1 << 52 // a JSON number is exact up to this value
+	maxInteger  = 1 << 52 // integers up to this one are exact as float64, the type to which JSON numbers are converted
 )
 
-// applyPlatform reads the platform's configuration at path, except its settings. It returns nil if path is empty and
-// the operators' file is used instead.
+// applyPlatform applies the platform's configuration at path, except the field "settings", and returns its JSON tree. If
+// path is empty, applyPlatform returns nil. The operators' file is then used instead, and has to have a [service] table.
 func (c *Config) applyPlatform(path string) (*fastjson.Value, error) {
 	operator := c.Operator
 	switch {
@@ -36,8 +36,8 @@
 	return nil, nil
 }
 
-// readPlatform reads the platform's configuration at path, except its settings. Its values override those that were set
-// before.
+// readPlatform applies the platform's configuration at path, except the field "settings", and returns its JSON tree. The
+// values override those of the environment and of the operators' file.
 func (c *Config) readPlatform(path string) (*fastjson.Value, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,8 +61,8 @@
 // knownField is the JSON field of the endpoint list that the platform knew when the node started.
 const knownField = "known"
 
-// parsePlatform parses the platform's configuration. known is the endpoint list, or nil if there is none. The list
-// stays text, because it may have thousands of entries.
+// parsePlatform parses the platform's configuration. known is the JSON text of the endpoint list, or nil if there is
+// none. The list is left as text, because a JSON tree of its thousands of entries would take too much memory.
 func parsePlatform(text []byte) (platform *fastjson.Value, known []byte, err error) {
 	if start, end, ok := jsonsplit.Member(text, knownField); ok {
 		known = text[start:end]
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -30,9 +30,9 @@
 
 // ServiceSlowStart describes the slow start of a cache server after a restart.
 type ServiceSlowStart struct {
-	Floor          float64           `toml:"from"`       // fraction of its capacity that a server has at its start, 0 to 1
+	Floor          float64           `toml:"from"`       // fraction of its full capacity that a server has at its start, 0 to 1
 	Duration       tomlfile.Duration `toml:"warm_after"` // time after its start until a server has its full capacity
-	OverloadFactor float64           `toml:"overload"`   // multiple of its capacity past which a server fails
+	OverloadFactor float64           `toml:"overload"`   // multiple of its current capacity at which a server in slow start is overloaded
 }
 
 // ServiceClass describes one class of requests.
@@ -43,11 +43,11 @@
 	LateFraction     float64           `toml:"late_worth"`
 	Deadline         tomlfile.Duration `toml:"deadline"`
 	Effect           string            `toml:"effect"` // idempotent, deduplicated or at_most_once
-	DedupScope       string            `toml:"group"`  // all, zone or cell: the servers that recognise a repeated request
+	DedupScope       string            `toml:"group"`  // which servers recognise a repeated request: all, or those of the same zone or cell
 	DedupWindow      tomlfile.Duration `toml:"window"`
 }
 
-// settings converts the [service] table to the form in which ParseSettings returns the platform's settings.
+// settings checks the [service] table and converts it to the same type as the platform's settings.
 func (o *Operator) settings() (Settings, error) {
 	if err := o.validateService(); err != nil {
 		return Settings{}, err
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,22 +9,22 @@
 	"shelfproxy/internal/policy/locality"
 )
 
-// Settings is the part of the configuration that all nodes of a deployment share, both in the simulator and on sockets.
+// Settings is the part of the configuration that all nodes of a deployment share. The simulator passes the same settings.
 type Settings struct {
 	Policy policy.Settings
 	Node   Node
 }
 
-// Node holds the settings that only the request path needs.
+// Node holds the settings that the code that handles requests needs, but the policy does not.
 type Node struct {
 	MaxOpenRequests int
-	MaxStreams      int // attempts in flight on one connection
+	MaxStreams      int // maximum number of attempts in flight on one connection
 	ConnectTimeout  time.Duration
-	ConnectionIdle  time.Duration // time after which an endpoint closes an idle connection
+	ConnectionIdle  time.Duration // time after which a cache server or the origin closes an idle connection
 	MaxDeadline     time.Duration // longest deadline of all classes
 }
 
-// Defaults of the fields of Node that the settings do not give.
+// Values of the fields of Node for which the settings contain no value.
 const (
 	defaultMaxOpenRequests = 20000
 	defaultMaxStreams      = 1
--- a/internal/config/show.go
+++ b/internal/config/show.go
@@ -21,8 +21,8 @@
 	policy.AtMostOnce:   "at_most_once",
 }
 
-// Show returns the values in force, always in the same order: first the values that a start uses, then those of the
-// operators' file, then the settings of the deployment.
+// Show returns the values in force, always in the same order: first the values that each node needs of its own, such
+// as its name and limits, then those that only the operators' file sets, then the settings of the deployment.
 func (c *Config) Show() []Setting {
 	var shown listing
 	c.showStart(&shown)
--- a/internal/config/shutdown.go
+++ b/internal/config/shutdown.go
@@ -20,6 +20,6 @@
 	if deadline := c.Node.MaxDeadline; deadline > 0 {
 		last = min(last, min(deadline, maxKillDeadline)+killDelay-killMargin)
 	}
-	// A third of the time is left for answering the requests that were accepted last.
+	// At least a third of the time until the last response is left for answering the requests that were accepted last.
 	return min(shutdown.Grace.D(), last*2/3), last
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -104,7 +104,7 @@
 }
 
 // validateFleet checks the values that the cores of the rollout, the leases and the membership would reject. The node's
-// index and the number of nodes are not known yet, so it passes any valid ones to the cores.
+// index and the number of nodes are not known yet, so valid ones are made up for the check.
 func (o *Operator) validateFleet() error {
 	if o.Rollout.NodesOut != 0 {
 		if err := o.Rollout.CoreConfig(0, 1, "", 0, 0).Validate(); err != nil {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -19,7 +19,7 @@
 )
 
 // Query makes a read-only call at the control socket at path and returns the JSON of the answer. If the called process rejects the
-// call, the error is the message that it answers with.
+// call, the text of the error is the message of the answer.
 func Query(ctx context.Context, path, name string, query url.Values) (string, error) {
 	return call(ctx, path, http.MethodGet, name, query)
 }
--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -80,7 +80,7 @@
 	return err
 }
 
-// roleOf returns the role of the node that holds the lease of a resource.
+// roleOf returns the role (a task for the whole fleet) that belongs to the lease of a resource.
 func roleOf(resource string) policy.Role {
 	return policy.Role(slices.Index(policy.RoleNames[:], resource))
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// createMembershipAgent creates the agent that detects, together with those of other nodes, which nodes are alive.
+// createMembershipAgent creates the agent that detects, together with the agents of the other nodes, which nodes are alive.
 func (d *Daemon) createMembershipAgent() (err error) {
 	settings := d.cfg.Operator.Membership
 	if !settings.Enabled {
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// limitRuntime limits the Go runtime to the node's share of processor cores and memory.
+// limitRuntime limits the Go runtime to the processor cores that the node may use, and to a part of the node's memory.
 func (d *Daemon) limitRuntime() {
 	if d.cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(d.cfg.Cores))))
@@ -72,7 +72,7 @@
 	debug.SetMemoryLimit(int64(megabytes(d.cfg.MemoryMB)) * collectorMemoryTenths / 10)
 }
 
-// newCounters returns counters for the configured classes, all kinds of responses and all outcomes.
+// newCounters returns counters for the configured classes of requests, all kinds of responses and all outcomes of attempts.
 func newCounters(cfg *config.Config) *counters.Counters {
 	outcomes := make([]string, upstream.NumOutcomes())
 	for i := range outcomes {
@@ -142,7 +142,7 @@
 		Source:           discoverySource(d.cfg),
 		NewUpstream:      d.upstreamFactory(),
 		Gossip:           gossip,
-		Announce: func(role policy.Role) { // called only while the node runs, after the agents were created
+		Announce: func(role policy.Role) { // called only while the node runs, so the lease agent, if any, exists by then
 			if d.fleet.leases != nil {
 				d.fleet.leases.Announce(policy.RoleNames[role])
 			}
@@ -151,7 +151,7 @@
 		Log:      logs.Component(d.rootLog, "node"),
 	})
 	d.node = created
-	d.updateConfig(func(cfg *config.Config) { cfg.InitialList = discovery.List{} }) // the list now belongs to the node
+	d.updateConfig(func(cfg *config.Config) { cfg.InitialList = discovery.List{} }) // the node has taken the list over
 	return err
 }
 
--- a/internal/daemon/bind.go
+++ b/internal/daemon/bind.go
@@ -16,7 +16,7 @@
 // A node that was killed is restarted at once with the same address, which its predecessor may not have released yet. So binding an
 // address that is in use is retried.
 const (
-	bindTimeout       = 5 * time.Second // how long binding is retried; clients connect 30 s after a start at the earliest
+	bindTimeout       = 5 * time.Second // how long binding is retried; this delays no client, as clients connect 30 s after a start at the earliest
 	bindRetryInterval = 50 * time.Millisecond
 )
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,11 +25,11 @@
 // Daemon is a node together with the process that it runs in.
 type Daemon struct {
 	cfg          *config.Config // configuration in force; a reload replaces the pointer and never changes the Config itself
-	operatorFile string         // path of the operator's file, which a reload reads again; empty: there is none
+	operatorFile string         // path of the operator's file, which a reload reads again; empty if there is no file
 	rootLog      *slog.Logger
 	log          *slog.Logger // log of the component "daemon"
 	counters     *counters.Counters
-	parent       *handover.Parent // handover from the supervisor; empty if none started this process
+	parent       *handover.Parent // what the supervisor handed over, such as the socket for clients; never nil, but holds nothing without a supervisor
 
 	node        *node.Node
 	listener    *listener.Listener
@@ -37,8 +37,8 @@
 	descriptors *descriptors
 	memory      memoryMonitor
 
-	drainGranted chan struct{}          // receives one value, when the fleet allows this node to drain
-	lastReport   rollout.ResponseCounts // counts at the last report to the supervisor
+	drainGranted chan struct{}          // receives one value when the fleet allows this node to drain
+	lastReport   rollout.ResponseCounts // responses counted until the last report to the supervisor
 
 	stopNode     chan struct{}   // closed by the method stop, to end the node
 	nodeEnded    chan struct{}   // closed by the node's goroutine when the node has ended
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -19,8 +19,8 @@
 	"shelfproxy/internal/logs"
 )
 
-// fleetAgents holds the node's socket to the other nodes and its agents for the agreements that the operator switched on. Each field
-// may be nil. Without a socket there are no agents.
+// fleetAgents holds the node's socket to the other nodes, and one agent for each agreement among the nodes that the operator
+// switched on. Each field may be nil. Without a socket there are no agents.
 type fleetAgents struct {
 	socket     *peers.Socket
 	rollout    *rolloutagent.Agent    // decides which nodes may drain; nil: this node drains when it is told to terminate
@@ -29,7 +29,7 @@
 }
 
 // receiveDatagrams starts a goroutine that receives datagrams from the other nodes, if there is a socket. The goroutine ends when
-// the socket is closed; if it never is, it runs until the process ends.
+// the socket is closed; if the socket is never closed, the goroutine runs until the process ends.
 func (d *Daemon) receiveDatagrams() {
 	if d.fleet.socket == nil {
 		return
@@ -115,14 +115,15 @@
 	}
 }
 
-// releaseSocket closes the socket once the agents have handled the events that were posted to them before, and have sent the
-// resulting messages. It does not wait: its goroutine ends after one call to each agent's loop, or when the loops have ended.
+// releaseSocket starts a goroutine that closes the socket, and returns at once. The goroutine first waits until the agents have
+// handled the events that were posted to them before and have sent the resulting messages. It does not wait for an agent whose loop
+// is busy or has ended.
 func (f *fleetAgents) releaseSocket() {
 	if f.socket == nil {
 		return
 	}
 	go func() {
-		flush := func() {} // a loop calls this after all events that were posted before
+		flush := func() {} // each agent's loop calls this function after it has handled all events that were posted before
 		if f.rollout != nil {
 			_ = f.rollout.Call(flush) // fails if the loop is busy or has ended; lost messages are tolerated, as on the network
 		}
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -51,7 +51,7 @@
 // memoryMonitor observes how close the process is to its memory limit.
 type memoryMonitor struct {
 	pressure  admission.MemoryPressure
-	lastLevel float64 // the level that the node was last told
+	lastLevel float64 // the memory pressure that the node was last told
 }
 
 func newMemoryMonitor(cfg *config.Config) memoryMonitor {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -6,7 +6,8 @@
 	"shelfproxy/internal/logs"
 )
 
-// flushTimeout bounds how long clients may take to receive their answers after the deadline by which the node gives all answers.
+// flushTimeout is how long the process waits for clients to receive their answers, counted from the deadline by which the node
+// gives all answers.
 const flushTimeout = 200 * time.Millisecond
 
 // beginShutdown begins the graceful shutdown, unless it has begun before. It tells the other nodes that this node shuts down, and
@@ -25,8 +26,8 @@
 }
 
 // drain lets the node serve for the grace period, during which clients that do not know of the shutdown yet still connect. Then it
-// closes the listener and answers the requests that were accepted. The channel that it returns is closed when all requests are
-// answered or the time for that is over.
+// closes the listener and answers the requests that were accepted. drain returns at once; the channel that it returns is closed
+// when all requests are answered or the time for answering them is over.
 func (d *Daemon) drain() <-chan struct{} {
 	grace, total := d.cfg.ShutdownTimes()
 	deadline := time.Now().Add(total)
@@ -43,8 +44,8 @@
 	return over
 }
 
-// answerAll answers the requests that the node has accepted, by a deadline. The channel that it returns is closed once all clients
-// have received their answers. A client that does not read may keep the channel open until the process ends.
+// answerAll starts to answer, by the deadline, the requests that the node has accepted. The channel that it returns is closed once
+// all clients have received their answers. A client that does not read may keep the channel open until the process ends.
 func (d *Daemon) answerAll(deadline time.Time) <-chan struct{} {
 	answered := make(chan struct{})
 	go func() {
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -13,7 +13,7 @@
 	reload      <-chan os.Signal
 	terminate   <-chan os.Signal
 	logCounters <-chan os.Signal
-	replaced    <-chan os.Signal // sent because a successor now serves the same socket
+	replaced    <-chan os.Signal // signal that a successor of this process now serves the same socket
 }
 
 func registerSignals() signals {
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -17,15 +17,15 @@
 	maxResponseDivisor    = 32 // one response; longer ones are refused, such as a length of 3 GB from a faulty server
 )
 
-// Limits of values. The protocol's page bounds values to 64 KiB, but values of 400 KB occurred in test runs.
+// Limits of values. The description of the protocol limits values to 64 KiB, but values of 400 KB occurred in test runs.
 const (
 	maxValueBytes    = 64 << 10 // maximum length of the value that a client writes
 	minResponseBytes = 64 << 10 // length of a server's response that even the smallest node accepts
 )
 
-// A client may pipeline one command on each connection for every memoryMBPerPipelined MB of the node's memory, at least minPipelined
-// commands and at most the operator's bound. Each command may hold 64 KiB of a value or an answer, and there are dozens of
-// connections.
+// On each connection, a client may pipeline one command for every memoryMBPerPipelined MB of the node's memory, but at least
+// minPipelined commands and at most as many as the operator allows. The number is bounded by memory, because each command may hold
+// 64 KiB of a value or an answer, and there are dozens of connections.
 const (
 	memoryMBPerPipelined = 2
 	minPipelined         = 8
@@ -38,18 +38,18 @@
 // idleTimeoutTenths is the node's idle timeout for upstream connections, in tenths of the servers' idle timeout.
 const idleTimeoutTenths = 8
 
-// maxPipelineAge is the age of an attempt up to which another one may be pipelined behind it on its connection. If the attempt in
-// front is older, the server is slow, and the one behind it would be slow too. A hit takes 30 to 100 ms on the machines that the
-// deployment names, and the shortest latency objective is 520 ms.
+// maxPipelineAge bounds the age of the unanswered attempt behind which a connection may send another attempt. If the unanswered
+// attempt is older, the server is slow, and an attempt behind it would be slow too. A hit takes 30 to 100 ms on the machines that
+// the deployment names, and the shortest latency objective is 520 ms.
 const maxPipelineAge = 100 * time.Millisecond
 
 // Parameters of the split of descriptors among the sides: clients, cache servers and the origin.
 const (
-	reservedDescriptors    = 32              // descriptors kept for discovery, the log and the runtime
-	descriptorStepDivisor  = 48              // all descriptors divided by this are moved at a time
+	reservedDescriptors    = 32              // descriptors that no side gets: they are kept for discovery, the log and the runtime
+	descriptorStepDivisor  = 48              // one step moves 1/48 of all descriptors from one side to another
 	descriptorFloorFifths  = 2               // each side keeps at least this many fifths of the descriptors that it had at the start
 	descriptorHoldTime     = 2 * time.Second // a side that gained descriptors gives none away for this long
-	descriptorPeakFadeTime = 5 * time.Second // a past peak of use counts 1/e after this time
+	descriptorPeakFadeTime = 5 * time.Second // the weight of a past peak of use falls to 1/e in this time
 )
 
 // megabytes converts a memory size of the configuration to bytes.
@@ -97,7 +97,7 @@
 	return limits
 }
 
-// newResponseMemory returns the memory budget for long responses of servers.
+// newResponseMemory returns the memory budget for long responses that are being received from servers.
 func newResponseMemory(cfg *config.Config) *upstream.ResponseMemory {
 	memory := megabytes(cfg.MemoryMB)
 	return upstream.NewResponseMemory(memory/responseMemoryDivisor, max(minResponseBytes, memory/maxResponseDivisor))
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,8 +14,8 @@
 )
 
 // AgentCallTimeout bounds a call to a discovery agent. An agent runs on the node's own machine and answers at once with the list
-// that it has. An agent that does not answer has to be detected quickly, because its recovery counts as the moment at which the
-// node was notified.
+// that it has. An agent that does not answer has to be detected quickly, so that the node soon notices when the
+// agent answers again: from that moment on the node counts as notified of changes.
 const AgentCallTimeout = 250 * time.Millisecond
 
 const (
@@ -31,8 +31,9 @@
 	Watch(after int64, report func(List, error)) (stop func())
 }
 
-// Client is the Source for the discovery service at Addr. It does the I/O and the timing for a WatchState. Its fields must not
-// change after the first call of Watch. Watch is safe for concurrent use.
+// Client is the Source for the discovery service at Addr. A WatchState decides what received bytes mean and when a watch times out;
+// Client does the I/O and the timing for it. The fields of Client must not change after the first call of Watch. Watch is safe for
+// concurrent use.
 type Client struct {
 	Addr        string
 	CallTimeout time.Duration // bounds connecting, and the wait for the response's header; 0 means polling.CallTimeout
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,7 +10,7 @@
 	Cell                 int
 	State                State
 	Weight               float64
-	StartedMs            int64 // Unix time of the server's start in milliseconds; 0 means long ago
+	StartedMs            int64 // Unix time of the server's start in milliseconds; 0 means that the server started long ago
 }
 
 // State is a server's state in the endpoint list.
@@ -23,9 +23,9 @@
 	Removed               // no longer exists
 )
 
-// List is what one event of a watch brings: a complete endpoint list, or only its changes.
+// List is what a watch reports at one time: a complete endpoint list, or only its changes.
 type List struct {
 	Version int64
-	IsFull  bool // Servers is the complete list; otherwise Servers holds only the entries that changed
+	IsFull  bool // true if Servers is the complete list; false if Servers holds only the entries that changed
 	Servers []Server
 }
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -20,7 +20,7 @@
 // list with thousands of entries. The zero value is ready to use. A Parser is not safe for concurrent use.
 type Parser struct {
 	json  fastjson.Parser
-	names map[string]string // the few distinct zones and kinds of the list that is being read
+	names map[string]string // the names of zones and kinds in the list that is being read; entries with the same name share its string
 }
 
 // Parse reads a list. If the text is valid JSON, an error is a *ParseError.
@@ -30,8 +30,8 @@
 	if isSplit {
 		return list, err
 	}
-	// Some valid but unusual texts cannot be split, and invalid ones cannot either. Parsing the whole text reads the valid ones
-	// and finds what is wrong with the others.
+	// The text cannot be split into entries. It is invalid, or valid but unusual. Parsing the whole text reads a valid list and
+	// finds what is wrong with an invalid one.
 	whole, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return List{}, err
@@ -39,8 +39,8 @@
 	return p.parseTree(whole)
 }
 
-// parseSplit reads a list entry by entry, without parsing the text as a whole. isSplit is false if the entries cannot be told
-// apart.
+// parseSplit reads a list entry by entry, without parsing the text as a whole. isSplit is false if the text cannot be
+// split into its entries safely.
 func (p *Parser) parseSplit(text []byte) (list List, isSplit bool, err error) {
 	start, end, ok := jsonsplit.Member(text, instancesField)
 	if !ok {
--- a/internal/discovery/polling/schedule.go
+++ b/internal/discovery/polling/schedule.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Time is a point on the caller's clock.
+// Time is a point in time, given as the time since an origin that the caller chooses.
 type Time = time.Duration
 
 // Responsibility says which node polls the discovery service while the service does not answer.
@@ -29,9 +29,9 @@
 
 const (
 	assignedInterval  = 1 * time.Second        // time between the calls of the node that polls on behalf of all nodes
-	minFirstBackoff   = 500 * time.Millisecond // least upper bound of the random wait after the first failure
+	minFirstBackoff   = 500 * time.Millisecond // the first failure is followed by a random wait of up to this, or up to SpreadOver if that is longer
 	defaultMaxBackoff = 16 * time.Second       // used if Schedule.MaxBackoff is 0
-	unansweredRetry   = 10 * time.Second       // time after which a call is repeated if its end is not reported
+	unansweredRetry   = 10 * time.Second       // time after which a call is repeated if the caller has not reported how it ended
 )
 
 // Schedule decides when one node polls. After failures the node backs off exponentially with full jitter. The node that polls on
@@ -39,16 +39,16 @@
 //
 // A Schedule is not safe for concurrent use. Start plans the first call.
 type Schedule struct {
-	SpreadOver time.Duration // time over which all nodes spread the calls that one event causes in all of them
+	SpreadOver time.Duration // if one event makes all nodes call, each node first waits for a random time of up to SpreadOver, to spread the load
 	StaleAfter time.Duration // a node that has not polled for this long may not use its list; 0: no bound
-	MaxBackoff time.Duration // upper bound of every wait, since the discovery service may recover right after a failed call; 0: 16 s
+	MaxBackoff time.Duration // upper bound of each wait after a failure; it exists because the service may recover right after a failed call; 0: 16 s
 	Jitter     func(limit time.Duration) time.Duration
 
 	isPolling   bool // a call is planned or in flight
 	nextCall    Time // time of the next call, if isPolling
 	nextBackoff time.Duration
 	responsible Responsibility
-	hasFailed   bool // a call has failed since the last list
+	hasFailed   bool // a call has failed since the last list was received
 	isRecovered bool // the discovery service's recovery has yet to be announced to the other nodes
 }
 
@@ -90,9 +90,10 @@
 	s.isPolling, s.hasFailed = true, true
 }
 
-// delayAfterFailure returns the wait before the next call.
+// delayAfterFailure returns how long the node waits after a failed call before its next call.
 func (s *Schedule) delayAfterFailure() time.Duration {
-	// The backoff is drawn in every case, so that the random numbers of a run do not depend on which node is responsible.
+	// A random number is used up even if the backoff is not needed, so that the later random numbers of a run do not depend on
+	// which node is responsible.
 	backoff := s.Jitter(s.nextBackoff)
 	switch {
 	case s.responsible == AssignedHere:
@@ -103,8 +104,8 @@
 	return backoff
 }
 
-// fallbackDelay returns the wait of a node on whose behalf another node polls. The waiting node polls only in case the other
-// node's announcement is lost, but before its own list becomes stale.
+// fallbackDelay returns the wait of a node on whose behalf another node polls. The wait is long, because the waiting node polls only
+// in case the other node's announcement is lost. But the wait ends before the waiting node's list becomes stale.
 func (s *Schedule) fallbackDelay() time.Duration {
 	limit := s.maxBackoff()
 	if s.StaleAfter > 0 {
@@ -120,8 +121,8 @@
 }
 
 // TakeAnnouncement reports whether this node has to announce to the other nodes that the discovery service has recovered. The
-// other nodes then call RecoveryAnnounced. It returns true once for each recovery that the node sees while it polls on behalf of
-// all nodes.
+// other nodes then call RecoveryAnnounced. TakeAnnouncement returns true once for each recovery that the node sees while it
+// polls on behalf of all nodes.
 func (s *Schedule) TakeAnnouncement() bool {
 	isRecovered := s.isRecovered
 	s.isRecovered = false
--- a/internal/discovery/polling/schedule_test.go
+++ b/internal/discovery/polling/schedule_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// longestJitter is a Jitter that always draws the longest wait, so that tests see the upper bound of each wait.
+// longestJitter is a Jitter that always returns the longest wait, so that tests see the upper bound of each wait.
 func longestJitter(limit time.Duration) time.Duration { return limit }
 
-// failTimes reports that count calls failed, each at the time at which it was due.
+// failTimes calls Failed count times, each time at the moment at which the next call of the schedule was due.
 func failTimes(schedule *Schedule, count int) {
 	now := Time(0)
 	for range count {
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -28,7 +28,7 @@
 		s.object = s.object[:0]
 	}
 	var result scanResult
-	start := 0 // index in data where the current object's part begins
+	start := 0 // index in data of the first byte of the current object, or 0 if an earlier call read the object's first byte
 	for i, char := range data {
 		if char == '\n' {
 			result.progressed = true
--- a/internal/discovery/validator.go
+++ b/internal/discovery/validator.go
@@ -1,7 +1,7 @@
 package discovery
 
 // ListValidator decides whether a received list may replace the one in force. It has no clock and no I/O and is not safe for
-// concurrent use. The zero value holds version 0.
+// concurrent use. In the zero value, the list in force has version 0.
 type ListValidator struct {
 	version     int64
 	lastIsStale bool // the last list was rejected as older than the one in force
@@ -25,7 +25,7 @@
 	case list.IsFull && !hasServers:
 		return ErrEmptyList
 	case isOlder && !hasServers:
-		return nil // the version of a list without changes does not matter
+		return nil // a list without entries changes nothing, so its old version is no reason to reject it
 	case isOlder && !v.lastIsStale:
 		v.lastIsStale = true
 		return ErrStaleList
--- a/internal/jsonsplit/jsonsplit.go
+++ b/internal/jsonsplit/jsonsplit.go
@@ -1,5 +1,5 @@
 // Package jsonsplit finds parts of a JSON text without building a tree of the whole text. A tree takes about thirty times the
-// memory of its text. This matters if a process with 32 MB reads a text with thousands of entries.
+// memory of its text. This matters if a process with a memory limit of 32 MB reads a text with thousands of entries.
 //
 // The package only tracks strings and brackets. The caller still has to parse the parts, which finds any invalid JSON in them.
 package jsonsplit
--- a/internal/jsonsplit/jsonsplit_test.go
+++ b/internal/jsonsplit/jsonsplit_test.go
@@ -15,8 +15,8 @@
 		`{"b":-1.5e3}`:                          `-1.5e3`,
 		`{"c":{"b":1},"b":2} `:                  `2`,
 		`{"c":{"b":1}}`:                         "",
-		`{"b":1,"b":2}`:                         "", // a repeated name is ambiguous
-		`{"\u0062":1,"b":2}`:                    "", // a name with an escape may be equal to the wanted name
+		`{"b":1,"b":2}`:                         "", // not split: two members have the wanted name
+		`{"\u0062":1,"b":2}`:                    "", // not split: a name with an escape may be equal to the wanted name
 		`{"b":1,}`:                              "",
 		`{"b":1}{}`:                             "",
 		`{"b" 1}`:                               "",
@@ -59,8 +59,8 @@
 	}
 }
 
-// FuzzSplit: a text that can be split is valid JSON if and only if its parts are: the text without the member, and each element
-// of the member's array.
+// FuzzSplit guards against invalid JSON that splitting hides. A text that can be split has to be valid JSON if and only if all of
+// its parts are valid. The parts are the text without the member, and each element of the member's array.
 func FuzzSplit(f *testing.F) {
 	for _, text := range []string{`{"a":1,"b":[{"x":"]}"},{}]}`, `{"b":[{}{}]}`, `{"b":[{]}`, `{"b":[{"a":}]}`, `{"b":[{"a":1 2}],"c":[}`} {
 		f.Add([]byte(text))
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	readBufferSize  = 1 << 20 // bytes
-	writeBufferSize = 1 << 16 // bytes
+	readBufferSize  = 1 << 20 // in bytes
+	writeBufferSize = 1 << 16 // in bytes
 )
 
 // Host runs routers until the input ends. It writes one reply line for each batch. Routers share only the lists of
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -53,7 +53,7 @@
 		return Output{Type: "TIMER", Time: &at, Token: &action.Token}, nil
 	case policy.Subscribe:
 		return Output{Type: "SUBSCRIBE", On: true}, nil
-	case policy.Gossip: // a SAY message that names no peer goes to all peers
+	case policy.Gossip: // becomes a SAY message without a peer, which goes to all peers
 		return Output{Type: "SAY", Bytes: hex.EncodeToString(action.Data)}, nil
 	case policy.Log:
 		return Output{Type: "RECORD", ReasonText: action.Text}, nil
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -170,8 +170,8 @@
 	return copies, delay
 }
 
-// Split partitions the nodes with numbers below nodes from the other nodes, in both directions. If nodes is 0, Split ends all
-// partitions.
+// Split separates the nodes with the numbers 0 to nodes-1 from all other nodes: datagrams between the two groups are lost, in both
+// directions. If nodes is 0, Split ends all partitions.
 func (p *Proxy) Split(nodes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -19,7 +19,7 @@
 // Effect says when requests of a class may be retried.
 type Effect int
 
-// The effects that a class can have.
+// How often a request of a class may be executed, and so when it may be retried.
 const (
 	Idempotent   Effect = iota // requests may always be retried: a second execution has no further effect
 	Deduplicated               // requests may be retried within the window of the idempotency key: in that time the origin drops duplicates
--- a/internal/testbed/model/cacheserver.go
+++ b/internal/testbed/model/cacheserver.go
@@ -13,9 +13,9 @@
 
 // Modes of cancellation.
 const (
-	CancelNone   CancelMode = iota // no request is dropped; all are executed
-	CancelQueued                   // queued requests are dropped
-	CancelAll                      // queued and running requests are dropped
+	CancelNone   CancelMode = iota // when a connection ends, none of its requests is dropped; all are executed
+	CancelQueued                   // when a connection ends, its queued requests are dropped
+	CancelAll                      // when a connection ends, its queued and running requests are dropped
 )
 
 // CacheServerKind holds the properties that all cache servers of one kind share.
@@ -34,7 +34,7 @@
 	HealthCheckWork   time.Duration // work that a health check costs
 	MissWork          float64       // work that a miss costs, as a fraction of the request's work
 	ChokeAt           float64       // requests per core above which contention slows the server down; 0 means never
-	Choke             float64       // what each further request per core adds to the divisor of the speed
+	Choke             float64       // each request per core above ChokeAt adds this to the number by which the speed is divided
 	Cancel            CancelMode
 	DropExpired       bool    // reject requests whose deadline passed while they were queued
 	ErrorRate         float64 // fraction of the hits that fail after their work was done
--- a/internal/testbed/model/server.go
+++ b/internal/testbed/model/server.go
@@ -20,8 +20,8 @@
 	// Active faults. They are kept as counts and lists, so that overlapping faults may end in any order.
 	kills, freezes, stalls, drains int
 	partitions                     []int     // number of active partitions, by node
-	slowdowns                      []float64 // factors that active faults apply to the speed
-	corruption, packetLoss         []float64 // probabilities that active faults apply to a message
+	slowdowns                      []float64 // one factor of the server's speed for each active fault that changes the speed
+	corruption, packetLoss         []float64 // one entry for each active fault: the probability that it corrupts, or loses, a message
 
 	retiring bool // draining, and to be removed afterwards
 	removed  bool // permanently removed
@@ -222,7 +222,7 @@
 	return healed
 }
 
-// retire drains a cache server, ends its process after a delay, and then calls the function then.
+// retire drains a cache server and ends its process after a delay. Afterwards it calls the given function.
 func (sys *System) retire(srv *server, after time.Duration, then func()) {
 	if srv.removed || srv.retiring {
 		return
--- a/internal/testbed/scenario/default.go
+++ b/internal/testbed/scenario/default.go
@@ -23,8 +23,8 @@
 // cancelModes maps the values of CacheServerKind.Cancel in scenario files to cancel modes.
 var cancelModes = map[string]model.CancelMode{"none": model.CancelNone, "queued": model.CancelQueued, "all": model.CancelAll}
 
-// standardKind is the index of the standard kind in defaultKinds. If a kind in a file leaves out a field, the field gets the
-// value that it has in the standard kind.
+// standardKind is the index of the standard kind of cache server in defaultKinds. If a kind in a scenario file leaves out a field,
+// the field gets the value that it has in the standard kind.
 const standardKind = 1
 
 // Default returns the default scenario, a system of moderate size without faults.
--- a/internal/testbed/simulation/fleet_invariants.go
+++ b/internal/testbed/simulation/fleet_invariants.go
@@ -108,7 +108,7 @@
 }
 
 // checkRollout checks that a node is in service. If the rollout had no reason to stop (a removed node or a halt), checkRollout
-// also checks that the node no longer waits to drain, and counts no node as out of service.
+// also checks that the node no longer waits to drain, and that it counts no node as out of service.
 func (f *fleet) checkRollout(node *fleetNode, anyRemoved bool) {
 	status := node.rollout.Status(node.clock())
 	if status.State != rollout.Ready.String() {
--- a/internal/testbed/simulation/fleet_plan.go
+++ b/internal/testbed/simulation/fleet_plan.go
@@ -36,12 +36,12 @@
 	FleetKillAll                               // all processes are killed, and each starts again within the duration of the fault
 	FleetClockBack                             // a machine's clock is set back; its next process starts with the new time
 	FleetDrain                                 // an operator asks for a drain of a node
-	FleetRelease                               // an operator orders a release
-	FleetHalt                                  // an operator halts the rollout, and resumes some time later
-	FleetBudget                                // the drain budget changes at all nodes, one after another
+	FleetRelease                               // an operator starts the rollout of a release (a version of the software)
+	FleetHalt                                  // an operator halts the rollout, and resumes it some time later
+	FleetBudget                                // the number of nodes that may drain at once is changed, at one node after another
 	FleetReplay                                // recorded datagrams are sent again
 	FleetRemove                                // one node is killed and never starts again; only in fleets of three or more nodes
-	FleetForgetHolder                          // datagrams from a lease's holder to one node are lost for a while, in which all nodes except these two restart
+	FleetForgetHolder                          // datagrams from a lease's holder to one node are lost for a while; in this time all nodes except these two restart
 	fleetFaultKinds
 )
 
@@ -61,7 +61,7 @@
 type FleetPlan struct {
 	Seed                           uint64
 	Nodes, Budget                  int
-	Dropped, Duplicated, Corrupted float64       // fractions of all datagrams until fleetNetworkFaultsEnd; duplication and some loss go on after that
+	Dropped, Duplicated, Corrupted float64       // fractions of all datagrams that are affected until fleetNetworkFaultsEnd; duplication and some loss go on after that
 	MaxDelay                       time.Duration // longest delay of a datagram
 	MaxLag                         time.Duration // longest delay until a process that is ready to run gets to run
 	SuspendAtGrant                 float64       // probability that a process is suspended (SIGSTOP) at the moment when its drain is granted
@@ -108,9 +108,9 @@
 	return fleetFaultsFrom + time.Duration(random.Int64N(int64(fleetFaultsTo-fleetFaultsFrom)))
 }
 
-// drawFault returns a random fault. random is a source of random numbers for this fault alone. With the probability clustering,
-// the time of the fault is within half a second of centre, so that faults overlap. drawFault returns nil if the fault is left
-// out.
+// drawFault returns a random fault. random is a source of random numbers for this fault alone. clustering is the probability that
+// the time of the fault is at most half a second from the time centre, so that faults overlap. If skip is true, or if there are no
+// kinds, drawFault returns nil.
 func (p *FleetPlan) drawFault(random *rand.Rand, kinds []FleetFaultKind, centre Time, clustering float64, skip bool) *FleetFault {
 	fault := FleetFault{
 		At:   drawFaultTime(random),
--- a/internal/tomlfile/errors.go
+++ b/internal/tomlfile/errors.go
@@ -12,7 +12,7 @@
 // Error says what is wrong with one field of a file, or with the file as a whole.
 type Error struct {
 	Path  string
-	Line  int    // 0 if the field is not in the file
+	Line  int    // line of the field; 0 if the field is not in the file
 	Field string // dotted path, with the indexes of array elements, as in fault[2].kind; empty for the file as a whole
 	Text  string
 	Err   error // the cause, whose text is in Text; nil if there is none
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -52,7 +52,7 @@
 }
 
 // elementPath returns the dotted name of a table. A part that names an array of tables stands for the last element of
-// the array. For the last part, this holds only if includeLast is true.
+// the array. For the last part, elementPath does this only if includeLast is true.
 func (x *indexer) elementPath(parts []string, includeLast bool) string {
 	path := ""
 	for i, part := range parts {
