--- a/internal/admission/concurrency_limiter.go
+++ b/internal/admission/concurrency_limiter.go
@@ -10,9 +10,9 @@
 //
 // The limit is a congestion window with additive increase and multiplicative decrease (AIMD). If responses take much
 // longer than the server needs, the rest of the time is spent in the server's queue, and the limit is halved. The limit
-// grows again step by step while it is reached. The latency that the server itself needs is seen after each cut, once
-// the server's queue has drained, and while almost no request is in flight. If that latency is longer than before, the
-// server has become slower, and no lower limit makes it faster.
+// grows again step by step while it is reached. The latency that the server itself needs, without a queue, is seen on
+// two occasions: after a cut of the limit, once the server's queue has drained, and whenever almost no request is in
+// flight. If that latency is longer than before, the server has become slower, and no lower limit makes it faster.
 type ConcurrencyLimiter struct {
 	Max float64 // the limit at the start, and its upper bound
 
--- a/internal/admission/connection_policy.go
+++ b/internal/admission/connection_policy.go
@@ -28,9 +28,15 @@
 }
 
 const (
-	maxNewIdle      = time.Second            // longest idle time of a connection without a complete command, in a crowded table
-	maxInvalidIdle  = 2 * time.Second        // longest idle time of a connection after an invalid command, while there is capacity
-	minRegularIdle  = 400 * time.Millisecond // shortest idle timeout of a connection with several requests, in a crowded table, because there are gaps between its requests
+	// maxNewIdle is the longest idle time of a connection that has not sent a complete command yet, if the table of
+	// connections is filled to CrowdedFull or more.
+	maxNewIdle = time.Second
+	// maxInvalidIdle is the longest idle time of a connection after an invalid command, if the table of connections is
+	// filled to CrowdedFrom at most.
+	maxInvalidIdle = 2 * time.Second
+	// minRegularIdle is the shortest idle timeout of a connection with several requests, if the table is filled to
+	// CrowdedFull or more. A shorter timeout could end the connection in the gap between two requests.
+	minRegularIdle  = 400 * time.Millisecond
 	crowdedFrom     = 0.1
 	crowdedFull     = 0.4
 	intervalFactor  = 4
--- a/internal/listener/socket.go
+++ b/internal/listener/socket.go
@@ -28,9 +28,9 @@
 	raw            syscall.RawConn
 	pollFDs        [1]unix.PollFd
 	isDisconnected bool                  // the client has closed the connection, whether or not unread bytes are left
-	pollClose      func(fd uintptr) bool // sets isDisconnected from the state of the socket, and returns it
+	pollClose      func(fd uintptr) bool // asks the kernel whether the client has closed, sets isDisconnected, returns it
 	sinceData      time.Duration         // time since the last bytes arrived; see socketstate.SinceData
-	pollSinceData  func(fd uintptr)      // sets sinceData from the state of the socket
+	pollSinceData  func(fd uintptr)      // asks the kernel when the last bytes arrived, sets sinceData
 }
 
 func newSocket(conn net.Conn) *socket {
--- a/internal/policy/cause.go
+++ b/internal/policy/cause.go
@@ -15,7 +15,7 @@
 	CauseWait                         // the request waited too long for the origin, for a fetch or for its retry
 	CauseRetryNotAllowed              // an earlier attempt was possibly executed, so another could repeat its effect
 	CauseRetryBudget                  // the retry budget of the request's class is spent
-	CauseServerBusy                   // a cache server failed or rejected a read in bulk, the bucket that is shed first
+	CauseServerBusy                   // a cache server failed or rejected a read of the lowest priority (bulk)
 	CauseTimedOut                     // the request's last attempt timed out
 	CauseNeverSent                    // the request's last attempt was never written to a connection
 	causeCount                        // number of causes
--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -38,8 +38,8 @@
 	if b.consecutiveFailures < failuresToOpen || now-b.lastSeen < minQuietTime {
 		return false
 	}
-	// The breaker opens now, or its trial failed. Any other failure is that of an attempt sent before the breaker
-	// opened; it does not change the wait.
+	// The condition holds if the breaker opens now, or if its trial failed. Otherwise the failed attempt was sent
+	// before the breaker opened, so the wait stays as it is.
 	if b.backoff == 0 || b.isTrialInFlight {
 		b.backoff = min(max(firstBackoff, 2*b.backoff), maxBackoff)
 		b.trialAt, b.isTrialInFlight = now+b.backoff, false
--- a/internal/policy/coalescing.go
+++ b/internal/policy/coalescing.go
@@ -19,8 +19,9 @@
 	r.waitUntil(req, r.waitLimit(req))
 }
 
-// completeFlight ends the fetch that the request started, if there is one. If the fetch succeeded, the requests that
-// waited for it are sent to the cache server, which now holds the object. Otherwise the key must be fetched again.
+// completeFlight ends the fetch that the leader (the request that is passed) started, if there is one. If the fetch
+// succeeded, the requests that waited for it are sent to the cache server, which now holds the object. Otherwise the
+// key must be fetched again.
 func (r *Router) completeFlight(leader *request, hasSucceeded bool) {
 	ended := r.flights[leader.Key]
 	if ended == nil || ended.leader != leader {
--- a/internal/policy/decay/counts.go
+++ b/internal/policy/decay/counts.go
@@ -13,25 +13,32 @@
 type Time = time.Duration
 
 const (
-	// otherRequestsPrior is how many more requests for other keys Popularity assumes, per server. Without them, a node
-	// that has counted only a few requests would regard their keys as popular.
+	// otherRequestsPrior is a number of assumed requests per server. Popularity adds them to the counted requests, as
+	// if they had been for other keys. Without them, a node that has counted only a few requests would regard their
+	// keys as popular.
 	otherRequestsPrior = 0.5
-	// minRequestsPerServer is the number of counted requests per server below which counts fade slowly. This leaves
-	// enough requests to estimate the popularity of keys from. With 300 nodes, gossip brings about this many samples
-	// per server in one second.
+	// While fewer counted requests per server than minRequestsPerServer are left, counts fade slowly (see
+	// sparseWindow). This leaves enough requests to estimate the popularity of keys from. With 300 nodes, the other
+	// nodes report about this many requests per server in one second by gossip.
 	minRequestsPerServer = 4.0
-	// window is the time in which counts fall to 1/e while more than minRequestsPerServer are counted.
+	// window is the time in which counts fall to 1/e while more than minRequestsPerServer requests per server are
+	// counted.
 	window = 1500 * time.Millisecond
-	// sparseWindow is the time in which counts fall to 1/e while at most minRequestsPerServer are counted.
+	// sparseWindow is the time in which counts fall to 1/e while at most minRequestsPerServer requests per server are
+	// counted.
 	sparseWindow = 30 * time.Second
 
-	seenThreshold = 1.5  // a key that counts for more requests was seen before; the current request counts 1
-	keepDivisor   = 10   // Prune drops a key that counts for less than 1/keepDivisor of a new request
-	minDivisor    = 1e-9 // least value of a divisor, to avoid a division by zero
+	// seenThreshold is the count above which a key was requested before, counted in requests of the current weight. The
+	// current request alone makes a count of 1.
+	seenThreshold = 1.5
+	// keepDivisor bounds which keys Prune drops: those whose count is below 1/keepDivisor (a tenth) of the weight of
+	// the latest request.
+	keepDivisor = 10
+	minDivisor  = 1e-9 // least value of a divisor, to avoid a division by zero
 )
 
-// Fade returns what is left of a count after the elapsed time. While the count is above the parameter enough, it falls
-// to 1/e of its value in each window. Below the value of enough, the count falls to 1/e only in each sparseWindow.
+// Fade returns what is left of a count after the elapsed time. While the count is above the value of the parameter
+// enough, it falls to 1/e of its value in each window. A count below that value falls to 1/e only in each sparseWindow.
 func Fade(count float64, elapsed, window time.Duration, enough float64, sparseWindow time.Duration) float64 {
 	return max(count*math.Exp(-float64(elapsed)/float64(window)),
 		min(count, enough)*math.Exp(-float64(elapsed)/float64(sparseWindow)))
@@ -57,12 +64,13 @@
 	total     float64 // sum of all counts
 	increment float64 // weight of the latest request
 	totalAt   Time    // when total was last added to
-	pruneAt   Time    // when Prune next drops keys that are no longer requested
+	pruneAt   Time    // earliest time at which Prune next drops keys that are no longer requested
 }
 
-// Add counts a request for a key; servers is the number of cache servers. Requests that other nodes report count like
-// this node's requests. Each node reports each of its requests with the same probability. So a key's fraction of the
-// counts is its fraction of the requests of the whole fleet.
+// Add counts a request for a key; servers is the number of cache servers. A request that another node reports counts as
+// much as one of this node's requests. The other nodes report only a part of their requests, so this node's requests
+// are over-represented. But this node is one of many, so a key's fraction of the counts is close to its fraction of the
+// requests of the whole fleet.
 func (k *KeyCounts) Add(now Time, key gossip.Fingerprint, servers float64) {
 	if k.counts == nil {
 		k.counts, k.increment = map[gossip.Fingerprint]float64{}, 1
--- a/internal/policy/decay/counts_test.go
+++ b/internal/policy/decay/counts_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFadeIsSlowBelowEnough checks both speeds of Fade. A count above the parameter enough falls to 1/e of its value in
-// each window. A count below the parameter falls to 1/e only in each sparseWindow, which is longer.
+// TestFadeIsSlowBelowEnough checks both speeds of Fade. A count above the value of the parameter enough falls to 1/e of
+// its value in each window. A count below that value falls to 1/e only in each sparseWindow, which is longer.
 func TestFadeIsSlowBelowEnough(t *testing.T) {
 	const enough, window, sparseWindow = 10, time.Second, 10 * time.Second
 	for _, test := range []struct {
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -157,7 +157,7 @@
 	responses map[int]pollResponse
 }
 
-// poll handles a poll of a router: it sets when and how the poll ends in responses, by the index of the router.
+// poll handles a poll of a router: it stores in responses, at the index of the router, when and how the poll ends.
 func (service *discoveryService) poll(now Time, router int) {
 	if now < service.downUntil {
 		service.responses[router] = pollResponse{at: now + ms}
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -18,7 +18,7 @@
 
 // applyObservation applies what another node observed of a server. The parameter from is the number of that node.
 func (r *Router) applyObservation(from int, srv *server, seen gossip.Observation) {
-	if srv.gauge.samples < 2*minLatencySamples { // a server with more samples than this needs no reported ones
+	if srv.gauge.samples < 2*minLatencySamples { // with few samples, the reported ones help to judge the server
 		srv.gauge.addReported(r.now, float64(seen.Attempts), float64(seen.Failures))
 	}
 	r.assess(srv)
--- a/internal/policy/gossip_test.go
+++ b/internal/policy/gossip_test.go
@@ -13,7 +13,7 @@
 	const (
 		outlierID       = "s20"
 		badFrom         = 800
-		foundBy         = 1400 // 6 s (600 steps) after badFrom, as a router has to send to the outlier twice
+		foundBy         = 1400 // step by which the outlier must be found: 6 s (600 steps) after badFrom, as a router has to send to the outlier twice
 		goodFrom        = 1800
 		recoveredBy     = 2600
 		steps           = 3400
@@ -21,8 +21,8 @@
 		maxDatagramSize = 256
 	)
 	for name, bad := range map[string]Reason{"errors": Errored, "slow": TimedOut} {
-		// attemptShare holds how many attempts the outlier gets while it is bad, as a fraction of its attempts in the
-		// same time before; by whether the fleet gossips.
+		// attemptShare is indexed by whether the routers may gossip. Its values are the attempts at the outlier in 4 s
+		// while it is bad, divided by half of the attempts at it in the first 8 s, before it became bad.
 		attemptShare := map[bool]float64{}
 		for _, mayGossip := range []bool{false, true} {
 			fleet := newFleet(t, 60, mayGossip, 0.1, serverIDs(40)...)
@@ -36,7 +36,7 @@
 					return Succeeded
 				})
 				switch {
-				case step < badFrom: // the first 8 s; a shorter time has too few attempts, at six a second
+				case step < badFrom: // the first 8 s; the outlier gets six attempts a second, too few to count over a shorter time
 					before += attempts[outlierID]
 				case step >= foundBy && isBad:
 					during += attempts[outlierID]
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -63,7 +63,7 @@
 }
 
 // newTrainedDriver returns the driver of a router that has learned that its origin answers in 50 ms at low load. The
-// cache servers are s1, s2, s3 and the servers named in more.
+// cache servers are s1, s2, s3 and the servers that the parameter more names.
 func newTrainedDriver(t *testing.T, more ...string) *routerDriver {
 	t.Helper()
 	driver := newDriver(t, testSettings(), append([]string{"s1", "s2", "s3"}, more...)...)
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -4,17 +4,24 @@
 
 const (
 	connectRefusedWithin = 50 * time.Millisecond // a connect that fails sooner counts as refused: no process listens
-	maxCheckResets       = 2                     // a health check that ends with Reset is repeated, at most so often
-	minRecheckInterval   = time.Second           // shortest wait before a router checks an unresponsive server again
+	// maxCheckResets is the largest number of times that a health check is repeated because the connection broke
+	// (Reset).
+	maxCheckResets = 2
+	// minRecheckInterval is the shortest wait before a router checks an unresponsive server again. The HealthChecker
+	// waits less: assignedRecheckInterval.
+	minRecheckInterval = time.Second
 
-	// Mean time from one health check of an unresponsive server to the next, if the checks of all routers are counted.
-	// recheckSpacingAlone applies without gossip, recheckSpacingShared if routers tell each other of recoveries by
-	// gossip.
+	// Mean time from one health check of an unresponsive server to the next, by whichever router. recheckSpacingAlone
+	// applies without gossip, recheckSpacingShared if routers tell each other of recoveries by gossip.
 	recheckSpacingAlone  = 10 * time.Millisecond
 	recheckSpacingShared = 50 * time.Millisecond
 
-	delegatedRecheckFactor  = 16                 // multiplies recheckInterval while another router is HealthChecker
-	assignedRecheckInterval = upkeepInterval / 2 // short enough that the HealthChecker checks every upkeepInterval
+	// delegatedRecheckFactor multiplies the wait of a router between two checks while another router is the
+	// HealthChecker.
+	delegatedRecheckFactor = 16
+	// assignedRecheckInterval is the wait of the HealthChecker between two checks. It is less than upkeepInterval, so a
+	// check is due in each upkeep.
+	assignedRecheckInterval = upkeepInterval / 2
 )
 
 // checkHealth starts a health check of a server, unless one is in progress, the server has left the endpoint list, or
@@ -83,11 +90,11 @@
 }
 
 // recheckInterval returns the least time between two of this router's health checks of an unresponsive server. All
-// routers check such a server, so the interval grows with their number. If one router is the HealthChecker, this one
-// checks every upkeepInterval, and every other router checks delegatedRecheckFactor times less often. A router that
-// finds the server responsive tells all others. So if only the HealthChecker can't reach a server, some other router
-// soon finds that the server responds. In a large fleet this takes at most about delegatedRecheckFactor times
-// recheckSpacing: 16 times 50 ms, which is 0.8 s.
+// routers check such a server, so the interval grows with their number. If one router is the HealthChecker, the
+// HealthChecker checks every upkeepInterval, and every other router checks delegatedRecheckFactor times less often. A
+// router that finds the server responsive tells all others. So if only the HealthChecker can't reach a server, some
+// other router soon finds that the server responds. In a large fleet this takes at most about delegatedRecheckFactor
+// times recheckSpacing: 16 times 50 ms, which is 0.8 s.
 func (r *Router) recheckInterval() time.Duration {
 	shared := max(minRecheckInterval, r.recheckSpacing*time.Duration(r.settings.Nodes))
 	switch r.responsibilities[HealthChecker] {
--- a/internal/policy/hedging_test.go
+++ b/internal/policy/hedging_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestHangingReadIsHedgedWhileTheOriginIsQuiet checks that a read that hangs at a cache server is hedged: cancelled
-// there and sent to the origin. A write is never hedged. No read is hedged while the origin is busy or all cache
+// TestHangingReadIsHedgedWhileTheOriginIsQuiet checks that a read that hangs at a cache server is hedged: cancelled at
+// this server and sent to the origin. A write is never hedged. No read is hedged while the origin is busy or all cache
 // servers are slow. A hedge wastes the work that an overloaded cache server has already done for the read, and the
 // hedged reads of a whole fleet would overload the origin.
 func TestHangingReadIsHedgedWhileTheOriginIsQuiet(t *testing.T) {
--- a/internal/policy/hotkey.go
+++ b/internal/policy/hotkey.go
@@ -32,10 +32,10 @@
 }
 
 // chooseServer returns the cache server for a request, or nil if there is none. Usually this is the owner of the key's
-// slot. A key whose requests alone exceed hotKeyFraction of the owner's fair share would overload the owner. Such a
-// hot key is spread over the owner and the servers that follow in the slot's order. There are just enough of them that
-// each gets less than that fraction of its fair share from this key. Of these servers, the one with the fewest
-// attempts in flight gets the request.
+// slot, the first server in the slot's order. A hot key would overload its owner: it gets more than hotKeyFraction of
+// the requests that an average server gets for all its keys. So the requests for a hot key are spread over the owner
+// and the next servers in the order. Just enough servers are used that none gets more than hotKeyFraction of its usual
+// load from this key. Of these servers, the one with the fewest attempts in flight gets the request.
 func (r *Router) chooseServer(req *request) *server {
 	order := r.orderOf(slotOf(req.Key), req)
 	var best *server
--- a/internal/policy/hotkey_test.go
+++ b/internal/policy/hotkey_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestHotKeysOfSmallServersAreSpreadSooner checks that a key is spread over several servers once it exceeds its owner's
-// fair share of the requests. A server of low capacity has a small fair share, so its keys are spread at a lower
-// popularity.
+// TestHotKeysOfSmallServersAreSpreadSooner checks that the requests for a key are spread over several servers once they
+// are too many for the capacity of the key's owner. A server of low capacity can take fewer requests, so its keys are
+// spread at a lower popularity.
 func TestHotKeysOfSmallServersAreSpreadSooner(t *testing.T) {
 	const small, large = 1.0, 9.0
 	settings := testSettings()
--- a/internal/policy/locality/weight.go
+++ b/internal/policy/locality/weight.go
@@ -27,10 +27,16 @@
 // The weight of the servers in other zones changes in steps, four a second. Each step multiplies the weight by one of
 // the factors. The bounds calmUtilisation and zoneExcess select the factor.
 const (
-	minZoneWeight      = 0.02 // least weight; above 0, so that keys still have owners if the own zone fails
-	quietFactor        = 0.95 // factor without overload: the weight falls by a fifth in a second, and to 1/e in 5 s
-	zoneOverloadFactor = 1.1  // factor if only the own zone is overloaded: the weight doubles in about 2 s
-	allOverloadFactor  = 1.3  // factor if all zones or the origin are overloaded: the weight almost triples in 1 s
+	minZoneWeight = 0.02 // least weight; above 0, so that keys still have owners if the own zone fails
+	// quietFactor multiplies the weight in a step without overload: the weight falls by a fifth in a second (four
+	// steps), and to 1/e in 5 s.
+	quietFactor = 0.95
+	// zoneOverloadFactor multiplies the weight in a step in which only the own zone is overloaded: the weight doubles
+	// in about 2 s (eight steps).
+	zoneOverloadFactor = 1.1
+	// allOverloadFactor multiplies the weight in a step in which all zones together or the origin are overloaded: the
+	// weight almost triples in a second (four steps).
+	allOverloadFactor = 1.3
 	// calmUtilisation is the largest fraction of slow answers at which the origin, or all cache servers taken together,
 	// count as not overloaded.
 	calmUtilisation = 0.2
@@ -39,7 +45,8 @@
 	zoneExcess = 0.1
 )
 
-// Load holds the measurements that a step depends on. Fractions are from 0 to 1.
+// Load holds the measurements from which Step decides whether the weight of the other zones' servers rises or falls.
+// Fractions are from 0 to 1.
 type Load struct {
 	HomeFraction      float64 // fraction of all servers' capacity that is in the own zone
 	OriginUtilisation float64 // fraction of the origin's answers that were slow
@@ -51,7 +58,8 @@
 // Weight returns the weight of a server in another zone.
 func (w *CrossZoneWeight) Weight() float64 { return 1 - w.reduction }
 
-// Step moves the weight by one step, up or down depending on the load.
+// Step multiplies the weight by one of the three factors, which the load selects. The result stays between minWeight
+// and 1. The caller calls Step four times a second.
 func (w *CrossZoneWeight) Step(load Load) {
 	weight := w.Weight()
 	switch {
--- a/internal/policy/originqueue.go
+++ b/internal/policy/originqueue.go
@@ -5,7 +5,7 @@
 	// writePrecedence is added to the weight of a queued write that is within its tenant's quota. As the sum far
 	// exceeds the weight of a read, such writes are sent before reads.
 	writePrecedence  = 1e6
-	minOriginSamples = minLatencySamples / 2 // with this number of samples or fewer, originHasCapacity is false
+	minOriginSamples = minLatencySamples / 2 // originHasCapacity needs more latency samples than this
 )
 
 // originHasCapacity reports whether recent latency samples show that the origin can take more load. There must be more
@@ -35,8 +35,8 @@
 	}
 }
 
-// sendOrQueueAtOrigin sends a request to the origin if the limit on attempts in flight there allows one more. Otherwise
-// the request waits in the queue for as long as an answer could still arrive in time.
+// sendOrQueueAtOrigin sends a request to the origin if the limit on attempts in flight at the origin allows one more.
+// Otherwise the request waits in the queue for as long as an answer could still arrive in time.
 func (r *Router) sendOrQueueAtOrigin(req *request) {
 	if r.origin == nil || r.isOriginBelowLimit() {
 		r.send(req, r.origin)
@@ -55,8 +55,8 @@
 	r.originQueue.Add(req, weight)
 }
 
-// dequeueForOrigin sends queued requests to the origin until the limit on attempts in flight there is reached. Requests
-// of the highest weight are sent first.
+// dequeueForOrigin sends queued requests to the origin until the limit on attempts in flight at the origin is reached.
+// Requests of the highest weight are sent first.
 func (r *Router) dequeueForOrigin() {
 	for r.origin != nil && r.originQueue.Len() > 0 && r.isOriginBelowLimit() {
 		next, _ := r.originQueue.Next()
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// recordHit records a hit at a cache server.
+// recordHit records a hit, a read that a cache server answered: its latency in fastestHit, and its weight in
+// servedTotal.
 func (r *Router) recordHit(srv *server, e Outcome) {
 	r.fastestHit += r.fastestHit / riseDivisor
 	if r.fastestHit == 0 || e.Took < r.fastestHit {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -11,8 +11,8 @@
 func (r *Router) assess(srv *server) {
 	before := srv.assessment.EjectionFraction()
 	srv.assessment.Update(srv.gauge.slowFraction(r.now), r.cacheGauge.slowFraction(r.now))
-	// If the server is now to give up more or fewer slots than before, less or more of the ejection budget is left for
-	// the other servers.
+	// All outliers share the ejection budget, the capacity that may be out of use. If this server is to give up more or
+	// fewer slots than before, the rest of the budget, which is left for the other outliers, has changed.
 	if srv.assessment.EjectionFraction() != before {
 		r.limitEjections()
 	}
--- a/internal/policy/outlier/budget.go
+++ b/internal/policy/outlier/budget.go
@@ -23,9 +23,11 @@
 // available returns the capacity that the server would offer if none of it were ejected.
 func (s Server) available() float64 { return s.Capacity * (1 - s.UnavailableFraction) }
 
-// Budget bounds how much of the capacity of all servers may be out at once, either unavailable or ejected.
+// Budget bounds how much of the capacity of all servers may be out of use at once, either unavailable or ejected.
 type Budget struct {
-	MaxFraction float64 // largest fraction of all capacity that may be out; 0 or less, or 1 or more, means no bound
+	// MaxFraction is the largest fraction of all capacity that may be out of use at once. 0 or less, or 1 or more,
+	// means no bound.
+	MaxFraction float64
 }
 
 // IsBounded reports whether the budget has a bound.
@@ -83,7 +85,7 @@
 }
 
 // IsSpent reports whether the budget is used up by the unavailable capacity together with the capacity that outliers
-// should give up. If so, no server may be taken out only because other nodes report it as unresponsive.
+// should give up. If so, no server may be taken out of use only because other nodes report it as unresponsive.
 func (b Budget) IsSpent(servers []Server) bool {
 	if !b.IsBounded() {
 		return false
--- a/internal/policy/outlier/budget_test.go
+++ b/internal/policy/outlier/budget_test.go
@@ -21,8 +21,8 @@
 	return servers
 }
 
-// outliers returns a function for newFleet that sets EjectionFraction of the servers with the indexes from, from+1 and
-// so on, below until.
+// outliers returns a function for newFleet that sets EjectionFraction of the servers whose index is at least the
+// parameter from and less than the parameter until.
 func outliers(from, until int, ejectionFraction float64) func(int, *Server) {
 	return func(i int, server *Server) {
 		if i >= from && i < until {
@@ -31,7 +31,8 @@
 	}
 }
 
-// unavailable returns a function for newFleet that sets UnavailableFraction of the servers with indexes below until.
+// unavailable returns a function for newFleet that sets UnavailableFraction of the servers whose index is less than the
+// parameter until.
 func unavailable(until int, fraction float64) func(int, *Server) {
 	return func(i int, server *Server) {
 		if i < until {
--- a/internal/policy/quota/tracker.go
+++ b/internal/policy/quota/tracker.go
@@ -57,7 +57,7 @@
 func (t *Tracker) Resize(nodes int) { t.nodes = float64(max(1, nodes)) }
 
 // IsWithin counts a request of the named tenant and reports whether the request is within the tenant's quota. A tenant
-// that was not added has no quota, so all its requests are within.
+// that was not added has no quota, so all its requests are within the quota.
 func (t *Tracker) IsWithin(now Time, name string) bool {
 	sender := t.tenants[name]
 	if sender == nil {
@@ -82,8 +82,8 @@
 	sender.byTraffic = min(rate+burst, sender.byTraffic+
 		(t.requests-sender.refilledAtRequest)*sender.quota/max(t.totalQuota, sender.quota, minTotalQuota))
 	sender.refilledAt, sender.refilledAtRequest = now, t.requests
-	// The second bucket compares a tenant's traffic with that of the other tenants. A single tenant has none to compare
-	// with.
+	// The second bucket compares a tenant's traffic with that of the other tenants. A single tenant has no other
+	// tenants to compare with.
 	if len(t.tenants) < 2 {
 		sender.byTraffic = 0
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// send starts an attempt at the server. If the server is nil, or an attempt there might repeat the effect of an
-// earlier attempt, send gives up the request.
+// send starts an attempt at the server. If the server is nil, or an attempt at this server might repeat the effect of
+// an earlier attempt, send gives up the request.
 func (r *Router) send(req *request, srv *server) {
 	switch {
 	case srv == nil:
@@ -130,7 +130,8 @@
 	}
 }
 
-// openAttempt returns the attempt with the given index if it is in flight, and nil otherwise.
+// openAttempt returns the attempt with the given index, of the request with the given id. It returns nil if the attempt
+// is not in flight.
 func (r *Router) openAttempt(id uint64, index int) *attempt {
 	req := r.requests[id]
 	if req == nil || index < 0 || index >= len(req.attempts) || !req.attempts[index].isInFlight {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -33,7 +33,8 @@
 	maxImmediateAttempts = 3
 
 	// spillUtilisation bounds the fraction of the origin's answers that are slow. Below this bound, a request that a
-	// cache server rejected tries another one at once, which may cause a miss.
+	// cache server rejected goes to another cache server at once. That server may not hold the object, so the origin
+	// must have capacity for another fetch.
 	spillUtilisation    = 0.05
 	firstBackoff        = 25 * time.Millisecond // mean wait before the first retry at a server whose queue is full
 	maxBackoffDoublings = 4                     // maximum number of times that firstBackoff is doubled
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -26,20 +26,22 @@
 
 	// State of client requests.
 	requests          map[uint64]*request
-	flights           map[string]*flight // by key: fetches from the origin that other requests may wait for
+	flights           map[string]*flight // by key: fetches from the origin; other requests for the key wait for them
 	quotas            *quota.Tracker
 	maxPriorityWeight float64 // greatest priority weight of all classes
 	retryBudgets      map[*Class]*admission.RetryBudget
-	loadLevel         float64           // from 0 to 1: how far the node is behind with its work, see LoadLevel
-	shedDebt          [bulk + 1]float64 // by bucket: each request adds the fraction to shed; at 1, a request is shed
-	fastestHit        time.Duration     // latency of the fastest recent hits; 0 before the first hit
+	loadLevel         float64 // from 0 to 1: how far the node is behind with its work, see LoadLevel
+	// shedDebt holds a sum for each bucket (a group of requests of similar priority). Each request adds the fraction of
+	// requests that is to be shed at present. When the sum reaches 1, the request is shed and 1 is subtracted.
+	shedDebt   [bulk + 1]float64
+	fastestHit time.Duration // latency of the fastest recent hits, answers of cache servers; 0 before the first
 
 	// State of servers and zones.
 	servers             []*server // sorted by id
 	serverByID          map[string]*server
 	serverByFingerprint map[gossip.Fingerprint]*server
 	keyServers          []keyServer   // cache servers that are listed as live, sorted by id
-	ranked              rankedServers // memory that each slotOrder reuses for its heap
+	ranked              rankedServers // memory for the heap of a slotOrder; the next slotOrder reuses it
 	zones               map[string]*zone
 	ownZone             *zone
 	cacheGauge          gauge   // utilisation of all cache servers together
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -23,14 +23,14 @@
 	checkedAt         Time // start of the last health check
 	checkFailedAt     Time // end of the last failed health check
 	lastSeen          Time // last time that the server is known to have responded
-	checkResets       int  // number of health checks that ended with Reset since lastSeen
+	checkResets       int  // number of health checks since lastSeen that ended with a broken connection (Reset)
 	breaker           circuitbreaker.Breaker
 
 	// Slow start of the server, see slowstart.go.
 	slowStartFrom   Time // start of the slow start; 0 if there was none
 	slowStartBefore Time // slowStartFrom before the last outage; restored if the server did not restart
 	connectRefused  bool // a connect was refused while the server was unresponsive
-	hitsToClear     int  // if above 0: so many more hits without a miss show that the server did not restart
+	hitsToClear     int  // if above 0: this many more hits without a miss show that the server did not restart
 	// offered is the number of requests that this server could have been given, weighted so that old requests count
 	// less. A request for a hot key, which any of several servers could be given, counts only in part.
 	offered float64
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -31,7 +31,7 @@
 // Class describes one class of requests.
 type Class struct {
 	Name             string
-	PriorityWeight   float64       // value of an answer in time, relative to other classes
+	PriorityWeight   float64       // value of an answer within LatencyObjective, relative to other classes
 	LatencyObjective time.Duration // an answer within this time earns the full PriorityWeight
 	LateFraction     float64       // fraction of PriorityWeight that an answer after LatencyObjective earns
 	Effect           Effect
@@ -83,11 +83,11 @@
 
 	MaxAttempts   int           // maximum number of attempts of a request
 	MaxRetryAfter time.Duration // longest Retry-After that clients follow; 0 if none may be given
-	Tick          time.Duration // shortest time between two calls of Handle with different times
+	Tick          time.Duration // two calls of Handle at different times are at least this far apart
 
 	SlowStartFloor    float64       // fraction of its slots that a server gets as soon as it has started
 	SlowStartDuration time.Duration // time from the start of a server until it has all of its slots
-	OverloadFactor    float64       // multiple of its current capacity at which a server in slow start is overloaded
+	OverloadFactor    float64       // load that overloads a server in slow start / load due to its present slots
 }
 
 // SettingsError reports an invalid field of Settings.
--- a/internal/policy/shedding.go
+++ b/internal/policy/shedding.go
@@ -15,16 +15,20 @@
 )
 
 const (
-	criticalMaxUtilisation = 0.2   // critical reads are shed only if more than this fraction of answers is very slow
-	criticalTargetMultiple = 1.5   // a critical read is shed only if utilisation > this * shedThresholds[degraded]
-	hitThresholdFactor     = 0.125 // multiplies shedThresholds at cache servers: a hit is slow only if it had to queue
-	minInFlightOverloaded  = 2     // a cache server with fewer attempts in flight is not overloaded
+	criticalMaxUtilisation = 0.2 // critical reads are shed only if more than this fraction of answers is very slow
+	// criticalTargetMultiple bounds when a critical read is shed: only if the fraction of slow answers is more than
+	// criticalTargetMultiple * shedThresholds[degraded].
+	criticalTargetMultiple = 1.5
+	// hitThresholdFactor multiplies shedThresholds for the answers of cache servers. The thresholds are lower there
+	// than at the origin, because a hit is slow only if it had to queue.
+	hitThresholdFactor    = 0.125
+	minInFlightOverloaded = 2 // a cache server with fewer attempts in flight does not count as overloaded
 )
 
 // shedThresholds holds, for each bucket, the origin's utilisation (fraction of slow answers) above which some of the
 // bucket's misses are shed. At twice the threshold all of the bucket's misses are shed. Critical requests have a rule
-// of their own, see shouldShed. A threshold of 0.1 rejected 17 to 45% of reads on days without overload. Thresholds of
-// 0.6 and more did not contain overload.
+// of their own, see shouldShed. With a threshold of 0.1, 17 to 45% of reads were rejected on days without overload.
+// With thresholds of 0.6 and more, too few requests were shed to contain an overload.
 var shedThresholds = [...]float64{critical: math.Inf(1), degraded: 0.55, bestEffort: 0.55, bulk: 0.45}
 
 // minBucketWeight holds, for each bucket, the priority weight that a read must exceed to be in the bucket, as a
--- a/internal/policy/shedding_test.go
+++ b/internal/policy/shedding_test.go
@@ -155,7 +155,7 @@
 // TestRoutersDoNotShedInStep checks that routers under the same load do not all shed at the same moment. For example,
 // the first miss that a router rejects must not be the third miss at every router.
 func TestRoutersDoNotShedInStep(t *testing.T) {
-	// firstRejected holds the number of routers, by the number of the first miss that they reject (1, 2, ...).
+	// firstRejected maps n (1, 2, ...) to the number of routers that reject the n-th miss that they get as their first.
 	firstRejected := map[int]int{}
 	for seed := range uint64(60) {
 		router, err := New(testSettings(), seed)
--- a/internal/policy/slotorder.go
+++ b/internal/policy/slotorder.go
@@ -24,11 +24,12 @@
 	remaining  rankedServers // heap of the servers that rank has found and that have not been returned yet
 }
 
-// firstRankedServers is the expected number of servers that the first call of rank finds. They follow the owner in the
-// order.
+// firstRankedServers is how many servers the first call of rank finds on average: those that follow the owner directly
+// in the order. The number varies, because a call of rank finds all servers with scores in a certain range.
 const firstRankedServers = 8
 
-// keyServer is a server that serves keys, with the values from which a lower bound of its score is cheap to compute.
+// keyServer is a cache server that the endpoint list holds as live, with the values from which a lower bound of its
+// score is cheap to compute.
 type keyServer struct {
 	hash      uint64
 	maxWeight float64 // upper bound of rendezvousWeight, which changes with time
@@ -61,15 +62,15 @@
 	return first.server
 }
 
-// owner returns the server with the lowest score, and that score. If the request may go to no server, the server is
-// nil.
+// owner returns the server with the lowest score, and the score of this server. If the request may go to no server, the
+// server is nil.
 func (o *slotOrder) owner() (best *server, lowest float64) {
 	lowest = math.Inf(1)
 	for i := range o.router.keyServers {
 		candidate := &o.router.keyServers[i]
 		draw := o.draw(candidate)
 		if 1-draw >= lowest*candidate.maxWeight || !o.includes(candidate.server) {
-			continue // as -log(draw) >= 1-draw, the first condition rules out most servers without a logarithm
+			continue // 1-draw is at most -log(draw), so the first condition rules out most servers without a logarithm
 		}
 		if score := o.score(candidate.server, draw); score < lowest {
 			best, lowest = candidate.server, score
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -4,8 +4,8 @@
 
 const (
 	slowStartSafety = 0.7 // a server in slow start gets at most this fraction of the load that would overload it
-	// servedPrior is added to the counted numbers of hits and requests per server. So a router that has counted none
-	// yet also uses servers in slow start.
+	// servedPrior is added to the counted numbers of hits and requests per server. So a router that has counted no hits
+	// and requests yet sends some requests to servers in slow start too.
 	servedPrior      = 0.1
 	hitsProvingCache = 4 // number of hits without a miss that show that the server's cache survived
 )
@@ -28,8 +28,8 @@
 // that a fully started server of the same capacity answers for this router. This fraction grows as the slow start
 // proceeds, but only about half as fast in a large fleet, where each router has few samples. Requests are admitted at
 // random. The more popular a key is at all routers, the less likely its requests are admitted. If this router has not
-// seen a key before, perhaps all routers begin to get requests for it at this moment. So if less than one request is
-// safe, requests for a new key are admitted even less often.
+// seen a key before, perhaps all routers begin to get requests for it at this moment. So if the safe number of requests
+// is less than one, requests for a new key are admitted even less often.
 func (r *Router) admitsDuringSlowStart(srv *server, req *request) bool {
 	weight := r.slowStartWeight(srv)
 	meanServed := (r.servedTotal + servedPrior*r.requestWeight) * r.relativeCapacity(srv)
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -191,7 +191,7 @@
 		}
 	}
 	settings := fleet.drivers[0].router.settings
-	fair := float64(requests) / steps * window / servers // requests that an average server gets in a window
+	fair := float64(requests) / steps * window / servers // requests that an average server gets in a window of 1.5 s
 	most, total := 0, sum(sent[restartAt:])
 	for step := restartAt; step+window <= steps; step++ {
 		most = max(most, sum(sent[step:step+window]))
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// upkeep does the periodic work, every upkeepInterval. It assesses all servers, checks those that no longer respond,
-// hedges slow reads, adjusts the weight of other zones in the choice of servers, sends gossip and polls discovery.
+// upkeep does the periodic work, every upkeepInterval. It compares each cache server with the others, checks servers
+// that no longer respond, hedges slow reads, adjusts the weight of other zones in the choice of servers, sends gossip
+// and polls discovery.
 func (r *Router) upkeep() {
 	r.emit(SetTimer{At: r.now + upkeepInterval, Token: upkeepToken})
 	r.pruneKeyCounts()
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -10,9 +10,11 @@
 // How fast latency samples lose weight, and how many samples an estimate of utilisation needs. Utilisation is the
 // fraction of answers that are slow.
 const (
-	latencyWindow       = 1500 * time.Millisecond // time in which the weight of a sample falls to 1/e
-	minLatencySamples   = 4.0                     // if there are fewer samples, utilisation fills in the missing ones
-	sparseLatencyWindow = 8 * time.Second         // replaces latencyWindow while there are fewer than minLatencySamples
+	latencyWindow = 1500 * time.Millisecond // time in which the weight of a sample falls to 1/e
+	// minLatencySamples is the number of samples that an estimate needs. If there are fewer, the method utilisation
+	// assumes the missing ones.
+	minLatencySamples   = 4.0
+	sparseLatencyWindow = 8 * time.Second // replaces latencyWindow while there are fewer than minLatencySamples
 )
 
 // How the target latency, above which an answer counts as slow, is learned from quiet samples: latencies measured
@@ -20,7 +22,7 @@
 const (
 	quietSampleCount  = 64  // number of latest quiet samples (measured at low load) that are kept
 	minQuietSamples   = 2   // the target is learned only from at least this number of quiet samples
-	relearnInterval   = 8   // once quietSampleCount samples are kept, only every eighth updates the target
+	relearnInterval   = 8   // once quietSampleCount samples are kept, only every eighth new one updates the target
 	targetPerMedian   = 3   // the target is this many times the median latency at low load
 	maxPerTarget      = 2   // an answer counts as very slow above this many times the target latency
 	riseDivisor       = 50  // a learned latency rises by at most 1/riseDivisor (1/50) of its value in one update
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -38,7 +38,8 @@
 	timeoutPrefix = []byte("d=")
 )
 
-// maxTimeoutGrowth bounds by how many bytes the new timeout is usually longer than the old one.
+// maxTimeoutGrowth is the spare space, in bytes, of the buffer in which ParametersWithTimeout replaces the client's timeout. The
+// text of the remaining time is rarely longer than that of the client's timeout by more. If it is, append enlarges the buffer.
 const maxTimeoutGrowth = 8
 
 // ParametersWithTimeout returns the parameters with a new value of d, the timeout that the client gave: the remaining time in whole
--- a/internal/upstream/growth.go
+++ b/internal/upstream/growth.go
@@ -6,8 +6,10 @@
 )
 
 const (
-	growthThreshold = 3                // number of recent demands that justify the cost of a connection
-	demandDecay     = 10 * time.Second // a demand counts 1/e after this time, which is a third of the time that idle connections stay open
+	growthThreshold = 3 // number of recent demands, observed needs for a connection, that justify the cost of another one
+	// demandDecay is the time after which a demand, one observed need for a connection, counts only 1/e. It is a third of the
+	// time that idle connections stay open.
+	demandDecay = 10 * time.Second
 )
 
 // growth decides whether a pool whose connections are all busy opens another one, or pipelines an attempt behind the one in
@@ -15,7 +17,7 @@
 // connections would be used only once. So the number of connections follows demand, and another one is opened only after several
 // demands for it.
 type growth struct {
-	demand    float64 // number of demands, each decaying with time
+	demand    float64 // number of observed needs for another connection; old ones count less
 	updatedAt time.Time
 }
 
