--- a/internal/policy/decay/counts.go
+++ b/internal/policy/decay/counts.go
@@ -63,7 +63,7 @@
 	counts    map[gossip.Fingerprint]float64
 	total     float64 // sum of all counts
 	increment float64 // weight of the latest request
-	totalAt   Time    // when total was last added to
+	totalAt   Time    // time of the last addition to total
 	pruneAt   Time    // earliest time at which Prune next drops keys that are no longer requested
 }
 
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -8,8 +8,8 @@
 
 // Timing of the polls of discovery, the service from which all routers get the endpoint list.
 const (
-	pollSpacing       = 50 * time.Millisecond // intended mean time from one router's first poll to the next router's
-	updateKnownWithin = 6 * time.Second       // a router is assumed to know of a change of the list after this time
+	pollSpacing       = 50 * time.Millisecond // intended mean time between the first polls of one router and the next
+	updateKnownWithin = 6 * time.Second       // a router is assumed to have learned of a list change after this time
 	pollCallTimeout   = 2 * time.Second       // a poll that takes longer fails
 )
 
--- a/internal/policy/hotkey.go
+++ b/internal/policy/hotkey.go
@@ -8,7 +8,9 @@
 )
 
 const (
-	hotKeyFraction       = 0.5              // a key is hot above this fraction of the requests of an average server
+	// hotKeyFraction says when a key is hot: if it gets more than this fraction of the requests that an average server
+	// gets for all its keys.
+	hotKeyFraction       = 0.5
 	minRequestsPerServer = 8.0              // with fewer counted requests per server, the counts fade more slowly
 	sparseRequestWindow  = 30 * time.Second // time in which a count below minRequestsPerServer falls to 1/e
 )
--- a/internal/policy/originqueue_test.go
+++ b/internal/policy/originqueue_test.go
@@ -44,9 +44,9 @@
 	t.Error("no queued write was sent when the origin had a free slot again")
 }
 
-// TestOriginQueueServesWritesThenPopularFetches checks the order of the queue in front of an origin that has no free
-// slot: writes first, then the fetch that most requests wait for. A queued fetch that can no longer be answered in time
-// is rejected, and leaves the queue.
+// TestOriginQueueServesWritesThenPopularFetches checks the order of the queue in front of an origin that is at its
+// limit of attempts in flight: writes first, then the fetch that most requests wait for. A queued fetch that can no
+// longer be answered in time is rejected, and leaves the queue.
 func TestOriginQueueServesWritesThenPopularFetches(t *testing.T) {
 	driver := newTrainedDriver(t)
 	driver.router.originLimiter = admission.ConcurrencyLimiter{Max: 1}
@@ -68,7 +68,7 @@
 		}
 		inFlight = want
 	}
-	driver.now += 400 * ms // too little of 500 ms is left for the lone fetch, which still waits in the queue
+	driver.now += 400 * ms // too little of its latency objective of 500 ms is left for the lone fetch, which is still queued
 	if got := actionsOf[Reject](driver.handle(TimerFired{Token: lone})); len(got) != 1 || got[0].ID != lone {
 		t.Errorf("too late: got %v rejected, want the lone fetch %d", got, lone)
 	}
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -69,7 +69,7 @@
 		r.markResponsive(srv)
 	case Miss: // no latency sample: the latency of a miss says nothing about the load
 		r.markResponsive(srv)
-		srv.hitsToClear = 0 // after a miss the server may have lost its cache, so a slow start goes on
+		srv.hitsToClear = 0 // the server may have lost its cache, so hits no longer end its slow start
 	case CorruptResponse:
 		r.markResponsive(srv)
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -193,7 +193,7 @@
 // endRequest marks a request as ended. The router forgets the request once none of its attempts is in flight.
 func (r *Router) endRequest(req *request) {
 	req.isEnded, req.isWaiting = true, false
-	if r.originQueue.Remove(req) { // a fetch that is still queued is never sent: its waiters need another fetch
+	if r.originQueue.Remove(req) { // the queued fetch will not be sent: requests that wait for it need another
 		r.completeFlight(req, false)
 	}
 	if req.inFlight == 0 {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// maxImmediateAttempts is the maximum number of attempts that follow each other without a wait, if cache servers
-	// in use reject the request or answer with errors.
+	// maxImmediateAttempts is the maximum number of attempts that follow each other without a wait, if live cache
+	// servers reject the request or answer with errors.
 	maxImmediateAttempts = 3
 
 	// spillUtilisation bounds the fraction of the origin's answers that are slow. Below this bound, a request that a
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -64,7 +64,7 @@
 	requestWeight  float64         // weight with which a request counts at present
 	requestTotalAt Time            // when requestTotal last grew
 	servedTotal    float64         // sum over all hits: weight of the hit / number of active cache servers
-	rescaleAt      Time            // when pruneKeyCounts next divides the sums by requestWeight
+	rescaleAt      Time            // when pruneKeyCounts next divides the sums of weights by requestWeight
 
 	// Ejection of outliers: servers with clearly more slow or failed answers than the others give up slots, see
 	// outlier.go.
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -87,7 +87,7 @@
 
 	SlowStartFloor    float64       // fraction of its slots that a server gets as soon as it has started
 	SlowStartDuration time.Duration // time from the start of a server until it has all of its slots
-	OverloadFactor    float64       // load that overloads a server in slow start / load due to its present slots
+	OverloadFactor    float64       // load that overloads a server in slow start, divided by the load of its slots
 }
 
 // SettingsError reports an invalid field of Settings.
--- a/internal/policy/shedding.go
+++ b/internal/policy/shedding.go
@@ -60,7 +60,7 @@
 	if rank == critical {
 		threshold = shedThresholds[degraded]
 		excess = min(maxUtilisation-criticalMaxUtilisation,
-			utilisation-criticalTargetMultiple*threshold) // critical reads are never shed before reads of other buckets
+			utilisation-criticalTargetMultiple*threshold) // above this, reads of all other buckets are shed already
 	}
 	return excess > 0 && r.isSelectedForShedding(rank, excess/threshold)
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -169,7 +169,7 @@
 	)
 	fleet := newFleet(t, 300, true, 0.1, serverIDs(servers)...)
 	ownerID := fleet.drivers[0].ownerOf("hot")
-	// sent holds the requests that went to the owner, by step. requests counts the requests to all servers.
+	// sent holds, for each step, how many requests went to the owner. requests counts the requests to all servers.
 	sent, requests := make([]int, steps), 0
 	for step := range steps {
 		if step == restartAt {
--- a/internal/policy/upkeep.go
+++ b/internal/policy/upkeep.go
@@ -8,7 +8,9 @@
 
 const (
 	upkeepInterval = 250 * time.Millisecond // time from one run of the periodic work to the next
-	upkeepToken    = uint64(1) << 62        // token of upkeep's timer; a greater number than the id of any request
+	// upkeepToken is the token of upkeep's timer. It differs from the tokens of all other timers, which are ids of
+	// requests, because it is greater than any id.
+	upkeepToken = uint64(1) << 62
 )
 
 // startUpkeep starts the periodic work at the first endpoint update. A random delay keeps routers that start together
--- a/internal/policy/utilisation.go
+++ b/internal/policy/utilisation.go
@@ -14,7 +14,7 @@
 	// minLatencySamples is the number of samples that an estimate needs. If there are fewer, the method utilisation
 	// assumes the missing ones.
 	minLatencySamples   = 4.0
-	sparseLatencyWindow = 8 * time.Second // replaces latencyWindow while there are fewer than minLatencySamples
+	sparseLatencyWindow = 8 * time.Second // replaces latencyWindow while there are fewer samples than minLatencySamples
 )
 
 // How the target latency, above which an answer counts as slow, is learned from quiet samples: latencies measured
@@ -64,11 +64,11 @@
 type gauge struct {
 	*objectives
 	inFlight  []*attempt // attempts that still wait for a response, oldest first
-	aggregate *gauge     // gauge of several servers that also counts this one's samples, or nil
+	aggregate *gauge     // gauge of several servers that also counts this server's samples, or nil
 	hasQueue  bool       // requests queue for the server, so the load is not low
 
 	samples, overTarget, overMax float64 // weighted numbers of samples: all, those above target, those above max
-	fadedAt                      Time    // when fade last reduced these numbers because of the samples' age
+	fadedAt                      Time    // when fade last reduced samples, overTarget and overMax
 }
 
 // observe records the latency of an answer, or a failure. A failure counts as slower than gauge.max, which means very
